--- a/adapter/src/main/java/sorrelhoist/wire/Fields.java
+++ b/adapter/src/main/java/sorrelhoist/wire/Fields.java
@@ -32,7 +32,8 @@
             }
             return fields;
         } catch (JsonProcessingException e) {
-            throw new WireException("malformed JSON: " + e.getOriginalMessage().replaceAll("\\s+", " "));
+            throw new WireException(
+                    "malformed JSON: " + e.getOriginalMessage().replaceAll("\\s+", " "));
         } catch (IOException e) {
             throw new WireException("unreadable line: " + e.getMessage());
         }
--- a/adapter/src/main/java/sorrelhoist/wire/FieldsReader.java
+++ b/adapter/src/main/java/sorrelhoist/wire/FieldsReader.java
@@ -14,20 +14,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON objects one behind the other, however they are laid out and wherever their bytes are cut. */
+/**
+ * JSON objects one behind the other, however they are laid out and wherever their bytes are cut.
+ */
 public final class FieldsReader {
     private static final int MAX_DEPTH = 64;
     private static final int MAX_TEXT = 1 << 20;
-    private static final JsonFactory JSON = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxStringLength(MAX_TEXT).build()).build();
+    private static final JsonFactory JSON =
+            JsonFactory.builder()
+                    .streamReadConstraints(
+                            StreamReadConstraints.builder().maxStringLength(MAX_TEXT).build())
+                    .build();
     private final int mostBytes;
     private final JsonParser parser;
     private final Deque<Open> open = new ArrayDeque<>();
     private int bytes;
 
     /** An object or a list whose end has not come. */
-    private record Open(String name, Map<String, Object> object, List<Object> list) {
-    }
+    private record Open(String name, Map<String, Object> object, List<Object> list) {}
 
     /**
      * Makes a reader.
@@ -74,7 +78,9 @@
      */
     public Fields next() throws WireException {
         try {
-            for (JsonToken t = parser.nextToken(); t != null && t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
+            for (JsonToken t = parser.nextToken();
+                    t != null && t != JsonToken.NOT_AVAILABLE;
+                    t = parser.nextToken()) {
                 Map<String, Object> whole = take(t);
                 if (whole != null) {
                     bytes = 0;
@@ -83,7 +89,8 @@
             }
             return null;
         } catch (JsonProcessingException e) {
-            throw new WireException("malformed JSON: " + e.getOriginalMessage().replaceAll("\\s+", " "));
+            throw new WireException(
+                    "malformed JSON: " + e.getOriginalMessage().replaceAll("\\s+", " "));
         } catch (IOException e) {
             throw new WireException("unreadable JSON: " + e.getMessage());
         }
--- a/adapter/src/main/java/sorrelhoist/wire/Main.java
+++ b/adapter/src/main/java/sorrelhoist/wire/Main.java
@@ -4,8 +4,7 @@
 public final class Main {
     private static final int USAGE = 2;
 
-    private Main() {
-    }
+    private Main() {}
 
     /**
      * Runs the named subcommand and exits with its status.
--- a/adapter/src/main/java/sorrelhoist/wire/WireHost.java
+++ b/adapter/src/main/java/sorrelhoist/wire/WireHost.java
@@ -15,14 +15,16 @@
 import sorrelhoist.Routing.Event;
 import sorrelhoist.Routing.Settings;
 
-/** Hosts many instances of {@link Decide} on the wire, JSON line by line: translates, decides nothing. */
+/**
+ * Hosts many instances of {@link Decide} on the wire, JSON line by line: translates, decides
+ * nothing.
+ */
 public final class WireHost {
     private static final int OK = 0;
     private static final int FAULT = 1;
     private static final int LISTS = 16;
 
-    private record Instance(Decide decide, Settings settings) {
-    }
+    private record Instance(Decide decide, Settings settings) {}
 
     private final Map<Long, Instance> instances = new HashMap<>();
     private final Map<Long, Fields> lists = new HashMap<>();
@@ -30,16 +32,13 @@
     /** Hears what the hosted instances are told and say; changes nothing. */
     public interface Hearing {
         /** Hears nothing. */
-        Hearing NONE = new Hearing() {
-        };
+        Hearing NONE = new Hearing() {};
 
         /** An instance was started. */
-        default void started(long router, Settings settings, long seed) {
-        }
+        default void started(long router, Settings settings, long seed) {}
 
         /** An instance was told something, and said something. */
-        default void told(long router, long now, Event event, List<Action> actions) {
-        }
+        default void told(long router, long now, Event event, List<Action> actions) {}
     }
 
     private final Hearing hearing;
@@ -69,7 +68,8 @@
     public int run(InputStream in, OutputStream out, PrintStream err) {
         long lineNumber = 0;
         try {
-            BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
+            BufferedReader lines =
+                    new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 lineNumber++;
                 out.write(reply(line, lineNumber).getBytes(StandardCharsets.UTF_8));
--- a/adapter/src/test/java/sorrelhoist/wire/FieldsReaderTest.java
+++ b/adapter/src/test/java/sorrelhoist/wire/FieldsReaderTest.java
@@ -10,8 +10,17 @@
 import org.junit.jupiter.api.Test;
 
 class FieldsReaderTest {
-    private static final String TWO = "{\"rev\":41,\"all\":true,\"targets\":[{\"uid\":\"s-\u00e9\",\"load\":0.5}]}\n\n\n"
-            + "{\n  \"rev\" : 42,\r\n  \"all\": false,\n  \"targets\": [\n    {\n      \"uid\": \"t\"\n    }\n  ]\n}\n";
+    private static final String TWO =
+            "{\"rev\":41,\"all\":true,\"targets\":[{\"uid\":\"s-\u00e9\",\"load\":0.5}]}\n\n\n"
+                    + "{\n"
+                    + "  \"rev\" : 42,\r\n"
+                    + "  \"all\": false,\n"
+                    + "  \"targets\": [\n"
+                    + "    {\n"
+                    + "      \"uid\": \"t\"\n"
+                    + "    }\n"
+                    + "  ]\n"
+                    + "}\n";
 
     @Test
     void objectsAreTheSameHoweverTheyAreLaidOutAndCut() throws WireException {
@@ -36,18 +45,25 @@
 
     @Test
     void whatIsNoObjectOrTooLargeIsRefused() throws WireException {
-        for (String bad : new String[] {"[1]", "{\"a\":}", "noise\n", "\"text\"", "7 ", "{\"a\":" + "[".repeat(80)}) {
+        for (String bad :
+                new String[] {
+                    "[1]", "{\"a\":}", "noise\n", "\"text\"", "7 ", "{\"a\":" + "[".repeat(80)
+                }) {
             FieldsReader reader = new FieldsReader(1000);
             reader.add(bad.getBytes(StandardCharsets.UTF_8));
             assertThrows(WireException.class, reader::next, bad);
         }
         FieldsReader reader = new FieldsReader(1000);
-        assertThrows(WireException.class, () -> {
-            for (int i = 0; i < 100; i++) {
-                reader.add((i == 0 ? "{\"a\":[" : "1,".repeat(20)).getBytes(StandardCharsets.UTF_8));
-                reader.next();
-            }
-        });
+        assertThrows(
+                WireException.class,
+                () -> {
+                    for (int i = 0; i < 100; i++) {
+                        reader.add(
+                                (i == 0 ? "{\"a\":[" : "1,".repeat(20))
+                                        .getBytes(StandardCharsets.UTF_8));
+                        reader.next();
+                    }
+                });
     }
 
     @Test
--- a/app/src/main/java/sorrelhoist/app/Spans.java
+++ b/app/src/main/java/sorrelhoist/app/Spans.java
@@ -16,8 +16,7 @@
 public final class Spans implements SpanExporter {
     private static final Logger LOG = LoggerFactory.getLogger(Spans.class);
 
-    private Spans() {
-    }
+    private Spans() {}
 
     /**
      * Makes the telemetry of an edge.
@@ -29,17 +28,27 @@
         if (share <= 0) {
             return null;
         }
-        return OpenTelemetrySdk.builder().setTracerProvider(SdkTracerProvider.builder()
-                .setSampler(Sampler.parentBased(Sampler.traceIdRatioBased(share)))
-                .addSpanProcessor(BatchSpanProcessor.builder(new Spans()).build()).build()).build();
+        return OpenTelemetrySdk.builder()
+                .setTracerProvider(
+                        SdkTracerProvider.builder()
+                                .setSampler(Sampler.parentBased(Sampler.traceIdRatioBased(share)))
+                                .addSpanProcessor(BatchSpanProcessor.builder(new Spans()).build())
+                                .build())
+                .build();
     }
 
     @Override
     public CompletableResultCode export(Collection<SpanData> spans) {
         for (SpanData s : spans) {
-            var line = LOG.atInfo().addKeyValue("event", "span").addKeyValue("trace", s.getTraceId())
-                    .addKeyValue("span", s.getSpanId()).addKeyValue("parent", s.getParentSpanId())
-                    .addKeyValue("took_us", (s.getEndEpochNanos() - s.getStartEpochNanos()) / 1000);
+            var line =
+                    LOG.atInfo()
+                            .addKeyValue("event", "span")
+                            .addKeyValue("trace", s.getTraceId())
+                            .addKeyValue("span", s.getSpanId())
+                            .addKeyValue("parent", s.getParentSpanId())
+                            .addKeyValue(
+                                    "took_us",
+                                    (s.getEndEpochNanos() - s.getStartEpochNanos()) / 1000);
             s.getAttributes().forEach((k, v) -> line.addKeyValue(k.getKey(), v));
             line.log(s.getName());
         }
--- a/app/src/main/java/sorrelhoist/app/command/ConfigCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/ConfigCommand.java
@@ -7,14 +7,19 @@
 import sorrelhoist.app.config.Config;
 
 /** Works on settings. */
-@Command(name = "config", description = "Checks settings, or writes the templates that they build on.")
+@Command(
+        name = "config",
+        description = "Checks settings, or writes the templates that they build on.")
 public final class ConfigCommand {
     @Command(name = "check", description = "Checks a settings file; says each fault with its path.")
     int check(@Parameters(paramLabel = "FILE") Path file) {
         try {
             Config.Kind kind = Config.check(file);
-            System.out.println(file + ": good settings of a" + (kind == Config.Kind.EDGE
-                    || kind == Config.Kind.ENGINE ? "n " : " ") + kind.name().toLowerCase(java.util.Locale.ROOT));
+            System.out.println(
+                    file
+                            + ": good settings of a"
+                            + (kind == Config.Kind.EDGE || kind == Config.Kind.ENGINE ? "n " : " ")
+                            + kind.name().toLowerCase(java.util.Locale.ROOT));
             return 0;
         } catch (Config.Faulty e) {
             System.err.println(e.getMessage());
@@ -25,7 +30,10 @@
     @Command(name = "init", description = "Writes the templates into a folder.")
     int init(@Parameters(paramLabel = "FOLDER") Path folder) throws IOException {
         Config.writeTemplates(folder);
-        System.out.println("templates written to " + folder + ": import them as (import 'edge.libsonnet') + {...}");
+        System.out.println(
+                "templates written to "
+                        + folder
+                        + ": import them as (import 'edge.libsonnet') + {...}");
         return 0;
     }
 }
--- a/app/src/main/java/sorrelhoist/app/command/FleetCommands.java
+++ b/app/src/main/java/sorrelhoist/app/command/FleetCommands.java
@@ -18,15 +18,20 @@
 
 /** Commands that start a fleet on this machine, or ask one. */
 public final class FleetCommands {
-    private static final String[] PROMPTS = {"Where is the pallet for dock seven?",
-        "When does the truck come back?", "How many crates are on the morning list?"};
+    private static final String[] PROMPTS = {
+        "Where is the pallet for dock seven?",
+        "When does the truck come back?",
+        "How many crates are on the morning list?"
+    };
     private static final long PATIENCE = 10_000_000;
 
-    private FleetCommands() {
-    }
+    private FleetCommands() {}
 
     /** Shows all of it once. */
-    @Command(name = "demo", description = "Starts a fleet, streams some prompts, plays a short bad day, and judges it.")
+    @Command(
+            name = "demo",
+            description =
+                    "Starts a fleet, streams some prompts, plays a short bad day, and judges it.")
     public static final class Demo implements Callable<Integer> {
         @Option(names = "--seed", description = "the day's seed (default: the day's own)")
         Long seed;
@@ -36,8 +41,13 @@
             Day day = seed == null ? Fleets.builtIn() : Fleets.withSeed(Fleets.builtIn(), seed);
             Path folder = Fleets.folder("demo");
             try (ProcessFleet fleet = new ProcessFleet(day, folder, Fleets.self(), 0, Map.of())) {
-                System.out.println("starting registry, planner, " + fleet.edgeCount() + " edges and "
-                        + fleet.engines().size() + " engines; settings, logs and traces are in " + folder);
+                System.out.println(
+                        "starting registry, planner, "
+                                + fleet.edgeCount()
+                                + " edges and "
+                                + fleet.engines().size()
+                                + " engines; settings, logs and traces are in "
+                                + folder);
                 fleet.start();
                 System.out.println(fleet.readyLine());
                 System.out.println();
@@ -55,17 +65,28 @@
         System.out.println("> " + prompt);
         System.out.print("  ");
         try {
-            InferClient.Result r = client.ask(new Ask("", null, null, null, 0, prompt, maxTokens, PATIENCE),
-                    (i, text) -> {
-                        System.out.print(text);
-                        System.out.flush();
-                    }).get();
+            InferClient.Result r =
+                    client.ask(
+                                    new Ask("", null, null, null, 0, prompt, maxTokens, PATIENCE),
+                                    (i, text) -> {
+                                        System.out.print(text);
+                                        System.out.flush();
+                                    })
+                            .get();
             System.out.println();
             if (!r.served()) {
-                System.out.println("  " + r.status().code() + ": " + r.status().message()
-                        + (r.pushbackMillis() > 0 ? " (come back in " + r.pushbackMillis() + " ms)" : ""));
+                System.out.println(
+                        "  "
+                                + r.status().code()
+                                + ": "
+                                + r.status().message()
+                                + (r.pushbackMillis() > 0
+                                        ? " (come back in " + r.pushbackMillis() + " ms)"
+                                        : ""));
             } else {
-                System.out.printf("  (%d tokens, the first after %.1f ms)%n", r.tokens(), r.firstMicros() / 1000.0);
+                System.out.printf(
+                        "  (%d tokens, the first after %.1f ms)%n",
+                        r.tokens(), r.firstMicros() / 1000.0);
             }
             return r.served();
         } catch (InterruptedException e) {
@@ -80,8 +101,12 @@
     /** Keeps a fleet until it is told to end. */
     @Command(name = "up", description = "Starts the demo's fleet and keeps it until SIGTERM.")
     public static final class Up implements Callable<Integer> {
-        @Option(names = "--port-base", paramLabel = "N", defaultValue = "0",
-                description = "first port: edges, then planner and registry (default: the system picks)")
+        @Option(
+                names = "--port-base",
+                paramLabel = "N",
+                defaultValue = "0",
+                description =
+                        "first port: edges, then planner and registry (default: the system picks)")
         int portBase;
 
         @Override
@@ -92,8 +117,8 @@
             }
             Lifetime life = new Lifetime();
             Path folder = Fleets.folder("up");
-            try (ProcessFleet fleet = new ProcessFleet(Fleets.builtIn(), folder, Fleets.self(), portBase,
-                    Map.of())) {
+            try (ProcessFleet fleet =
+                    new ProcessFleet(Fleets.builtIn(), folder, Fleets.self(), portBase, Map.of())) {
                 fleet.start();
                 System.out.println(fleet.readyLine());
                 System.out.flush();
@@ -108,10 +133,19 @@
     public static final class AskCommand implements Callable<Integer> {
         @Option(names = "--to", required = true, paramLabel = "HOST:PORT", description = "an edge")
         String to;
-        @Option(names = "--max-tokens", defaultValue = "64", description = "the most that may be answered")
+
+        @Option(
+                names = "--max-tokens",
+                defaultValue = "64",
+                description = "the most that may be answered")
         int maxTokens;
-        @Option(names = "--model", defaultValue = ProcessFleet.MODEL, description = "the model's name")
+
+        @Option(
+                names = "--model",
+                defaultValue = ProcessFleet.MODEL,
+                description = "the model's name")
         String model;
+
         @Parameters(paramLabel = "PROMPT")
         String prompt;
 
@@ -131,8 +165,10 @@
     @Command(name = "day", description = "Works on scripted days.")
     public static final class DayCommand {
         @Command(name = "run", description = "Plays a day on a fleet of its own and judges it.")
-        int run(@Parameters(paramLabel = "FILE") Path file,
-                @Option(names = "--seed", description = "in place of the day's own") Long seed) throws IOException {
+        int run(
+                @Parameters(paramLabel = "FILE") Path file,
+                @Option(names = "--seed", description = "in place of the day's own") Long seed)
+                throws IOException {
             Day day;
             try {
                 day = DayFile.parse(Files.readString(file));
@@ -144,13 +180,17 @@
                 return 2;
             }
             Day seeded = seed == null ? day : Fleets.withSeed(day, seed);
-            try (ProcessFleet fleet = new ProcessFleet(seeded, Fleets.folder("day"), Fleets.self(), 0, Map.of())) {
+            try (ProcessFleet fleet =
+                    new ProcessFleet(seeded, Fleets.folder("day"), Fleets.self(), 0, Map.of())) {
                 fleet.start();
                 return Fleets.play(seeded, fleet) ? 0 : 1;
             }
         }
 
-        @Command(name = "show", description = "Prints the day that comes with the program, to start one's own from.")
+        @Command(
+                name = "show",
+                description =
+                        "Prints the day that comes with the program, to start one's own from.")
         int show() throws IOException {
             try (var in = FleetCommands.class.getResourceAsStream("/days/bad.day")) {
                 System.out.write(in.readAllBytes());
--- a/app/src/main/java/sorrelhoist/app/command/Fleets.java
+++ b/app/src/main/java/sorrelhoist/app/command/Fleets.java
@@ -19,13 +19,18 @@
 final class Fleets {
     private static final Set<String> UNSAFE = Set.of("order");
 
-    private Fleets() {
-    }
+    private Fleets() {}
 
     /** {@return the command that starts this program again} */
     static List<String> self() {
         try {
-            Path jar = Path.of(Fleets.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            Path jar =
+                    Path.of(
+                            Fleets.class
+                                    .getProtectionDomain()
+                                    .getCodeSource()
+                                    .getLocation()
+                                    .toURI());
             String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
             return List.of(java, "-jar", jar.toString());
         } catch (URISyntaxException e) {
@@ -51,11 +56,21 @@
         return new Day(day.name(), seed, day.length(), day.zones(), day.loads(), day.events());
     }
 
-    /** Plays a day on a fleet that runs, and prints the judge's table. {@return whether no rule was broken} */
+    /**
+     * Plays a day on a fleet that runs, and prints the judge's table. {@return whether no rule was
+     * broken}
+     */
     static boolean play(Day day, ProcessFleet fleet) throws IOException {
-        System.out.println("playing \"" + day.name() + "\", seed " + day.seed() + ", "
-                + day.length() / 1_000_000 + " s");
-        Verdict verdict = new DayRunner(day, fleet, System.out::println).run(DayRunner.figures(day, UNSAFE));
+        System.out.println(
+                "playing \""
+                        + day.name()
+                        + "\", seed "
+                        + day.seed()
+                        + ", "
+                        + day.length() / 1_000_000
+                        + " s");
+        Verdict verdict =
+                new DayRunner(day, fleet, System.out::println).run(DayRunner.figures(day, UNSAFE));
         System.out.println();
         System.out.print(verdict.table());
         return verdict.clean();
--- a/app/src/main/java/sorrelhoist/app/command/MeasureCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/MeasureCommand.java
@@ -15,54 +15,105 @@
 import sorrelhoist.lab.sim.KnowledgeStudy;
 
 /** Measures one edge on this machine. */
-@Command(name = "measure", description = "Measures one edge: time added to a first token, throughput, CPU, memory.")
+@Command(
+        name = "measure",
+        description = "Measures one edge: time added to a first token, throughput, CPU, memory.")
 public final class MeasureCommand implements Callable<Integer> {
-    @Option(names = "--requests", defaultValue = "100000", description = "for throughput and memory")
+    @Option(
+            names = "--requests",
+            defaultValue = "100000",
+            description = "for throughput and memory")
     int requests;
+
     @Option(names = "--concurrency", defaultValue = "64", description = "requests at once")
     int concurrency;
+
     @Option(names = "--tokens", defaultValue = "8", description = "that each may answer")
     int tokens;
 
-    @Command(name = "streams", description = "Measures how many streams of 20 tokens a second one edge carries.")
-    int streams(@Option(names = "--levels", split = ",", defaultValue = "250,500,1000,2000,4000,8000",
-            description = "numbers of streams") int[] levels,
-            @Option(names = "--slow", defaultValue = "0", description = "share of clients that read slowly")
-            double slow) throws IOException {
-        try (ProcessFleet fleet = new ProcessFleet(PathMeasure.fleet(), Fleets.folder("streams"), Fleets.self(), 0,
-                StreamMeasure.STEADY)) {
+    @Command(
+            name = "streams",
+            description = "Measures how many streams of 20 tokens a second one edge carries.")
+    int streams(
+            @Option(
+                            names = "--levels",
+                            split = ",",
+                            defaultValue = "250,500,1000,2000,4000,8000",
+                            description = "numbers of streams")
+                    int[] levels,
+            @Option(
+                            names = "--slow",
+                            defaultValue = "0",
+                            description = "share of clients that read slowly")
+                    double slow)
+            throws IOException {
+        try (ProcessFleet fleet =
+                new ProcessFleet(
+                        PathMeasure.fleet(),
+                        Fleets.folder("streams"),
+                        Fleets.self(),
+                        0,
+                        StreamMeasure.STEADY)) {
             fleet.start();
             new StreamMeasure(fleet, System.out::println).run(levels, slow);
         }
         return 0;
     }
 
-    @Command(name = "fleet", description = "The demo's fleet beside a plain client: steady rates and bursts, by turns.")
-    int fleet(@Option(names = "--rates", split = ",", defaultValue = "20,100,300,600,1000,1600",
-            description = "requests a second") int[] rates,
-            @Option(names = "--seconds", defaultValue = "8", description = "of each stretch") int seconds,
-            @Option(names = "--burst", defaultValue = "300", description = "requests at once") int burst,
-            @Option(names = "--bursts", defaultValue = "10", description = "bursts in a row") int bursts,
+    @Command(
+            name = "fleet",
+            description =
+                    "The demo's fleet beside a plain client: steady rates and bursts, by turns.")
+    int fleet(
+            @Option(
+                            names = "--rates",
+                            split = ",",
+                            defaultValue = "20,100,300,600,1000,1600",
+                            description = "requests a second")
+                    int[] rates,
+            @Option(names = "--seconds", defaultValue = "8", description = "of each stretch")
+                    int seconds,
+            @Option(names = "--burst", defaultValue = "300", description = "requests at once")
+                    int burst,
+            @Option(names = "--bursts", defaultValue = "10", description = "bursts in a row")
+                    int bursts,
             @Option(names = "--no-plain", description = "leave the plain client out") boolean alone,
-            @Option(names = "--table", paramLabel = "FILE", description = "for the figures, as CSV") Path table)
+            @Option(names = "--table", paramLabel = "FILE", description = "for the figures, as CSV")
+                    Path table)
             throws IOException {
-        if (Arrays.stream(rates).anyMatch(r -> r < 1 || r > 10_000) || seconds < 1 || burst < 1 || bursts < 0) {
-            System.err.println("--rates from 1 to 10000, --seconds and --burst from 1, --bursts from 0");
+        if (Arrays.stream(rates).anyMatch(r -> r < 1 || r > 10_000)
+                || seconds < 1
+                || burst < 1
+                || bursts < 0) {
+            System.err.println(
+                    "--rates from 1 to 10000, --seconds and --burst from 1, --bursts from 0");
             return 2;
         }
-        try (ProcessFleet fleet = new ProcessFleet(Fleets.builtIn(), Fleets.folder("fleet"), Fleets.self(), 0,
-                Map.of())) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(
+                        Fleets.builtIn(), Fleets.folder("fleet"), Fleets.self(), 0, Map.of())) {
             fleet.start();
-            new FleetMeasure(fleet, System.out::println).run(new FleetMeasure.Plan(rates, seconds, burst, bursts, !alone),
-                    table);
+            new FleetMeasure(fleet, System.out::println)
+                    .run(new FleetMeasure.Plan(rates, seconds, burst, bursts, !alone), table);
         }
         return 0;
     }
 
-    @Command(name = "door", description = "Studies in virtual time what becomes of bursts that engines have room for.")
-    int door(@Option(names = "--edges", split = ",", defaultValue = "2,10,50", description = "sizes of fleets") int[] sizes,
-            @Option(names = "--seeds", defaultValue = "3", description = "runs of each case") int seeds,
-            @Option(names = "--table", paramLabel = "FILE", description = "for the figures, as CSV") Path table)
+    @Command(
+            name = "door",
+            description =
+                    "Studies in virtual time what becomes of bursts that engines have room for.")
+    int door(
+            @Option(
+                            names = "--edges",
+                            split = ",",
+                            defaultValue = "2,10,50",
+                            description = "sizes of fleets")
+                    int[] sizes,
+            @Option(names = "--seeds", defaultValue = "3", description = "runs of each case")
+                    int seeds,
+            @Option(names = "--table", paramLabel = "FILE", description = "for the figures, as CSV")
+                    Path table)
             throws IOException {
         if (Arrays.stream(sizes).anyMatch(n -> n < 1 || n > 200) || seeds < 1) {
             System.err.println("--edges from 1 to 200, --seeds from 1");
@@ -72,26 +123,52 @@
         return 0;
     }
 
-    @Command(name = "recorder", description = "What recording costs: one edge that does beside one that does not, by turns.")
-    int recorder(@Option(names = "--requests", defaultValue = "20000", description = "of each turn") int requests,
-            @Option(names = "--turns", defaultValue = "6", description = "of each edge") int turns) throws IOException {
+    @Command(
+            name = "recorder",
+            description =
+                    "What recording costs: one edge that does beside one that does not, by turns.")
+    int recorder(
+            @Option(names = "--requests", defaultValue = "20000", description = "of each turn")
+                    int requests,
+            @Option(names = "--turns", defaultValue = "6", description = "of each edge") int turns)
+            throws IOException {
         if (requests < 1 || turns < 1) {
             System.err.println("--requests and --turns from 1");
             return 2;
         }
-        try (ProcessFleet fleet = new ProcessFleet(PathMeasure.pair(), Fleets.folder("recorder"), Fleets.self(), 0,
-                PathMeasure.FAST).unrecorded("edge-2")) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(
+                                PathMeasure.pair(),
+                                Fleets.folder("recorder"),
+                                Fleets.self(),
+                                0,
+                                PathMeasure.FAST)
+                        .unrecorded("edge-2")) {
             fleet.start();
             new PathMeasure(fleet, System.out::println).recorder(requests, turns);
         }
         return 0;
     }
 
-    @Command(name = "knowledge", description = "Studies in virtual time what teaching a new router is worth.")
-    int knowledge(@Option(names = "--routers", split = ",", defaultValue = "3,50,150", description = "sizes of fleets")
-            int[] sizes, @Option(names = "--seeds", defaultValue = "10", description = "runs of each kind") int seeds,
-            @Option(names = "--out", required = true, paramLabel = "FOLDER", description = "for table and charts")
-            Path out) throws IOException {
+    @Command(
+            name = "knowledge",
+            description = "Studies in virtual time what teaching a new router is worth.")
+    int knowledge(
+            @Option(
+                            names = "--routers",
+                            split = ",",
+                            defaultValue = "3,50,150",
+                            description = "sizes of fleets")
+                    int[] sizes,
+            @Option(names = "--seeds", defaultValue = "10", description = "runs of each kind")
+                    int seeds,
+            @Option(
+                            names = "--out",
+                            required = true,
+                            paramLabel = "FOLDER",
+                            description = "for table and charts")
+                    Path out)
+            throws IOException {
         new KnowledgeStudy(seeds, System.out::println).run(sizes, out);
         return 0;
     }
@@ -102,8 +179,13 @@
             System.err.println("--requests from 4, --concurrency and --tokens from 1");
             return 2;
         }
-        try (ProcessFleet fleet = new ProcessFleet(PathMeasure.fleet(), Fleets.folder("measure"), Fleets.self(), 0,
-                PathMeasure.FAST)) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(
+                        PathMeasure.fleet(),
+                        Fleets.folder("measure"),
+                        Fleets.self(),
+                        0,
+                        PathMeasure.FAST)) {
             fleet.start();
             new PathMeasure(fleet, System.out::println).run(requests, concurrency, tokens);
         }
--- a/app/src/main/java/sorrelhoist/app/command/OtherBuild.java
+++ b/app/src/main/java/sorrelhoist/app/command/OtherBuild.java
@@ -12,7 +12,10 @@
 import sorrelhoist.core.record.Tape;
 import sorrelhoist.core.record.Unreadable;
 
-/** Another build of this program, from its jar: says what it would have decided. The two have only bytes in common. */
+/**
+ * Another build of this program, from its jar: says what it would have decided. The two have only
+ * bytes in common.
+ */
 final class OtherBuild implements AutoCloseable {
     private final URLClassLoader loader;
     private final Method again;
@@ -26,12 +29,15 @@
         if (!Files.isRegularFile(jar)) {
             throw new IOException("--build: no jar there");
         }
-        loader = new URLClassLoader(new URL[] {jar.toUri().toURL()}, ClassLoader.getPlatformClassLoader());
+        loader =
+                new URLClassLoader(
+                        new URL[] {jar.toUri().toURL()}, ClassLoader.getPlatformClassLoader());
         try {
             again = loader.loadClass(Replay.class.getName()).getMethod("again", byte[].class);
         } catch (ReflectiveOperationException e) {
             loader.close();
-            throw new IOException("--build: that jar holds no build that replays: " + e.getMessage());
+            throw new IOException(
+                    "--build: that jar holds no build that replays: " + e.getMessage());
         }
     }
 
@@ -40,7 +46,8 @@
         try {
             return Tape.of(List.of((byte[]) again.invoke(null, (Object) tape.file())));
         } catch (InvocationTargetException e) {
-            throw new IOException("--build: that build cannot read this record: " + e.getCause().getMessage());
+            throw new IOException(
+                    "--build: that build cannot read this record: " + e.getCause().getMessage());
         } catch (ReflectiveOperationException | Unreadable e) {
             throw new IOException("--build: " + e.getMessage());
         }
--- a/app/src/main/java/sorrelhoist/app/command/Programs.java
+++ b/app/src/main/java/sorrelhoist/app/command/Programs.java
@@ -17,11 +17,14 @@
 
 /** The programs that serve until they are told to end. Each prints one line when it is ready. */
 public final class Programs {
-    private Programs() {
-    }
+    private Programs() {}
 
     private abstract static class Program implements Callable<Integer> {
-        @Option(names = "--config", required = true, paramLabel = "FILE", description = "its settings, in Jsonnet")
+        @Option(
+                names = "--config",
+                required = true,
+                paramLabel = "FILE",
+                description = "its settings, in Jsonnet")
         Path config;
 
         void ready(String what, int port) {
@@ -31,7 +34,9 @@
     }
 
     /** An edge. */
-    @Command(name = "edge", description = "Serves clients: holds their streams and routes their requests.")
+    @Command(
+            name = "edge",
+            description = "Serves clients: holds their streams and routes their requests.")
     public static final class EdgeProgram extends Program {
         @Override
         public Integer call() throws IOException, Config.Faulty {
@@ -46,7 +51,9 @@
     }
 
     /** A planner. */
-    @Command(name = "planner", description = "Reads the registry, and tells the edges what they need to know.")
+    @Command(
+            name = "planner",
+            description = "Reads the registry, and tells the edges what they need to know.")
     public static final class PlannerProgram extends Program {
         @Override
         public Integer call() throws IOException, Config.Faulty {
@@ -61,7 +68,9 @@
     }
 
     /** A stand-in engine. */
-    @Command(name = "engine", description = "A stand-in for an engine: reads prompts or writes answers.")
+    @Command(
+            name = "engine",
+            description = "A stand-in for an engine: reads prompts or writes answers.")
     public static final class EngineProgram extends Program {
         @Override
         public Integer call() throws IOException, Config.Faulty {
--- a/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
@@ -34,7 +34,10 @@
 import sorrelhoist.edge.record.RecordFolder;
 
 /** Works on the record of an edge's decisions. */
-@Command(name = "record", description = "Shows, explains, replays, compares and cuts the record of an edge's decisions.")
+@Command(
+        name = "record",
+        description =
+                "Shows, explains, replays, compares and cuts the record of an edge's decisions.")
 public final class RecordCommand {
     private static final int CUT_REPLAYS = 5000;
     private static final int SAMPLES = 3;
@@ -59,8 +62,13 @@
             System.err.println("record: " + e.getMessage());
             return 2;
         } catch (Unreadable | IOException e) {
-            System.err.println("record: " + where + ": " + e.getMessage() + ": give a .rec file, or the folder that an"
-                    + " edge's record.folder names");
+            System.err.println(
+                    "record: "
+                            + where
+                            + ": "
+                            + e.getMessage()
+                            + ": give a .rec file, or the folder that an"
+                            + " edge's record.folder names");
             return 2;
         }
     }
@@ -69,7 +77,8 @@
         List<byte[]> files = new ArrayList<>();
         if (Files.isDirectory(where)) {
             try (Stream<Path> list = Files.list(where)) {
-                for (Path f : list.filter(p -> p.toString().endsWith(Shelf.SUFFIX)).sorted().toList()) {
+                for (Path f :
+                        list.filter(p -> p.toString().endsWith(Shelf.SUFFIX)).sorted().toList()) {
                     files.add(Files.readAllBytes(f));
                 }
             }
@@ -81,26 +90,42 @@
         return tape;
     }
 
-    @Command(name = "show", description = "Sums up a record: what was asked, what became of it, and why.")
-    int show(@Parameters(paramLabel = "RECORD") Path where,
+    @Command(
+            name = "show",
+            description = "Sums up a record: what was asked, what became of it, and why.")
+    int show(
+            @Parameters(paramLabel = "RECORD") Path where,
             @Option(names = "--entries", description = "print every entry") boolean entries,
-            @Option(names = "--kind", description = "list the requests that ended for this kind of reason") Reason.Kind kind) {
-        return on(where, tape -> {
-            if (entries) {
-                tape.lines().forEach(l -> System.out.println(l.number() + " " + l.entry()));
-                return 0;
-            }
-            sum(tape, kind);
-            return 0;
-        });
+            @Option(
+                            names = "--kind",
+                            description = "list the requests that ended for this kind of reason")
+                    Reason.Kind kind) {
+        return on(
+                where,
+                tape -> {
+                    if (entries) {
+                        tape.lines().forEach(l -> System.out.println(l.number() + " " + l.entry()));
+                        return 0;
+                    }
+                    sum(tape, kind);
+                    return 0;
+                });
     }
 
     private static void sum(Tape tape, Reason.Kind kind) {
         Entry.Started head = tape.head();
-        System.out.printf("router %s, build %s, start %s, %d routers%n", head.name(), head.build(),
-                Long.toString(head.incarnation(), 36), head.settings().routers());
-        System.out.printf("entries %d%s%n", tape.lines().size(), tape.isWhole() ? ", from the start and without a gap"
-                : ", with gaps: a replay cannot be exact");
+        System.out.printf(
+                "router %s, build %s, start %s, %d routers%n",
+                head.name(),
+                head.build(),
+                Long.toString(head.incarnation(), 36),
+                head.settings().routers());
+        System.out.printf(
+                "entries %d%s%n",
+                tape.lines().size(),
+                tape.isWhole()
+                        ? ", from the start and without a gap"
+                        : ", with gaps: a replay cannot be exact");
         tape.gaps().forEach(g -> System.out.printf("  missing: %d to %d%n", g[0], g[1] - 1));
         Map<String, Integer> counts = new TreeMap<>();
         Map<Reason.Kind, List<String>> samples = new TreeMap<>();
@@ -114,115 +139,217 @@
             } else if (l.entry() instanceof Entry.Answered a) {
                 counts.merge("answered " + a.how(), 1, Integer::sum);
                 if (a.how() == Entry.End.REFUSED || a.how() == Entry.End.FAILED) {
-                    samples.computeIfAbsent(a.why().kind(), k -> new ArrayList<>()).add(
-                            names.getOrDefault(a.client(), "(at the door of the router)") + ": " + Words.lack(a.why()));
+                    samples.computeIfAbsent(a.why().kind(), k -> new ArrayList<>())
+                            .add(
+                                    names.getOrDefault(a.client(), "(at the door of the router)")
+                                            + ": "
+                                            + Words.lack(a.why()));
                 }
             } else if (l.entry() instanceof Entry.Marked m) {
-                System.out.println("marked at " + m.at() + " us, entry " + l.number() + ": " + m.text());
+                System.out.println(
+                        "marked at " + m.at() + " us, entry " + l.number() + ": " + m.text());
             }
         }
         counts.forEach((what, n) -> System.out.printf("%8d  %s%n", n, what));
-        samples.forEach((k, list) -> {
-            System.out.println("not served, " + k + ": " + list.size());
-            list.stream().limit(k == kind ? Long.MAX_VALUE : SAMPLES).forEach(s -> System.out.println("    " + s));
-        });
+        samples.forEach(
+                (k, list) -> {
+                    System.out.println("not served, " + k + ": " + list.size());
+                    list.stream()
+                            .limit(k == kind ? Long.MAX_VALUE : SAMPLES)
+                            .forEach(s -> System.out.println("    " + s));
+                });
     }
 
     private static String label(Routing.Action a) {
-        Reason why = a instanceof Routing.Send s ? s.why() : a instanceof Routing.Refuse r ? r.why()
-                : a instanceof Routing.Fail f ? f.why() : a instanceof Routing.Cancel c ? c.why() : null;
+        Reason why =
+                a instanceof Routing.Send s
+                        ? s.why()
+                        : a instanceof Routing.Refuse r
+                                ? r.why()
+                                : a instanceof Routing.Fail f
+                                        ? f.why()
+                                        : a instanceof Routing.Cancel c ? c.why() : null;
         return a.getClass().getSimpleName() + (why == null ? "" : " " + why.kind());
     }
 
     @Command(name = "why", description = "Tells one request's whole story.")
-    int why(@Parameters(paramLabel = "RECORD") Path where,
-            @Parameters(paramLabel = "REQUEST", description = "its name at engines, its client's id, or its number")
-            String request) {
-        return on(where, tape -> {
-            List<String> story = new Story(tape).of(request);
-            if (story.isEmpty()) {
-                throw new Said("no request \"" + request + "\" here: see 'record show' for names, or look at another"
-                        + " edge's record");
-            }
-            story.forEach(System.out::println);
-            return 0;
-        });
+    int why(
+            @Parameters(paramLabel = "RECORD") Path where,
+            @Parameters(
+                            paramLabel = "REQUEST",
+                            description = "its name at engines, its client's id, or its number")
+                    String request) {
+        return on(
+                where,
+                tape -> {
+                    List<String> story = new Story(tape).of(request);
+                    if (story.isEmpty()) {
+                        throw new Said(
+                                "no request \""
+                                        + request
+                                        + "\" here: see 'record show' for names, or look at another"
+                                        + " edge's record");
+                    }
+                    story.forEach(System.out::println);
+                    return 0;
+                });
     }
 
     @Command(name = "replay", description = "Plays a record again and compares every action.")
     int replay(@Parameters(paramLabel = "RECORD") Path where) {
-        return on(where, tape -> {
-            if (!tape.isWhole()) {
-                System.err.println("note: the record does not reach back to the start, so a difference proves nothing");
-            }
-            long start = System.nanoTime();
-            Replay.Result r = Replay.of(tape);
-            double seconds = (System.nanoTime() - start) / 1e9;
-            System.out.printf(Locale.ROOT, "%d events, %d actions, %.0f events a second%n", r.events(), r.actions(),
-                    r.events() / seconds);
-            System.out.println(r.same() ? "every action is the same" : r.first() != null ? "first difference: "
-                    + r.first().text() : r.fault());
-            return r.same() ? 0 : 1;
-        });
+        return on(
+                where,
+                tape -> {
+                    if (!tape.isWhole()) {
+                        System.err.println(
+                                "note: the record does not reach back to the start, so a difference"
+                                        + " proves nothing");
+                    }
+                    long start = System.nanoTime();
+                    Replay.Result r = Replay.of(tape);
+                    double seconds = (System.nanoTime() - start) / 1e9;
+                    System.out.printf(
+                            Locale.ROOT,
+                            "%d events, %d actions, %.0f events a second%n",
+                            r.events(),
+                            r.actions(),
+                            r.events() / seconds);
+                    System.out.println(
+                            r.same()
+                                    ? "every action is the same"
+                                    : r.first() != null
+                                            ? "first difference: " + r.first().text()
+                                            : r.fault());
+                    return r.same() ? 0 : 1;
+                });
     }
 
-    @Command(name = "diff", description = "Says what other settings, or this build, would have decided.")
-    int diff(@Parameters(paramLabel = "RECORD") Path where,
-            @Option(names = "--config", paramLabel = "FILE", description = "an edge's settings in place of the record's")
-            Path config, @Option(names = "--build", paramLabel = "JAR", description = "what this build decides against what"
-                    + " that one does, in place of the record's own") Path build) {
-        return on(where, recorded -> {
-            Tape tape = build == null ? recorded : as(build, recorded);
-            Routing.Settings settings = tape.head().settings();
-            try {
-                settings = config == null ? settings : Config.edge(config).router(0).decide();
-            } catch (Config.Faulty e) {
-                throw new Said(e.getMessage());
-            }
-            Compare.Report r = Compare.of(tape, settings);
-            System.out.printf(Locale.ROOT, "%d requests, %d decided alike%n", r.requests(), r.same());
-            System.out.printf(Locale.ROOT, "sent then, not now: %s, worth %.1f%n", r.nowRefused(), r.worthNowRefused());
-            System.out.printf(Locale.ROOT, "not sent then, now: %s, worth %.1f%n", r.nowSent(), r.worthNowSent());
-            System.out.printf(Locale.ROOT, "sent elsewhere: %d; by the read times that the record shows, %+.1f ms each over"
-                    + " %d%n", r.elsewhere(), r.known() == 0 ? 0 : -r.betterMicros() / r.known() / 1000, r.known());
-            return 0;
-        });
+    @Command(
+            name = "diff",
+            description = "Says what other settings, or this build, would have decided.")
+    int diff(
+            @Parameters(paramLabel = "RECORD") Path where,
+            @Option(
+                            names = "--config",
+                            paramLabel = "FILE",
+                            description = "an edge's settings in place of the record's")
+                    Path config,
+            @Option(
+                            names = "--build",
+                            paramLabel = "JAR",
+                            description =
+                                    "what this build decides against what"
+                                            + " that one does, in place of the record's own")
+                    Path build) {
+        return on(
+                where,
+                recorded -> {
+                    Tape tape = build == null ? recorded : as(build, recorded);
+                    Routing.Settings settings = tape.head().settings();
+                    try {
+                        settings =
+                                config == null ? settings : Config.edge(config).router(0).decide();
+                    } catch (Config.Faulty e) {
+                        throw new Said(e.getMessage());
+                    }
+                    Compare.Report r = Compare.of(tape, settings);
+                    System.out.printf(
+                            Locale.ROOT, "%d requests, %d decided alike%n", r.requests(), r.same());
+                    System.out.printf(
+                            Locale.ROOT,
+                            "sent then, not now: %s, worth %.1f%n",
+                            r.nowRefused(),
+                            r.worthNowRefused());
+                    System.out.printf(
+                            Locale.ROOT,
+                            "not sent then, now: %s, worth %.1f%n",
+                            r.nowSent(),
+                            r.worthNowSent());
+                    System.out.printf(
+                            Locale.ROOT,
+                            "sent elsewhere: %d; by the read times that the record shows, %+.1f ms"
+                                    + " each over %d%n",
+                            r.elsewhere(),
+                            r.known() == 0 ? 0 : -r.betterMicros() / r.known() / 1000,
+                            r.known());
+                    return 0;
+                });
     }
 
-    @Command(name = "cut", description = "Shrinks a record to few events that still show something.")
-    int cut(@Parameters(paramLabel = "RECORD") Path where,
-            @Option(names = "--shows", required = true, description = "a request that is refused or failed for this kind of "
-                    + "reason: ${COMPLETION-CANDIDATES}") Reason.Kind kind,
-            @Option(names = "--learnt", defaultValue = "0", paramLabel = "N", description = "reads whose ends stay in it, so "
-                    + "that what was learnt of them still stands") int learnt,
-            @Option(names = "--build", paramLabel = "JAR", description = "that build shows it, and this one does not")
-            Path build,
-            @Option(names = "--rename", description = "under neutral names, to be shown to others") boolean rename,
-            @Option(names = "--out", required = true, paramLabel = "FILE", description = "the short record") Path out) {
-        return on(where, recorded -> {
-            Tape tape = rename ? Rename.of(recorded) : recorded;
-            Predicate<Tape> shows = t -> reads(t) >= learnt && !ended(t, kind).isEmpty();
-            if (build == null) {
-                return cut(tape, kind, shows, t -> t, out);
-            }
-            try (OtherBuild other = new OtherBuild(build)) {
-                // A request that ends so there and is sent here: what is left is a test of what lies between them.
-                return cut(tape, kind, t -> reads(t) >= learnt && sent(t).stream().anyMatch(
-                        ended(unchecked(other, t), kind)::contains), t -> unchecked(other, t), out);
-            }
-        });
+    @Command(
+            name = "cut",
+            description = "Shrinks a record to few events that still show something.")
+    int cut(
+            @Parameters(paramLabel = "RECORD") Path where,
+            @Option(
+                            names = "--shows",
+                            required = true,
+                            description =
+                                    "a request that is refused or failed for this kind of "
+                                            + "reason: ${COMPLETION-CANDIDATES}")
+                    Reason.Kind kind,
+            @Option(
+                            names = "--learnt",
+                            defaultValue = "0",
+                            paramLabel = "N",
+                            description =
+                                    "reads whose ends stay in it, so "
+                                            + "that what was learnt of them still stands")
+                    int learnt,
+            @Option(
+                            names = "--build",
+                            paramLabel = "JAR",
+                            description = "that build shows it, and this one does not")
+                    Path build,
+            @Option(names = "--rename", description = "under neutral names, to be shown to others")
+                    boolean rename,
+            @Option(
+                            names = "--out",
+                            required = true,
+                            paramLabel = "FILE",
+                            description = "the short record")
+                    Path out) {
+        return on(
+                where,
+                recorded -> {
+                    Tape tape = rename ? Rename.of(recorded) : recorded;
+                    Predicate<Tape> shows = t -> reads(t) >= learnt && !ended(t, kind).isEmpty();
+                    if (build == null) {
+                        return cut(tape, kind, shows, t -> t, out);
+                    }
+                    try (OtherBuild other = new OtherBuild(build)) {
+                        // A request that ends so there and is sent here: what is left is a test of
+                        // what lies between them.
+                        return cut(
+                                tape,
+                                kind,
+                                t ->
+                                        reads(t) >= learnt
+                                                && sent(t).stream()
+                                                        .anyMatch(
+                                                                ended(unchecked(other, t), kind)
+                                                                        ::contains),
+                                t -> unchecked(other, t),
+                                out);
+                    }
+                });
     }
 
-    private static int cut(Tape tape, Reason.Kind kind, Predicate<Tape> shows,
-            UnaryOperator<Tape> said, Path out) throws Said, IOException {
+    private static int cut(
+            Tape tape, Reason.Kind kind, Predicate<Tape> shows, UnaryOperator<Tape> said, Path out)
+            throws Said, IOException {
         if (!shows.test(Replay.again(tape))) {
-            throw new Said("no request of this record ends as " + kind + " there: see 'record show' for what does");
+            throw new Said(
+                    "no request of this record ends as "
+                            + kind
+                            + " there: see 'record show' for what does");
         }
         Cut cut = new Cut(tape.head(), shows, CUT_REPLAYS);
         Tape little = cut.of(tape);
         Files.write(out, said.apply(little).file());
-        System.out.printf("%d entries of %d, after %d replays: %s%n", little.lines().size(), tape.lines().size(),
-                cut.tried(), out);
+        System.out.printf(
+                "%d entries of %d, after %d replays: %s%n",
+                little.lines().size(), tape.lines().size(), cut.tried(), out);
         return 0;
     }
 
@@ -242,8 +369,14 @@
 
     /** Requests that end for a kind of reason. */
     private static Set<Long> ended(Tape tape, Reason.Kind kind) {
-        return ids(tape, a -> a instanceof Routing.Refuse r && r.why().kind() == kind ? r.id()
-                : a instanceof Routing.Fail f && f.why().kind() == kind ? f.id() : null);
+        return ids(
+                tape,
+                a ->
+                        a instanceof Routing.Refuse r && r.why().kind() == kind
+                                ? r.id()
+                                : a instanceof Routing.Fail f && f.why().kind() == kind
+                                        ? f.id()
+                                        : null);
     }
 
     private static Set<Long> sent(Tape tape) {
@@ -261,18 +394,29 @@
     }
 
     private static long reads(Tape tape) {
-        return tape.lines().stream().filter(l -> l.entry() instanceof Entry.Told t
-                && t.event() instanceof Routing.AttemptEnded e && e.outcome() == Routing.Outcome.READ).count();
+        return tape.lines().stream()
+                .filter(
+                        l ->
+                                l.entry() instanceof Entry.Told t
+                                        && t.event() instanceof Routing.AttemptEnded e
+                                        && e.outcome() == Routing.Outcome.READ)
+                .count();
     }
 
     @Command(name = "keep", description = "Asks a running edge to keep what it has recorded.")
-    int keep(@Parameters(paramLabel = "FOLDER", description = "the edge's record.folder") Path folder) throws IOException {
+    int keep(
+            @Parameters(paramLabel = "FOLDER", description = "the edge's record.folder")
+                    Path folder)
+            throws IOException {
         if (!Files.isDirectory(folder)) {
-            System.err.println("record: " + folder + ": no such folder: give the edge's record.folder");
+            System.err.println(
+                    "record: " + folder + ": no such folder: give the edge's record.folder");
             return 2;
         }
         Files.write(folder.resolve(RecordFolder.KEEP), new byte[0]);
-        System.out.println("asked: the edge keeps its record with its next write, within a second while it runs");
+        System.out.println(
+                "asked: the edge keeps its record with its next write, within a second while it"
+                        + " runs");
         return 0;
     }
 }
--- a/app/src/main/java/sorrelhoist/app/command/SoakCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/SoakCommand.java
@@ -16,29 +16,51 @@
 import sorrelhoist.lab.soak.Trouble;
 
 /** Plays overlapping faults, drawn from a seed, on platform routers that run as processes. */
-@Command(name = "soak", description = "Plays overlapping faults on router processes and judges what clients and workers saw.")
+@Command(
+        name = "soak",
+        description =
+                "Plays overlapping faults on router processes and judges what clients and workers"
+                        + " saw.")
 public final class SoakCommand implements Callable<Integer> {
     private static final int MOST_ROUTERS = 40;
     private static final int FAILED = 1;
     private static final int USAGE = 2;
     private static final int SHOWN = 20;
+
     @Option(names = "--seed", defaultValue = "1", description = "of the schedule and the traffic")
     long seed;
+
     @Option(names = "--seconds", defaultValue = "40", description = "of traffic")
     int seconds;
+
     @Option(names = "--routers", defaultValue = "10", description = "processes, 1 to 40")
     int routers;
-    @Option(names = "--workers", defaultValue = "12", description = "stand-ins, half of them readers")
+
+    @Option(
+            names = "--workers",
+            defaultValue = "12",
+            description = "stand-ins, half of them readers")
     int workers;
+
     @Option(names = "--rate", defaultValue = "150", description = "requests a second")
     double rate;
-    @Option(names = "--faults", split = ",", defaultValue = "all", description = "kinds of troubles, or all")
+
+    @Option(
+            names = "--faults",
+            split = ",",
+            defaultValue = "all",
+            description = "kinds of troubles, or all")
     List<String> faults;
+
     @Option(names = "--folder", description = "for logs; a temporary one unless it is given")
     Path folder;
+
     @Option(names = "--root", defaultValue = ".", description = "the project's folder, built")
     Path root;
-    @Option(names = "--shrink", description = "after a failure, leave out troubles that it does not need")
+
+    @Option(
+            names = "--shrink",
+            description = "after a failure, leave out troubles that it does not need")
     boolean shrink;
 
     @Override
@@ -51,7 +73,8 @@
             return USAGE;
         }
         if (routers < 1 || routers > MOST_ROUTERS || workers < 4 || seconds < 8 || rate <= 0) {
-            System.err.println("--routers from 1 to 40, --workers from 4, --seconds from 8, --rate above 0");
+            System.err.println(
+                    "--routers from 1 to 40, --workers from 4, --seconds from 8, --rate above 0");
             return USAGE;
         }
         SoakPlan plan = plan(kinds);
@@ -66,21 +89,43 @@
     }
 
     private SoakPlan plan(Set<Trouble.Kind> kinds) throws IOException {
-        Path files = folder == null ? Files.createTempDirectory("soak-" + seed + "-") : Files.createDirectories(folder);
-        Path library = kinds.stream().anyMatch(Trouble.Kind::needsLibrary) ? SystemCallFaults.build(files) : null;
+        Path files =
+                folder == null
+                        ? Files.createTempDirectory("soak-" + seed + "-")
+                        : Files.createDirectories(folder);
+        Path library =
+                kinds.stream().anyMatch(Trouble.Kind::needsLibrary)
+                        ? SystemCallFaults.build(files)
+                        : null;
         if (library == null) {
             kinds.removeIf(Trouble.Kind::needsLibrary);
-            System.out.println("no system-call and clock faults: they are not asked for, or there is no C compiler");
+            System.out.println(
+                    "no system-call and clock faults: they are not asked for, or there is no C"
+                            + " compiler");
         }
-        return new SoakPlan(seed, seconds, routers, workers, Trouble.draw(seed, seconds, kinds),
-                RouterProcess.deployed(root.toAbsolutePath()), files, library, rate);
+        return new SoakPlan(
+                seed,
+                seconds,
+                routers,
+                workers,
+                Trouble.draw(seed, seconds, kinds),
+                RouterProcess.deployed(root.toAbsolutePath()),
+                files,
+                library,
+                rate);
     }
 
     private static void report(SoakPlan plan, SoakResult result) {
         System.out.println("seed " + plan.seed() + ", logs in " + plan.folder());
         result.violations().stream().limit(SHOWN).forEach(v -> System.out.println("  " + v));
-        result.guardViolations().stream().limit(SHOWN).forEach(line -> System.out.println("  " + line));
-        System.out.println("served " + result.served() + ", excused as the harness was late: " + result.excused());
+        result.guardViolations().stream()
+                .limit(SHOWN)
+                .forEach(line -> System.out.println("  " + line));
+        System.out.println(
+                "served "
+                        + result.served()
+                        + ", excused as the harness was late: "
+                        + result.excused());
         if (!result.passed()) {
             plan.troubles().forEach(trouble -> System.out.println("    " + trouble));
         }
--- a/app/src/main/java/sorrelhoist/app/command/WireCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/WireCommand.java
@@ -6,8 +6,7 @@
 
 /** The simulator's wire on standard input and output, recorded. */
 public final class WireCommand {
-    private WireCommand() {
-    }
+    private WireCommand() {}
 
     /**
      * Serves until the input ends.
--- a/app/src/main/java/sorrelhoist/app/command/WireRecord.java
+++ b/app/src/main/java/sorrelhoist/app/command/WireRecord.java
@@ -21,8 +21,9 @@
 import sorrelhoist.wire.WireHost;
 
 /**
- * Records what the instances on the simulator's wire decide, a file each, in the form of an edge's record. A simulator
- * may host instances in several processes and start one again in another, so names hold the process.
+ * Records what the instances on the simulator's wire decide, a file each, in the form of an edge's
+ * record. A simulator may host instances in several processes and start one again in another, so
+ * names hold the process.
  */
 final class WireRecord implements WireHost.Hearing, AutoCloseable {
     private final Path folder;
@@ -39,13 +40,25 @@
         try {
             finish(router);
             long start = ++starts;
-            OutputStream file = new BufferedOutputStream(Files.newOutputStream(folder.resolve(
-                    String.format("router-%03d-%d-%04d%s", router, ProcessHandle.current().pid(), start, Shelf.SUFFIX)),
-                    StandardOpenOption.CREATE_NEW));
+            OutputStream file =
+                    new BufferedOutputStream(
+                            Files.newOutputStream(
+                                    folder.resolve(
+                                            String.format(
+                                                    "router-%03d-%d-%04d%s",
+                                                    router,
+                                                    ProcessHandle.current().pid(),
+                                                    start,
+                                                    Shelf.SUFFIX)),
+                                    StandardOpenOption.CREATE_NEW));
             file.write(Chunks.header());
             files.put(router, file);
-            recorders.put(router, new Recorder(new Entry.Started(RecordWork.BUILD, "router-" + router, start, settings,
-                    seed), chunk -> write(file, chunk)));
+            recorders.put(
+                    router,
+                    new Recorder(
+                            new Entry.Started(
+                                    RecordWork.BUILD, "router-" + router, start, settings, seed),
+                            chunk -> write(file, chunk)));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/app/src/main/java/sorrelhoist/app/config/Checks.java
+++ b/app/src/main/java/sorrelhoist/app/config/Checks.java
@@ -26,18 +26,23 @@
     }
 
     private void range(String path, double value, double least, double most) {
-        require(value >= least && value <= most, path, "has to be from " + plain(least) + " to " + plain(most)
-                + ", not " + plain(value));
+        require(
+                value >= least && value <= most,
+                path,
+                "has to be from " + plain(least) + " to " + plain(most) + ", not " + plain(value));
     }
 
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
     private void word(String path, String value, Set<String> words) {
-        require(words.contains(value), path, "has to be one of " + words.stream().sorted().toList() + ", not \"" + value
-                + "\"");
+        require(
+                words.contains(value),
+                path,
+                "has to be one of " + words.stream().sorted().toList() + ", not \"" + value + "\"");
     }
 
     private void address(String path, String value) {
@@ -59,7 +64,10 @@
 
     void edge(EdgeSettings s) {
         require(!s.name().isEmpty(), "name", "may not be empty");
-        require(s.zones().contains(s.zone()), "zone", "\"" + s.zone() + "\" is not among zones " + s.zones());
+        require(
+                s.zones().contains(s.zone()),
+                "zone",
+                "\"" + s.zone() + "\" is not among zones " + s.zones());
         range("port", s.port(), 0, PORTS);
         address("planner", s.planner());
         require(!s.model().isEmpty(), "model", "may not be empty");
@@ -85,14 +93,24 @@
             word("kinds[" + i + "].role", s.kinds().get(i).role(), Set.of("read", "write", "both"));
             range("kinds[" + i + "].memoryTokens", s.kinds().get(i).memoryTokens(), 1, 1e12);
         }
-        Set<String> roles = new HashSet<>(s.kinds().stream().map(EdgeSettings.KindSettings::role).toList());
-        require(roles.contains("both") || roles.contains("read") && roles.contains("write"), "kinds",
+        Set<String> roles =
+                new HashSet<>(s.kinds().stream().map(EdgeSettings.KindSettings::role).toList());
+        require(
+                roles.contains("both") || roles.contains("read") && roles.contains("write"),
+                "kinds",
                 "need one that reads and one that writes, or one that does both");
         range("traceShare", s.traceShare(), 0, 1);
         distinct("teachKeys", s.teachKeys(), EdgeSettings.KeySettings::id);
         for (int i = 0; i < s.teachKeys().size(); i++) {
-            require(s.teachKeys().get(i).secret().getBytes(java.nio.charset.StandardCharsets.UTF_8).length >= 16,
-                    "teachKeys[" + i + "].secret", "needs 16 bytes or more");
+            require(
+                    s.teachKeys()
+                                    .get(i)
+                                    .secret()
+                                    .getBytes(java.nio.charset.StandardCharsets.UTF_8)
+                                    .length
+                            >= 16,
+                    "teachKeys[" + i + "].secret",
+                    "needs 16 bytes or more");
         }
         range("record.megabytes", s.record().megabytes(), 1, 1_000_000);
         range("record.minutes", s.record().minutes(), 1, 1_000_000);
--- a/app/src/main/java/sorrelhoist/app/config/Config.java
+++ b/app/src/main/java/sorrelhoist/app/config/Config.java
@@ -33,12 +33,16 @@
     }
 
     /** Kinds of settings, as {@code config check} tells them apart. */
-    public enum Kind { EDGE, PLANNER, ENGINE, REGISTRY }
+    public enum Kind {
+        EDGE,
+        PLANNER,
+        ENGINE,
+        REGISTRY
+    }
 
     private static final String[] TEMPLATES = {"edge", "planner", "engine", "registry"};
 
-    private Config() {
-    }
+    private Config() {}
 
     /** {@return the settings of an edge} */
     public static EdgeSettings edge(Path file) throws Faulty {
@@ -63,8 +67,11 @@
     /** {@return what kind of settings a file holds, judged by what only one kind has} */
     public static Kind kind(Path file) throws Faulty {
         JsonNode n = evaluate(file);
-        return n.has("planner") || n.has("classes") ? Kind.EDGE : n.has("edges") || n.has("pollMs") ? Kind.PLANNER
-                : n.has("role") || n.has("slots") ? Kind.ENGINE : Kind.REGISTRY;
+        return n.has("planner") || n.has("classes")
+                ? Kind.EDGE
+                : n.has("edges") || n.has("pollMs")
+                        ? Kind.PLANNER
+                        : n.has("role") || n.has("slots") ? Kind.ENGINE : Kind.REGISTRY;
     }
 
     /** Checks a file of any kind. {@return its kind} */
@@ -107,8 +114,12 @@
     public static void writeTemplates(Path folder) throws IOException {
         Files.createDirectories(folder);
         for (String name : TEMPLATES) {
-            try (InputStream in = Config.class.getResourceAsStream("/templates/" + name + ".libsonnet")) {
-                Files.copy(in, folder.resolve(name + ".libsonnet"), StandardCopyOption.REPLACE_EXISTING);
+            try (InputStream in =
+                    Config.class.getResourceAsStream("/templates/" + name + ".libsonnet")) {
+                Files.copy(
+                        in,
+                        folder.resolve(name + ".libsonnet"),
+                        StandardCopyOption.REPLACE_EXISTING);
             }
         }
     }
--- a/app/src/main/java/sorrelhoist/app/config/Jsonnet.java
+++ b/app/src/main/java/sorrelhoist/app/config/Jsonnet.java
@@ -15,8 +15,7 @@
 
 /** Evaluates Jsonnet templates. */
 final class Jsonnet {
-    private Jsonnet() {
-    }
+    private Jsonnet() {}
 
     /**
      * Evaluates a file and what it imports.
@@ -31,13 +30,23 @@
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int status = SjsonnetMain.main0(new String[] {file.toAbsolutePath().toString()}, new DefaultParseCache(),
-                new ByteArrayInputStream(new byte[0]), new PrintStream(out, true, StandardCharsets.UTF_8),
-                new PrintStream(err, true, StandardCharsets.UTF_8), os.package$.MODULE$.pwd(), Option.empty(),
-                Option.empty(), SjsonnetMain.main0$default$9());
+        int status =
+                SjsonnetMain.main0(
+                        new String[] {file.toAbsolutePath().toString()},
+                        new DefaultParseCache(),
+                        new ByteArrayInputStream(new byte[0]),
+                        new PrintStream(out, true, StandardCharsets.UTF_8),
+                        new PrintStream(err, true, StandardCharsets.UTF_8),
+                        os.package$.MODULE$.pwd(),
+                        Option.empty(),
+                        Option.empty(),
+                        SjsonnetMain.main0$default$9());
         if (status != 0) {
             String text = err.toString(StandardCharsets.UTF_8).strip();
-            throw new IOException(file + ": " + text.replaceAll("(?m)^\\s+at .*$", "").replaceAll("\\s*\\n+", "; "));
+            throw new IOException(
+                    file
+                            + ": "
+                            + text.replaceAll("(?m)^\\s+at .*$", "").replaceAll("\\s*\\n+", "; "));
         }
         return new ObjectMapper().readTree(out.toByteArray());
     }
--- a/app/src/main/java/sorrelhoist/app/config/RecordSchema.java
+++ b/app/src/main/java/sorrelhoist/app/config/RecordSchema.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * Reads settings into records. The records are the schema: each component has to be there, with its type, and nothing
- * else may be. All faults are collected, each with its path.
+ * Reads settings into records. The records are the schema: each component has to be there, with its
+ * type, and nothing else may be. All faults are collected, each with its path.
  */
 final class RecordSchema {
     private final List<String> faults;
@@ -50,9 +50,14 @@
 
     private static <T> T make(Class<T> type, RecordComponent[] components, Object[] values) {
         try {
-            Class<?>[] types = Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new);
+            Class<?>[] types =
+                    Arrays.stream(components)
+                            .map(RecordComponent::getType)
+                            .toArray(Class<?>[]::new);
             return type.getDeclaredConstructor(types).newInstance(values);
-        } catch (NoSuchMethodException | InstantiationException | IllegalAccessException
+        } catch (NoSuchMethodException
+                | InstantiationException
+                | IllegalAccessException
                 | InvocationTargetException e) {
             throw new IllegalStateException(type + " cannot be made", e);
         }
@@ -62,14 +67,18 @@
         if (type == String.class) {
             return node.isTextual() ? node.asText() : fault(path, "a text is needed", node);
         } else if (type == boolean.class) {
-            return node.isBoolean() ? node.asBoolean() : fault(path, "true or false is needed", node);
+            return node.isBoolean()
+                    ? node.asBoolean()
+                    : fault(path, "true or false is needed", node);
         } else if (type == double.class) {
             return node.isNumber() ? node.asDouble() : fault(path, "a number is needed", node);
         } else if (type == int.class) {
-            return node.isNumber() && node.asDouble() == node.asInt() ? node.asInt()
+            return node.isNumber() && node.asDouble() == node.asInt()
+                    ? node.asInt()
                     : fault(path, "a whole number is needed", node);
         } else if (type == long.class) {
-            return node.isNumber() && node.asDouble() == node.asLong() ? node.asLong()
+            return node.isNumber() && node.asDouble() == node.asLong()
+                    ? node.asLong()
                     : fault(path, "a whole number is needed", node);
         } else if (type instanceof ParameterizedType list) {
             return list(node, list.getActualTypeArguments()[0], path);
@@ -90,7 +99,11 @@
 
     private Object fault(String path, String what, JsonNode found) {
         String text = found.toString();
-        faults.add(at(path) + what + ", not " + (text.length() > 40 ? text.substring(0, 40) + "..." : text));
+        faults.add(
+                at(path)
+                        + what
+                        + ", not "
+                        + (text.length() > 40 ? text.substring(0, 40) + "..." : text));
         return null;
     }
 
@@ -98,8 +111,10 @@
         String best = null;
         int least = 3;
         for (RecordComponent c : components) {
-            int distance = distance(name.toLowerCase(java.util.Locale.ROOT),
-                    c.getName().toLowerCase(java.util.Locale.ROOT));
+            int distance =
+                    distance(
+                            name.toLowerCase(java.util.Locale.ROOT),
+                            c.getName().toLowerCase(java.util.Locale.ROOT));
             if (distance < least) {
                 least = distance;
                 best = c.getName();
--- a/app/src/test/java/sorrelhoist/app/DeployTest.java
+++ b/app/src/test/java/sorrelhoist/app/DeployTest.java
@@ -14,26 +14,40 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What `run` of deploy/balancer.toml starts: a shell that may use nothing but itself, and ends as the router. */
+/**
+ * What `run` of deploy/balancer.toml starts: a shell that may use nothing but itself, and ends as
+ * the router.
+ */
 class DeployTest {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
-    /** The only program on the path is a java that says how it was called, and under which process number. */
+    /**
+     * The only program on the path is a java that says how it was called, and under which process
+     * number.
+     */
     @BeforeEach
     void onlyJava() throws IOException {
         Path java = Files.createDirectories(folder.resolve("bin")).resolve("java");
-        Files.writeString(java, "#!/bin/sh\nfor a in \"$@\"; do echo \"$a\"; done\necho \"pid=$$\"\n");
+        Files.writeString(
+                java, "#!/bin/sh\nfor a in \"$@\"; do echo \"$a\"; done\necho \"pid=$$\"\n");
         Files.setPosixFilePermissions(java, PosixFilePermissions.fromString("rwxr-xr-x"));
     }
 
     @Test
     void theHeapIsThreeTenthsOfTheMemoryHoweverTheFileIsWritten() throws Exception {
-        assertTrue(run("{\"limits\":{\"cores\":0.3,\"memory_mb\":160,\"sockets\":512},\"name\":\"n1\"}")
-                .contains("-Xmx48m"));
-        assertTrue(run("{\n  \"name\": \"n1\",\n  \"limits\": {\n    \"cores\": 0.3,\n    \"memory_mb\" :\t 160\n  }\n}\n")
-                .contains("-Xmx48m"));
+        assertTrue(
+                run("{\"limits\":{\"cores\":0.3,\"memory_mb\":160,\"sockets\":512},\"name\":\"n1\"}")
+                        .contains("-Xmx48m"));
+        assertTrue(
+                run("{\n"
+                                + "  \"name\": \"n1\",\n"
+                                + "  \"limits\": {\n"
+                                + "    \"cores\": 0.3,\n"
+                                + "    \"memory_mb\" :\t 160\n"
+                                + "  }\n"
+                                + "}\n")
+                        .contains("-Xmx48m"));
         assertTrue(run("{\n\"memory_mb\":160}").contains("-Xms48m"), "a last line without its end");
     }
 
@@ -45,27 +59,48 @@
         assertTrue(run("").contains("-Xmx38m"));
     }
 
-    /** A start that computes for long without waiting is a crash on the platform; the limit is of processor time. */
+    /**
+     * A start that computes for long without waiting is a crash on the platform; the limit is of
+     * processor time.
+     */
     @Test
     void aListOfManyWorkersInOneLineCostsTheShellNextToNothing() throws Exception {
         StringBuilder config = new StringBuilder("{\"known\":{\"rev\":1,\"targets\":[");
         for (int i = 0; i < 400; i++) {
-            config.append(i == 0 ? "" : ",").append("{\"uid\":\"s-").append(i).append("\",\"endpoint\":\"127.11.0.")
-                    .append(i % 250).append(":7070\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":3,\"state\":\"active\"}");
+            config.append(i == 0 ? "" : ",")
+                    .append("{\"uid\":\"s-")
+                    .append(i)
+                    .append("\",\"endpoint\":\"127.11.0.")
+                    .append(i % 250)
+                    .append(
+                            ":7070\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":3,\"state\":\"active\"}");
         }
-        assertTrue(run(config + "]},\"limits\":{\"memory_mb\":100}}", "ulimit -t 3; ").contains("-Xmx30m"));
+        assertTrue(
+                run(config + "]},\"limits\":{\"memory_mb\":100}}", "ulimit -t 3; ")
+                        .contains("-Xmx30m"));
     }
 
-    /** Where a hundred routers start at once, each of these calls costs the machine more than the work between them. */
+    /**
+     * Where a hundred routers start at once, each of these calls costs the machine more than the
+     * work between them.
+     */
     @Test
     void aListOfManyWorkersIsReadInFewSystemCalls() throws Exception {
         Path java = folder.resolve("bin").resolve("java");
         // The same process as the script's, by exec: its count of reads is still there.
-        Files.writeString(java, "#!/bin/sh\nwhile read -r name value; do\n"
-                + "if [ \"$name\" = syscr: ]; then echo \"reads=$value\"; break; fi\ndone < /proc/$$/io\n"
-                + "echo \"pid=$$\"\n");
+        Files.writeString(
+                java,
+                "#!/bin/sh\n"
+                        + "while read -r name value; do\n"
+                        + "if [ \"$name\" = syscr: ]; then echo \"reads=$value\"; break; fi\n"
+                        + "done < /proc/$$/io\n"
+                        + "echo \"pid=$$\"\n");
         String config = "{\"known\":\"" + "x".repeat(20_000) + "\",\"limits\":{\"memory_mb\":100}}";
-        String reads = run(config).stream().filter(line -> line.startsWith("reads=")).findAny().orElseThrow();
+        String reads =
+                run(config).stream()
+                        .filter(line -> line.startsWith("reads="))
+                        .findAny()
+                        .orElseThrow();
         assertTrue(Integer.parseInt(reads.substring("reads=".length())) < 1000, reads);
     }
 
@@ -81,11 +116,16 @@
 
     private List<String> run(String config, String limit) throws IOException, InterruptedException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        String run = Files.readAllLines(ROOT.resolve("deploy/balancer.toml")).stream()
-                .filter(l -> l.startsWith("run = \"")).map(l -> l.replaceAll("run = \"([^\"]*)\".*", "$1"))
-                .findFirst().orElseThrow();
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", limit + run).directory(ROOT.toFile())
-                .redirectErrorStream(true);
+        String run =
+                Files.readAllLines(ROOT.resolve("deploy/balancer.toml")).stream()
+                        .filter(l -> l.startsWith("run = \""))
+                        .map(l -> l.replaceAll("run = \"([^\"]*)\".*", "$1"))
+                        .findFirst()
+                        .orElseThrow();
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "-c", limit + run)
+                        .directory(ROOT.toFile())
+                        .redirectErrorStream(true);
         builder.environment().clear();
         builder.environment().put("PATH", folder.resolve("bin").toString());
         builder.environment().put("LB_CONFIG", file.toString());
@@ -95,7 +135,10 @@
         List<String> said = Files.readAllLines(out);
         assertEquals(0, shell.exitValue(), said.toString());
         assertFalse(said.stream().anyMatch(l -> l.contains("not found")), said.toString());
-        assertEquals("pid=" + shell.pid(), said.get(said.size() - 1), "started by exec, in the shell's own process");
+        assertEquals(
+                "pid=" + shell.pid(),
+                said.get(said.size() - 1),
+                "started by exec, in the shell's own process");
         return said;
     }
 }
--- a/app/src/test/java/sorrelhoist/app/HardCasesTest.java
+++ b/app/src/test/java/sorrelhoist/app/HardCasesTest.java
@@ -19,8 +19,7 @@
 
 /** What goes wrong when several things happen at once. */
 class HardCasesTest {
-    @org.junit.jupiter.api.io.TempDir
-    java.nio.file.Path traces;
+    @org.junit.jupiter.api.io.TempDir java.nio.file.Path traces;
     private LocalFleet fleet;
 
     @AfterEach
@@ -34,12 +33,13 @@
         InferClient client = fleet.client(edge);
         List<CompletableFuture<InferClient.Result>> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(client.ask(InferenceProbe.ask(name + i, 30, 4_000_000), (n, t) -> { }));
+            all.add(client.ask(InferenceProbe.ask(name + i, 30, 4_000_000), (n, t) -> {}));
         }
         return all;
     }
 
-    private static void oneAnswerEach(List<CompletableFuture<InferClient.Result>> all) throws Exception {
+    private static void oneAnswerEach(List<CompletableFuture<InferClient.Result>> all)
+            throws Exception {
         for (var f : all) {
             InferClient.Result r = f.get(6, TimeUnit.SECONDS);
             assertTrue(r.tookMicros() < 4_000_000, r.toString());
@@ -82,7 +82,9 @@
     void twoEdgesStopSendingWhicheverHearsOfADrainFirst() throws Exception {
         fleet = new LocalFleet(1, 2, 2);
         fleet.tell("w1", "drain");
-        LocalFleet.await("both edges to have heard", () -> fleet.edges.stream().allMatch(e -> e.serving("w1") == 0));
+        LocalFleet.await(
+                "both edges to have heard",
+                () -> fleet.edges.stream().allMatch(e -> e.serving("w1") == 0));
         oneAnswerEach(burst(0, 20, "x"));
         oneAnswerEach(burst(1, 20, "y"));
         fleet.nothingLeft(0);
@@ -117,40 +119,51 @@
             assertTrue(f.get(6, TimeUnit.SECONDS).refused());
         }
         long sends = reads() - before;
-        // 25 saved, 0.3 for each arrival, and the last fraction of a permit; without a budget it would be five each.
-        assertTrue(sends <= asked + 25 + 0.3 * asked + 1, sends + " sends for " + asked + " requests");
+        // 25 saved, 0.3 for each arrival, and the last fraction of a permit; without a budget it
+        // would be five each.
+        assertTrue(
+                sends <= asked + 25 + 0.3 * asked + 1, sends + " sends for " + asked + " requests");
         fleet.nothingLeft(0);
     }
 
     private long reads() throws java.io.IOException {
-        return sorrelhoist.lab.judge.Line.readAll(traces).stream().filter(l -> l.event().equals("prefill")).count();
+        return sorrelhoist.lab.judge.Line.readAll(traces).stream()
+                .filter(l -> l.event().equals("prefill"))
+                .count();
     }
 
     /** Sends bytes, and waits until the other side has hung up or answered. */
     private void send(int port, byte[] bytes) throws Exception {
         CompletableFuture<Void> over = new CompletableFuture<>();
-        var channel = Net.connect(fleet.loops.next(), Net.LOOPBACK + ":" + port, 1_000_000,
-                new ChannelInboundHandlerAdapter() {
-                    @Override
-                    public void channelActive(ChannelHandlerContext ctx) {
-                        ctx.writeAndFlush(ctx.alloc().buffer().writeBytes(bytes));
-                    }
-
-                    @Override
-                    public void channelRead(ChannelHandlerContext ctx, Object message) {
-                        io.netty.util.ReferenceCountUtil.release(message);
-                    }
-
-                    @Override
-                    public void channelInactive(ChannelHandlerContext ctx) {
-                        over.complete(null);
-                    }
-
-                    @Override
-                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        ctx.close();
-                    }
-                }).channel();
+        var channel =
+                Net.connect(
+                                fleet.loops.next(),
+                                Net.LOOPBACK + ":" + port,
+                                1_000_000,
+                                new ChannelInboundHandlerAdapter() {
+                                    @Override
+                                    public void channelActive(ChannelHandlerContext ctx) {
+                                        ctx.writeAndFlush(ctx.alloc().buffer().writeBytes(bytes));
+                                    }
+
+                                    @Override
+                                    public void channelRead(
+                                            ChannelHandlerContext ctx, Object message) {
+                                        io.netty.util.ReferenceCountUtil.release(message);
+                                    }
+
+                                    @Override
+                                    public void channelInactive(ChannelHandlerContext ctx) {
+                                        over.complete(null);
+                                    }
+
+                                    @Override
+                                    public void exceptionCaught(
+                                            ChannelHandlerContext ctx, Throwable cause) {
+                                        ctx.close();
+                                    }
+                                })
+                        .channel();
         over.get(12, TimeUnit.SECONDS);
         channel.close();
     }
@@ -167,16 +180,23 @@
         System.arraycopy(badFrame, 0, attack, preface.length + settings.length, badFrame.length);
         byte[] noise = new byte[500];
         new SplittableRandom(3).nextBytes(noise);
-        int[] http2 = {fleet.edges.get(0).port(), fleet.planner.port(), fleet.engines.get("r1").port(),
-            fleet.engines.get("w1").port()};
+        int[] http2 = {
+            fleet.edges.get(0).port(),
+            fleet.planner.port(),
+            fleet.engines.get("r1").port(),
+            fleet.engines.get("w1").port()
+        };
         for (int port : http2) {
             send(port, attack);
             send(port, noise);
             send(port, "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         }
         send(fleet.registry.port(), "nonsense\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        send(fleet.registry.port(), ("POST /eureka/apps/X HTTP/1.1\r\ncontent-length: 5\r\n"
-                + "transfer-encoding: chunked\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+        send(
+                fleet.registry.port(),
+                ("POST /eureka/apps/X HTTP/1.1\r\ncontent-length: 5\r\n"
+                                + "transfer-encoding: chunked\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
         assertTrue(InferenceProbe.served(fleet, 0));
         assertEquals(0, fleet.edges.get(0).open());
     }
--- a/app/src/test/java/sorrelhoist/app/LocalFleet.java
+++ b/app/src/test/java/sorrelhoist/app/LocalFleet.java
@@ -26,10 +26,14 @@
 import sorrelhoist.standin.engine.EngineSettings;
 import sorrelhoist.standin.registry.Registry;
 
-/** A whole fleet inside the test's process, its parts talking over loopback sockets as they do apart. */
+/**
+ * A whole fleet inside the test's process, its parts talking over loopback sockets as they do
+ * apart.
+ */
 final class LocalFleet implements AutoCloseable {
     static final String MODEL = "sorrel";
-    private static final long LOOK = 1_000_000; // nanoseconds between looks: a spinning test starves what it waits for
+    private static final long LOOK =
+            1_000_000; // nanoseconds between looks: a spinning test starves what it waits for
     private static final long BOUND = 60_000;
     final EventLoopGroup loops = Net.loops(2, "fleet");
     private final Path traces;
@@ -51,10 +55,20 @@
         this(readers, writers, edgeCount, resumes, null, null);
     }
 
-    LocalFleet(int readers, int writers, int edgeCount, boolean resumes, Path traces, OpenTelemetry telemetry)
+    LocalFleet(
+            int readers,
+            int writers,
+            int edgeCount,
+            boolean resumes,
+            Path traces,
+            OpenTelemetry telemetry)
             throws IOException {
         this.traces = traces;
-        registry = new Registry(new Registry.Settings(0, 200_000, 30_000_000, trace("registry")), loops).start();
+        registry =
+                new Registry(
+                                new Registry.Settings(0, 200_000, 30_000_000, trace("registry")),
+                                loops)
+                        .start();
         planner = new Planner(plannerSettings(0)).start();
         plannerPort = planner.port();
         for (int i = 1; i <= readers; i++) {
@@ -66,7 +80,9 @@
         for (int i = 1; i <= edgeCount; i++) {
             edges.add(new Edge(edgeSettings("edge-" + i, resumes), telemetry).start());
         }
-        await("the edges to know the engines", () -> edges.stream().allMatch(Edge::isReady) && knowsAll());
+        await(
+                "the edges to know the engines",
+                () -> edges.stream().allMatch(Edge::isReady) && knowsAll());
     }
 
     private String trace(String name) {
@@ -78,34 +94,89 @@
     }
 
     PlannerSettings plannerSettings(int port) {
-        return new PlannerSettings(port, Net.LOOPBACK + ":" + registry.port(), "ENGINES", 1, 50, 1000, 3000, 5000,
-                500, 16);
+        return new PlannerSettings(
+                port,
+                Net.LOOPBACK + ":" + registry.port(),
+                "ENGINES",
+                1,
+                50,
+                1000,
+                3000,
+                5000,
+                500,
+                16);
     }
 
     Engine engine(String id, String role, String rack, int slots) throws IOException {
         EventLoopGroup own = Net.loops(1, id);
         all.add(own);
-        Engine engine = new Engine(new EngineSettings(id, role.equals("read") ? "prefill" : "decode", role, "a", rack,
-                0, Net.LOOPBACK + ":" + registry.port(), 200_000, 1_000_000, slots == 0 ? 64 : slots,
-                slots == 0 ? 128 : 0, 200_000, 100_000, 500_000, 1_000, 20, 2048, 5_000_000, 2_000_000, false, true, 0.3, 2_000_000, 3,
-                3_000_000, 100, 2_000_000, trace(id), 7), own);
+        Engine engine =
+                new Engine(
+                        new EngineSettings(
+                                id,
+                                role.equals("read") ? "prefill" : "decode",
+                                role,
+                                "a",
+                                rack,
+                                0,
+                                Net.LOOPBACK + ":" + registry.port(),
+                                200_000,
+                                1_000_000,
+                                slots == 0 ? 64 : slots,
+                                slots == 0 ? 128 : 0,
+                                200_000,
+                                100_000,
+                                500_000,
+                                1_000,
+                                20,
+                                2048,
+                                5_000_000,
+                                2_000_000,
+                                false,
+                                true,
+                                0.3,
+                                2_000_000,
+                                3,
+                                3_000_000,
+                                100,
+                                2_000_000,
+                                trace(id),
+                                7),
+                        own);
         engine.dies(engine::kill);
         engines.put(id, engine.start());
         return engine;
     }
 
     EdgeSettings edgeSettings(String name, boolean resumes) {
-        return new EdgeSettings(name, "a", List.of("a"), 0, Net.LOOPBACK + ":" + plannerPort, MODEL, 1,
-                List.of(new EdgeSettings.ClassSettings("chat", 1000, 40, 4000, 80, 1, "safe", "all", 0),
-                        new EdgeSettings.ClassSettings("order", 1000, 40, 4000, 80, 1, "unsafe", "all", 0)),
+        return new EdgeSettings(
+                name,
+                "a",
+                List.of("a"),
+                0,
+                Net.LOOPBACK + ":" + plannerPort,
+                MODEL,
+                1,
+                List.of(
+                        new EdgeSettings.ClassSettings(
+                                "chat", 1000, 40, 4000, 80, 1, "safe", "all", 0),
+                        new EdgeSettings.ClassSettings(
+                                "order", 1000, 40, 4000, 80, 1, "unsafe", "all", 0)),
                 List.of(),
-                List.of(new EdgeSettings.KindSettings("prefill", "read", 200_000),
+                List.of(
+                        new EdgeSettings.KindSettings("prefill", "read", 200_000),
                         new EdgeSettings.KindSettings("decode", "write", 200_000)),
-                new EdgeSettings.LimitSettings(6, true, true, true, 2000, false, true, 0.003, 0.003, "outcomes", 0.1),
+                new EdgeSettings.LimitSettings(
+                        6, true, true, true, 2000, false, true, 0.003, 0.003, "outcomes", 0.1),
                 new EdgeSettings.RuleSettings(0.26, 2000, 3, 3000, 500),
-                new EdgeSettings.ServingSettings(200, resumes, 1500, 10_000, 64, 4096, 1 << 20, 2, 4, 250, 30_000, 1000,
+                new EdgeSettings.ServingSettings(
+                        200, resumes, 1500, 10_000, 64, 4096, 1 << 20, 2, 4, 250, 30_000, 1000,
                         2000),
-                0, past, keys, new EdgeSettings.RecordSettings(record, 16, 60, 16), 5);
+                0,
+                past,
+                keys,
+                new EdgeSettings.RecordSettings(record, 16, 60, 16),
+                5);
     }
 
     String address(int edge) {
@@ -118,20 +189,31 @@
 
     /** Tells an engine what to suffer. */
     void tell(String engine, String command) {
-        GrpcChannel channel = new GrpcChannel(loops.next(), Net.LOOPBACK + ":" + engines.get(engine).port(),
-                GrpcChannel.Options.PLAIN);
+        GrpcChannel channel =
+                new GrpcChannel(
+                        loops.next(),
+                        Net.LOOPBACK + ":" + engines.get(engine).port(),
+                        GrpcChannel.Options.PLAIN);
         var done = new java.util.concurrent.CompletableFuture<Status>();
-        ClientCall call = channel.call(Control.PATH, null, new ClientCall.Listener() {
-            @Override
-            public void message(ClientCall c, byte[] message, int wireBytes) {
-                c.credit(wireBytes);
-            }
+        ClientCall call =
+                channel.call(
+                        Control.PATH,
+                        null,
+                        new ClientCall.Listener() {
+                            @Override
+                            public void message(ClientCall c, byte[] message, int wireBytes) {
+                                c.credit(wireBytes);
+                            }
 
-            @Override
-            public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End end) {
-                done.complete(status);
-            }
-        });
+                            @Override
+                            public void closed(
+                                    ClientCall c,
+                                    Status status,
+                                    Headers trailers,
+                                    ClientCall.End end) {
+                                done.complete(status);
+                            }
+                        });
         call.sendLast(Control.bytes(command));
         channel.loop().execute(() -> channel.start(call));
         Status status = done.join();
@@ -153,14 +235,16 @@
 
     /** Waits until an edge holds nothing: no requests, attempts, states or calls. */
     void nothingLeft(int edge) {
-        await("edge " + edge + " to hold nothing", () -> {
-            for (int n : edges.get(edge).counts().join()) {
-                if (n != 0) {
-                    return false;
-                }
-            }
-            return true;
-        });
+        await(
+                "edge " + edge + " to hold nothing",
+                () -> {
+                    for (int n : edges.get(edge).counts().join()) {
+                        if (n != 0) {
+                            return false;
+                        }
+                    }
+                    return true;
+                });
     }
 
     @Override
@@ -172,5 +256,4 @@
         all.forEach(g -> g.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS));
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
-
 }
--- a/app/src/test/java/sorrelhoist/app/PathTest.java
+++ b/app/src/test/java/sorrelhoist/app/PathTest.java
@@ -11,7 +11,10 @@
 import sorrelhoist.lab.load.InferClient;
 import sorrelhoist.protocol.grpc.Code;
 
-/** The whole path: a client, an edge, a planner, a reader, a writer, tokens back; and what breaks on the way. */
+/**
+ * The whole path: a client, an edge, a planner, a reader, a writer, tokens back; and what breaks on
+ * the way.
+ */
 class PathTest {
     private LocalFleet fleet;
 
@@ -26,8 +29,10 @@
     void tokensStreamBackInOrder() throws Exception {
         fleet = new LocalFleet(1, 1, 1);
         List<String> pieces = new ArrayList<>();
-        InferClient.Result r = fleet.client(0).ask(InferenceProbe.ask("one", 20, 3_000_000),
-                (i, t) -> pieces.add(t)).get(5, TimeUnit.SECONDS);
+        InferClient.Result r =
+                fleet.client(0)
+                        .ask(InferenceProbe.ask("one", 20, 3_000_000), (i, t) -> pieces.add(t))
+                        .get(5, TimeUnit.SECONDS);
         assertTrue(r.served(), r.toString());
         assertEquals(pieces.size(), r.tokens());
         for (int i = 0; i < pieces.size(); i++) {
@@ -41,11 +46,14 @@
         fleet = new LocalFleet(2, 2, 1);
         InferClient client = fleet.client(0);
         boolean[] killed = {false};
-        var asked = client.ask(InferenceProbe.ask("long", 400, 10_000_000), (i, t) -> {
-            if (i == 5) {
-                killed[0] = true;
-            }
-        });
+        var asked =
+                client.ask(
+                        InferenceProbe.ask("long", 400, 10_000_000),
+                        (i, t) -> {
+                            if (i == 5) {
+                                killed[0] = true;
+                            }
+                        });
         LocalFleet.await("tokens", () -> killed[0]);
         // Whichever writes is told to die; the other goes on.
         fleet.engines.get("w1").kill();
@@ -63,8 +71,10 @@
         fleet = new LocalFleet(1, 2, 1);
         fleet.tell("w1", "errors 1 20000");
         fleet.tell("w2", "errors 1 20000");
-        InferClient.Result r = fleet.client(0).ask(InferenceProbe.ask("x", 20, 2_000_000), (i, t) -> { })
-                .get(5, TimeUnit.SECONDS);
+        InferClient.Result r =
+                fleet.client(0)
+                        .ask(InferenceProbe.ask("x", 20, 2_000_000), (i, t) -> {})
+                        .get(5, TimeUnit.SECONDS);
         assertTrue(r.refused(), r.toString());
         assertTrue(r.pushbackMillis() > 0);
         assertTrue(r.tookMicros() < 2_000_000);
@@ -75,10 +85,15 @@
     void aHangingWriterMeansOneAnswerInTime() throws Exception {
         fleet = new LocalFleet(1, 1, 1);
         fleet.tell("w1", "hang 20000");
-        InferClient.Result r = fleet.client(0).ask(InferenceProbe.ask("x", 20, 1_500_000), (i, t) -> { })
-                .get(5, TimeUnit.SECONDS);
-        assertTrue(r.status().code() == Code.RESOURCE_EXHAUSTED || r.status().code() == Code.DEADLINE_EXCEEDED
-                || r.status().code() == Code.UNAVAILABLE, r.toString());
+        InferClient.Result r =
+                fleet.client(0)
+                        .ask(InferenceProbe.ask("x", 20, 1_500_000), (i, t) -> {})
+                        .get(5, TimeUnit.SECONDS);
+        assertTrue(
+                r.status().code() == Code.RESOURCE_EXHAUSTED
+                        || r.status().code() == Code.DEADLINE_EXCEEDED
+                        || r.status().code() == Code.UNAVAILABLE,
+                r.toString());
         assertTrue(r.tookMicros() < 1_500_000, r.toString());
         fleet.nothingLeft(0);
     }
@@ -88,14 +103,16 @@
         fleet = new LocalFleet(1, 1, 1);
         InferClient client = fleet.client(0);
         for (int i = 0; i < 30; i++) {
-            var asked = client.ask(InferenceProbe.ask("gone-" + i, 300, 5_000_000), (n, t) -> { });
+            var asked = client.ask(InferenceProbe.ask("gone-" + i, 300, 5_000_000), (n, t) -> {});
             int pause = i;
             fleet.loops.next().schedule(() -> asked.cancel(false), pause, TimeUnit.MILLISECONDS);
         }
         LocalFleet.await("requests to be gone", () -> fleet.edges.get(0).open() == 0);
         fleet.nothingLeft(0);
-        assertTrue(client.ask(InferenceProbe.ask("after", 5, 3_000_000), (n, t) -> { }).get(5, TimeUnit.SECONDS)
-                .served());
+        assertTrue(
+                client.ask(InferenceProbe.ask("after", 5, 3_000_000), (n, t) -> {})
+                        .get(5, TimeUnit.SECONDS)
+                        .served());
     }
 
     @Test
@@ -103,8 +120,11 @@
         fleet = new LocalFleet(1, 1, 1);
         fleet.planner.stop();
         for (int i = 0; i < 5; i++) {
-            assertTrue(fleet.client(0).ask(InferenceProbe.ask("p" + i, 5, 3_000_000), (n, t) -> { })
-                    .get(5, TimeUnit.SECONDS).served());
+            assertTrue(
+                    fleet.client(0)
+                            .ask(InferenceProbe.ask("p" + i, 5, 3_000_000), (n, t) -> {})
+                            .get(5, TimeUnit.SECONDS)
+                            .served());
         }
         fleet.nothingLeft(0);
     }
--- a/app/src/test/java/sorrelhoist/app/StormTest.java
+++ b/app/src/test/java/sorrelhoist/app/StormTest.java
@@ -25,13 +25,12 @@
 import sorrelhoist.lab.load.InferClient;
 
 /**
- * A thousand streams with cancels, stalls, errors, lost answers and deaths mixed by seed, judged by their traffic. Their
- * rate is a fraction of what two cores carry: clients, edge and engines share one process, and a process without CPU
- * answers nobody in time.
+ * A thousand streams with cancels, stalls, errors, lost answers and deaths mixed by seed, judged by
+ * their traffic. Their rate is a fraction of what two cores carry: clients, edge and engines share
+ * one process, and a process without CPU answers nobody in time.
  */
 class StormTest {
-    @TempDir
-    Path traces;
+    @TempDir Path traces;
 
     @Test
     void everyStreamOfAStormEndsOnceAndNothingIsLeft() throws Exception {
@@ -39,9 +38,17 @@
         ListAppender<ILoggingEvent> seen = new ListAppender<>();
         seen.start();
         leaks.addAppender(seen);
-        Day day = new Day("storm", 11, 12_000_000, List.of(), List.of(
-                new Day.Load("chat", 80, 20, 60, 4, 30, 200, 10, 100, 4_000_000, 0.2),
-                new Day.Load("order", 10, 20, 60, 4, 10, 50, 0, 0, 4_000_000, 0.1)), List.of());
+        Day day =
+                new Day(
+                        "storm",
+                        11,
+                        12_000_000,
+                        List.of(),
+                        List.of(
+                                new Day.Load(
+                                        "chat", 80, 20, 60, 4, 30, 200, 10, 100, 4_000_000, 0.2),
+                                new Day.Load("order", 10, 20, 60, 4, 10, 50, 0, 0, 4_000_000, 0.1)),
+                        List.of());
         List<DayLoad.Planned> plan = DayLoad.plan(day, 1);
         assertTrue(plan.size() > 1000);
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
@@ -53,23 +60,32 @@
             for (int i = 0; i < 12; i++) {
                 String engine = (random.nextBoolean() ? "r" : "w") + (1 + random.nextInt(2));
                 String command = commands[random.nextInt(commands.length)];
-                timer.schedule(() -> fleet.tell(engine, command), 200 + 850 * i, TimeUnit.MILLISECONDS);
+                timer.schedule(
+                        () -> fleet.tell(engine, command), 200 + 850 * i, TimeUnit.MILLISECONDS);
             }
-            timer.schedule(() -> {
-                clients.line("killed", "target", "w3");
-                fleet.engines.get("w3").kill();
-            }, 1500, TimeUnit.MILLISECONDS);
-            timer.schedule(() -> fleet.engine("w3", "write", "rack1", 0), 2500, TimeUnit.MILLISECONDS);
+            timer.schedule(
+                    () -> {
+                        clients.line("killed", "target", "w3");
+                        fleet.engines.get("w3").kill();
+                    },
+                    1500,
+                    TimeUnit.MILLISECONDS);
+            timer.schedule(
+                    () -> fleet.engine("w3", "write", "rack1", 0), 2500, TimeUnit.MILLISECONDS);
             DayLoad.run(plan, n -> client, clients, fleet.loops);
             fleet.nothingLeft(0);
             timer.shutdown();
             assertTrue(timer.awaitTermination(5, TimeUnit.SECONDS));
         }
-        Verdict v = Judge.judge(Line.readAll(traces), new Judge.Figures(0, 1_000_000, 500_000, 500_000, Set.of(1)));
+        Verdict v =
+                Judge.judge(
+                        Line.readAll(traces),
+                        new Judge.Figures(0, 1_000_000, 500_000, 500_000, Set.of(1)));
         System.out.println(v.table());
         assertEquals(List.of(), v.broken(), v.table());
         assertEquals(plan.size(), v.served() + v.refused() + v.failed() + v.cancelled(), v.table());
-        // Most clients that leave at once are counted whatever the fleet does; how many are served is a matter of speed.
+        // Most clients that leave at once are counted whatever the fleet does; how many are served
+        // is a matter of speed.
         long atOnce = plan.stream().filter(p -> p.leavesAt() == 0).count();
         assertTrue(atOnce > 5 && v.cancelled() >= atOnce, atOnce + " left at once: " + v.table());
         assertTrue(v.cancelled() > atOnce, "nobody left in mid-answer: " + v.table());
@@ -78,6 +94,7 @@
             System.gc();
             io.netty.buffer.PooledByteBufAllocator.DEFAULT.buffer(10).release();
         }
-        assertEquals(List.of(), seen.list.stream().map(ILoggingEvent::getFormattedMessage).toList());
+        assertEquals(
+                List.of(), seen.list.stream().map(ILoggingEvent::getFormattedMessage).toList());
     }
 }
--- a/app/src/test/java/sorrelhoist/app/StreamsTest.java
+++ b/app/src/test/java/sorrelhoist/app/StreamsTest.java
@@ -71,16 +71,25 @@
     private Idle idle(GrpcChannel channel, int tokens, Headers metadata) {
         Idle idle = new Idle();
         idle.call = channel.call(ModelMessages.SERVICE + "ModelStreamInfer", metadata, idle);
-        idle.call.sendLast(new InferRequest(LocalFleet.MODEL, "", "slow", java.util.Map.of("max_tokens",
-                new Parameter((long) tokens)), List.of(Tensor.text("text_input", "tell me all of it")), List.of())
-                .bytes());
+        idle.call.sendLast(
+                new InferRequest(
+                                LocalFleet.MODEL,
+                                "",
+                                "slow",
+                                java.util.Map.of("max_tokens", new Parameter((long) tokens)),
+                                List.of(Tensor.text("text_input", "tell me all of it")),
+                                List.of())
+                        .bytes());
         channel.loop().execute(() -> channel.start(idle.call));
         return idle;
     }
 
     private GrpcChannel narrow() {
-        return new GrpcChannel(fleet.loops.next(), fleet.address(0), new GrpcChannel.Options(1, 1_000_000, 0, 1 << 20,
-                Http2Limits.CLIENT.withStreamWindow(2000)));
+        return new GrpcChannel(
+                fleet.loops.next(),
+                fleet.address(0),
+                new GrpcChannel.Options(
+                        1, 1_000_000, 0, 1 << 20, Http2Limits.CLIENT.withStreamWindow(2000)));
     }
 
     @Test
@@ -113,15 +122,19 @@
         fleet = new LocalFleet(1, 1, 1);
         InferClient client = fleet.client(0);
         CompletableFuture<Void> begun = new CompletableFuture<>();
-        var running = client.ask(InferenceProbe.ask("runs", 300, 10_000_000), (i, t) -> begun.complete(null));
+        var running =
+                client.ask(
+                        InferenceProbe.ask("runs", 300, 10_000_000),
+                        (i, t) -> begun.complete(null));
         begun.get(5, TimeUnit.SECONDS);
         Thread drain = new Thread(() -> fleet.edges.get(0).drain(() -> false));
         drain.start();
         assertTrue(running.get(10, TimeUnit.SECONDS).served());
         drain.join(10_000);
         assertFalse(drain.isAlive());
-        InferClient.Result after = client.ask(InferenceProbe.ask("late", 5, 1_000_000), (i, t) -> { })
-                .get(5, TimeUnit.SECONDS);
+        InferClient.Result after =
+                client.ask(InferenceProbe.ask("late", 5, 1_000_000), (i, t) -> {})
+                        .get(5, TimeUnit.SECONDS);
         assertFalse(after.served());
     }
 
@@ -129,8 +142,11 @@
     void aSecondSignalEndsWhatRunsWithAnAnswer() throws Exception {
         fleet = new LocalFleet(1, 1, 1);
         CompletableFuture<Void> begun = new CompletableFuture<>();
-        var running = fleet.client(0).ask(InferenceProbe.ask("runs", 4000, 10_000_000),
-                (i, t) -> begun.complete(null));
+        var running =
+                fleet.client(0)
+                        .ask(
+                                InferenceProbe.ask("runs", 4000, 10_000_000),
+                                (i, t) -> begun.complete(null));
         begun.get(5, TimeUnit.SECONDS);
         fleet.edges.get(0).drain(() -> true);
         InferClient.Result r = running.get(5, TimeUnit.SECONDS);
@@ -139,17 +155,28 @@
     }
 
     @Test
-    void anEdgeThatIsKilledRemembersWhereTextsAreKept(@org.junit.jupiter.api.io.TempDir java.nio.file.Path folder)
-            throws Exception {
+    void anEdgeThatIsKilledRemembersWhereTextsAreKept(
+            @org.junit.jupiter.api.io.TempDir java.nio.file.Path folder) throws Exception {
         fleet = new LocalFleet(2, 1, 0);
         fleet.past = folder.toString();
         fleet.edges.add(new sorrelhoist.edge.Edge(fleet.edgeSettings("edge-1", true)).start());
         LocalFleet.await("the edge", () -> InferenceProbe.served(fleet, 0));
-        sorrelhoist.lab.load.Ask ask = new sorrelhoist.lab.load.Ask("k", null, "session-7", "guide", 50,
-                "all that stands in the guide, and then some more. ".repeat(10), 4, 3_000_000);
-        assertTrue(fleet.client(0).ask(ask, (i, t) -> { }).get(5, TimeUnit.SECONDS).served());
-        var before = fleet.edges.get(0).known().join().keys().stream().filter(k -> k.name().equals("session-7"))
-                .findFirst().orElseThrow();
+        sorrelhoist.lab.load.Ask ask =
+                new sorrelhoist.lab.load.Ask(
+                        "k",
+                        null,
+                        "session-7",
+                        "guide",
+                        50,
+                        "all that stands in the guide, and then some more. ".repeat(10),
+                        4,
+                        3_000_000);
+        assertTrue(fleet.client(0).ask(ask, (i, t) -> {}).get(5, TimeUnit.SECONDS).served());
+        var before =
+                fleet.edges.get(0).known().join().keys().stream()
+                        .filter(k -> k.name().equals("session-7"))
+                        .findFirst()
+                        .orElseThrow();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!remembers(folder, "session-7")) {
             assertTrue(System.nanoTime() < end, "nothing was written");
@@ -157,64 +184,108 @@
         }
         // Not stopped: the new one starts beside it from what is on disk, as after a kill.
         fleet.edges.add(new sorrelhoist.edge.Edge(fleet.edgeSettings("edge-1", true)).start());
-        LocalFleet.await("the new edge to remember", () -> fleet.edges.get(1).known().join().keys().stream()
-                .anyMatch(k -> k.name().equals("session-7")));
-        var after = fleet.edges.get(1).known().join().keys().stream().filter(k -> k.name().equals("session-7"))
-                .findFirst().orElseThrow();
+        LocalFleet.await(
+                "the new edge to remember",
+                () ->
+                        fleet.edges.get(1).known().join().keys().stream()
+                                .anyMatch(k -> k.name().equals("session-7")));
+        var after =
+                fleet.edges.get(1).known().join().keys().stream()
+                        .filter(k -> k.name().equals("session-7"))
+                        .findFirst()
+                        .orElseThrow();
         assertEquals(before.holders().get(0).server(), after.holders().get(0).server());
         assertEquals(before.holders().get(0).tokens(), after.holders().get(0).tokens());
     }
 
-    private static boolean remembers(java.nio.file.Path folder, String key) throws java.io.IOException {
+    private static boolean remembers(java.nio.file.Path folder, String key)
+            throws java.io.IOException {
         java.nio.file.Path log = folder.resolve("past.log");
-        return java.nio.file.Files.exists(log) && sorrelhoist.core.know.PastKeeper.believe(Long.MAX_VALUE / 2,
-                sorrelhoist.core.know.PastFrames.read(java.nio.file.Files.readAllBytes(log)).frames().stream()
-                        .map(f -> new sorrelhoist.core.know.PastFrames.Frame(Long.MAX_VALUE / 2, f.payload())).toList())
-                .stream().anyMatch(m -> m.knowledge().keys().stream().anyMatch(k -> k.name().equals(key)));
+        return java.nio.file.Files.exists(log)
+                && sorrelhoist.core.know.PastKeeper.believe(
+                                Long.MAX_VALUE / 2,
+                                sorrelhoist.core.know.PastFrames.read(
+                                                java.nio.file.Files.readAllBytes(log))
+                                        .frames()
+                                        .stream()
+                                        .map(
+                                                f ->
+                                                        new sorrelhoist.core.know.PastFrames.Frame(
+                                                                Long.MAX_VALUE / 2, f.payload()))
+                                        .toList())
+                        .stream()
+                        .anyMatch(
+                                m ->
+                                        m.knowledge().keys().stream()
+                                                .anyMatch(k -> k.name().equals(key)));
     }
 
     @Test
     void aNewEdgeLearnsFromARunningOneAndNotFromAStranger() throws Exception {
         fleet = new LocalFleet(2, 1, 0);
-        fleet.keys = List.of(new sorrelhoist.edge.EdgeSettings.KeySettings("k1", "a secret of sixteen"));
+        fleet.keys =
+                List.of(new sorrelhoist.edge.EdgeSettings.KeySettings("k1", "a secret of sixteen"));
         fleet.edges.add(new sorrelhoist.edge.Edge(fleet.edgeSettings("edge-1", true)).start());
         LocalFleet.await("the edge", () -> InferenceProbe.served(fleet, 0));
         for (int i = 0; i < 40; i++) {
-            assertTrue(fleet.client(0).ask(new sorrelhoist.lab.load.Ask("k" + i, null, "session-" + i, null, 0,
-                    "what is known of dock " + i + ", if anything at all? ", 2, 3_000_000), (n, t) -> { })
-                    .get(5, TimeUnit.SECONDS).served());
+            assertTrue(
+                    fleet.client(0)
+                            .ask(
+                                    new sorrelhoist.lab.load.Ask(
+                                            "k" + i,
+                                            null,
+                                            "session-" + i,
+                                            null,
+                                            0,
+                                            "what is known of dock " + i + ", if anything at all? ",
+                                            2,
+                                            3_000_000),
+                                    (n, t) -> {})
+                            .get(5, TimeUnit.SECONDS)
+                            .served());
         }
         fleet.edges.add(new sorrelhoist.edge.Edge(fleet.edgeSettings("edge-2", true)).start());
         LocalFleet.await("the new edge to be taught", () -> sessions(1) == 40);
-        fleet.keys = List.of(new sorrelhoist.edge.EdgeSettings.KeySettings("k1", "another secret, also long"));
+        fleet.keys =
+                List.of(
+                        new sorrelhoist.edge.EdgeSettings.KeySettings(
+                                "k1", "another secret, also long"));
         fleet.edges.add(new sorrelhoist.edge.Edge(fleet.edgeSettings("edge-3", true)).start());
         LocalFleet.await("the stranger to serve", () -> InferenceProbe.served(fleet, 2));
         assertEquals(0, sessions(2));
     }
 
     private long sessions(int edge) {
-        return fleet.edges.get(edge).known().join().keys().stream().filter(k -> k.name().startsWith("session-"))
+        return fleet.edges.get(edge).known().join().keys().stream()
+                .filter(k -> k.name().startsWith("session-"))
                 .count();
     }
 
     @Test
-    void whatAnEdgeDecidedIsRecordedAndPlaysAgain(@org.junit.jupiter.api.io.TempDir java.nio.file.Path folder)
-            throws Exception {
+    void whatAnEdgeDecidedIsRecordedAndPlaysAgain(
+            @org.junit.jupiter.api.io.TempDir java.nio.file.Path folder) throws Exception {
         fleet = new LocalFleet(2, 2, 0);
         fleet.record = folder.toString();
         fleet.edges.add(new sorrelhoist.edge.Edge(fleet.edgeSettings("edge-1", true)).start());
         LocalFleet.await("the edge", () -> InferenceProbe.served(fleet, 0));
         fleet.tell("w1", "errors 1 60000");
         fleet.tell("w2", "errors 1 60000");
-        InferClient.Result refused = fleet.client(0).ask(InferenceProbe.ask("mine", 20, 2_000_000), (i, t) -> { })
-                .get(5, TimeUnit.SECONDS);
+        InferClient.Result refused =
+                fleet.client(0)
+                        .ask(InferenceProbe.ask("mine", 20, 2_000_000), (i, t) -> {})
+                        .get(5, TimeUnit.SECONDS);
         assertTrue(refused.refused(), refused.toString());
-        assertTrue(refused.status().message().matches("refused, and a repeat is harmless: .*; come back in [0-9]+ ms"),
+        assertTrue(
+                refused.status()
+                        .message()
+                        .matches("refused, and a repeat is harmless: .*; come back in [0-9]+ ms"),
                 refused.status().message());
         fleet.nothingLeft(0);
         fleet.edges.get(0).stop();
         List<byte[]> files = new java.util.ArrayList<>();
-        LocalFleet.await("the record's end", () -> java.util.Objects.requireNonNull(folder.toFile().list()).length > 0);
+        LocalFleet.await(
+                "the record's end",
+                () -> java.util.Objects.requireNonNull(folder.toFile().list()).length > 0);
         try (var list = java.nio.file.Files.list(folder)) {
             for (java.nio.file.Path f : list.toList()) {
                 files.add(java.nio.file.Files.readAllBytes(f));
@@ -233,23 +304,37 @@
     @Test
     void spansOfARequestAndItsAttemptsStandUnderTheClientsTrace() throws Exception {
         InMemorySpanExporter spans = InMemorySpanExporter.create();
-        OpenTelemetrySdk telemetry = OpenTelemetrySdk.builder().setTracerProvider(SdkTracerProvider.builder()
-                .addSpanProcessor(SimpleSpanProcessor.create(spans)).build()).build();
+        OpenTelemetrySdk telemetry =
+                OpenTelemetrySdk.builder()
+                        .setTracerProvider(
+                                SdkTracerProvider.builder()
+                                        .addSpanProcessor(SimpleSpanProcessor.create(spans))
+                                        .build())
+                        .build();
         fleet = new LocalFleet(1, 1, 1, true, null, telemetry);
         spans.reset();
         String trace = "0af7651916cd43dd8448eb211c80319c";
-        Idle idle = idle(narrow(), 5, new Headers().add("traceparent", "00-" + trace + "-b7ad6b7169203331-01")
-                .add("grpc-previous-rpc-attempts", "2"));
+        Idle idle =
+                idle(
+                        narrow(),
+                        5,
+                        new Headers()
+                                .add("traceparent", "00-" + trace + "-b7ad6b7169203331-01")
+                                .add("grpc-previous-rpc-attempts", "2"));
         assertTrue(idle.closed.get(10, TimeUnit.SECONDS).isOk());
         LocalFleet.await("the spans", () -> spans.getFinishedSpanItems().size() >= 3);
         List<SpanData> all = spans.getFinishedSpanItems();
-        SpanData request = all.stream().filter(s -> s.getName().equals("infer")).findFirst().orElseThrow();
+        SpanData request =
+                all.stream().filter(s -> s.getName().equals("infer")).findFirst().orElseThrow();
         assertEquals("b7ad6b7169203331", request.getParentSpanId());
         assertEquals(3, all.stream().filter(s -> s.getTraceId().equals(trace)).count());
         for (String attempt : new String[] {"prefill", "decode"}) {
-            SpanData s = all.stream().filter(a -> a.getName().equals(attempt)).findFirst().orElseThrow();
+            SpanData s =
+                    all.stream().filter(a -> a.getName().equals(attempt)).findFirst().orElseThrow();
             assertEquals(request.getSpanId(), s.getParentSpanId());
-            assertTrue(s.getAttributes().asMap().toString().contains("sorrelhoist.outcome=DONE"), s.toString());
+            assertTrue(
+                    s.getAttributes().asMap().toString().contains("sorrelhoist.outcome=DONE"),
+                    s.toString());
         }
         assertTrue(request.getAttributes().asMap().toString().contains("previous_attempts=2"));
         telemetry.close();
--- a/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
+++ b/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
@@ -14,9 +14,9 @@
 
 /** Templates make good settings; every fault is told with its path. */
 class ConfigTest {
-    private static final String EDGE = "(import 'edge.libsonnet') + { name: 'e', zone: 'a', planner: '127.0.0.1:9' }";
-    @TempDir
-    Path folder;
+    private static final String EDGE =
+            "(import 'edge.libsonnet') + { name: 'e', zone: 'a', planner: '127.0.0.1:9' }";
+    @TempDir Path folder;
 
     @BeforeEach
     void templates() throws IOException {
@@ -35,9 +35,15 @@
     @Test
     void everyTemplateMakesGoodSettings() throws Exception {
         assertEquals(Config.Kind.EDGE, Config.check(file(EDGE)));
-        assertEquals(Config.Kind.PLANNER, Config.check(file("(import 'planner.libsonnet') + { registry: '127.0.0.1:1' }")));
-        assertEquals(Config.Kind.ENGINE, Config.check(file("(import 'engine.libsonnet') + { id: 'x', kind: 'k', "
-                + "role: 'read', zone: 'a', rack: 'r' }")));
+        assertEquals(
+                Config.Kind.PLANNER,
+                Config.check(file("(import 'planner.libsonnet') + { registry: '127.0.0.1:1' }")));
+        assertEquals(
+                Config.Kind.ENGINE,
+                Config.check(
+                        file(
+                                "(import 'engine.libsonnet') + { id: 'x', kind: 'k', "
+                                        + "role: 'read', zone: 'a', rack: 'r' }")));
         assertEquals(Config.Kind.REGISTRY, Config.check(file("import 'registry.libsonnet'")));
         assertEquals(2, Config.edge(file(EDGE)).classes().size());
         assertEquals(500_000, Config.edge(file(EDGE)).router(1).decide().rules().releaseMicros());
@@ -45,28 +51,54 @@
 
     @Test
     void faultsAreToldTogetherWithTheirPaths() throws IOException {
-        List<String> all = faults(EDGE + " + { port: 'x', serving+: { maxOpen: -1, drainsMs: 5 }, limits+: "
-                + "{ cancel: 1 } }");
+        List<String> all =
+                faults(
+                        EDGE
+                                + " + { port: 'x', serving+: { maxOpen: -1, drainsMs: 5 }, limits+:"
+                                + " { cancel: 1 } }");
         assertTrue(all.contains("port: a whole number is needed, not \"x\""), all.toString());
-        assertTrue(all.contains("serving.drainsMs: not known here; is drainMs meant?"), all.toString());
+        assertTrue(
+                all.contains("serving.drainsMs: not known here; is drainMs meant?"),
+                all.toString());
         assertTrue(all.contains("limits.cancel: true or false is needed, not 1"), all.toString());
-        List<String> ranges = faults(EDGE + " + { port: 70000, zone: 'b', zones: ['a'], planner: '10.0.0.1:5', "
-                + "rules+: { coldFrom: 0 }, classes: [{ name: 'c', aimMs: 5, aimMsPer1000: 0, deadlineMs: 4, "
-                + "deadlineMsPer1000: 0, worth: 1, repeat: 'often', scope: 'all', repeatWindowMs: 0 }] }");
-        assertTrue(ranges.contains("port: has to be from 0 to 65535, not 70000"), ranges.toString());
-        assertTrue(ranges.stream().anyMatch(f -> f.startsWith("zone: \"b\" is not among zones")), ranges.toString());
-        assertTrue(ranges.stream().anyMatch(f -> f.startsWith("planner: address \"10.0.0.1:5\"")), ranges.toString());
-        assertTrue(ranges.contains("classes[0].repeat: has to be one of [keyed, safe, unsafe], not \"often\""));
-        assertTrue(ranges.contains("classes[0].deadlineMs: may not come before aimMs"), ranges.toString());
-        assertTrue(ranges.stream().anyMatch(f -> f.startsWith("rules.coldFrom")), ranges.toString());
+        List<String> ranges =
+                faults(
+                        EDGE
+                                + " + { port: 70000, zone: 'b', zones: ['a'], planner:"
+                                + " '10.0.0.1:5', rules+: { coldFrom: 0 }, classes: [{ name: 'c',"
+                                + " aimMs: 5, aimMsPer1000: 0, deadlineMs: 4, deadlineMsPer1000: 0,"
+                                + " worth: 1, repeat: 'often', scope: 'all', repeatWindowMs: 0 }]"
+                                + " }");
+        assertTrue(
+                ranges.contains("port: has to be from 0 to 65535, not 70000"), ranges.toString());
+        assertTrue(
+                ranges.stream().anyMatch(f -> f.startsWith("zone: \"b\" is not among zones")),
+                ranges.toString());
+        assertTrue(
+                ranges.stream().anyMatch(f -> f.startsWith("planner: address \"10.0.0.1:5\"")),
+                ranges.toString());
+        assertTrue(
+                ranges.contains(
+                        "classes[0].repeat: has to be one of [keyed, safe, unsafe], not"
+                                + " \"often\""));
+        assertTrue(
+                ranges.contains("classes[0].deadlineMs: may not come before aimMs"),
+                ranges.toString());
+        assertTrue(
+                ranges.stream().anyMatch(f -> f.startsWith("rules.coldFrom")), ranges.toString());
     }
 
     @Test
     void whatATemplateAsksForIsSaid() throws IOException {
-        assertTrue(faults("(import 'edge.libsonnet') + { zone: 'a', planner: '127.0.0.1:9' }").get(0)
-                .contains("give this edge a name of its own"));
+        assertTrue(
+                faults("(import 'edge.libsonnet') + { zone: 'a', planner: '127.0.0.1:9' }")
+                        .get(0)
+                        .contains("give this edge a name of its own"));
         assertTrue(faults("{ broken ").size() > 0);
         Path missing = folder.resolve("missing.jsonnet");
-        assertTrue(assertThrows(Config.Faulty.class, () -> Config.check(missing)).getMessage().contains("no such file"));
+        assertTrue(
+                assertThrows(Config.Faulty.class, () -> Config.check(missing))
+                        .getMessage()
+                        .contains("no such file"));
     }
 }
--- a/app/src/test/java/sorrelhoist/edge/TracingBench.java
+++ b/app/src/test/java/sorrelhoist/edge/TracingBench.java
@@ -16,7 +16,9 @@
 import sorrelhoist.Reason;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** What the spans of one request and its two attempts cost: off, on but not sampled, and sampled. */
+/**
+ * What the spans of one request and its two attempts cost: off, on but not sampled, and sampled.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -24,22 +26,27 @@
 @Measurement(iterations = 3, time = 1)
 @Fork(1)
 public class TracingBench {
-    private final Headers headers = new Headers().add(":method", "POST").add(":path", "/a").add("te", "trailers");
+    private final Headers headers =
+            new Headers().add(":method", "POST").add(":path", "/a").add("te", "trailers");
     private final Tracing off = new Tracing(null);
     private final Tracing unsampled = of(Sampler.alwaysOff());
     private final Tracing sampled = of(Sampler.alwaysOn());
 
     private static Tracing of(Sampler sampler) {
-        return new Tracing(OpenTelemetrySdk.builder().setTracerProvider(SdkTracerProvider.builder()
-                .setSampler(sampler).build()).build());
+        return new Tracing(
+                OpenTelemetrySdk.builder()
+                        .setTracerProvider(SdkTracerProvider.builder().setSampler(sampler).build())
+                        .build());
     }
 
     private int request(Tracing tracing) {
         Headers metadata = new Headers();
         Object request = tracing.request(headers, 0);
-        Object read = tracing.attempt(request, "prefill", "r1", "edge.1.2", 0, metadata, Reason.UNKNOWN);
+        Object read =
+                tracing.attempt(request, "prefill", "r1", "edge.1.2", 0, metadata, Reason.UNKNOWN);
         tracing.attemptEnded(read, "DONE");
-        Object write = tracing.attempt(request, "decode", "w1", "edge.1.2", 1, metadata, Reason.UNKNOWN);
+        Object write =
+                tracing.attempt(request, "decode", "w1", "edge.1.2", 1, metadata, Reason.UNKNOWN);
         tracing.attemptEnded(write, "DONE");
         tracing.requestEnded(request, "Served", null);
         return metadata.size();
--- a/app/src/test/java/sorrelhoist/lab/soak/MemoryTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/MemoryTest.java
@@ -18,32 +18,45 @@
 class MemoryTest {
     private static final int LARGE = 240 << 10; // just below what the protocol allows
     private static final int CLIENTS = 90; // together more than the heap of this process
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     /** As deploy/platform starts it where it is granted 64 MB. */
     @Test
     void largeRequestsThatDoNotFitAreAnsweredAndTheRouterLivesOn() throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
-        try (OneRouter one = new OneRouter(folder, null, "-Xms19m", "-Xmx19m", "-XX:+UseSerialGC", "-Xss256k",
-                "-XX:MaxDirectMemorySize=8m", "-Dio.netty.allocator.numHeapArenas=1",
-                "-Dio.netty.allocator.numDirectArenas=1", "-Dio.netty.allocator.pageSize=4096",
-                "-Dio.netty.allocator.maxOrder=6", "-Dio.netty.allocator.useCacheForAllThreads=false")) {
+        try (OneRouter one =
+                new OneRouter(
+                        folder,
+                        null,
+                        "-Xms19m",
+                        "-Xmx19m",
+                        "-XX:+UseSerialGC",
+                        "-Xss256k",
+                        "-XX:MaxDirectMemorySize=8m",
+                        "-Dio.netty.allocator.numHeapArenas=1",
+                        "-Dio.netty.allocator.numDirectArenas=1",
+                        "-Dio.netty.allocator.pageSize=4096",
+                        "-Dio.netty.allocator.maxOrder=6",
+                        "-Dio.netty.allocator.useCacheForAllThreads=false")) {
             assertEquals(200, one.ask());
             one.fleet.run(() -> one.fleet.workers.forEach(w -> w.standIn.hang(true)));
             List<Future<Integer>> answers = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                answers.add(clients.submit(() -> {
-                    try (Socket socket = one.connect()) {
-                        return one.send(socket, LARGE).answer();
-                    }
-                }));
+                answers.add(
+                        clients.submit(
+                                () -> {
+                                    try (Socket socket = one.connect()) {
+                                        return one.send(socket, LARGE).answer();
+                                    }
+                                }));
             }
             List<Integer> statuses = new ArrayList<>();
             for (Future<Integer> answer : answers) {
                 statuses.add(answer.get(OneRouter.BOUND_MILLIS, TimeUnit.MILLISECONDS));
             }
-            assertTrue(statuses.stream().allMatch(s -> s == 502 || s == 503 || s == 504), statuses + one.router.process.log());
+            assertTrue(
+                    statuses.stream().allMatch(s -> s == 502 || s == 503 || s == 504),
+                    statuses + one.router.process.log());
             one.fleet.run(() -> one.fleet.workers.forEach(w -> w.standIn.hang(false)));
             assertTrue(one.router.process.isAlive(), one.router.process.log());
             int status = one.ask();
--- a/app/src/test/java/sorrelhoist/lab/soak/OneRouter.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/OneRouter.java
@@ -14,7 +14,10 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** One router process with a reader and a writer, and clients on plain sockets. Every wait has a bound. */
+/**
+ * One router process with a reader and a writer, and clients on plain sockets. Every wait has a
+ * bound.
+ */
 final class OneRouter implements AutoCloseable {
     static final int BOUND_MILLIS = 20_000;
     static final int BUDGET_MILLIS = 3000;
@@ -35,9 +38,24 @@
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of(options));
-        command.addAll(List.of("-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                "sorrelhoist.platform.Platform"));
-        fleet = new SoakFleet(new SoakPlan(1, 1, 1, 2, List.of(), command, folder.resolve("fleet"), library, 1));
+        command.addAll(
+                List.of(
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "sorrelhoist.platform.Platform"));
+        fleet =
+                new SoakFleet(
+                        new SoakPlan(
+                                1,
+                                1,
+                                1,
+                                2,
+                                List.of(),
+                                command,
+                                folder.resolve("fleet"),
+                                library,
+                                1));
         router = fleet.routers.get(0);
         router.start();
         assertTrue(router.process.awaitReady(BOUND_MILLIS), router.process.log());
@@ -47,8 +65,11 @@
         String address = router.address();
         int colon = address.indexOf(':');
         Socket socket = new Socket();
-        socket.connect(new InetSocketAddress(address.substring(0, colon),
-                Integer.parseInt(address.substring(colon + 1))), BOUND_MILLIS);
+        socket.connect(
+                new InetSocketAddress(
+                        address.substring(0, colon),
+                        Integer.parseInt(address.substring(colon + 1))),
+                BOUND_MILLIS);
         socket.setSoTimeout(BUDGET_MILLIS + 500);
         return socket;
     }
@@ -65,23 +86,38 @@
 
     /** Sends a request with so many characters in its content. */
     Sent send(Socket socket, int characters) throws Exception {
-        RequestTrace trace = new RequestTrace("t" + asked.incrementAndGet(), FleetRules.RequestClass.SAFE, 0, 0, 0, true);
+        RequestTrace trace =
+                new RequestTrace(
+                        "t" + asked.incrementAndGet(), FleetRules.RequestClass.SAFE, 0, 0, 0, true);
         fleet.run(() -> fleet.log.opened(trace));
-        String body = "{\"model\":\"m\",\"messages\":[],\"text\":\"" + "x".repeat(characters) + "\"}";
-        socket.getOutputStream().write(("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Call-Id: " + trace.id
-                + "\r\nX-Call-Class: safe\r\nX-Budget-Ms: " + BUDGET_MILLIS + "\r\nX-Call-Info: prompt_len=10,max_out=50\r\n"
-                + "Connection: close\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-                .getBytes(StandardCharsets.US_ASCII));
+        String body =
+                "{\"model\":\"m\",\"messages\":[],\"text\":\"" + "x".repeat(characters) + "\"}";
+        socket.getOutputStream()
+                .write(
+                        ("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Call-Id: "
+                                        + trace.id
+                                        + "\r\nX-Call-Class: safe\r\nX-Budget-Ms: "
+                                        + BUDGET_MILLIS
+                                        + "\r\nX-Call-Info: prompt_len=10,max_out=50\r\n"
+                                        + "Connection: close\r\nContent-Length: "
+                                        + body.length()
+                                        + "\r\n\r\n"
+                                        + body)
+                                .getBytes(StandardCharsets.US_ASCII));
         return new Sent(socket, trace);
     }
 
     /** A request that was sent. */
     record Sent(Socket socket, RequestTrace trace) {
-        /** {@return the status of its answer, read to its end; NOTHING_CAME in its time, or CLOSED} */
+        /**
+         * {@return the status of its answer, read to its end; NOTHING_CAME in its time, or CLOSED}
+         */
         int answer() throws IOException {
             try {
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                        StandardCharsets.US_ASCII));
+                BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        socket.getInputStream(), StandardCharsets.US_ASCII));
                 String first = in.readLine();
                 String last = first;
                 for (String line = first; line != null; line = in.readLine()) {
--- a/app/src/test/java/sorrelhoist/lab/soak/SoakTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/SoakTest.java
@@ -14,15 +14,17 @@
 import sorrelhoist.lab.soak.Trouble.Kind;
 import sorrelhoist.lab.soak.WorkerEntry.Role;
 
-/** The oracle sees each planted fault; schedules are their seeds' alone; and one short seed is played. */
+/**
+ * The oracle sees each planted fault; schedules are their seeds' alone; and one short seed is
+ * played.
+ */
 class SoakTest {
     private static final long SECOND = 1_000_000_000;
     private static final long SEED = 3;
     private static final int SECONDS = 14;
     private static final int ROUTERS = 3;
     private static final int WORKERS = 6;
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final TrafficLog log = new TrafficLog();
     private final FleetTimeline time = new FleetTimeline();
     private final long start = time.startedAt;
@@ -60,8 +62,9 @@
 
     private void finds(Invariant... expected) {
         time.observedUntil(start + 60 * SECOND);
-        List<Invariant> found = new SoakOracle(FleetRules.ORDINARY, log, time).judge(List.of(), 100).stream()
-                .map(Violation::invariant).toList();
+        List<Invariant> found =
+                new SoakOracle(FleetRules.ORDINARY, log, time)
+                        .judge(List.of(), 100).stream().map(Violation::invariant).toList();
         assertEquals(List.of(expected), found);
     }
 
@@ -169,9 +172,11 @@
         life.readyAt = start;
         time.lives.add(life);
         for (int i = 0; i < 900; i++) {
-            RequestTrace request = new RequestTrace("r" + i, FleetRules.RequestClass.SAFE, 0, 0, 2 * SECOND, true);
+            RequestTrace request =
+                    new RequestTrace("r" + i, FleetRules.RequestClass.SAFE, 0, 0, 2 * SECOND, true);
             log.opened(request);
-            attempt(request, Role.WRITE, "w1", start + SECOND + i * SECOND / 900).endedAt = start + 2 * SECOND;
+            attempt(request, Role.WRITE, "w1", start + SECOND + i * SECOND / 900).endedAt =
+                    start + 2 * SECOND;
         }
         finds(Invariant.SLOW_START);
     }
@@ -198,20 +203,41 @@
         assertTrue(!Trouble.draw(SEED, 60, all).equals(Trouble.draw(SEED + 1, 60, all)));
     }
 
-    /** Without links that fall silent: what is then held for longer is known and open (docs/incidents/fault-hunt.md). */
+    /**
+     * Without links that fall silent: what is then held for longer is known and open
+     * (docs/incidents/fault-hunt.md).
+     */
     @Test
     void aShortSeedKeepsEveryInvariant() throws Exception {
         Set<Kind> kinds = EnumSet.complementOf(EnumSet.of(Kind.LINK_SILENT));
         Path library = SystemCallFaults.build(folder);
         if (library == null) {
-            System.out.println("no C compiler on this machine: the soak is played without system-call faults");
+            System.out.println(
+                    "no C compiler on this machine: the soak is played without system-call faults");
             kinds.removeIf(Kind::needsLibrary);
         }
-        List<String> command = List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx48m",
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                "sorrelhoist.platform.Platform");
-        SoakResult result = new Soak(System.out::println).play(new SoakPlan(SEED, SECONDS, ROUTERS, WORKERS,
-                Trouble.draw(SEED, SECONDS, kinds), command, folder.resolve("soak"), library, 40));
+        List<String> command =
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx48m",
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "sorrelhoist.platform.Platform");
+        SoakResult result =
+                new Soak(System.out::println)
+                        .play(
+                                new SoakPlan(
+                                        SEED,
+                                        SECONDS,
+                                        ROUTERS,
+                                        WORKERS,
+                                        Trouble.draw(SEED, SECONDS, kinds),
+                                        command,
+                                        folder.resolve("soak"),
+                                        library,
+                                        40));
         assertTrue(result.passed(), result.violations() + " " + result.guardViolations());
         assertTrue(result.served() > result.requests() / 2, result.summary());
     }
--- a/app/src/test/java/sorrelhoist/lab/soak/SystemCallFaultsTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/SystemCallFaultsTest.java
@@ -17,15 +17,17 @@
 import sorrelhoist.lab.soak.SystemCallFaults.Errno;
 import sorrelhoist.lab.soak.SystemCallFaults.SystemCall;
 
-/** A router process whose system calls fail: it answers what it took, and is whole again as soon as they work. */
+/**
+ * A router process whose system calls fail: it answers what it took, and is whole again as soon as
+ * they work.
+ */
 class SystemCallFaultsTest {
     private static final long WHOLE_AGAIN_MILLIS = 500;
     private static final long AT_ONCE_MILLIS = 1000;
     private static final long WAITED_MILLIS = 700;
     private static final long SLACK_MILLIS = 150;
     private static final int FEW = 3;
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private OneRouter one;
     private SoakFleet.RouterUnit router;
     private SystemCallFaults faults;
@@ -33,7 +35,9 @@
     @BeforeEach
     void start() throws Exception {
         Path library = SystemCallFaults.build(folder);
-        assumeTrue(library != null, "no C compiler on this machine: system-call faults are not tested");
+        assumeTrue(
+                library != null,
+                "no C compiler on this machine: system-call faults are not tested");
         one = new OneRouter(folder, library, "-Xmx64m");
         router = one.router;
         faults = router.process.faults();
@@ -49,14 +53,16 @@
 
     @ParameterizedTest
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
-    void whereNoSocketCanBeMadeRequestsAreAnsweredAndServedAsSoonAsOneCan(Errno error) throws Exception {
+    void whereNoSocketCanBeMadeRequestsAreAnsweredAndServedAsSoonAsOneCan(Errno error)
+            throws Exception {
         one.fleet.run(() -> router.links.forEach(FaultProxy::reset));
         failing(SystemCall.SOCKET, error);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"EADDRNOTAVAIL", "ENETUNREACH", "ETIMEDOUT", "EHOSTUNREACH"})
-    void whereNoConnectionCanBeMadeRequestsAreAnsweredAndServedAsSoonAsOneCan(Errno error) throws Exception {
+    void whereNoConnectionCanBeMadeRequestsAreAnsweredAndServedAsSoonAsOneCan(Errno error)
+            throws Exception {
         one.fleet.run(() -> router.links.forEach(FaultProxy::reset));
         failing(SystemCall.CONNECT, error);
     }
@@ -66,8 +72,11 @@
         for (int i = 0; i < FEW; i++) {
             long from = System.nanoTime();
             int status = one.ask();
-            assertTrue(status == 502 || status == 503, "answered " + status + ": " + router.process.log());
-            // A connection that cannot even be tried is an outcome at once; nothing is to be waited for.
+            assertTrue(
+                    status == 502 || status == 503,
+                    "answered " + status + ": " + router.process.log());
+            // A connection that cannot even be tried is an outcome at once; nothing is to be waited
+            // for.
             long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
             assertTrue(took < AT_ONCE_MILLIS, "answered after " + took + " ms");
         }
@@ -76,7 +85,10 @@
         assertServedAgain();
     }
 
-    /** As a process finds it whose limit of descriptors is used up: no file can be opened either, not even by a log. */
+    /**
+     * As a process finds it whose limit of descriptors is used up: no file can be opened either,
+     * not even by a log.
+     */
     @Test
     void aMomentWithoutDescriptorsIsSurvived() throws Exception {
         List<SystemCall> needing = List.of(SystemCall.OPEN, SystemCall.SOCKET, SystemCall.ACCEPT);
@@ -84,7 +96,9 @@
             one.fleet.run(() -> router.links.forEach(FaultProxy::reset));
             needing.forEach(call -> faults.fail(call, Errno.EMFILE, 1));
             int status = one.ask(kept);
-            assertTrue(status == 502 || status == 503, "answered " + status + ": " + router.process.log());
+            assertTrue(
+                    status == 502 || status == 503,
+                    "answered " + status + ": " + router.process.log());
             try (Socket waiting = one.connect()) {
                 awaitFailures(SystemCall.ACCEPT);
                 needing.forEach(faults::heal);
@@ -97,7 +111,8 @@
 
     @ParameterizedTest
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "ECONNABORTED"})
-    void connectionsThatCouldNotBeAcceptedAreAcceptedAsSoonAsTheyCanBe(Errno error) throws Exception {
+    void connectionsThatCouldNotBeAcceptedAreAcceptedAsSoonAsTheyCanBe(Errno error)
+            throws Exception {
         faults.fail(SystemCall.ACCEPT, error, 1);
         try (Socket waiting = one.connect()) {
             awaitFailures(SystemCall.ACCEPT);
@@ -118,8 +133,12 @@
             faults.heal(SystemCall.ACCEPT);
             assertEquals(200, sent.answer());
             RequestTrace.AttemptTrace write = one.fleet.call(() -> sent.trace().attempts.get(1));
-            long left = OneRouter.BUDGET_MILLIS - TimeUnit.NANOSECONDS.toMillis(write.arrivedAt - sentAt);
-            assertTrue(write.toldMillis <= left + SLACK_MILLIS, "told " + write.toldMillis + " of " + left + " ms");
+            long left =
+                    OneRouter.BUDGET_MILLIS
+                            - TimeUnit.NANOSECONDS.toMillis(write.arrivedAt - sentAt);
+            assertTrue(
+                    write.toldMillis <= left + SLACK_MILLIS,
+                    "told " + write.toldMillis + " of " + left + " ms");
         }
     }
 
@@ -147,7 +166,9 @@
     private void assertServedAgain() throws Exception {
         long healed = System.nanoTime();
         int status = one.ask();
-        while (status != 200 && System.nanoTime() - healed < TimeUnit.MILLISECONDS.toNanos(OneRouter.BOUND_MILLIS)) {
+        while (status != 200
+                && System.nanoTime() - healed
+                        < TimeUnit.MILLISECONDS.toNanos(OneRouter.BOUND_MILLIS)) {
             status = one.ask();
         }
         long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - healed);
--- a/core/src/main/java/sorrelhoist/core/guard/InvariantMonitor.java
+++ b/core/src/main/java/sorrelhoist/core/guard/InvariantMonitor.java
@@ -5,7 +5,9 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** Counts violations by name, and logs them: each name at most once a second. One thread at a time. */
+/**
+ * Counts violations by name, and logs them: each name at most once a second. One thread at a time.
+ */
 public final class InvariantMonitor {
     private static final long LOG_EVERY_MICROS = 1_000_000;
     private final Consumer<String> log;
--- a/core/src/main/java/sorrelhoist/core/guard/SendGuard.java
+++ b/core/src/main/java/sorrelhoist/core/guard/SendGuard.java
@@ -9,8 +9,8 @@
 import sorrelhoist.Routing.Settings;
 
 /**
- * The one way of an attempt's bytes to a socket: asked at the last moment, when the connection stands. It keeps its own
- * account of the list, apart from what the decisions know.
+ * The one way of an attempt's bytes to a socket: asked at the last moment, when the connection
+ * stands. It keeps its own account of the list, apart from what the decisions know.
  */
 public final class SendGuard {
     private final InvariantMonitor monitor;
@@ -25,8 +25,11 @@
      */
     public SendGuard(Settings settings, InvariantMonitor monitor) {
         this.monitor = monitor;
-        this.slowStart = new SlowStartGuard(settings.rules().fallMultiple() * settings.rules().coldFrom(),
-                settings.rules().fallMicros(), settings.rules().coldMicros());
+        this.slowStart =
+                new SlowStartGuard(
+                        settings.rules().fallMultiple() * settings.rules().coldFrom(),
+                        settings.rules().fallMicros(),
+                        settings.rules().coldMicros());
     }
 
     /**
@@ -43,9 +46,17 @@
      * @param read whether it only reads the prompt, which has none
      * @param sendBy until when a repeat is harmless
      */
-    public record Attempt(String request, int attempt, String engine, Object history, boolean open, long deadline,
-            Repeat repeat, boolean mayHaveRun, boolean read, long sendBy) {
-    }
+    public record Attempt(
+            String request,
+            int attempt,
+            String engine,
+            Object history,
+            boolean open,
+            long deadline,
+            Repeat repeat,
+            boolean mayHaveRun,
+            boolean read,
+            long sendBy) {}
 
     /** Hears of engines, as discovery tells them. */
     public void listed(ListForm form, Iterable<Server> servers, long now) {
@@ -67,13 +78,19 @@
 
     /** {@return whether it may be written now; each reason against it is counted} */
     public boolean allows(Attempt a, long now) {
-        boolean harmless = a.read() || !a.mayHaveRun() || a.repeat() == Repeat.SAFE
-                || a.repeat() == Repeat.KEYED && now < a.sendBy();
+        boolean harmless =
+                a.read()
+                        || !a.mayHaveRun()
+                        || a.repeat() == Repeat.SAFE
+                        || a.repeat() == Repeat.KEYED && now < a.sendBy();
         boolean allowed = monitor.check(a.open(), Invariant.SEND_FOR_OPEN_REQUEST, now, a);
         allowed &= monitor.check(now < a.deadline(), Invariant.SEND_WITHIN_DEADLINE, now, a);
-        allowed &= monitor.check(serving.contains(a.engine()), Invariant.SEND_TO_SERVING_ENGINE, now, a);
+        allowed &=
+                monitor.check(
+                        serving.contains(a.engine()), Invariant.SEND_TO_SERVING_ENGINE, now, a);
         allowed &= monitor.check(harmless, Invariant.REPEAT_WITHOUT_SECOND_EFFECT, now, a);
-        // The fleet's budget cannot be known here: one router's part is counted, and nothing is held back for it.
+        // The fleet's budget cannot be known here: one router's part is counted, and nothing is
+        // held back for it.
         if (allowed) {
             monitor.check(slowStart.sent(a.engine(), now), Invariant.SLOW_START_BUDGET, now, a);
         }
--- a/core/src/main/java/sorrelhoist/core/guard/SlowStartGuard.java
+++ b/core/src/main/java/sorrelhoist/core/guard/SlowStartGuard.java
@@ -5,12 +5,14 @@
 import java.util.Map;
 
 /**
- * Whether one router keeps to its part of a starting engine's budget: over each window of the rule an engine that has just
- * started gets no more than the multiple of its part of what the most used engine of its kind gets, and what chance adds.
- * Counts sends alone; how much is sent is {@code SlowStart}'s to decide.
+ * Whether one router keeps to its part of a starting engine's budget: over each window of the rule
+ * an engine that has just started gets no more than the multiple of its part of what the most used
+ * engine of its kind gets, and what chance adds. Counts sends alone; how much is sent is {@code
+ * SlowStart}'s to decide.
  */
 final class SlowStartGuard {
-    private static final double CHANCE = 3; // roots of the mean, as the rule has it for small counts
+    private static final double CHANCE =
+            3; // roots of the mean, as the rule has it for small counts
     private final double multiple;
     private final long windowMicros;
     private final long coldMicros;
@@ -59,12 +61,18 @@
         while (engine.sends.peekFirst() <= now - windowMicros) {
             engine.sends.pollFirst();
         }
-        boolean cold = engine.startHeardAt != Long.MIN_VALUE && now - engine.startHeardAt < coldMicros;
+        boolean cold =
+                engine.startHeardAt != Long.MIN_VALUE && now - engine.startHeardAt < coldMicros;
         if (!cold) {
             engine.most = Math.max(engine.most, engine.sends.size());
             return true;
         }
-        int most = engines.values().stream().filter(e -> e.kind == engine.kind).mapToInt(e -> e.most).max().orElse(0);
+        int most =
+                engines.values().stream()
+                        .filter(e -> e.kind == engine.kind)
+                        .mapToInt(e -> e.most)
+                        .max()
+                        .orElse(0);
         double budget = multiple * most;
         return engine.sends.size() <= budget + CHANCE * Math.sqrt(budget) + CHANCE;
     }
--- a/core/src/main/java/sorrelhoist/core/know/KnowledgeForm.java
+++ b/core/src/main/java/sorrelhoist/core/know/KnowledgeForm.java
@@ -14,9 +14,10 @@
 import sorrelhoist.Knowledge;
 
 /**
- * Knowledge as bytes: a version, then sections with their lengths, so that a reader passes over what it does not know
- * and neighbouring versions understand each other. What is worth its bytes is chosen here: keys by how recently and
- * how often they were used, as long as the budget lasts; health and lines always, as they are few.
+ * Knowledge as bytes: a version, then sections with their lengths, so that a reader passes over
+ * what it does not know and neighbouring versions understand each other. What is worth its bytes is
+ * chosen here: keys by how recently and how often they were used, as long as the budget lasts;
+ * health and lines always, as they are few.
  */
 public final class KnowledgeForm {
     /** Bytes that are no knowledge. */
@@ -38,14 +39,14 @@
     private static final int MAX_LINES = 1000;
     private static final double RECENT = 20_000_000; // a use so long ago is worth half a recent one
 
-    private KnowledgeForm() {
-    }
+    private KnowledgeForm() {}
 
     /**
      * Writes knowledge.
      *
      * @param k what
-     * @param maxBytes that keys may take; the most valuable go in, the least recently used of them first
+     * @param maxBytes that keys may take; the most valuable go in, the least recently used of them
+     *     first
      * @return its bytes
      */
     public static byte[] write(Knowledge k, int maxBytes) {
@@ -92,7 +93,8 @@
         return (1 + key.uses()) / (1 + key.age() / RECENT);
     }
 
-    private static void section(DataOutputStream out, int tag, List<byte[]> items) throws IOException {
+    private static void section(DataOutputStream out, int tag, List<byte[]> items)
+            throws IOException {
         out.writeByte(tag);
         out.writeInt(items.stream().mapToInt(i -> i.length).sum() + 4);
         out.writeInt(items.size());
@@ -147,7 +149,8 @@
      *
      * @param bytes as written by this version or a neighbour
      * @return what they hold
-     * @throws Unreadable where they are foreign, cut short, or larger than anything this program writes
+     * @throws Unreadable where they are foreign, cut short, or larger than anything this program
+     *     writes
      */
     public static Knowledge read(byte[] bytes) throws Unreadable {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
@@ -157,8 +160,13 @@
             }
             int version = in.readUnsignedByte();
             if (version < VERSION || version > VERSION + 1) {
-                throw new Unreadable("version " + version + " of the form; this program reads " + VERSION + " and "
-                        + (VERSION + 1));
+                throw new Unreadable(
+                        "version "
+                                + version
+                                + " of the form; this program reads "
+                                + VERSION
+                                + " and "
+                                + (VERSION + 1));
             }
             List<Knowledge.Key> keys = new ArrayList<>();
             List<Knowledge.Health> health = new ArrayList<>();
@@ -169,18 +177,32 @@
                 if (length < 4 || length > in.available()) {
                     throw new Unreadable("a section is longer than its message");
                 }
-                DataInputStream part = new DataInputStream(new ByteArrayInputStream(in.readNBytes(length)));
+                DataInputStream part =
+                        new DataInputStream(new ByteArrayInputStream(in.readNBytes(length)));
                 int count = part.readInt();
                 if (count < 0 || count > length) {
-                    throw new Unreadable("a section with " + count + " items in " + length + " bytes");
+                    throw new Unreadable(
+                            "a section with " + count + " items in " + length + " bytes");
                 }
                 for (int i = 0; i < count && tag <= LINES; i++) {
                     switch (tag) {
                         case KEYS -> keys.add(readKey(part));
-                        case HEALTH -> health.add(new Knowledge.Health(readText(part), part.readLong(),
-                                part.readFloat(), part.readFloat(), part.readInt()));
-                        default -> lines.add(new Knowledge.Sums(part.readDouble(), part.readDouble(),
-                                part.readDouble(), part.readDouble(), part.readDouble()));
+                        case HEALTH ->
+                                health.add(
+                                        new Knowledge.Health(
+                                                readText(part),
+                                                part.readLong(),
+                                                part.readFloat(),
+                                                part.readFloat(),
+                                                part.readInt()));
+                        default ->
+                                lines.add(
+                                        new Knowledge.Sums(
+                                                part.readDouble(),
+                                                part.readDouble(),
+                                                part.readDouble(),
+                                                part.readDouble(),
+                                                part.readDouble()));
                     }
                 }
             }
@@ -188,7 +210,10 @@
                 throw new Unreadable(lines.size() + " lines");
             }
             Knowledge.Sums none = new Knowledge.Sums(0, 0, 0, 0, 0);
-            return new Knowledge(keys, health, lines.isEmpty() ? List.of() : lines.subList(1, lines.size()),
+            return new Knowledge(
+                    keys,
+                    health,
+                    lines.isEmpty() ? List.of() : lines.subList(1, lines.size()),
                     lines.isEmpty() ? none : lines.get(0));
         } catch (EOFException e) {
             throw new Unreadable("cut short");
--- a/core/src/main/java/sorrelhoist/core/know/LearnPlan.java
+++ b/core/src/main/java/sorrelhoist/core/know/LearnPlan.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * Decides whom a new router asks: edges of its own zone first, as their engines are its engines; one that broke off
- * once more, then others, and no more than a few exchanges in all. What it then does not know it learns by itself.
+ * Decides whom a new router asks: edges of its own zone first, as their engines are its engines;
+ * one that broke off once more, then others, and no more than a few exchanges in all. What it then
+ * does not know it learns by itself.
  */
 public final class LearnPlan {
     /**
@@ -18,8 +19,7 @@
      * @param zone its zone
      * @param address where it is reached
      */
-    public record Peer(String edge, String zone, String address) {
-    }
+    public record Peer(String edge, String zone, String address) {}
 
     private static final int TRIES_EACH = 2;
     private static final int EXCHANGES = 4;
@@ -39,10 +39,15 @@
         if (taught >= TEACHERS || exchanges >= EXCHANGES) {
             return null;
         }
-        List<Peer> left = new ArrayList<>(peers.stream().filter(p -> tried.getOrDefault(p.edge(), 0) < TRIES_EACH)
-                .toList());
-        left.sort(Comparator.comparing((Peer p) -> !p.zone().equals(zone))
-                .thenComparing(p -> tried.getOrDefault(p.edge(), 0)).thenComparing(Peer::edge));
+        List<Peer> left =
+                new ArrayList<>(
+                        peers.stream()
+                                .filter(p -> tried.getOrDefault(p.edge(), 0) < TRIES_EACH)
+                                .toList());
+        left.sort(
+                Comparator.comparing((Peer p) -> !p.zone().equals(zone))
+                        .thenComparing(p -> tried.getOrDefault(p.edge(), 0))
+                        .thenComparing(Peer::edge));
         if (left.isEmpty()) {
             return null;
         }
--- a/core/src/main/java/sorrelhoist/core/know/Lesson.java
+++ b/core/src/main/java/sorrelhoist/core/know/Lesson.java
@@ -5,13 +5,15 @@
 import sorrelhoist.Knowledge;
 
 /**
- * What one teacher tells one learner, cut into chunks: health and lines with the first, then keys that the learner
- * lacks, the newest first, so that an exchange that breaks has given the best. Bounded in all; what it is made from is
- * a copy, so a lesson does not keep its teacher from learning on.
+ * What one teacher tells one learner, cut into chunks: health and lines with the first, then keys
+ * that the learner lacks, the newest first, so that an exchange that breaks has given the best.
+ * Bounded in all; what it is made from is a copy, so a lesson does not keep its teacher from
+ * learning on.
  */
 public final class Lesson {
     /** Bytes of keys in one chunk. */
     public static final int CHUNK = 32 << 10;
+
     private static final int KEYS_A_CHUNK = 400;
     private final Knowledge known;
     private final List<Knowledge.Key> wanted = new ArrayList<>();
@@ -52,9 +54,14 @@
             Knowledge.Key k = wanted.get(at);
             some.add(0, new Knowledge.Key(k.name(), k.age() + older, k.uses(), k.holders()));
         }
-        byte[] bytes = KnowledgeForm.write(new Knowledge(some, first ? known.servers() : List.of(),
-                first ? known.reads() : List.of(), first ? known.firstTokens()
-                : new Knowledge.Sums(0, 0, 0, 0, 0)), CHUNK);
+        byte[] bytes =
+                KnowledgeForm.write(
+                        new Knowledge(
+                                some,
+                                first ? known.servers() : List.of(),
+                                first ? known.reads() : List.of(),
+                                first ? known.firstTokens() : new Knowledge.Sums(0, 0, 0, 0, 0)),
+                        CHUNK);
         index++;
         sent += bytes.length;
         return bytes;
--- a/core/src/main/java/sorrelhoist/core/know/PastFrames.java
+++ b/core/src/main/java/sorrelhoist/core/know/PastFrames.java
@@ -7,9 +7,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of a router's past on disk: a header, then frames that each carry their length, a checksum and when they
- * were written. A kill at any byte leaves whole frames and a tail that shows itself as cut; what is damaged or foreign
- * is never taken for knowledge.
+ * The form of a router's past on disk: a header, then frames that each carry their length, a
+ * checksum and when they were written. A kill at any byte leaves whole frames and a tail that shows
+ * itself as cut; what is damaged or foreign is never taken for knowledge.
  */
 public final class PastFrames {
     /**
@@ -18,8 +18,7 @@
      * @param savedAt when it was written, microseconds since 1970
      * @param payload its content
      */
-    public record Frame(long savedAt, byte[] payload) {
-    }
+    public record Frame(long savedAt, byte[] payload) {}
 
     /**
      * What a file holds.
@@ -29,16 +28,15 @@
      * @param fault what is wrong after that, or null; a cut tail is no fault
      * @param foreign whether it is no file of this program at all
      */
-    public record Read(List<Frame> frames, int validBytes, String fault, boolean foreign) {
-    }
+    public record Read(List<Frame> frames, int validBytes, String fault, boolean foreign) {}
 
     private static final byte[] HEADER = {'S', 'R', 'L', 'P', 'A', 'S', 'T', '1'};
     private static final int FRAME = 4 + 4 + 8;
+
     /** Bytes that a frame's content may have. */
     public static final int MAX_PAYLOAD = 64 << 20;
 
-    private PastFrames() {
-    }
+    private PastFrames() {}
 
     /** {@return what a new file begins with} */
     public static byte[] header() {
@@ -76,7 +74,11 @@
             int sum = in.getInt();
             long savedAt = in.getLong();
             if (length < 0 || length > MAX_PAYLOAD) {
-                return new Read(frames, valid, "a frame's length of " + length + " at byte " + valid, false);
+                return new Read(
+                        frames,
+                        valid,
+                        "a frame's length of " + length + " at byte " + valid,
+                        false);
             }
             if (length > in.remaining()) {
                 return new Read(frames, valid, null, false);
--- a/core/src/main/java/sorrelhoist/core/know/PastKeeper.java
+++ b/core/src/main/java/sorrelhoist/core/know/PastKeeper.java
@@ -6,13 +6,17 @@
 import sorrelhoist.Knowledge;
 
 /**
- * Decides when a router writes down what it knows, and what of its past is still worth believing. Between snapshots
- * of everything, smaller ones of what was used lately are appended; a restart takes the newest first, as what is
- * already known stays.
+ * Decides when a router writes down what it knows, and what of its past is still worth believing.
+ * Between snapshots of everything, smaller ones of what was used lately are appended; a restart
+ * takes the newest first, as what is already known stays.
  */
 public final class PastKeeper {
     /** What to write now. */
-    public enum Step { NOTHING, APPEND, SNAPSHOT }
+    public enum Step {
+        NOTHING,
+        APPEND,
+        SNAPSHOT
+    }
 
     /**
      * A piece of the past.
@@ -20,17 +24,22 @@
      * @param knowledge what
      * @param age how old, in microseconds
      */
-    public record Memory(Knowledge knowledge, long age) {
-    }
+    public record Memory(Knowledge knowledge, long age) {}
 
-    /** Keys that an append holds: those used since the one before are few, the most recent matter most. */
+    /**
+     * Keys that an append holds: those used since the one before are few, the most recent matter
+     * most.
+     */
     public static final int APPEND_BYTES = 64 << 10;
+
     /** Bytes of keys that a snapshot holds. */
     public static final int SNAPSHOT_BYTES = 8 << 20;
+
     private static final long APPEND_EVERY = 5_000_000;
     private static final long SNAPSHOT_EVERY = 60_000_000;
     private static final long LOG_BYTES = 4 << 20;
-    private static final long MAX_AGE = 1_800_000_000; // half an hour: the fleet of then is not that of now
+    private static final long MAX_AGE =
+            1_800_000_000; // half an hour: the fleet of then is not that of now
     private long appendedAt;
     private long snapshotAt;
     private long logBytes;
@@ -43,7 +52,8 @@
 
     /** {@return what is due} */
     public Step due(long now) {
-        return now - snapshotAt >= SNAPSHOT_EVERY || logBytes >= LOG_BYTES ? Step.SNAPSHOT
+        return now - snapshotAt >= SNAPSHOT_EVERY || logBytes >= LOG_BYTES
+                ? Step.SNAPSHOT
                 : now - appendedAt >= APPEND_EVERY ? Step.APPEND : Step.NOTHING;
     }
 
@@ -68,7 +78,8 @@
      *
      * @param now microseconds since 1970
      * @param frames of snapshot and log, in any order
-     * @return memories, the newest first; frames of the future count as just written, as a clock was set back
+     * @return memories, the newest first; frames of the future count as just written, as a clock
+     *     was set back
      */
     public static List<Memory> believe(long now, List<PastFrames.Frame> frames) {
         List<PastFrames.Frame> ordered = new ArrayList<>(frames);
--- a/core/src/main/java/sorrelhoist/core/know/Seal.java
+++ b/core/src/main/java/sorrelhoist/core/know/Seal.java
@@ -11,9 +11,10 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Authenticates what routers teach each other: HMAC-SHA256 (RFC 2104) over who speaks to whom, the exchange's own
- * number, the place of the piece in it, and the piece. Keys rotate: the first of the list signs, all of it verify, so
- * a new key is added behind at every router, then moved to the front, then the old one is removed.
+ * Authenticates what routers teach each other: HMAC-SHA256 (RFC 2104) over who speaks to whom, the
+ * exchange's own number, the place of the piece in it, and the piece. Keys rotate: the first of the
+ * list signs, all of it verify, so a new key is added behind at every router, then moved to the
+ * front, then the old one is removed.
  */
 public final class Seal {
     private static final String ALGORITHM = "HmacSHA256";
@@ -28,16 +29,25 @@
      * @throws IllegalArgumentException where there is none, or one is shorter than 16 bytes
      */
     public Seal(Map<String, String> secrets) {
-        secrets.forEach((id, secret) -> {
-            byte[] bytes = secret.getBytes(StandardCharsets.UTF_8);
-            if (bytes.length < LEAST_KEY) {
-                throw new IllegalArgumentException("key \"" + id + "\" has " + bytes.length + " bytes: give "
-                        + LEAST_KEY + " or more");
-            }
-            keys.put(id, new SecretKeySpec(bytes, ALGORITHM));
-        });
-        signing = keys.keySet().stream().findFirst().orElseThrow(
-                () -> new IllegalArgumentException("give one key at least"));
+        secrets.forEach(
+                (id, secret) -> {
+                    byte[] bytes = secret.getBytes(StandardCharsets.UTF_8);
+                    if (bytes.length < LEAST_KEY) {
+                        throw new IllegalArgumentException(
+                                "key \""
+                                        + id
+                                        + "\" has "
+                                        + bytes.length
+                                        + " bytes: give "
+                                        + LEAST_KEY
+                                        + " or more");
+                    }
+                    keys.put(id, new SecretKeySpec(bytes, ALGORITHM));
+                });
+        signing =
+                keys.keySet().stream()
+                        .findFirst()
+                        .orElseThrow(() -> new IllegalArgumentException("give one key at least"));
     }
 
     /** {@return the id of the key that signs} */
@@ -51,12 +61,21 @@
     }
 
     /** {@return whether the tag is right; in a time that does not depend on where it differs} */
-    public boolean verify(String keyId, byte[] tag, String from, String to, long exchange, int index, byte[] piece) {
+    public boolean verify(
+            String keyId,
+            byte[] tag,
+            String from,
+            String to,
+            long exchange,
+            int index,
+            byte[] piece) {
         SecretKeySpec key = keys.get(keyId);
-        return key != null && MessageDigest.isEqual(tag, tag(key, from, to, exchange, index, piece));
+        return key != null
+                && MessageDigest.isEqual(tag, tag(key, from, to, exchange, index, piece));
     }
 
-    private static byte[] tag(SecretKeySpec key, String from, String to, long exchange, int index, byte[] piece) {
+    private static byte[] tag(
+            SecretKeySpec key, String from, String to, long exchange, int index, byte[] piece) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(key);
@@ -65,7 +84,12 @@
                 mac.update(ByteBuffer.allocate(4).putInt(bytes.length).array());
                 mac.update(bytes);
             }
-            mac.update(ByteBuffer.allocate(16).putLong(exchange).putInt(index).putInt(piece.length).array());
+            mac.update(
+                    ByteBuffer.allocate(16)
+                            .putLong(exchange)
+                            .putInt(index)
+                            .putInt(piece.length)
+                            .array());
             return mac.doFinal(piece);
         } catch (NoSuchAlgorithmException | InvalidKeyException e) {
             throw new IllegalStateException("every JDK has " + ALGORITHM, e);
--- a/core/src/main/java/sorrelhoist/core/life/Answer.java
+++ b/core/src/main/java/sorrelhoist/core/life/Answer.java
@@ -14,8 +14,7 @@
      *
      * @param tokens how many
      */
-    record Served(int tokens) implements Answer {
-    }
+    record Served(int tokens) implements Answer {}
 
     /**
      * Not served, and a repeat is harmless.
@@ -31,20 +30,20 @@
     }
 
     /**
-     * Given up because the client takes nothing: nothing more can be told to it, so its stream is reset.
+     * Given up because the client takes nothing: nothing more can be told to it, so its stream is
+     * reset.
      *
      * @param why for the log
      */
-    record Stalled(String why) implements Answer {
-    }
+    record Stalled(String why) implements Answer {}
 
     /**
      * Not served whole, and nothing is known of a repeat.
      *
      * @param why for the client and the log
      * @param late whether the client's time is up
-     * @param reason what Decide gave, or {@link Reason#UNKNOWN} where an answer broke off after its first token
+     * @param reason what Decide gave, or {@link Reason#UNKNOWN} where an answer broke off after its
+     *     first token
      */
-    record Failed(String why, boolean late, Reason reason) implements Answer {
-    }
+    record Failed(String why, boolean late, Reason reason) implements Answer {}
 }
--- a/core/src/main/java/sorrelhoist/core/life/AttemptId.java
+++ b/core/src/main/java/sorrelhoist/core/life/AttemptId.java
@@ -6,5 +6,4 @@
  * @param request the request's number at Decide; a stream that goes on elsewhere has a new one
  * @param number of the send, from 0
  */
-public record AttemptId(long request, int number) {
-}
+public record AttemptId(long request, int number) {}
--- a/core/src/main/java/sorrelhoist/core/life/Call.java
+++ b/core/src/main/java/sorrelhoist/core/life/Call.java
@@ -17,13 +17,47 @@
  * @param resumed whether the client has the beginning of the answer already and asks for the rest
  * @param trace the carrier's own, handed back with commands; may be null
  */
-public record Call(String clientId, int cls, int tenant, String session, String prefix, long prefixTokens,
-        String prompt, long promptTokens, int maxTokens, long timeoutMicros,
-        int previousAttempts, boolean resumed, Object trace) {
+public record Call(
+        String clientId,
+        int cls,
+        int tenant,
+        String session,
+        String prefix,
+        long prefixTokens,
+        String prompt,
+        long promptTokens,
+        int maxTokens,
+        long timeoutMicros,
+        int previousAttempts,
+        boolean resumed,
+        Object trace) {
     /** A call for a whole answer. */
-    public Call(String clientId, int cls, int tenant, String session, String prefix, long prefixTokens, String prompt,
-            long promptTokens, int maxTokens, long timeoutMicros, int previousAttempts, Object trace) {
-        this(clientId, cls, tenant, session, prefix, prefixTokens, prompt, promptTokens, maxTokens, timeoutMicros,
-                previousAttempts, false, trace);
+    public Call(
+            String clientId,
+            int cls,
+            int tenant,
+            String session,
+            String prefix,
+            long prefixTokens,
+            String prompt,
+            long promptTokens,
+            int maxTokens,
+            long timeoutMicros,
+            int previousAttempts,
+            Object trace) {
+        this(
+                clientId,
+                cls,
+                tenant,
+                session,
+                prefix,
+                prefixTokens,
+                prompt,
+                promptTokens,
+                maxTokens,
+                timeoutMicros,
+                previousAttempts,
+                false,
+                trace);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/life/Command.java
+++ b/core/src/main/java/sorrelhoist/core/life/Command.java
@@ -19,8 +19,16 @@
      * @param until when the attempt is cut, on the router's clock; Long.MAX_VALUE for never
      * @param why why this engine
      */
-    record Read(AttemptId attempt, String name, String engine, Call call, String prompt, long promptTokens,
-            long until, Reason why) implements Command {
+    record Read(
+            AttemptId attempt,
+            String name,
+            String engine,
+            Call call,
+            String prompt,
+            long promptTokens,
+            long until,
+            Reason why)
+            implements Command {
         @Override
         public void accept(CommandHandler handler) {
             handler.read(this);
@@ -39,12 +47,26 @@
      * @param prompt the text
      * @param promptTokens its tokens
      * @param fromToken the first index that the client has not got
-     * @param until when the client's time for the whole answer is up; Long.MAX_VALUE where it did not say
-     * @param sendBy when its last byte has to have left, or it must not be sent any more; Long.MAX_VALUE for no limit
+     * @param until when the client's time for the whole answer is up; Long.MAX_VALUE where it did
+     *     not say
+     * @param sendBy when its last byte has to have left, or it must not be sent any more;
+     *     Long.MAX_VALUE for no limit
      * @param why why this engine
      */
-    record Write(AttemptId attempt, String name, String engine, Call call, Held state, String place, String prompt,
-            long promptTokens, int fromToken, long until, long sendBy, Reason why) implements Command {
+    record Write(
+            AttemptId attempt,
+            String name,
+            String engine,
+            Call call,
+            Held state,
+            String place,
+            String prompt,
+            long promptTokens,
+            int fromToken,
+            long until,
+            long sendBy,
+            Reason why)
+            implements Command {
         @Override
         public void accept(CommandHandler handler) {
             handler.write(this);
@@ -86,10 +108,11 @@
      * @param engine which
      * @param state the state's name; empty for what its reads left that were given up on
      * @param place the place's name; may be empty
-     * @param upTo where neither is named: the last attempt whose state is meant, so that a later read at the same
-     *     engine keeps its own
+     * @param upTo where neither is named: the last attempt whose state is meant, so that a later
+     *     read at the same engine keeps its own
      */
-    record Release(long id, String name, String engine, String state, String place, int upTo) implements Command {
+    record Release(long id, String name, String engine, String state, String place, int upTo)
+            implements Command {
         @Override
         public void accept(CommandHandler handler) {
             handler.release(this);
@@ -109,7 +132,8 @@
     }
 
     /**
-     * What a request had reserved was not released in time: no engine answered. It is not tried any longer.
+     * What a request had reserved was not released in time: no engine answered. It is not tried any
+     * longer.
      *
      * @param name the request's name at engines
      * @param engine the engine that was asked last
--- a/core/src/main/java/sorrelhoist/core/life/CommandHandler.java
+++ b/core/src/main/java/sorrelhoist/core/life/CommandHandler.java
@@ -1,5 +1,4 @@
 package sorrelhoist.core.life;
 
 /** Carries out commands: one method for each, so that a new one cannot be forgotten. */
-public interface CommandHandler extends ClientCommands, EngineCommands, PlannerCommands {
-}
+public interface CommandHandler extends ClientCommands, EngineCommands, PlannerCommands {}
--- a/core/src/main/java/sorrelhoist/core/life/Departure.java
+++ b/core/src/main/java/sorrelhoist/core/life/Departure.java
@@ -1,14 +1,16 @@
 package sorrelhoist.core.life;
 
 /**
- * How a router that is told to end hands its running streams on, where clients come again for the rest: a few at a time
- * over the time it has, so that they do not all come to the others at once, each with all of its text to be read anew,
- * when it is killed. The youngest go first, as the old ones may still end by themselves. None goes while no other
- * router is there to take it ({@link Neighbours}): its client would find nobody.
+ * How a router that is told to end hands its running streams on, where clients come again for the
+ * rest: a few at a time over the time it has, so that they do not all come to the others at once,
+ * each with all of its text to be read anew, when it is killed. The youngest go first, as the old
+ * ones may still end by themselves. None goes while no other router is there to take it ({@link
+ * Neighbours}): its client would find nobody.
  */
 public final class Departure {
     /** Between two looks, in microseconds. */
     public static final long STEP = 100_000;
+
     private final long until;
 
     /**
--- a/core/src/main/java/sorrelhoist/core/life/Held.java
+++ b/core/src/main/java/sorrelhoist/core/life/Held.java
@@ -6,5 +6,4 @@
  * @param engine the reader
  * @param state the state's name there
  */
-public record Held(String engine, String state) {
-}
+public record Held(String engine, String state) {}
--- a/core/src/main/java/sorrelhoist/core/life/Life.java
+++ b/core/src/main/java/sorrelhoist/core/life/Life.java
@@ -3,7 +3,9 @@
 import java.util.ArrayDeque;
 import sorrelhoist.core.reservation.ReservationKey;
 
-/** One request's life: its phase, its attempts, what is held for it, and what its client has got. */
+/**
+ * One request's life: its phase, its attempts, what is held for it, and what its client has got.
+ */
 final class Life {
     /** One send, until its one outcome. */
     static final class Attempt {
@@ -15,8 +17,13 @@
         final long cutAt;
         boolean ended;
         boolean started;
-        /** Whether its last byte was written; carriers that cannot tell say nothing, and it counts as written. */
+
+        /**
+         * Whether its last byte was written; carriers that cannot tell say nothing, and it counts
+         * as written.
+         */
         boolean written = true;
+
         long heardAt;
 
         Attempt(AttemptId id, String engine, int kind, boolean read, long sentAt, long cutAt) {
@@ -35,23 +42,31 @@
     final long client;
     final Call call;
     final long arrivedAt;
+
     /** Until the whole answer has to be given; Long.MAX_VALUE where the client did not say. */
     final long endsBy;
+
     final StringBuilder answered = new StringBuilder();
     long decideId;
     String name;
     Phase phase = Phase.WAITING;
     boolean finished;
     int sends;
+
     /** When the first attempt that may have had an effect was sent; {@link #NEVER} for none. */
     long mayHaveRunFrom = NEVER;
+
     int resumptions;
     int tokens;
+
     /** Since when the client takes nothing; 0 while it does. */
     long blockedSince;
+
     Attempt out;
+
     /** What the next writer is to fetch; null where nothing is. */
     Held state;
+
     ReservationKey stateKey;
     String placeEngine;
     String place = "";
@@ -66,7 +81,9 @@
     /** What happened lately, oldest first: for the log alone. */
     private final ArrayDeque<Phase.Step> lately = new ArrayDeque<>(HISTORY);
 
-    /** Takes a step; where the client has its answer already, what still comes in changes nothing. */
+    /**
+     * Takes a step; where the client has its answer already, what still comes in changes nothing.
+     */
     void step(Phase.Step step) {
         if (step != lately.peekLast()) {
             if (lately.size() == HISTORY) {
--- a/core/src/main/java/sorrelhoist/core/life/Lives.java
+++ b/core/src/main/java/sorrelhoist/core/life/Lives.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Which requests there are: by their clients' numbers while an answer is owed, by their numbers at Decide while it may
- * still say something of them. Numbers are never given twice.
+ * Which requests there are: by their clients' numbers while an answer is owed, by their numbers at
+ * Decide while it may still say something of them. Numbers are never given twice.
  */
 final class Lives {
     private final Map<Long, Life> byClient = new HashMap<>();
@@ -57,14 +57,18 @@
         return life != null && life.out != null && life.out.id.equals(id) ? life.out : null;
     }
 
-    /** Drops what is known of finished requests of which nothing is out. Until then Release has to find them. */
+    /**
+     * Drops what is known of finished requests of which nothing is out. Until then Release has to
+     * find them.
+     */
     void sweep() {
-        leaving.removeIf(life -> {
-            if (life.out == null) {
-                byDecide.remove(life.decideId);
-            }
-            return life.out == null;
-        });
+        leaving.removeIf(
+                life -> {
+                    if (life.out == null) {
+                        byDecide.remove(life.decideId);
+                    }
+                    return life.out == null;
+                });
     }
 
     /** {@return how many are owed an answer} */
