--- a/core/src/main/java/sorrelhoist/core/life/Neighbours.java
+++ b/core/src/main/java/sorrelhoist/core/life/Neighbours.java
@@ -4,10 +4,11 @@
 import java.util.Map;
 
 /**
- * Whether another router of the tier is there to take requests, by the others' own word. Each says so now and then, so
- * that all together say a few words a second however many they are: messages are priced for each receiver. One that has
- * just started says nothing yet, and one that is told to end says so. Lost messages cost a second or two. Only a
- * departure asks this; no request is routed by it.
+ * Whether another router of the tier is there to take requests, by the others' own word. Each says
+ * so now and then, so that all together say a few words a second however many they are: messages
+ * are priced for each receiver. One that has just started says nothing yet, and one that is told to
+ * end says so. Lost messages cost a second or two. Only a departure asks this; no request is routed
+ * by it.
  */
 public final class Neighbours {
     private static final long SECOND = 1_000_000;
@@ -15,7 +16,8 @@
     private static final long SILENT = 5 * SECOND / 2;
     private static final String HERE = "@here";
     private static final String LEAVING = "@leaving";
-    private static final long SETTLED = 4 * SECOND; // one that has just started is slow, and learns from nothing
+    private static final long SETTLED =
+            4 * SECOND; // one that has just started is slow, and learns from nothing
     private final int self;
     private final int routers;
     private final long startedAt;
@@ -39,7 +41,10 @@
         return Math.max(SECOND, SECOND * routers / FLEET_WORDS);
     }
 
-    /** {@return microseconds from the start to its first word: routers that start together speak in turns} */
+    /**
+     * {@return microseconds from the start to its first word: routers that start together speak in
+     * turns}
+     */
     public long first() {
         return SETTLED + every() * self / routers;
     }
@@ -76,6 +81,7 @@
 
     /** {@return whether another router is there that has been for a while} */
     public boolean any(long now) {
-        return here.entrySet().stream().anyMatch(e -> e.getKey() != self && now - e.getValue() <= SILENT);
+        return here.entrySet().stream()
+                .anyMatch(e -> e.getKey() != self && now - e.getValue() <= SILENT);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/life/Phase.java
+++ b/core/src/main/java/sorrelhoist/core/life/Phase.java
@@ -20,8 +20,20 @@
 
     /** What can happen to a request. */
     enum Step {
-        SEND_READ, READ_DONE, READ_LOST, SEND_WRITE, WRITE_LOST, STATE_LOST, FIRST_TOKEN, TOKEN, LAST_TOKEN, BREAK,
-        REFUSE, FAIL, CLIENT_GONE, EXPIRE
+        SEND_READ,
+        READ_DONE,
+        READ_LOST,
+        SEND_WRITE,
+        WRITE_LOST,
+        STATE_LOST,
+        FIRST_TOKEN,
+        TOKEN,
+        LAST_TOKEN,
+        BREAK,
+        REFUSE,
+        FAIL,
+        CLIENT_GONE,
+        EXPIRE
     }
 
     private static final Map<Phase, Map<Step, Phase>> WAYS = new EnumMap<>(Phase.class);
--- a/core/src/main/java/sorrelhoist/core/life/Reservations.java
+++ b/core/src/main/java/sorrelhoist/core/life/Reservations.java
@@ -19,13 +19,15 @@
 import sorrelhoist.core.reservation.ReservationTable;
 
 /**
- * Tells the table of reservations what happens to requests. Where holders release by name, each state and place has a
- * key of its own, released as soon as nothing needs it; where any engine releases all of a request, the request has one.
+ * Tells the table of reservations what happens to requests. Where holders release by name, each
+ * state and place has a key of its own, released as soon as nothing needs it; where any engine
+ * releases all of a request, the request has one.
  */
 final class Reservations {
     private static final int ROOM = 4; // keys for each request that may be open
     private static final int PLACE = -2; // in place of an attempt's number: the place held ahead
-    private static final int SILENT_RETRIES = 2; // an engine that said nothing for so many waits while others spoke is silent
+    private static final int SILENT_RETRIES =
+            2; // an engine that said nothing for so many waits while others spoke is silent
     private final boolean shared;
     private final ReservationTable table;
     private final EngineActivity engines;
@@ -34,11 +36,17 @@
         ReleasePolicy policy = settings.releasePolicy();
         shared = policy.reach() == ReleaseReach.ANY_ENGINE;
         engines = new EngineActivity(SILENT_RETRIES * policy.retryMicros());
-        table = new ReservationTable(policy, shared ? engines : this::holder, new Commands(carrier),
-                ROOM * settings.maxOpen());
+        table =
+                new ReservationTable(
+                        policy,
+                        shared ? engines : this::holder,
+                        new Commands(carrier),
+                        ROOM * settings.maxOpen());
     }
 
-    /** An engine that is not listed may run on for a while; what it held after that went with it. */
+    /**
+     * An engine that is not listed may run on for a while; what it held after that went with it.
+     */
     private String holder(Hold hold, Set<String> asked) {
         return asked.isEmpty() || engines.knows(hold.engine()) ? hold.engine() : null;
     }
@@ -48,8 +56,14 @@
         @Override
         public void release(ReleaseCall call) {
             Hold hold = call.hold();
-            carrier.accept(new Command.Release(call.id(), call.request(), call.engine(), hold.state(), hold.place(),
-                    hold.upToAttempt()));
+            carrier.accept(
+                    new Command.Release(
+                            call.id(),
+                            call.request(),
+                            call.engine(),
+                            hold.state(),
+                            hold.place(),
+                            hold.upToAttempt()));
         }
 
         @Override
@@ -63,12 +77,17 @@
         }
     }
 
-    // ---- Engines ------------------------------------------------------------------------------------------
+    // ---- Engines
+    // ------------------------------------------------------------------------------------------
 
     /** The list of engines, or news of it. */
     void members(ListForm form, List<Server> servers) {
         if (form == ListForm.COMPLETE) {
-            engines.replaced(servers.stream().filter(s -> s.state() != ServerState.GONE).map(Server::id).toList());
+            engines.replaced(
+                    servers.stream()
+                            .filter(s -> s.state() != ServerState.GONE)
+                            .map(Server::id)
+                            .toList());
             return;
         }
         for (Server server : servers) {
@@ -85,16 +104,22 @@
         engines.heard(engine, now);
     }
 
-    // ---- Attempts -----------------------------------------------------------------------------------------
+    // ---- Attempts
+    // -----------------------------------------------------------------------------------------
 
-    /** An attempt is about to go out. A read makes a state of its own: an earlier one is not fetched any more. */
+    /**
+     * An attempt is about to go out. A read makes a state of its own: an earlier one is not fetched
+     * any more.
+     */
     void sending(Life life, Life.Attempt attempt, long now) {
         if (attempt.read) {
             dropState(life, now);
         }
         boolean takes = life.state != null || attempt.engine.equals(life.placeEngine);
-        AttemptPurpose purpose = attempt.read ? AttemptPurpose.READ
-                : takes ? AttemptPurpose.FETCH : AttemptPurpose.READ_AND_ANSWER;
+        AttemptPurpose purpose =
+                attempt.read
+                        ? AttemptPurpose.READ
+                        : takes ? AttemptPurpose.FETCH : AttemptPurpose.READ_AND_ANSWER;
         for (ReservationKey key : keys(life)) {
             table.attemptSent(key, purpose);
             table.attemptWritten(key);
@@ -141,7 +166,10 @@
         life.place = "";
     }
 
-    /** A writer could not fetch the state. It may be held all the same, where only that writer cannot reach it. */
+    /**
+     * A writer could not fetch the state. It may be held all the same, where only that writer
+     * cannot reach it.
+     */
     void notFetched(Life life, long now) {
         keys(life).forEach(key -> table.attemptEnded(key, true, now));
         dropState(life, now);
@@ -169,7 +197,8 @@
         life.place = "";
     }
 
-    // ---- Places -------------------------------------------------------------------------------------------
+    // ---- Places
+    // -------------------------------------------------------------------------------------------
 
     /** A place was held ahead, or may have been. */
     void place(Life life, String engine, String place, Hold.Certainty certainty, long now) {
@@ -189,12 +218,15 @@
 
     /** A place was held, or may have been, for a request that cannot use it any more. */
     void unwantedPlace(String engine, String place, long now) {
-        ReservationKey key = shared ? ReservationKey.ofRequest(place) : new ReservationKey(place, PLACE);
+        ReservationKey key =
+                shared ? ReservationKey.ofRequest(place) : new ReservationKey(place, PLACE);
         table.opened(key, Hold.ofPlace(engine, place, Hold.Certainty.HELD), now);
         table.unwanted(key, now);
     }
 
-    /** Releases a place that is held elsewhere. {@return the place to use at this engine, or empty} */
+    /**
+     * Releases a place that is held elsewhere. {@return the place to use at this engine, or empty}
+     */
     String placeAt(Life life, String engine, long now) {
         if (engine.equals(life.placeEngine)) {
             return life.place;
@@ -207,7 +239,8 @@
         return "";
     }
 
-    // ---- Calls --------------------------------------------------------------------------------------------
+    // ---- Calls
+    // --------------------------------------------------------------------------------------------
 
     void releaseEnded(long call, boolean done, long now) {
         table.releaseEnded(call, done, now);
@@ -233,10 +266,13 @@
         return table.expired();
     }
 
-    // ---- Keys ---------------------------------------------------------------------------------------------
+    // ---- Keys
+    // ---------------------------------------------------------------------------------------------
 
     private ReservationKey keyOf(Life life, int attempt) {
-        return shared ? ReservationKey.ofRequest(life.name) : new ReservationKey(life.name, attempt);
+        return shared
+                ? ReservationKey.ofRequest(life.name)
+                : new ReservationKey(life.name, attempt);
     }
 
     private static ReservationKey placeKey(Life life) {
--- a/core/src/main/java/sorrelhoist/core/life/Router.java
+++ b/core/src/main/java/sorrelhoist/core/life/Router.java
@@ -1,7 +1,6 @@
 package sorrelhoist.core.life;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -21,44 +20,47 @@
 import sorrelhoist.core.why.Words;
 
 /**
- * The whole of one router but its sockets: requests' lives around {@link Decide}. It is told what happens, asks
- * {@code Decide}, and gives commands to a carrier. One thread at a time; time is the caller's, in microseconds.
+ * The whole of one router but its sockets: requests' lives around {@link Decide}. It is told what
+ * happens, asks {@code Decide}, and gives commands to a carrier. One thread at a time; time is the
+ * caller's, in microseconds.
  *
- * <p>What it owes, whatever the carrier reports and in whatever order: each client one final answer and nothing
- * after it; each {@code Send} of {@code Decide} exactly one {@code AttemptEnded}; each held state or place a
- * {@code Release} when {@code Decide} says so. {@code Decide} chooses, refuses, repeats and cuts. Here is decided
- * only what begins where it stops, at the first token: how long a stream may be silent ({@link Liveness}), that it
- * ends with its client's time, and whether a broken one goes on elsewhere.
+ * <p>What it owes, whatever the carrier reports and in whatever order: each client one final answer
+ * and nothing after it; each {@code Send} of {@code Decide} exactly one {@code AttemptEnded}; each
+ * held state or place a {@code Release} when {@code Decide} says so. {@code Decide} chooses,
+ * refuses, repeats and cuts. Here is decided only what begins where it stops, at the first token:
+ * how long a stream may be silent ({@link Liveness}), that it ends with its client's time, and
+ * whether a broken one goes on elsewhere.
  */
 public final class Router {
     private static final long REFUSED_AT_THE_TOP = 500_000; // hint where the router itself is full
     private static final int NAMES = 36;
-    /** A carrier may be held up for so long between its clock and its bytes: a window that ends by then has ended. */
+
+    /**
+     * A carrier may be held up for so long between its clock and its bytes: a window that ends by
+     * then has ended.
+     */
     private static final long HOLD_UP_MICROS = 150_000;
-    /** After a client's time, by which every request that has no first token was answered unless something failed. */
+
+    /**
+     * After a client's time, by which every request that has no first token was answered unless
+     * something failed.
+     */
     private static final long OVERDUE = 150_000;
 
     /** What an alarm is for. */
-    private sealed interface Alarm {
-    }
+    private sealed interface Alarm {}
 
-    private record DecideTimer(long token) implements Alarm {
-    }
+    private record DecideTimer(long token) implements Alarm {}
 
-    private record Cut(Life life, Life.Attempt attempt) implements Alarm {
-    }
+    private record Cut(Life life, Life.Attempt attempt) implements Alarm {}
 
-    private record Silence(Life life, Life.Attempt attempt) implements Alarm {
-    }
+    private record Silence(Life life, Life.Attempt attempt) implements Alarm {}
 
-    private record Expiry(Life life) implements Alarm {
-    }
+    private record Expiry(Life life) implements Alarm {}
 
-    private record Overdue(long client) implements Alarm {
-    }
+    private record Overdue(long client) implements Alarm {}
 
-    private record Blocked(Life life, long since) implements Alarm {
-    }
+    private record Blocked(Life life, long since) implements Alarm {}
 
     private final RouterSettings settings;
     private final Decide decide;
@@ -105,18 +107,27 @@
         this.sendGuard = new SendGuard(settings.decide(), monitor);
     }
 
-    // ---- What the carrier tells ---------------------------------------------------------------------------
+    // ---- What the carrier tells
+    // ---------------------------------------------------------------------------
 
     /** A client asks. {@return its number here} */
     public long arrived(long time, Call call) {
         at(time);
-        long timeout = call.timeoutMicros() > 0 ? Math.max(0, call.timeoutMicros() - settings.marginMicros())
-                : Long.MAX_VALUE;
+        long timeout =
+                call.timeoutMicros() > 0
+                        ? Math.max(0, call.timeoutMicros() - settings.marginMicros())
+                        : Long.MAX_VALUE;
         Life life = lives.open(call, now, timeout == Long.MAX_VALUE ? timeout : now + timeout);
         if (draining || lives.open() > settings.maxOpen()) {
             life.step(Phase.Step.REFUSE);
-            finish(life, new Answer.Refused(REFUSED_AT_THE_TOP, Reason.compared(Reason.Kind.ROUTER_FULL,
-                    lives.open() - 1, draining ? 0 : settings.maxOpen())));
+            finish(
+                    life,
+                    new Answer.Refused(
+                            REFUSED_AT_THE_TOP,
+                            Reason.compared(
+                                    Reason.Kind.ROUTER_FULL,
+                                    lives.open() - 1,
+                                    draining ? 0 : settings.maxOpen())));
             return life.client;
         }
         if (life.endsBy < Long.MAX_VALUE) {
@@ -155,8 +166,9 @@
     }
 
     /**
-     * A client takes nothing of its answer for now, or takes it again. While it does not, its engine is held back, and
-     * is not to blame for its silence; a client that takes nothing for too long is given up.
+     * A client takes nothing of its answer for now, or takes it again. While it does not, its
+     * engine is held back, and is not to blame for its silence; a client that takes nothing for too
+     * long is given up.
      */
     public void clientBlocked(long time, long client, boolean blocked) {
         at(time);
@@ -249,7 +261,8 @@
     }
 
     /**
-     * An event of an answer came that is passed on as it is ({@link Streams#opaque}); nothing of it is kept.
+     * An event of an answer came that is passed on as it is ({@link Streams#opaque}); nothing of it
+     * is kept.
      *
      * @param time now
      * @param id of which attempt
@@ -337,7 +350,10 @@
         return life == null || life.finished || life.out == null || !life.out.read ? null : life;
     }
 
-    /** An attempt's connection has to come up before its request can be written. To be told while it is ordered. */
+    /**
+     * An attempt's connection has to come up before its request can be written. To be told while it
+     * is ordered.
+     */
     public void attemptConnecting(long time, AttemptId id) {
         at(time);
         Life life = lives.ofDecide(id.request());
@@ -349,8 +365,8 @@
     }
 
     /**
-     * Whether an attempt's bytes may go to its engine now. To be asked when the connection stands, right before they are
-     * made: much can have happened while it came up.
+     * Whether an attempt's bytes may go to its engine now. To be asked when the connection stands,
+     * right before they are made: much can have happened while it came up.
      */
     public boolean mayWrite(long time, AttemptId id) {
         at(time);
@@ -359,9 +375,19 @@
         if (a == null) {
             return monitor.check(false, Invariant.SEND_FOR_OPEN_REQUEST, now, id);
         }
-        return sendGuard.allows(new SendGuard.Attempt(life.name, id.number(), a.engine, life.history(), !life.finished,
-                life.endsBy, settings.decide().classes().get(life.call.cls()).repeat(),
-                life.mayHaveRunFrom != Life.NEVER, a.read, sendBy(life)), now);
+        return sendGuard.allows(
+                new SendGuard.Attempt(
+                        life.name,
+                        id.number(),
+                        a.engine,
+                        life.history(),
+                        !life.finished,
+                        life.endsBy,
+                        settings.decide().classes().get(life.call.cls()).repeat(),
+                        life.mayHaveRunFrom != Life.NEVER,
+                        a.read,
+                        sendBy(life)),
+                now);
     }
 
     /** {@return counts violations of what must always hold} */
@@ -442,16 +468,24 @@
         draining = true;
     }
 
-    /** {@return streams that run, where their clients come again for the rest of one that is moved} */
+    /**
+     * {@return streams that run, where their clients come again for the rest of one that is moved}
+     */
     public int movable() {
-        return settings.streams().clientsResume() ? (int) lives.known().stream().filter(Router::running).count() : 0;
+        return settings.streams().clientsResume()
+                ? (int) lives.known().stream().filter(Router::running).count()
+                : 0;
     }
 
     /** Moves the streams that began last: each ends without its end, and its client comes again. */
     public void moveYoungest(long time, int count) {
         at(time);
-        lives.known().stream().filter(Router::running).sorted(Comparator.comparingInt(l -> l.tokens)).limit(count)
-                .toList().forEach(this::move);
+        lives.known().stream()
+                .filter(Router::running)
+                .sorted(Comparator.comparingInt(l -> l.tokens))
+                .limit(count)
+                .toList()
+                .forEach(this::move);
         drain();
     }
 
@@ -505,7 +539,10 @@
         return (int) lives.known().stream().filter(l -> l.out != null).count();
     }
 
-    /** {@return sends of Decide less the outcomes it was told: never other than the attempts that are out} */
+    /**
+     * {@return sends of Decide less the outcomes it was told: never other than the attempts that
+     * are out}
+     */
     public long sendsWithoutOutcome() {
         return sends - outcomes;
     }
@@ -525,7 +562,8 @@
         return reservations.expired();
     }
 
-    // ---- Time ---------------------------------------------------------------------------------------------
+    // ---- Time
+    // ---------------------------------------------------------------------------------------------
 
     private void at(long time) {
         now = Math.max(now, time);
@@ -552,8 +590,12 @@
         } else if (alarm instanceof Overdue o) {
             overdue(lives.ofClient(o.client()));
         } else if (alarm instanceof Blocked b && StreamWatch.stalled(b.life(), b.since())) {
-            finish(b.life(), new Answer.Stalled("the client took nothing of its answer for "
-                    + settings.stallMicros() / 1000 + " ms"));
+            finish(
+                    b.life(),
+                    new Answer.Stalled(
+                            "the client took nothing of its answer for "
+                                    + settings.stallMicros() / 1000
+                                    + " ms"));
             abandon(b.life(), Phase.Step.CLIENT_GONE);
         }
     }
@@ -567,53 +609,92 @@
             alarms.set(StreamWatch.lookAt(deadAt, now), s);
             return;
         }
-        log(s.life(), "stream silent for " + (now - s.attempt().heardAt) + " us at " + s.attempt().engine);
+        log(
+                s.life(),
+                "stream silent for "
+                        + (now - s.attempt().heardAt)
+                        + " us at "
+                        + s.attempt().engine);
         drop(s.life(), s.attempt(), Outcome.TIMED_OUT);
         drain();
     }
 
-    /** Until the first token Decide holds the deadline; from then on the client's own limit ends the stream. */
+    /**
+     * Until the first token Decide holds the deadline; from then on the client's own limit ends the
+     * stream.
+     */
     private void expired(Life life) {
         if (!StreamWatch.expires(life)) {
             return;
         }
         Life.Attempt running = life.out;
         life.step(Phase.Step.EXPIRE);
-        finish(life, new Answer.Failed("the answer did not end within the client's time", true,
-                Reason.UNKNOWN));
+        finish(
+                life,
+                new Answer.Failed(
+                        "the answer did not end within the client's time", true, Reason.UNKNOWN));
         drop(life, running, Outcome.TIMED_OUT);
         drain();
     }
 
     /**
-     * Decide answers each request by the end of its client's time. Should one be left over all the same, because an
-     * event could not be taken, its client is still owed an answer.
+     * Decide answers each request by the end of its client's time. Should one be left over all the
+     * same, because an event could not be taken, its client is still owed an answer.
      */
     private void overdue(Life life) {
         if (life != null && life.phase != Phase.STREAMING && life.tokens == 0) {
             log(life, "not answered by the end of its time");
-            finish(life, new Answer.Failed("no answer within the client's time", true, Reason.UNKNOWN));
+            finish(
+                    life,
+                    new Answer.Failed("no answer within the client's time", true, Reason.UNKNOWN));
             abandon(life, Phase.Step.FAIL);
         }
     }
 
-    // ---- Lives --------------------------------------------------------------------------------------------
+    // ---- Lives
+    // --------------------------------------------------------------------------------------------
 
     /** Hands the request, or what is left of a broken one, to Decide under a number of its own. */
     private void submit(Life life) {
         Call c = life.call;
         lives.submit(life);
-        life.name = settings.streams().opaque() ? c.clientId() : settings.name() + "."
-                + Long.toString(settings.incarnation(), NAMES) + "." + Long.toString(life.decideId, NAMES);
+        life.name =
+                settings.streams().opaque()
+                        ? c.clientId()
+                        : settings.name()
+                                + "."
+                                + Long.toString(settings.incarnation(), NAMES)
+                                + "."
+                                + Long.toString(life.decideId, NAMES);
         if (tap != Tap.NONE) {
-            tap.asked(new Entry.Asked(now, life.decideId, life.client, life.name, c.clientId(), 0, c.timeoutMicros(),
-                    life.tokens), c.prompt());
-        }
-        long patience = settings.deadlines().get(c.cls())
-                + settings.deadlinesPer1000().get(c.cls()) * life.promptTokens() / 1000;
+            tap.asked(
+                    new Entry.Asked(
+                            now,
+                            life.decideId,
+                            life.client,
+                            life.name,
+                            c.clientId(),
+                            0,
+                            c.timeoutMicros(),
+                            life.tokens),
+                    c.prompt());
+        }
+        long patience =
+                settings.deadlines().get(c.cls())
+                        + settings.deadlinesPer1000().get(c.cls()) * life.promptTokens() / 1000;
         long budget = Math.max(0, Math.min(patience, life.endsBy - now));
-        events.add(new Arrived(life.decideId, c.cls(), c.tenant(), c.session(), c.prefix(), life.promptTokens(),
-                c.prefixTokens(), c.maxTokens() - life.tokens, budget, c.resumed() || life.tokens > 0));
+        events.add(
+                new Arrived(
+                        life.decideId,
+                        c.cls(),
+                        c.tenant(),
+                        c.session(),
+                        c.prefix(),
+                        life.promptTokens(),
+                        c.prefixTokens(),
+                        c.maxTokens() - life.tokens,
+                        budget,
+                        c.resumed() || life.tokens > 0));
     }
 
     private void begin(Life life, Life.Attempt a) {
@@ -628,7 +709,8 @@
     /** Stops waiting for an attempt; its outcome is known here and now. */
     private void drop(Life life, Life.Attempt a, Outcome outcome) {
         carrier.accept(new Command.Drop(a.id));
-        // Nothing can have run where the request was never written: its time was used up by connecting.
+        // Nothing can have run where the request was never written: its time was used up by
+        // connecting.
         boolean unreached = !a.written && outcome == Outcome.TIMED_OUT;
         lost(life, a, unreached ? Outcome.CONNECT_FAILED : outcome, 0, Load.NONE);
     }
@@ -650,9 +732,9 @@
     }
 
     /**
-     * A stream ended before its answer did. Where the deployment resumes streams and the class may be repeated,
-     * it goes on from its last token as a request of its own, as a returning client's would; the client's stream
-     * stays open meanwhile. Otherwise the client is told at once.
+     * A stream ended before its answer did. Where the deployment resumes streams and the class may
+     * be repeated, it goes on from its last token as a request of its own, as a returning client's
+     * would; the client's stream stays open meanwhile. Otherwise the client is told at once.
      */
     private void broke(Life life, Life.Attempt a, Outcome outcome, Load load) {
         ended(life, a, outcome, true, 0, load);
@@ -669,12 +751,19 @@
             submit(life);
         } else {
             life.step(Phase.Step.FAIL);
-            finish(life, new Answer.Failed("the answer broke off: " + outcome, false, Reason.UNKNOWN));
+            finish(
+                    life,
+                    new Answer.Failed("the answer broke off: " + outcome, false, Reason.UNKNOWN));
         }
     }
 
-    private void ended(Life life, Life.Attempt a, Outcome outcome, boolean over, long note, Load load) {
-        boolean neverRan = a.read || !a.written || outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED;
+    private void ended(
+            Life life, Life.Attempt a, Outcome outcome, boolean over, long note, Load load) {
+        boolean neverRan =
+                a.read
+                        || !a.written
+                        || outcome == Outcome.FULL
+                        || outcome == Outcome.CONNECT_FAILED;
         reservations.ended(life, a, outcome, now);
         if (!neverRan && life.mayHaveRunFrom == Life.NEVER) {
             life.mayHaveRunFrom = a.sentAt;
@@ -682,15 +771,30 @@
         a.ended = true;
         life.out = null;
         outcomes++;
-        events.add(new AttemptEnded(a.id.request(), a.id.number(), a.engine, outcome, now - a.sentAt, over, note,
-                load));
+        events.add(
+                new AttemptEnded(
+                        a.id.request(),
+                        a.id.number(),
+                        a.engine,
+                        outcome,
+                        now - a.sentAt,
+                        over,
+                        note,
+                        load));
     }
 
     private void finish(Life life, Answer answer) {
         if (!life.finished) {
             lives.finish(life);
-            answered(life, answer instanceof Answer.Served ? Entry.End.SERVED : answer instanceof Answer.Refused
-                    ? Entry.End.REFUSED : answer instanceof Answer.Stalled ? Entry.End.STALLED : Entry.End.FAILED,
+            answered(
+                    life,
+                    answer instanceof Answer.Served
+                            ? Entry.End.SERVED
+                            : answer instanceof Answer.Refused
+                                    ? Entry.End.REFUSED
+                                    : answer instanceof Answer.Stalled
+                                            ? Entry.End.STALLED
+                                            : Entry.End.FAILED,
                     answer.reason());
             carrier.accept(new Command.Finish(life.client, answer));
         }
@@ -703,11 +807,13 @@
         }
     }
 
-    // ---- What Decide says ---------------------------------------------------------------------------------
+    // ---- What Decide says
+    // ---------------------------------------------------------------------------------
 
     /**
-     * Tells Decide all that has happened and carries out its answers, in order, until nothing is left. What fails in the
-     * middle is thrown at the end: it concerns one request, and the others' actions are not to be lost with it.
+     * Tells Decide all that has happened and carries out its answers, in order, until nothing is
+     * left. What fails in the middle is thrown at the end: it concerns one request, and the others'
+     * actions are not to be lost with it.
      */
     private void drain() {
         Throwable failure = null;
@@ -748,8 +854,16 @@
         } else if (action instanceof Fail a) {
             Life life = lives.ofDecide(a.id());
             boolean late = life != null && life.endsBy <= now;
-            answer(a.id(), Phase.Step.FAIL, new Answer.Failed(late ? "no answer within the client's time"
-                    : "not answered, and a repeat may have an effect twice: " + Words.lack(a.why()), late, a.why()));
+            answer(
+                    a.id(),
+                    Phase.Step.FAIL,
+                    new Answer.Failed(
+                            late
+                                    ? "no answer within the client's time"
+                                    : "not answered, and a repeat may have an effect twice: "
+                                            + Words.lack(a.why()),
+                            late,
+                            a.why()));
         } else if (action instanceof Cancel a) {
             cancel(a);
         } else if (action instanceof Release a) {
@@ -781,12 +895,24 @@
         Life life = lives.ofDecide(s.id());
         int number = life == null ? 0 : life.sends++;
         Integer kind = kinds.get(s.server());
-        long cut = life == null ? 0 : s.cutAt() == 0 ? life.endsBy : Math.min(s.cutAt(), life.endsBy);
+        long cut =
+                life == null ? 0 : s.cutAt() == 0 ? life.endsBy : Math.min(s.cutAt(), life.endsBy);
         if (life == null || life.finished || life.out != null || kind == null || cut <= now) {
-            Outcome moot = life != null && !life.finished && cut <= now ? Outcome.TIMED_OUT : Outcome.SKIPPED;
+            Outcome moot =
+                    life != null && !life.finished && cut <= now
+                            ? Outcome.TIMED_OUT
+                            : Outcome.SKIPPED;
             outcomes++;
-            events.add(new AttemptEnded(s.id(), number, s.server(), moot, 0, life == null || life.finished, 0,
-                    Load.NONE));
+            events.add(
+                    new AttemptEnded(
+                            s.id(),
+                            number,
+                            s.server(),
+                            moot,
+                            0,
+                            life == null || life.finished,
+                            0,
+                            Load.NONE));
             return;
         }
         boolean read = settings.decide().kinds().get(kind).role() == Role.READ;
@@ -800,32 +926,64 @@
         String place = read ? "" : reservations.placeAt(life, s.server(), now);
         reservations.sending(life, a, now);
         if (read) {
-            carrier.accept(new Command.Read(id, life.name, s.server(), life.call, life.prompt(),
-                    life.promptTokens(), cut, s.why()));
+            carrier.accept(
+                    new Command.Read(
+                            id,
+                            life.name,
+                            s.server(),
+                            life.call,
+                            life.prompt(),
+                            life.promptTokens(),
+                            cut,
+                            s.why()));
         } else {
-            carrier.accept(new Command.Write(id, life.name, s.server(), life.call, life.state,
-                    place, life.prompt(), life.promptTokens(), life.tokens,
-                    life.endsBy, sendBy(life), s.why()));
+            carrier.accept(
+                    new Command.Write(
+                            id,
+                            life.name,
+                            s.server(),
+                            life.call,
+                            life.state,
+                            place,
+                            life.prompt(),
+                            life.promptTokens(),
+                            life.tokens,
+                            life.endsBy,
+                            sendBy(life),
+                            s.why()));
         }
     }
 
-    /** Decide heeds a class's window as it decides; until the bytes leave, a connection may have to come up. */
+    /**
+     * Decide heeds a class's window as it decides; until the bytes leave, a connection may have to
+     * come up.
+     */
     private long sendBy(Life life) {
         RequestClass cls = settings.decide().classes().get(life.call.cls());
-        return life.mayHaveRunFrom == Life.NEVER || cls.repeat() != Repeat.KEYED ? Long.MAX_VALUE
+        return life.mayHaveRunFrom == Life.NEVER || cls.repeat() != Repeat.KEYED
+                ? Long.MAX_VALUE
                 : life.mayHaveRunFrom + cls.repeatWindowMicros() - HOLD_UP_MICROS;
     }
 
     private void answer(long id, Phase.Step step, Answer answer) {
         Life life = lives.ofDecide(id);
-        // Decide's timer of the deadline may still ring for a stream that has begun; like a Cancel then, it concerns
+        // Decide's timer of the deadline may still ring for a stream that has begun; like a Cancel
+        // then, it concerns
         // something that was concluded by the first token, and is passed over.
         if (life != null && !life.finished && life.phase != Phase.STREAMING) {
-            // A stream that went on elsewhere has begun: what the client has can't be refused any more.
+            // A stream that went on elsewhere has begun: what the client has can't be refused any
+            // more.
             boolean begun = life.tokens > 0 && answer instanceof Answer.Refused;
             life.step(begun ? Phase.Step.FAIL : step);
-            finish(life, begun ? new Answer.Failed("the answer broke off and could not go on: "
-                    + Words.lack(((Answer.Refused) answer).why()), false, ((Answer.Refused) answer).why()) : answer);
+            finish(
+                    life,
+                    begun
+                            ? new Answer.Failed(
+                                    "the answer broke off and could not go on: "
+                                            + Words.lack(((Answer.Refused) answer).why()),
+                                    false,
+                                    ((Answer.Refused) answer).why())
+                            : answer);
         }
     }
 
@@ -838,7 +996,9 @@
     }
 
     private void move(Life life) {
-        if (life != null && !life.finished && life.phase == Phase.STREAMING
+        if (life != null
+                && !life.finished
+                && life.phase == Phase.STREAMING
                 && (settings.resumes() || settings.streams().clientsResume())) {
             drop(life, life.out, Outcome.CANCELLED);
         }
--- a/core/src/main/java/sorrelhoist/core/life/RouterSettings.java
+++ b/core/src/main/java/sorrelhoist/core/life/RouterSettings.java
@@ -11,7 +11,8 @@
  * @param name this edge's name; part of every request's name
  * @param incarnation grows with every start, so that names are never used again
  * @param decide the decision module's settings
- * @param deadlines for each class: until the first token, where the client did not say, in microseconds
+ * @param deadlines for each class: until the first token, where the client did not say, in
+ *     microseconds
  * @param deadlinesPer1000 for each class: added for each 1,000 prompt tokens, in microseconds
  * @param marginMicros by how much answers come before a client's time is up: the way back to it
  * @param resumes whether a broken stream goes on elsewhere, where its class is safe to repeat
@@ -21,14 +22,44 @@
  * @param streams what is settled of answers that have begun
  * @param releases which engines can release what a request has reserved
  */
-public record RouterSettings(String name, long incarnation, Settings decide, List<Long> deadlines,
-        List<Long> deadlinesPer1000, long marginMicros, boolean resumes, long stallMicros, int maxOpen, long seed,
-        Streams streams, ReleaseReach releases) {
+public record RouterSettings(
+        String name,
+        long incarnation,
+        Settings decide,
+        List<Long> deadlines,
+        List<Long> deadlinesPer1000,
+        long marginMicros,
+        boolean resumes,
+        long stallMicros,
+        int maxOpen,
+        long seed,
+        Streams streams,
+        ReleaseReach releases) {
     /** Settings with {@link Streams#OF_TOKENS}, and reservations that their holders release. */
-    public RouterSettings(String name, long incarnation, Settings decide, List<Long> deadlines,
-            List<Long> deadlinesPer1000, long marginMicros, boolean resumes, long stallMicros, int maxOpen, long seed) {
-        this(name, incarnation, decide, deadlines, deadlinesPer1000, marginMicros, resumes, stallMicros, maxOpen, seed,
-                Streams.OF_TOKENS, ReleaseReach.HOLDER);
+    public RouterSettings(
+            String name,
+            long incarnation,
+            Settings decide,
+            List<Long> deadlines,
+            List<Long> deadlinesPer1000,
+            long marginMicros,
+            boolean resumes,
+            long stallMicros,
+            int maxOpen,
+            long seed) {
+        this(
+                name,
+                incarnation,
+                decide,
+                deadlines,
+                deadlinesPer1000,
+                marginMicros,
+                resumes,
+                stallMicros,
+                maxOpen,
+                seed,
+                Streams.OF_TOKENS,
+                ReleaseReach.HOLDER);
     }
 
     /** {@return when releases are sent} */
--- a/core/src/main/java/sorrelhoist/core/life/StreamWatch.java
+++ b/core/src/main/java/sorrelhoist/core/life/StreamWatch.java
@@ -3,9 +3,9 @@
 import sorrelhoist.Routing.Repeat;
 
 /**
- * What is judged of a stream after its first token, where Decide stops: how long it may be silent, how long its client
- * may take nothing, that it ends with its client's time, and whether a broken one goes on elsewhere. Answers times and
- * verdicts; the router sets alarms and acts.
+ * What is judged of a stream after its first token, where Decide stops: how long it may be silent,
+ * how long its client may take nothing, that it ends with its client's time, and whether a broken
+ * one goes on elsewhere. Answers times and verdicts; the router sets alarms and acts.
  */
 final class StreamWatch {
     private final Liveness liveness;
@@ -21,19 +21,29 @@
         liveness.gap(a.kind, now - a.heardAt);
     }
 
-    /** {@return when a stream counts as dead if nothing comes before; never while its client holds it back} */
+    /**
+     * {@return when a stream counts as dead if nothing comes before; never while its client holds
+     * it back}
+     */
     long deadAt(Life life, Life.Attempt a) {
         long silence = settings.streams().silenceMicros();
-        return life.blockedSince > 0 ? Long.MAX_VALUE
+        return life.blockedSince > 0
+                ? Long.MAX_VALUE
                 : a.heardAt + (silence > 0 ? silence : liveness.patience(a.kind));
     }
 
-    /** {@return when to look: patience shrinks as streams are seen, so at least as often as the shortest} */
+    /**
+     * {@return when to look: patience shrinks as streams are seen, so at least as often as the
+     * shortest}
+     */
     static long lookAt(long due, long now) {
         return Math.min(due, now + Liveness.FLOOR);
     }
 
-    /** The client takes nothing for now, or takes again. {@return when it is given up; 0 for no news} */
+    /**
+     * The client takes nothing for now, or takes again. {@return when it is given up; 0 for no
+     * news}
+     */
     long blocked(Life life, boolean blocked, long now) {
         if (blocked == life.blockedSince > 0) {
             return 0;
@@ -50,15 +60,23 @@
         return !life.finished && life.blockedSince == since;
     }
 
-    /** {@return whether a client's time ends a stream; until the first token Decide holds the deadline} */
+    /**
+     * {@return whether a client's time ends a stream; until the first token Decide holds the
+     * deadline}
+     */
     static boolean expires(Life life) {
         return !life.finished && life.phase == Phase.STREAMING;
     }
 
-    /** {@return whether a broken stream goes on elsewhere: where the deployment resumes and a repeat is harmless} */
+    /**
+     * {@return whether a broken stream goes on elsewhere: where the deployment resumes and a repeat
+     * is harmless}
+     */
     boolean goesOn(Life life, long now) {
         boolean safe = settings.decide().classes().get(life.call.cls()).repeat() == Repeat.SAFE;
-        return settings.resumes() && safe && now < life.endsBy
+        return settings.resumes()
+                && safe
+                && now < life.endsBy
                 && life.resumptions < settings.decide().limits().maxAttempts();
     }
 }
--- a/core/src/main/java/sorrelhoist/core/life/Streams.java
+++ b/core/src/main/java/sorrelhoist/core/life/Streams.java
@@ -3,13 +3,18 @@
 /**
  * What a deployment settles of an answer after its first token, and whose words its events are in.
  *
- * @param opaque whether answers are events of their engine, passed on as they are and not counted against the most
- *     tokens, and requests keep their client's name at engines
+ * @param opaque whether answers are events of their engine, passed on as they are and not counted
+ *     against the most tokens, and requests keep their client's name at engines
  * @param endWithClientsTime whether the client's time also ends a stream that has begun
- * @param silenceMicros how long a stream may be silent; 0 to judge by the gaps that were seen ({@link Liveness})
- * @param clientsResume whether a client comes again by itself for the rest of a stream that ended early
+ * @param silenceMicros how long a stream may be silent; 0 to judge by the gaps that were seen
+ *     ({@link Liveness})
+ * @param clientsResume whether a client comes again by itself for the rest of a stream that ended
+ *     early
  */
-public record Streams(boolean opaque, boolean endWithClientsTime, long silenceMicros, boolean clientsResume) {
-    /** Streams of tokens that end with their client's time, with silence judged by what was seen. */
+public record Streams(
+        boolean opaque, boolean endWithClientsTime, long silenceMicros, boolean clientsResume) {
+    /**
+     * Streams of tokens that end with their client's time, with silence judged by what was seen.
+     */
     public static final Streams OF_TOKENS = new Streams(false, true, 0, false);
 }
--- a/core/src/main/java/sorrelhoist/core/members/EngineTable.java
+++ b/core/src/main/java/sorrelhoist/core/members/EngineTable.java
@@ -8,11 +8,12 @@
 import sorrelhoist.Routing.ServerState;
 
 /**
- * An edge's own view of the roster: turns names of zones, racks and kinds into the numbers that {@code Decide} takes,
- * and ages into times of its own clock. An engine whose zone or kind this edge's settings lack is left out and said.
+ * An edge's own view of the roster: turns names of zones, racks and kinds into the numbers that
+ * {@code Decide} takes, and ages into times of its own clock. An engine whose zone or kind this
+ * edge's settings lack is left out and said.
  *
- * <p>A start's time must not wander: {@code Decide} takes a later one for a restart. So it is fixed when a process
- * is first heard of, and moves only with the process's incarnation.
+ * <p>A start's time must not wander: {@code Decide} takes a later one for a restart. So it is fixed
+ * when a process is first heard of, and moves only with the process's incarnation.
  */
 public final class EngineTable {
     /**
@@ -28,12 +29,18 @@
      * @param upForMicros since its start
      * @param address host:port
      */
-    public record Entry(String id, String zone, String rack, String kind, ServerState state, double size,
-            long incarnation, long upForMicros, String address) {
-    }
+    public record Entry(
+            String id,
+            String zone,
+            String rack,
+            String kind,
+            ServerState state,
+            double size,
+            long incarnation,
+            long upForMicros,
+            String address) {}
 
-    private record Known(long incarnation, long since, String address) {
-    }
+    private record Known(long incarnation, long since, String address) {}
 
     private final List<String> zones;
     private final List<String> kinds;
@@ -66,8 +73,12 @@
             int zone = zones.indexOf(e.zone());
             int kind = kinds.indexOf(e.kind());
             if (zone < 0 || kind < 0) {
-                complaints.add("engine " + e.id() + ": " + (zone < 0 ? "zone \"" + e.zone() : "kind \"" + e.kind())
-                        + "\" is not in this edge's settings; it gets no requests");
+                complaints.add(
+                        "engine "
+                                + e.id()
+                                + ": "
+                                + (zone < 0 ? "zone \"" + e.zone() : "kind \"" + e.kind())
+                                + "\" is not in this edge's settings; it gets no requests");
                 continue;
             }
             Known before = known.get(e.id());
--- a/core/src/main/java/sorrelhoist/core/members/RegistryView.java
+++ b/core/src/main/java/sorrelhoist/core/members/RegistryView.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * What a Eureka registry lists, as a client of its API keeps it: the whole from a full fetch, changes from deltas,
- * and the hash code by which both sides find that they differ.
+ * What a Eureka registry lists, as a client of its API keeps it: the whole from a full fetch,
+ * changes from deltas, and the hash code by which both sides find that they differ.
  */
 public final class RegistryView {
     /**
@@ -20,8 +20,8 @@
      * @param address host:port
      * @param metadata as registered
      */
-    public record Instance(String app, String id, String status, String address, Map<String, String> metadata) {
-    }
+    public record Instance(
+            String app, String id, String status, String address, Map<String, String> metadata) {}
 
     /**
      * One line of a delta.
@@ -29,15 +29,13 @@
      * @param action ADDED, MODIFIED or DELETED
      * @param instance the instance
      */
-    public record Change(String action, Instance instance) {
-    }
+    public record Change(String action, Instance instance) {}
 
     private final Map<String, Instance> instances = new LinkedHashMap<>();
     private boolean complete;
 
     /** Makes a view that has fetched nothing. */
-    public RegistryView() {
-    }
+    public RegistryView() {}
 
     /** Takes a full fetch. */
     public void full(List<Instance> all) {
@@ -75,7 +73,10 @@
         return new ArrayList<>(instances.values());
     }
 
-    /** {@return counts by status, STATUS_COUNT_ for each in alphabetical order, as the registry counts} */
+    /**
+     * {@return counts by status, STATUS_COUNT_ for each in alphabetical order, as the registry
+     * counts}
+     */
     public String hashCodeText() {
         Map<String, Integer> counts = new TreeMap<>();
         instances.values().forEach(i -> counts.merge(i.status(), 1, Integer::sum));
--- a/core/src/main/java/sorrelhoist/core/members/RosterBook.java
+++ b/core/src/main/java/sorrelhoist/core/members/RosterBook.java
@@ -9,21 +9,26 @@
 import sorrelhoist.Routing.ServerState;
 
 /**
- * A planner's roster: what the registry lists, read as engines that serve, drain or are gone, with when each was
- * learned and an epoch that grows with every change.
+ * A planner's roster: what the registry lists, read as engines that serve, drain or are gone, with
+ * when each was learned and an epoch that grows with every change.
  *
- * <p>UP serves. OUT_OF_SERVICE and DOWN drain: such a process may still finish what it writes. STARTING and UNKNOWN
- * are not offered before they were UP, and drain afterwards. What is no longer listed is gone.
+ * <p>UP serves. OUT_OF_SERVICE and DOWN drain: such a process may still finish what it writes.
+ * STARTING and UNKNOWN are not offered before they were UP, and drain afterwards. What is no longer
+ * listed is gone.
  */
 public final class RosterBook {
     /** Metadata keys that an engine registers itself with. */
     public static final String ZONE = "zone";
+
     /** Its rack: engines with a fast link among them. */
     public static final String RACK = "rack";
+
     /** Its kind. */
     public static final String KIND = "kind";
+
     /** Its size. */
     public static final String SIZE = "size";
+
     /** When its process started, milliseconds since 1970. */
     public static final String STARTED = "started-ms";
 
@@ -33,8 +38,7 @@
      * @param entry the engine; its age as of {@code learnedAt}
      * @param learnedAt when this state was learned, this planner's clock
      */
-    public record Line(EngineTable.Entry entry, long learnedAt) {
-    }
+    public record Line(EngineTable.Entry entry, long learnedAt) {}
 
     private final Map<String, Line> lines = new LinkedHashMap<>();
     private final List<String> complaints = new ArrayList<>();
@@ -45,9 +49,9 @@
     /**
      * Makes an empty book.
      *
-     * @param doubtMicros how long the absence of half the engines or more, all at once, is doubted: a registry that
-     *     restarted lists nothing, while the engines run. Harm: if they are gone indeed, requests sent meanwhile
-     *     fail to connect and are repeated elsewhere
+     * @param doubtMicros how long the absence of half the engines or more, all at once, is doubted:
+     *     a registry that restarted lists nothing, while the engines run. Harm: if they are gone
+     *     indeed, requests sent meanwhile fail to connect and are repeated elsewhere
      */
     public RosterBook(long doubtMicros) {
         this.doubtMicros = doubtMicros;
@@ -72,8 +76,13 @@
                 note(now, before, entry, changed);
             }
         }
-        List<Line> absent = lines.values().stream().filter(l -> l.entry().state() != ServerState.GONE
-                && !seen.contains(l.entry().id())).toList();
+        List<Line> absent =
+                lines.values().stream()
+                        .filter(
+                                l ->
+                                        l.entry().state() != ServerState.GONE
+                                                && !seen.contains(l.entry().id()))
+                        .toList();
         if (doubted(now, absent.size())) {
             complaints.add(absent.size() + " engines vanished at once; this is not believed yet");
         } else {
@@ -84,7 +93,8 @@
     }
 
     private boolean doubted(long now, int absent) {
-        long had = lines.values().stream().filter(l -> l.entry().state() != ServerState.GONE).count();
+        long had =
+                lines.values().stream().filter(l -> l.entry().state() != ServerState.GONE).count();
         if (absent < 2 || 2L * absent < had) {
             doubtSince = 0;
             return false;
@@ -94,8 +104,11 @@
     }
 
     private void note(long now, Line before, EngineTable.Entry entry, List<Line> changed) {
-        boolean same = before != null && with(entry, before.entry().state(), before.entry().upForMicros())
-                .equals(before.entry()) && before.entry().state() == entry.state();
+        boolean same =
+                before != null
+                        && with(entry, before.entry().state(), before.entry().upForMicros())
+                                .equals(before.entry())
+                        && before.entry().state() == entry.state();
         if (!same) {
             Line line = new Line(entry, now);
             lines.put(entry.id(), line);
@@ -112,8 +125,18 @@
                 throw new IllegalArgumentException("needs zone, kind and a size above 0");
             }
             ServerState state = state(i.status(), before);
-            return state == null ? null : new EngineTable.Entry(i.id(), m.get(ZONE), m.getOrDefault(RACK, ""),
-                    m.get(KIND), state, size, started, Math.max(0, now - started * 1000), i.address());
+            return state == null
+                    ? null
+                    : new EngineTable.Entry(
+                            i.id(),
+                            m.get(ZONE),
+                            m.getOrDefault(RACK, ""),
+                            m.get(KIND),
+                            state,
+                            size,
+                            started,
+                            Math.max(0, now - started * 1000),
+                            i.address());
         } catch (IllegalArgumentException e) {
             complaints.add("instance " + i.id() + ": metadata cannot be used: " + e.getMessage());
             return null;
@@ -133,7 +156,15 @@
     }
 
     private static EngineTable.Entry with(EngineTable.Entry e, ServerState state, long upFor) {
-        return new EngineTable.Entry(e.id(), e.zone(), e.rack(), e.kind(), state, e.size(), e.incarnation(), upFor,
+        return new EngineTable.Entry(
+                e.id(),
+                e.zone(),
+                e.rack(),
+                e.kind(),
+                state,
+                e.size(),
+                e.incarnation(),
+                upFor,
                 e.address());
     }
 
@@ -145,7 +176,9 @@
     /** {@return the address of an engine that is not gone, or null} */
     public String address(String id) {
         Line line = lines.get(id);
-        return line == null || line.entry().state() == ServerState.GONE ? null : line.entry().address();
+        return line == null || line.entry().state() == ServerState.GONE
+                ? null
+                : line.entry().address();
     }
 
     /** {@return a number that grows with every change} */
--- a/core/src/main/java/sorrelhoist/core/members/Seats.java
+++ b/core/src/main/java/sorrelhoist/core/members/Seats.java
@@ -5,9 +5,10 @@
 import java.util.TreeMap;
 
 /**
- * Numbers for the edges, 0 to one less than their count. The count decides how large a part of every shared limit
- * an edge grants itself, so it errs high: an edge that left keeps its seat for a while, as it may still be sending,
- * and at least as many are counted as the deployment expects, as the others may be about to come.
+ * Numbers for the edges, 0 to one less than their count. The count decides how large a part of
+ * every shared limit an edge grants itself, so it errs high: an edge that left keeps its seat for a
+ * while, as it may still be sending, and at least as many are counted as the deployment expects, as
+ * the others may be about to come.
  */
 public final class Seats {
     /**
@@ -16,8 +17,7 @@
      * @param routers how many there are
      * @param self its number
      */
-    public record Seat(int routers, int self) {
-    }
+    public record Seat(int routers, int self) {}
 
     private static final class Held {
         int number;
@@ -60,7 +60,10 @@
         }
     }
 
-    /** Gives up seats whose edges stayed away, and closes the gaps in the numbers' order. {@return whether anything changed} */
+    /**
+     * Gives up seats whose edges stayed away, and closes the gaps in the numbers' order. {@return
+     * whether anything changed}
+     */
     public boolean expire(long now) {
         if (!seats.values().removeIf(s -> !s.attached && now - s.leftAt >= lease)) {
             return false;
@@ -91,7 +94,10 @@
 
     /** {@return the edge with this number, or null} */
     public String at(int number) {
-        return seats.entrySet().stream().filter(e -> e.getValue().number == number).map(e -> e.getKey()).findFirst()
+        return seats.entrySet().stream()
+                .filter(e -> e.getValue().number == number)
+                .map(e -> e.getKey())
+                .findFirst()
                 .orElse(null);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/members/WatchPlan.java
+++ b/core/src/main/java/sorrelhoist/core/members/WatchPlan.java
@@ -3,24 +3,42 @@
 import sorrelhoist.core.time.Backoff;
 
 /**
- * When a watch of the list of servers is taken for silent, and when the next is opened. All its times come from one
- * budget: what a silent watch misses counts as told {@link #TOLD} after it fell silent, whether it arrived or not. Within
- * that the silence is noticed, two attempts may hang, and a third still brings the list. A watch that fell silent is
- * left open until another has spoken: it may speak again. Without I/O, clock or threads; attempts have numbers above 0.
+ * When a watch of the list of servers is taken for silent, and when the next is opened. All its
+ * times come from one budget: what a silent watch misses counts as told {@link #TOLD} after it fell
+ * silent, whether it arrived or not. Within that the silence is noticed, two attempts may hang, and
+ * a third still brings the list. A watch that fell silent is left open until another has spoken: it
+ * may speak again. Without I/O, clock or threads; attempts have numbers above 0.
  */
 public final class WatchPlan {
     /** In which a silent watch has to be replaced, and its news received; microseconds. */
     public static final long TOLD = 6_000_000;
+
     /** Between two signs of life of a watch. */
     private static final long HEARTBEAT = 2_000_000;
-    /** Without a sign of life after which a watch counts as silent: a heartbeat that comes late is none that is lost. */
+
+    /**
+     * Without a sign of life after which a watch counts as silent: a heartbeat that comes late is
+     * none that is lost.
+     */
     static final long SILENCE = HEARTBEAT + 600_000;
-    /** For an attempt to connect and to bring its first list, and between two parts of that list. */
+
+    /**
+     * For an attempt to connect and to bring its first list, and between two parts of that list.
+     */
     static final long ATTEMPT = 1_000_000;
-    /** The longest pause before an attempt: what is left of the budget, but for the last attempt's own list. */
+
+    /**
+     * The longest pause before an attempt: what is left of the budget, but for the last attempt's
+     * own list.
+     */
     static final long PAUSE = (TOLD - SILENCE - 2 * ATTEMPT - ATTEMPT / 2) / 3;
-    /** After which a start without a list goes on with the one that was handed down: two attempts hung. */
+
+    /**
+     * After which a start without a list goes on with the one that was handed down: two attempts
+     * hung.
+     */
     public static final long PATIENCE = 2 * ATTEMPT + PAUSE;
+
     private static final long FIRST_PAUSE = 50_000;
     private final Backoff pauses;
     private long made;
@@ -40,7 +58,10 @@
         pauses = new Backoff(FIRST_PAUSE, PAUSE, seed);
     }
 
-    /** Begins, or begins anew at another address: the next attempt is due at once. {@return one to give up, or 0} */
+    /**
+     * Begins, or begins anew at another address: the next attempt is due at once. {@return one to
+     * give up, or 0}
+     */
     public long anew(long now) {
         long before = attempt;
         attempt = 0;
@@ -75,8 +96,9 @@
     }
 
     /**
-     * Bytes came on a watch. They keep a watch alive that is in use; an attempt replaces it with a whole message alone
-     * ({@link #spoke}), as one that stops in the middle of its first list has brought nothing yet.
+     * Bytes came on a watch. They keep a watch alive that is in use; an attempt replaces it with a
+     * whole message alone ({@link #spoke}), as one that stops in the middle of its first list has
+     * brought nothing yet.
      */
     public void heard(long now, long number) {
         if (number == held) {
@@ -87,7 +109,10 @@
         }
     }
 
-    /** A whole message or a heartbeat came. {@return the number of a watch that is not needed any more, or 0} */
+    /**
+     * A whole message or a heartbeat came. {@return the number of a watch that is not needed any
+     * more, or 0}
+     */
     public long spoke(long now, long number) {
         heard(now, number);
         if (number != attempt) {
@@ -120,7 +145,9 @@
         }
     }
 
-    /** An attempt may hang so long; one whose list still comes, part by part, has the whole budget. */
+    /**
+     * An attempt may hang so long; one whose list still comes, part by part, has the whole budget.
+     */
     private long givenUpAt() {
         return Math.min(progressAt + ATTEMPT, attemptAt + TOLD);
     }
--- a/core/src/main/java/sorrelhoist/core/record/Bytes.java
+++ b/core/src/main/java/sorrelhoist/core/record/Bytes.java
@@ -3,7 +3,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** A growing piece of memory that values are written to; whole numbers take as many bytes as they need. */
+/**
+ * A growing piece of memory that values are written to; whole numbers take as many bytes as they
+ * need.
+ */
 final class Bytes {
     private static final int FIRST = 256;
     private static final int SEVEN = 0x7F;
@@ -90,7 +93,10 @@
         return size;
     }
 
-    /** Ends it. Most lengths take the one byte that was left free; for longer ones what follows moves up. */
+    /**
+     * Ends it. Most lengths take the one byte that was left free; for longer ones what follows
+     * moves up.
+     */
     void close(int mark) {
         int length = size - mark;
         if (length <= SEVEN) {
--- a/core/src/main/java/sorrelhoist/core/record/Chunks.java
+++ b/core/src/main/java/sorrelhoist/core/record/Chunks.java
@@ -8,29 +8,61 @@
 import sorrelhoist.Routing;
 
 /**
- * A record as bytes: a header, then chunks that each stand alone. A chunk has its length, a checksum, the number of its
- * first entry, and entries; it begins with what the router was made of, and names that recur in it are written once.
- * So a file may be cut anywhere, a damaged chunk costs itself alone, and what is missing shows by the numbers.
+ * A record as bytes: a header, then chunks that each stand alone. A chunk has its length, a
+ * checksum, the number of its first entry, and entries; it begins with what the router was made of,
+ * and names that recur in it are written once. So a file may be cut anywhere, a damaged chunk costs
+ * itself alone, and what is missing shows by the numbers.
  */
 public final class Chunks {
     /** What a file of them begins with; the last figure is the form's version. */
     private static final byte[] HEADER = {'S', 'R', 'L', 'R', 'E', 'C', '0', '1'};
+
     private static final int FRAME = 4 + 8;
+
     /** Bytes that one chunk may have. */
     public static final int MOST = 64 << 20;
+
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
     /** Tags of entries, events and actions: once given, never given again. */
-    private static final List<Class<? extends Entry>> ENTRIES = List.of(Entry.Started.class, Entry.Told.class,
-            Entry.Taught.class, Entry.Asked.class, Entry.Answered.class, Entry.Lost.class, Entry.Marked.class);
-    private static final List<Class<? extends Routing.Event>> EVENTS = List.of(Routing.Members.class,
-            Routing.Arrived.class, Routing.AttemptEnded.class, Routing.StreamStarted.class, Routing.PlaceAnswered.class,
-            Routing.ProbeAnswered.class, Routing.TimerFired.class, Routing.PeerMessage.class, Routing.Seated.class,
-            Routing.ClientGone.class);
-    private static final List<Class<? extends Routing.Action>> ACTIONS = List.of(Routing.Send.class,
-            Routing.Reserve.class, Routing.Release.class, Routing.Refuse.class, Routing.Fail.class,
-            Routing.Cancel.class, Routing.Move.class, Routing.Probe.class, Routing.Timer.class, Routing.Tell.class,
-            Routing.Follow.class, Routing.FetchList.class, Routing.CloseIdle.class, Routing.Log.class);
+    private static final List<Class<? extends Entry>> ENTRIES =
+            List.of(
+                    Entry.Started.class,
+                    Entry.Told.class,
+                    Entry.Taught.class,
+                    Entry.Asked.class,
+                    Entry.Answered.class,
+                    Entry.Lost.class,
+                    Entry.Marked.class);
+
+    private static final List<Class<? extends Routing.Event>> EVENTS =
+            List.of(
+                    Routing.Members.class,
+                    Routing.Arrived.class,
+                    Routing.AttemptEnded.class,
+                    Routing.StreamStarted.class,
+                    Routing.PlaceAnswered.class,
+                    Routing.ProbeAnswered.class,
+                    Routing.TimerFired.class,
+                    Routing.PeerMessage.class,
+                    Routing.Seated.class,
+                    Routing.ClientGone.class);
+    private static final List<Class<? extends Routing.Action>> ACTIONS =
+            List.of(
+                    Routing.Send.class,
+                    Routing.Reserve.class,
+                    Routing.Release.class,
+                    Routing.Refuse.class,
+                    Routing.Fail.class,
+                    Routing.Cancel.class,
+                    Routing.Move.class,
+                    Routing.Probe.class,
+                    Routing.Timer.class,
+                    Routing.Tell.class,
+                    Routing.Follow.class,
+                    Routing.FetchList.class,
+                    Routing.CloseIdle.class,
+                    Routing.Log.class);
     private static final Map<Class<?>, Integer> TAGS = new HashMap<>();
     private static final int TOLD = 1;
 
@@ -49,8 +81,7 @@
      * @param head what the router was made of
      * @param entries the others
      */
-    public record Chunk(long first, Entry.Started head, List<Entry> entries) {
-    }
+    public record Chunk(long first, Entry.Started head, List<Entry> entries) {}
 
     /**
      * What a file holds.
@@ -59,11 +90,9 @@
      * @param faults what is wrong with the others, in plain words; a cut tail is none
      * @param foreign whether it is no record of this program at all
      */
-    public record Read(List<Chunk> chunks, List<String> faults, boolean foreign) {
-    }
+    public record Read(List<Chunk> chunks, List<String> faults, boolean foreign) {}
 
-    private Chunks() {
-    }
+    private Chunks() {}
 
     /** {@return what a new file begins with} */
     public static byte[] header() {
@@ -75,7 +104,8 @@
         return HASH.hashChars(text);
     }
 
-    // ---- Writing ------------------------------------------------------------------------------------------
+    // ---- Writing
+    // ------------------------------------------------------------------------------------------
 
     /** Writes texts in full the first time, and as a number from then on. */
     private static final class Known implements RecordForm.Texts {
@@ -178,7 +208,10 @@
         /** {@return the chunk with its frame} */
         byte[] end() {
             int length = out.size();
-            return new Bytes().four(length).eight(HASH.hashBytes(out.array(), 0, length)).raw(out.array(), length)
+            return new Bytes()
+                    .four(length)
+                    .eight(HASH.hashBytes(out.array(), 0, length))
+                    .raw(out.array(), length)
                     .copy();
         }
     }
@@ -190,7 +223,8 @@
         return w.out.copy();
     }
 
-    // ---- Reading ------------------------------------------------------------------------------------------
+    // ---- Reading
+    // ------------------------------------------------------------------------------------------
 
     /** Reads a file's bytes. Never fails: what cannot be read is said. */
     public static Read read(byte[] file) {
@@ -198,8 +232,13 @@
         for (int i = 0; i < common; i++) {
             if (file[i] != HEADER[i]) {
                 boolean other = i == HEADER.length - 1;
-                return new Read(List.of(), List.of(other ? "a record of another version of the form"
-                        : "no record of this program"), !other);
+                return new Read(
+                        List.of(),
+                        List.of(
+                                other
+                                        ? "a record of another version of the form"
+                                        : "no record of this program"),
+                        !other);
             }
         }
         List<Chunk> chunks = new ArrayList<>();
@@ -214,7 +253,12 @@
                 }
                 long sum = in.eight();
                 if (length <= 0 || length > MOST) {
-                    faults.add("a chunk of " + length + " bytes at byte " + at + "; nothing after it can be found");
+                    faults.add(
+                            "a chunk of "
+                                    + length
+                                    + " bytes at byte "
+                                    + at
+                                    + "; nothing after it can be found");
                     break;
                 } else if (length > in.left()) {
                     break;
@@ -271,7 +315,8 @@
         return new Entry.Told(at, event, actions);
     }
 
-    private static <T> T tagged(List<Class<? extends T>> family, int tag, Input in, Known texts) throws Unreadable {
+    private static <T> T tagged(List<Class<? extends T>> family, int tag, Input in, Known texts)
+            throws Unreadable {
         if (tag >= family.size()) {
             throw new Unreadable("an entry of kind " + tag + ", which this build does not know");
         }
--- a/core/src/main/java/sorrelhoist/core/record/Compare.java
+++ b/core/src/main/java/sorrelhoist/core/record/Compare.java
@@ -8,9 +8,10 @@
 import sorrelhoist.Routing.*;
 
 /**
- * What another build, or other settings, would have decided at each place of a tape. The world is the tape's: outcomes
- * come as they came, so from its first other decision on, a request is compared no further, and what the other choice
- * would have met is said as what the tape shows of that engine at that time, where it shows anything.
+ * What another build, or other settings, would have decided at each place of a tape. The world is
+ * the tape's: outcomes come as they came, so from its first other decision on, a request is
+ * compared no further, and what the other choice would have met is said as what the tape shows of
+ * that engine at that time, where it shows anything.
  */
 public final class Compare {
     /**
@@ -23,13 +24,20 @@
      * @param elsewhere sent to another engine
      * @param worthNowRefused worth of those
      * @param worthNowSent worth of those
-     * @param betterMicros over those sent elsewhere and known of both engines: time of reads that the tape shows at the
-     *     engine chosen before less that at the one chosen now, in all
+     * @param betterMicros over those sent elsewhere and known of both engines: time of reads that
+     *     the tape shows at the engine chosen before less that at the one chosen now, in all
      * @param known of those sent elsewhere, how many the tape could tell that of
      */
-    public record Report(int requests, int same, Map<Reason.Kind, Integer> nowRefused, Map<Reason.Kind, Integer> nowSent,
-            int elsewhere, double worthNowRefused, double worthNowSent, double betterMicros, int known) {
-    }
+    public record Report(
+            int requests,
+            int same,
+            Map<Reason.Kind, Integer> nowRefused,
+            Map<Reason.Kind, Integer> nowSent,
+            int elsewhere,
+            double worthNowRefused,
+            double worthNowSent,
+            double betterMicros,
+            int known) {}
 
     private static final double RECENT = 0.3; // of the newest time at an engine
 
@@ -54,8 +62,16 @@
     public static Report of(Tape tape, Settings settings) {
         Compare c = new Compare(tape);
         Replay.of(tape, settings, false, c::heard);
-        return new Report(c.requests, c.requests - c.changed, c.nowRefused, c.nowSent, c.elsewhere, c.worthRefused,
-                c.worthSent, c.better, c.known);
+        return new Report(
+                c.requests,
+                c.requests - c.changed,
+                c.nowRefused,
+                c.nowSent,
+                c.elsewhere,
+                c.worthRefused,
+                c.worthSent,
+                c.better,
+                c.known);
     }
 
     private void heard(Tape.Line line, List<Action> now) {
@@ -64,17 +80,21 @@
             requests++;
             open.put(a.id(), a);
         } else if (t.event() instanceof AttemptEnded e && e.outcome() == Outcome.READ) {
-            timeAt.merge(e.server(), (double) e.tookMicros(), (old, took) -> old + RECENT * (took - old));
+            timeAt.merge(
+                    e.server(),
+                    (double) e.tookMicros(),
+                    (old, took) -> old + RECENT * (took - old));
         }
         // What is decided of each request here, before and now.
         Map<Long, Action> was = finals(t.actions());
         Map<Long, Action> is = finals(now);
         was.forEach((id, a) -> decided(id, a, is.get(id)));
-        is.forEach((id, a) -> {
-            if (!was.containsKey(id)) {
-                decided(id, null, a);
-            }
-        });
+        is.forEach(
+                (id, a) -> {
+                    if (!was.containsKey(id)) {
+                        decided(id, null, a);
+                    }
+                });
         if (t.event() instanceof AttemptEnded e && e.ended()) {
             open.remove(e.id());
         }
@@ -125,6 +145,8 @@
     }
 
     private static Reason.Kind why(Action a) {
-        return a instanceof Refuse r ? r.why().kind() : a instanceof Fail f ? f.why().kind() : Reason.Kind.UNKNOWN;
+        return a instanceof Refuse r
+                ? r.why().kind()
+                : a instanceof Fail f ? f.why().kind() : Reason.Kind.UNKNOWN;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/Cut.java
+++ b/core/src/main/java/sorrelhoist/core/record/Cut.java
@@ -8,9 +8,9 @@
 import sorrelhoist.Routing.*;
 
 /**
- * Shrinks a tape to few events that still show something. What is dropped is dropped by whole requests, then by single
- * events; timers that nobody asked for any more go with them. The condition is asked of a replay, so what is left shows
- * the same under the build that cut it.
+ * Shrinks a tape to few events that still show something. What is dropped is dropped by whole
+ * requests, then by single events; timers that nobody asked for any more go with them. The
+ * condition is asked of a replay, so what is left shows the same under the build that cut it.
  */
 public final class Cut {
     private final Entry.Started head;
@@ -57,7 +57,10 @@
         return event instanceof TimerFired t && t.token() >= 1L << 60 ? -1 : Story.request(event);
     }
 
-    /** Zeller's delta debugging, complements only: drops ever smaller parts as long as what is left shows it. */
+    /**
+     * Zeller's delta debugging, complements only: drops ever smaller parts as long as what is left
+     * shows it.
+     */
     private List<List<Tape.Line>> minimal(List<List<Tape.Line>> from) {
         List<List<Tape.Line>> best = from;
         int parts = 2;
--- a/core/src/main/java/sorrelhoist/core/record/Danger.java
+++ b/core/src/main/java/sorrelhoist/core/record/Danger.java
@@ -8,9 +8,10 @@
 import sorrelhoist.Routing.*;
 
 /**
- * Says when a rule came close to breaking, or service fell, so that the record around it is kept: an answer at the last
- * moment, a state held almost too long, or many answers lost in a short time. It looks at what a tap hears, decides
- * nothing of a request, and is quiet for a while after each word.
+ * Says when a rule came close to breaking, or service fell, so that the record around it is kept:
+ * an answer at the last moment, a state held almost too long, or many answers lost in a short time.
+ * It looks at what a tap hears, decides nothing of a request, and is quiet for a while after each
+ * word.
  */
 public final class Danger implements Tap {
     /** When to speak. */
@@ -19,7 +20,8 @@
         void raise(long at, String what);
     }
 
-    private static final long LAST_MOMENT = 20_000; // of a client's time: less was left when its answer came
+    private static final long LAST_MOMENT =
+            20_000; // of a client's time: less was left when its answer came
     private static final double NEARLY = 0.9; // of the release limit
     private static final long WINDOW = 1_000_000;
     private static final int MANY = 50; // failures, not refusals, in a window
@@ -65,7 +67,12 @@
     private void taken(long at, long id) {
         Long since = readAt.remove(id);
         if (since != null && at - since > NEARLY * releaseMicros) {
-            raise(at, "rule five: a state was held for " + (at - since) / 1000 + " ms of " + releaseMicros / 1000);
+            raise(
+                    at,
+                    "rule five: a state was held for "
+                            + (at - since) / 1000
+                            + " ms of "
+                            + releaseMicros / 1000);
         }
     }
 
@@ -84,7 +91,11 @@
         next.answered(a);
         boolean owed = a.how() != Entry.End.LEFT && a.how() != Entry.End.STALLED;
         if (owed && a.leftMicros() < LAST_MOMENT && a.how() != Entry.End.SERVED) {
-            raise(a.at(), "rule one: an answer came " + a.leftMicros() / 1000 + " ms before its client's time was up");
+            raise(
+                    a.at(),
+                    "rule one: an answer came "
+                            + a.leftMicros() / 1000
+                            + " ms before its client's time was up");
         }
         if (a.how() == Entry.End.FAILED && a.why().kind() != Reason.Kind.DEADLINE) {
             failed.add(a.at());
--- a/core/src/main/java/sorrelhoist/core/record/Entry.java
+++ b/core/src/main/java/sorrelhoist/core/record/Entry.java
@@ -5,7 +5,10 @@
 import sorrelhoist.Reason;
 import sorrelhoist.Routing;
 
-/** One thing that a record holds, in the order in which it happened. Times are microseconds on the router's clock. */
+/**
+ * One thing that a record holds, in the order in which it happened. Times are microseconds on the
+ * router's clock.
+ */
 public sealed interface Entry {
     /**
      * What the router was made of; every chunk begins with it.
@@ -16,9 +19,9 @@
      * @param settings of the decisions
      * @param seed of all randomness
      */
-    record Started(String build, String name, long incarnation, Routing.Settings settings, long seed)
-            implements Entry {
-    }
+    record Started(
+            String build, String name, long incarnation, Routing.Settings settings, long seed)
+            implements Entry {}
 
     /**
      * Decide was told something, and said something.
@@ -27,8 +30,7 @@
      * @param event what it was told
      * @param actions what it said, in order
      */
-    record Told(long at, Routing.Event event, List<Routing.Action> actions) implements Entry {
-    }
+    record Told(long at, Routing.Event event, List<Routing.Action> actions) implements Entry {}
 
     /**
      * Decide was taught.
@@ -37,11 +39,11 @@
      * @param age how old that was
      * @param knowledge what
      */
-    record Taught(long at, long age, Knowledge knowledge) implements Entry {
-    }
+    record Taught(long at, long age, Knowledge knowledge) implements Entry {}
 
     /**
-     * A client's request, or what is left of one whose stream broke, got its number at Decide. No text is kept of it.
+     * A client's request, or what is left of one whose stream broke, got its number at Decide. No
+     * text is kept of it.
      *
      * @param at when
      * @param id its number at Decide
@@ -52,9 +54,16 @@
      * @param timeoutMicros until the client gives up on the whole answer; 0 where it did not say
      * @param fromToken tokens that the client has already
      */
-    record Asked(long at, long id, long client, String name, String clientId, long promptHash, long timeoutMicros,
-            int fromToken) implements Entry {
-    }
+    record Asked(
+            long at,
+            long id,
+            long client,
+            String name,
+            String clientId,
+            long promptHash,
+            long timeoutMicros,
+            int fromToken)
+            implements Entry {}
 
     /**
      * A client got its final answer.
@@ -66,19 +75,24 @@
      * @param leftMicros of its time; Long.MAX_VALUE where it did not say
      * @param why what Decide gave, or {@link Reason#UNKNOWN}
      */
-    record Answered(long at, long client, End how, int tokens, long leftMicros, Reason why) implements Entry {
-    }
+    record Answered(long at, long client, End how, int tokens, long leftMicros, Reason why)
+            implements Entry {}
 
     /** How a request ended for its client. */
-    enum End { SERVED, REFUSED, FAILED, STALLED, LEFT }
+    enum End {
+        SERVED,
+        REFUSED,
+        FAILED,
+        STALLED,
+        LEFT
+    }
 
     /**
      * Entries were lost under pressure; a replay cannot go on past this.
      *
      * @param entries how many
      */
-    record Lost(long entries) implements Entry {
-    }
+    record Lost(long entries) implements Entry {}
 
     /**
      * Something worth finding again.
@@ -86,6 +100,5 @@
      * @param at when
      * @param text what
      */
-    record Marked(long at, String text) implements Entry {
-    }
+    record Marked(long at, String text) implements Entry {}
 }
--- a/core/src/main/java/sorrelhoist/core/record/Input.java
+++ b/core/src/main/java/sorrelhoist/core/record/Input.java
@@ -2,7 +2,10 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Reads what {@link Bytes} wrote. Whatever the bytes are, it reads nothing beyond them and makes no large promises. */
+/**
+ * Reads what {@link Bytes} wrote. Whatever the bytes are, it reads nothing beyond them and makes no
+ * large promises.
+ */
 final class Input {
     private static final int SEVEN = 0x7F;
     private static final int MOST_BITS = 63;
--- a/core/src/main/java/sorrelhoist/core/record/RecordForm.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordForm.java
@@ -17,10 +17,11 @@
 import sorrelhoist.Reason;
 
 /**
- * The form of any Java record made of whole numbers, fractions, flags, texts, enums, records and lists of them: its
- * components one after the other, in a frame with a length. So a build that knows a component less passes over it, and
- * one that knows a component more finds nothing there and takes a neutral value: 0, false, null, an empty list. New
- * components have to come last for that; a changed type needs a new tag.
+ * The form of any Java record made of whole numbers, fractions, flags, texts, enums, records and
+ * lists of them: its components one after the other, in a frame with a length. So a build that
+ * knows a component less passes over it, and one that knows a component more finds nothing there
+ * and takes a neutral value: 0, false, null, an empty list. New components have to come last for
+ * that; a changed type needs a new tag.
  *
  * <p>Accessors are made once for each type and called as plain functions.
  *
@@ -55,13 +56,16 @@
         try {
             RecordComponent[] components = type.getRecordComponents();
             Class<?>[] types = new Class<?>[components.length];
-            MethodHandles.Lookup lookup = MethodHandles.privateLookupIn(type, MethodHandles.lookup());
+            MethodHandles.Lookup lookup =
+                    MethodHandles.privateLookupIn(type, MethodHandles.lookup());
             for (int i = 0; i < components.length; i++) {
                 types[i] = components[i].getType();
                 parts.add(part(lookup, components[i], type == Reason.class));
             }
-            maker = lookup.findConstructor(type, MethodType.methodType(void.class, types))
-                    .asSpreader(Object[].class, types.length).asType(MethodType.methodType(Object.class, Object[].class));
+            maker =
+                    lookup.findConstructor(type, MethodType.methodType(void.class, types))
+                            .asSpreader(Object[].class, types.length)
+                            .asType(MethodType.methodType(Object.class, Object[].class));
         } catch (Throwable e) {
             throw new IllegalStateException(type + " has no form", e);
         }
@@ -97,38 +101,77 @@
         }
     }
 
-    // ---- Components ---------------------------------------------------------------------------------------
+    // ---- Components
+    // ---------------------------------------------------------------------------------------
 
     @SuppressWarnings("unchecked")
-    private static <F> F accessor(MethodHandles.Lookup lookup, RecordComponent c, Class<F> shape, String name,
-            MethodType erased) throws Throwable {
+    private static <F> F accessor(
+            MethodHandles.Lookup lookup,
+            RecordComponent c,
+            Class<F> shape,
+            String name,
+            MethodType erased)
+            throws Throwable {
         MethodHandle h = lookup.unreflect(c.getAccessor());
-        Class<?> result = erased.returnType().isPrimitive() ? erased.returnType() : h.type().returnType();
-        return (F) LambdaMetafactory.metafactory(lookup, name, MethodType.methodType(shape), erased, h,
-                h.type().changeReturnType(result)).getTarget().invoke();
+        Class<?> result =
+                erased.returnType().isPrimitive() ? erased.returnType() : h.type().returnType();
+        return (F)
+                LambdaMetafactory.metafactory(
+                                lookup,
+                                name,
+                                MethodType.methodType(shape),
+                                erased,
+                                h,
+                                h.type().changeReturnType(result))
+                        .getTarget()
+                        .invoke();
     }
 
     @SuppressWarnings("unchecked")
-    private static Part part(MethodHandles.Lookup lookup, RecordComponent c, boolean rounded) throws Throwable {
+    private static Part part(MethodHandles.Lookup lookup, RecordComponent c, boolean rounded)
+            throws Throwable {
         Class<?> type = c.getType();
         if (type == long.class || type == int.class) {
-            ToLongFunction<Object> get = accessor(lookup, c, ToLongFunction.class, "applyAsLong",
-                    MethodType.methodType(long.class, Object.class));
+            ToLongFunction<Object> get =
+                    accessor(
+                            lookup,
+                            c,
+                            ToLongFunction.class,
+                            "applyAsLong",
+                            MethodType.methodType(long.class, Object.class));
             return new Whole(get, type == int.class);
         } else if (type == double.class) {
-            ToDoubleFunction<Object> get = accessor(lookup, c, ToDoubleFunction.class, "applyAsDouble",
-                    MethodType.methodType(double.class, Object.class));
+            ToDoubleFunction<Object> get =
+                    accessor(
+                            lookup,
+                            c,
+                            ToDoubleFunction.class,
+                            "applyAsDouble",
+                            MethodType.methodType(double.class, Object.class));
             return new Fraction(get, rounded);
         }
-        Function<Object, Object> get = type == boolean.class ? flag(lookup, c) : accessor(lookup, c, Function.class,
-                "apply", MethodType.methodType(Object.class, Object.class));
+        Function<Object, Object> get =
+                type == boolean.class
+                        ? flag(lookup, c)
+                        : accessor(
+                                lookup,
+                                c,
+                                Function.class,
+                                "apply",
+                                MethodType.methodType(Object.class, Object.class));
         return new Thing(get, shape(c.getGenericType()));
     }
 
-    private static Function<Object, Object> flag(MethodHandles.Lookup lookup, RecordComponent c) throws Throwable {
+    private static Function<Object, Object> flag(MethodHandles.Lookup lookup, RecordComponent c)
+            throws Throwable {
         @SuppressWarnings("unchecked")
-        java.util.function.Predicate<Object> get = accessor(lookup, c, java.util.function.Predicate.class, "test",
-                MethodType.methodType(boolean.class, Object.class));
+        java.util.function.Predicate<Object> get =
+                accessor(
+                        lookup,
+                        c,
+                        java.util.function.Predicate.class,
+                        "test",
+                        MethodType.methodType(boolean.class, Object.class));
         return get::test;
     }
 
@@ -205,7 +248,8 @@
         }
     }
 
-    // ---- Values that are no plain numbers -----------------------------------------------------------------
+    // ---- Values that are no plain numbers
+    // -----------------------------------------------------------------
 
     private interface Shape {
         void write(Bytes out, Object value, Texts texts);
@@ -299,7 +343,8 @@
                 if (constants[0] == Reason.Kind.UNKNOWN) {
                     return constants[0];
                 }
-                throw new Unreadable("number " + n + " of " + constants[0].getClass().getSimpleName());
+                throw new Unreadable(
+                        "number " + n + " of " + constants[0].getClass().getSimpleName());
             }
             return constants[(int) n];
         }
--- a/core/src/main/java/sorrelhoist/core/record/Recorder.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recorder.java
@@ -7,13 +7,15 @@
 import sorrelhoist.Routing.Event;
 
 /**
- * Puts what it hears into chunks, at once and in memory, and hands each chunk on when it is full or old. Where the
- * taker has no room, the chunk is dropped, its entries are counted, and the next one says so: what is recorded never
- * waits for a disk, and what is missing is never silent. One thread.
+ * Puts what it hears into chunks, at once and in memory, and hands each chunk on when it is full or
+ * old. Where the taker has no room, the chunk is dropped, its entries are counted, and the next one
+ * says so: what is recorded never waits for a disk, and what is missing is never silent. One
+ * thread.
  */
 public final class Recorder implements Tap {
     static final int CHUNK = 64 << 10;
-    private static final long CHUNK_AGE = 500_000; // what a kill costs at most, besides what the taker still has
+    private static final long CHUNK_AGE =
+            500_000; // what a kill costs at most, besides what the taker still has
     private final Entry.Started head;
     private final Predicate<byte[]> taker;
     private final Chunks.Writer writer = new Chunks.Writer();
@@ -46,8 +48,17 @@
 
     @Override
     public void asked(Entry.Asked a, String prompt) {
-        add(a.at(), new Entry.Asked(a.at(), a.id(), a.client(), a.name(), a.clientId(), Chunks.hash(prompt),
-                a.timeoutMicros(), a.fromToken()));
+        add(
+                a.at(),
+                new Entry.Asked(
+                        a.at(),
+                        a.id(),
+                        a.client(),
+                        a.name(),
+                        a.clientId(),
+                        Chunks.hash(prompt),
+                        a.timeoutMicros(),
+                        a.fromToken()));
     }
 
     @Override
--- a/core/src/main/java/sorrelhoist/core/record/Replay.java
+++ b/core/src/main/java/sorrelhoist/core/record/Replay.java
@@ -9,7 +9,10 @@
 import sorrelhoist.Routing;
 import sorrelhoist.Routing.Action;
 
-/** Plays a tape's events into a new {@link Decide} and compares all that it says with what the tape holds. */
+/**
+ * Plays a tape's events into a new {@link Decide} and compares all that it says with what the tape
+ * holds.
+ */
 public final class Replay {
     /**
      * The first difference.
@@ -23,8 +26,17 @@
         /** {@return it in plain words} */
         public String text() {
             Entry.Told t = (Entry.Told) line.entry();
-            return "entry " + line.number() + ", at " + t.at() + " us, on " + t.event() + ": action " + place
-                    + " was " + (recorded == null ? "no more" : recorded) + " and is now "
+            return "entry "
+                    + line.number()
+                    + ", at "
+                    + t.at()
+                    + " us, on "
+                    + t.event()
+                    + ": action "
+                    + place
+                    + " was "
+                    + (recorded == null ? "no more" : recorded)
+                    + " and is now "
                     + (replayed == null ? "no more" : replayed);
         }
     }
@@ -44,24 +56,38 @@
         }
     }
 
-    private Replay() {
-    }
+    private Replay() {}
 
     /** {@return the result of playing a tape, with the settings and the seed that it holds} */
     public static Result of(Tape tape) {
-        return of(tape, tape.head().settings(), true, (line, actions) -> { });
+        return of(tape, tape.head().settings(), true, (line, actions) -> {});
     }
 
     /** {@return the same events with what this build says to them} */
     public static Tape again(Tape tape) {
         Map<Long, List<Action>> said = new HashMap<>();
-        of(tape, tape.head().settings(), false, (line, actions) -> said.put(line.number(), actions));
-        return Tape.of(tape.head(), tape.lines().stream().map(l -> l.entry() instanceof Entry.Told t
-                ? new Entry.Told(t.at(), t.event(), said.getOrDefault(l.number(), List.of())) : l.entry()).toList());
+        of(
+                tape,
+                tape.head().settings(),
+                false,
+                (line, actions) -> said.put(line.number(), actions));
+        return Tape.of(
+                tape.head(),
+                tape.lines().stream()
+                        .map(
+                                l ->
+                                        l.entry() instanceof Entry.Told t
+                                                ? new Entry.Told(
+                                                        t.at(),
+                                                        t.event(),
+                                                        said.getOrDefault(l.number(), List.of()))
+                                                : l.entry())
+                        .toList());
     }
 
     /**
-     * The same for whoever holds another build of this program and has only bytes in common with it.
+     * The same for whoever holds another build of this program and has only bytes in common with
+     * it.
      *
      * @param file a record's bytes
      * @return the record with what this build says
@@ -80,7 +106,10 @@
      * @param heard told of each event and what was said to it now
      * @return how it went
      */
-    public static Result of(Tape tape, Routing.Settings settings, boolean stops,
+    public static Result of(
+            Tape tape,
+            Routing.Settings settings,
+            boolean stops,
             BiConsumer<Tape.Line, List<Action>> heard) {
         Decide decide = new Decide(settings, tape.head().seed());
         long events = 0;
@@ -101,7 +130,11 @@
                     }
                 }
             } catch (RuntimeException e) {
-                return new Result(events, compared, first, "entry " + line.number() + " cannot be played: " + e);
+                return new Result(
+                        events,
+                        compared,
+                        first,
+                        "entry " + line.number() + " cannot be played: " + e);
             }
         }
         return new Result(events, compared, first, null);
@@ -120,7 +153,8 @@
 
     /** Reasons' figures are kept to whole microseconds, so equality is that of the bytes. */
     static boolean same(Action a, Action b) {
-        return a.equals(b) || a.getClass() == b.getClass() && Arrays.equals(Chunks.bytes((Record) a),
-                Chunks.bytes((Record) b));
+        return a.equals(b)
+                || a.getClass() == b.getClass()
+                        && Arrays.equals(Chunks.bytes((Record) a), Chunks.bytes((Record) b));
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/Shelf.java
+++ b/core/src/main/java/sorrelhoist/core/record/Shelf.java
@@ -7,37 +7,33 @@
 import java.util.Map;
 
 /**
- * Decides which file a chunk goes to, which files are let go, and which are kept for whoever asks why. Names and times
- * come in, steps go out; whoever carries them out owns the disk.
+ * Decides which file a chunk goes to, which files are let go, and which are kept for whoever asks
+ * why. Names and times come in, steps go out; whoever carries them out owns the disk.
  */
 public final class Shelf {
     /** What to do, in order. */
-    public sealed interface Step {
-    }
+    public sealed interface Step {}
 
     /**
      * Write a chunk at the end of a file, which is made with a header if it is new.
      *
      * @param name the file's
      */
-    public record Append(String name) implements Step {
-    }
+    public record Append(String name) implements Step {}
 
     /**
      * Make sure that a file which gets no more is on the disk.
      *
      * @param name the file's
      */
-    public record Close(String name) implements Step {
-    }
+    public record Close(String name) implements Step {}
 
     /**
      * Remove a file.
      *
      * @param name the file's
      */
-    public record Remove(String name) implements Step {
-    }
+    public record Remove(String name) implements Step {}
 
     /**
      * Give a file another name.
@@ -45,8 +41,7 @@
      * @param from its name
      * @param to its new one
      */
-    public record Rename(String from, String to) implements Step {
-    }
+    public record Rename(String from, String to) implements Step {}
 
     /**
      * Bounds.
@@ -56,8 +51,7 @@
      * @param maxAgeMicros after which a file that is not kept is let go
      * @param keptBytes of all kept ones: the oldest go
      */
-    public record Bounds(long segmentBytes, long maxBytes, long maxAgeMicros, long keptBytes) {
-    }
+    public record Bounds(long segmentBytes, long maxBytes, long maxAgeMicros, long keptBytes) {}
 
     /**
      * A file that is there already.
@@ -66,8 +60,7 @@
      * @param bytes its length
      * @param writtenAt when it was last written to, microseconds since 1970
      */
-    public record Found(String name, long bytes, long writtenAt) {
-    }
+    public record Found(String name, long bytes, long writtenAt) {}
 
     private static final class File {
         final String name;
@@ -83,6 +76,7 @@
 
     /** What names end with. */
     public static final String SUFFIX = ".rec";
+
     private static final String KEPT = "kept-";
     private static final int DIGITS = 36;
     private final Bounds bounds;
@@ -103,9 +97,16 @@
         this.bounds = bounds;
         this.prefix = Long.toString(incarnation, DIGITS) + "-";
         Map<Boolean, List<Found>> split = new HashMap<>();
-        found.stream().filter(f -> f.name().endsWith(SUFFIX)).sorted(java.util.Comparator
-                .comparingLong(Found::writtenAt).thenComparing(Found::name)).forEach(f -> split.computeIfAbsent(
-                f.name().startsWith(KEPT), k -> new ArrayList<>()).add(f));
+        found.stream()
+                .filter(f -> f.name().endsWith(SUFFIX))
+                .sorted(
+                        java.util.Comparator.comparingLong(Found::writtenAt)
+                                .thenComparing(Found::name))
+                .forEach(
+                        f ->
+                                split.computeIfAbsent(
+                                                f.name().startsWith(KEPT), k -> new ArrayList<>())
+                                        .add(f));
         split.getOrDefault(false, List.of()).forEach(f -> files.add(new File(f)));
         split.getOrDefault(true, List.of()).forEach(f -> kept.add(new File(f)));
     }
@@ -150,8 +151,9 @@
     }
 
     private void trim(long now, List<Step> steps) {
-        while (files.size() > 1 && (total(files) > bounds.maxBytes()
-                || files.peek().writtenAt < now - bounds.maxAgeMicros())) {
+        while (files.size() > 1
+                && (total(files) > bounds.maxBytes()
+                        || files.peek().writtenAt < now - bounds.maxAgeMicros())) {
             steps.add(new Remove(files.poll().name));
         }
         while (kept.size() > 1 && total(kept) > bounds.keptBytes()) {
--- a/core/src/main/java/sorrelhoist/core/record/Story.java
+++ b/core/src/main/java/sorrelhoist/core/record/Story.java
@@ -26,8 +26,10 @@
     public List<String> of(String request) {
         Set<Long> clients = new LinkedHashSet<>();
         for (Tape.Line l : tape.lines()) {
-            if (l.entry() instanceof Entry.Asked a && (request.equals(a.name()) || request.equals(a.clientId())
-                    || request.equals("" + a.id()))) {
+            if (l.entry() instanceof Entry.Asked a
+                    && (request.equals(a.name())
+                            || request.equals(a.clientId())
+                            || request.equals("" + a.id()))) {
                 clients.add(a.client());
             }
         }
@@ -40,10 +42,21 @@
                     from = a.at();
                 }
                 ids.add(a.id());
-                lines.add(line(a.at() - from, (a.fromToken() > 0 ? "went on from token " + a.fromToken() + " as "
-                        : "asked, as ") + a.name() + (a.clientId().isEmpty() ? "" : ", its client's " + a.clientId())
-                        + ", prompt " + Long.toHexString(a.promptHash()) + (a.timeoutMicros() > 0 ? ", its client waits "
-                        + ms(a.timeoutMicros()) : "")));
+                lines.add(
+                        line(
+                                a.at() - from,
+                                (a.fromToken() > 0
+                                                ? "went on from token " + a.fromToken() + " as "
+                                                : "asked, as ")
+                                        + a.name()
+                                        + (a.clientId().isEmpty()
+                                                ? ""
+                                                : ", its client's " + a.clientId())
+                                        + ", prompt "
+                                        + Long.toHexString(a.promptHash())
+                                        + (a.timeoutMicros() > 0
+                                                ? ", its client waits " + ms(a.timeoutMicros())
+                                                : "")));
             } else if (l.entry() instanceof Entry.Answered a && clients.contains(a.client())) {
                 lines.add(line(a.at() - from, answered(a)));
             } else if (l.entry() instanceof Entry.Told t) {
@@ -85,11 +98,19 @@
     }
 
     private static String answered(Entry.Answered a) {
-        String left = a.leftMicros() == Long.MAX_VALUE ? "" : ", " + ms(a.leftMicros()) + " before its time was up";
+        String left =
+                a.leftMicros() == Long.MAX_VALUE
+                        ? ""
+                        : ", " + ms(a.leftMicros()) + " before its time was up";
         return switch (a.how()) {
             case SERVED -> "answered: served, " + a.tokens() + " tokens" + left;
             case REFUSED -> "answered: refused, as " + Words.lack(a.why()) + left;
-            case FAILED -> "answered: failed after " + a.tokens() + " tokens, as " + Words.lack(a.why()) + left;
+            case FAILED ->
+                    "answered: failed after "
+                            + a.tokens()
+                            + " tokens, as "
+                            + Words.lack(a.why())
+                            + left;
             case STALLED -> "given up: its client took nothing of its answer";
             case LEFT -> "its client left after " + a.tokens() + " tokens";
         };
@@ -97,12 +118,54 @@
 
     /** {@return the request that something is about, or -1} */
     static long request(Object o) {
-        return o instanceof Arrived e ? e.id() : o instanceof AttemptEnded e ? e.id()
-                : o instanceof StreamStarted e ? e.id() : o instanceof PlaceAnswered e ? e.id()
-                : o instanceof TimerFired e ? e.token() : o instanceof ClientGone e ? e.id()
-                : o instanceof Send a ? a.id() : o instanceof Reserve a ? a.id() : o instanceof Release a ? a.id()
-                : o instanceof Refuse a ? a.id() : o instanceof Fail a ? a.id() : o instanceof Cancel a ? a.id()
-                : o instanceof Move a ? a.id() : o instanceof Timer a ? a.token() : -1;
+        return o instanceof Arrived e
+                ? e.id()
+                : o instanceof AttemptEnded e
+                        ? e.id()
+                        : o instanceof StreamStarted e
+                                ? e.id()
+                                : o instanceof PlaceAnswered e
+                                        ? e.id()
+                                        : o instanceof TimerFired e
+                                                ? e.token()
+                                                : o instanceof ClientGone e
+                                                        ? e.id()
+                                                        : o instanceof Send a
+                                                                ? a.id()
+                                                                : o instanceof Reserve a
+                                                                        ? a.id()
+                                                                        : o instanceof Release a
+                                                                                ? a.id()
+                                                                                : o
+                                                                                                instanceof
+                                                                                                Refuse
+                                                                                                        a
+                                                                                        ? a.id()
+                                                                                        : o
+                                                                                                        instanceof
+                                                                                                        Fail
+                                                                                                                a
+                                                                                                ? a
+                                                                                                        .id()
+                                                                                                : o
+                                                                                                                instanceof
+                                                                                                                Cancel
+                                                                                                                        a
+                                                                                                        ? a
+                                                                                                                .id()
+                                                                                                        : o
+                                                                                                                        instanceof
+                                                                                                                        Move
+                                                                                                                                a
+                                                                                                                ? a
+                                                                                                                        .id()
+                                                                                                                : o
+                                                                                                                                instanceof
+                                                                                                                                Timer
+                                                                                                                                        a
+                                                                                                                        ? a
+                                                                                                                                .token()
+                                                                                                                        : -1;
     }
 
     private static boolean concerns(Object o, Set<Long> ids) {
@@ -111,14 +174,36 @@
 
     private static String event(Event event) {
         if (event instanceof Arrived e) {
-            return "arrived: class " + e.cls() + ", tenant " + e.tenant() + ", " + e.promptTokens()
-                    + " prompt tokens (" + e.prefixTokens() + " shared), up to " + e.maxTokens() + " to answer, "
-                    + ms(e.budgetMicros()) + " to the first token";
+            return "arrived: class "
+                    + e.cls()
+                    + ", tenant "
+                    + e.tenant()
+                    + ", "
+                    + e.promptTokens()
+                    + " prompt tokens ("
+                    + e.prefixTokens()
+                    + " shared), up to "
+                    + e.maxTokens()
+                    + " to answer, "
+                    + ms(e.budgetMicros())
+                    + " to the first token";
         } else if (event instanceof AttemptEnded e) {
-            return "attempt " + e.attempt() + " at " + e.server() + " ended: " + e.outcome() + " after "
-                    + ms(e.tookMicros()) + (e.outcome() == Outcome.READ ? ", " + e.note() + " tokens were kept" : "");
+            return "attempt "
+                    + e.attempt()
+                    + " at "
+                    + e.server()
+                    + " ended: "
+                    + e.outcome()
+                    + " after "
+                    + ms(e.tookMicros())
+                    + (e.outcome() == Outcome.READ ? ", " + e.note() + " tokens were kept" : "");
         } else if (event instanceof StreamStarted e) {
-            return "attempt " + e.attempt() + " at " + e.server() + ": first token after " + ms(e.tookMicros());
+            return "attempt "
+                    + e.attempt()
+                    + " at "
+                    + e.server()
+                    + ": first token after "
+                    + ms(e.tookMicros());
         } else if (event instanceof ClientGone) {
             return "the client left";
         }
--- a/core/src/main/java/sorrelhoist/core/record/Tape.java
+++ b/core/src/main/java/sorrelhoist/core/record/Tape.java
@@ -5,7 +5,8 @@
 import java.util.List;
 
 /**
- * A record put together: the entries of one router's one start, in order, and where some are missing.
+ * A record put together: the entries of one router's one start, in order, and where some are
+ * missing.
  */
 public final class Tape {
     /**
@@ -14,8 +15,7 @@
      * @param number counted from the router's start
      * @param entry what it holds
      */
-    public record Line(long number, Entry entry) {
-    }
+    public record Line(long number, Entry entry) {}
 
     private final Entry.Started head;
     private final List<Line> lines;
@@ -30,7 +30,8 @@
     }
 
     /**
-     * Puts files together. Of several routers or starts, the newest start is taken and the others are named as a fault.
+     * Puts files together. Of several routers or starts, the newest start is taken and the others
+     * are named as a fault.
      *
      * @param files whole files, in any order
      * @return the tape
@@ -47,11 +48,17 @@
         if (all.isEmpty()) {
             throw new Unreadable(faults.isEmpty() ? "the record is empty" : faults.get(0));
         }
-        Entry.Started head = all.stream().map(Chunks.Chunk::head)
-                .max(Comparator.comparingLong(Entry.Started::incarnation)).orElseThrow();
+        Entry.Started head =
+                all.stream()
+                        .map(Chunks.Chunk::head)
+                        .max(Comparator.comparingLong(Entry.Started::incarnation))
+                        .orElseThrow();
         long others = all.stream().filter(c -> !c.head().equals(head)).count();
         if (others > 0) {
-            faults.add(others + " chunks are of another router or an earlier start, and are passed over");
+            faults.add(
+                    others
+                            + " chunks are of another router or an earlier start, and are passed"
+                            + " over");
         }
         all.removeIf(c -> !c.head().equals(head));
         all.sort(Comparator.comparingLong(Chunks.Chunk::first));
@@ -103,7 +110,10 @@
         return gaps;
     }
 
-    /** {@return whether it reaches back to the router's start without a gap, so that a replay must be exact} */
+    /**
+     * {@return whether it reaches back to the router's start without a gap, so that a replay must
+     * be exact}
+     */
     public boolean isWhole() {
         return gaps.isEmpty();
     }
--- a/core/src/main/java/sorrelhoist/core/reservation/EngineActivity.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/EngineActivity.java
@@ -8,11 +8,12 @@
 import java.util.Set;
 
 /**
- * When engines were last heard, to choose those for a release that can be expected to answer: the holder first, unless
- * it is silent while others speak; after it, by turns, those heard last.
+ * When engines were last heard, to choose those for a release that can be expected to answer: the
+ * holder first, unless it is silent while others speak; after it, by turns, those heard last.
  */
 public final class EngineActivity implements ReleaseTargets {
-    private static final int TURNS = 4; // of the engines heard last: many releases at once must not all go to one
+    private static final int TURNS =
+            4; // of the engines heard last: many releases at once must not all go to one
     private final long silentMicros;
     private final Map<String, Long> heardAt = new HashMap<>();
     private long turn;
@@ -20,7 +21,8 @@
     /**
      * Knows no engine.
      *
-     * @param silentMicros by how much an engine's last word has to lie behind that of another to be called silent
+     * @param silentMicros by how much an engine's last word has to lie behind that of another to be
+     *     called silent
      */
     public EngineActivity(long silentMicros) {
         this.silentMicros = silentMicros;
@@ -54,10 +56,16 @@
 
     @Override
     public String next(Hold hold, Set<String> asked) {
-        List<String> latest = heardAt.entrySet().stream().filter(entry -> !asked.contains(entry.getKey()))
-                .sorted(Comparator.comparing(Map.Entry<String, Long>::getValue).reversed()
-                        .thenComparing(Map.Entry::getKey))
-                .limit(TURNS).map(Map.Entry::getKey).toList();
+        List<String> latest =
+                heardAt.entrySet().stream()
+                        .filter(entry -> !asked.contains(entry.getKey()))
+                        .sorted(
+                                Comparator.comparing(Map.Entry<String, Long>::getValue)
+                                        .reversed()
+                                        .thenComparing(Map.Entry::getKey))
+                        .limit(TURNS)
+                        .map(Map.Entry::getKey)
+                        .toList();
         if (latest.isEmpty()) {
             return null;
         }
@@ -65,8 +73,13 @@
         if (holder != null && heardAt.get(latest.get(0)) - holder <= silentMicros) {
             return hold.engine();
         }
-        List<String> lively = latest.stream()
-                .filter(engine -> heardAt.get(latest.get(0)) - heardAt.get(engine) <= silentMicros).toList();
+        List<String> lively =
+                latest.stream()
+                        .filter(
+                                engine ->
+                                        heardAt.get(latest.get(0)) - heardAt.get(engine)
+                                                <= silentMicros)
+                        .toList();
         return lively.get((int) (turn++ % lively.size()));
     }
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/Hold.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/Hold.java
@@ -9,12 +9,16 @@
  * @param upToAttempt where neither is named: the last attempt whose state is meant
  * @param certainty whether the engine said so
  */
-public record Hold(String engine, String state, String place, int upToAttempt, Certainty certainty) {
+public record Hold(
+        String engine, String state, String place, int upToAttempt, Certainty certainty) {
     /** What is known of a hold. */
     public enum Certainty {
         /** The engine answered that it holds it. */
         HELD,
-        /** The attempt was lost or given up on; it may have ended well, or may do so within the settling time. */
+        /**
+         * The attempt was lost or given up on; it may have ended well, or may do so within the
+         * settling time.
+         */
         POSSIBLE
     }
 
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleaseCall.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleaseCall.java
@@ -6,7 +6,7 @@
  * @param id names the call
  * @param request the request's name at engines
  * @param engine which engine to call
- * @param hold what to release; where any engine releases all of a request's reservations, the latest of them
+ * @param hold what to release; where any engine releases all of a request's reservations, the
+ *     latest of them
  */
-public record ReleaseCall(long id, String request, String engine, Hold hold) {
-}
+public record ReleaseCall(long id, String request, String engine, Hold hold) {}
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleasePolicy.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleasePolicy.java
@@ -1,8 +1,8 @@
 package sorrelhoist.core.reservation;
 
 /**
- * When releases are sent. All times follow from the one limit within which a reservation has to be taken or released,
- * counted from the last outcome of its request.
+ * When releases are sent. All times follow from the one limit within which a reservation has to be
+ * taken or released, counted from the last outcome of its request.
  *
  * @param reach which engines can release a reservation
  * @param limitMicros the limit
@@ -14,16 +14,17 @@
     private static final int EXPIRY_FACTOR = 4;
 
     /**
-     * {@return how long after a request's last outcome its reservations are released where nothing has taken them}
-     * The other half of the limit is for engines that do not answer.
+     * {@return how long after a request's last outcome its reservations are released where nothing
+     * has taken them} The other half of the limit is for engines that do not answer.
      */
     public long idleMicros() {
         return limitMicros / SETTLED_SHARE;
     }
 
     /**
-     * {@return how long a read that was given up on may still end at its engine} Its connection is closed at once, but
-     * a release travels on another one and may overtake the close. Where releases name an attempt, the engine knows.
+     * {@return how long a read that was given up on may still end at its engine} Its connection is
+     * closed at once, but a release travels on another one and may overtake the close. Where
+     * releases name an attempt, the engine knows.
      */
     public long settleMicros() {
         return reach == ReleaseReach.ANY_ENGINE ? limitMicros / SETTLED_SHARE : 0;
@@ -34,12 +35,18 @@
         return limitMicros / RETRY_SHARE;
     }
 
-    /** {@return by how much before the limit a release has arrived, where one of three engines asked can do it} */
+    /**
+     * {@return by how much before the limit a release has arrived, where one of three engines asked
+     * can do it}
+     */
     public long reserveMicros() {
         return limitMicros / RESERVE_SHARE;
     }
 
-    /** {@return how long a release is tried for; what no engine has released by then is reported and forgotten} */
+    /**
+     * {@return how long a release is tried for; what no engine has released by then is reported and
+     * forgotten}
+     */
     public long expiryMicros() {
         return limitMicros * EXPIRY_FACTOR;
     }
--- a/core/src/main/java/sorrelhoist/core/reservation/Reservation.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/Reservation.java
@@ -10,7 +10,8 @@
 
 /** The holds of one key, the attempt that may take them, and the calls that release them. */
 final class Reservation {
-    private static final int CALLS_AT_ONCE = 4; // that follow each other quickly; then each wait doubles
+    private static final int CALLS_AT_ONCE =
+            4; // that follow each other quickly; then each wait doubles
 
     /**
      * A hold that is not known to be gone.
@@ -19,14 +20,15 @@
      * @param provableFrom from when on a call that is made proves that it is gone
      * @param needed whether an attempt of the request will take it
      */
-    private record OpenHold(Hold hold, long provableFrom, boolean needed) {
-    }
+    private record OpenHold(Hold hold, long provableFrom, boolean needed) {}
 
     /** The attempt that is out. */
     private static final class Attempt {
         final AttemptPurpose purpose;
+
         /** Whether nothing wanted the holds until this attempt went out. */
         final boolean stoppedRelease;
+
         boolean written;
 
         Attempt(AttemptPurpose purpose, boolean stoppedRelease) {
@@ -36,12 +38,16 @@
     }
 
     final ReservationKey key;
+
     /** The time of the table's alarm for it; Long.MAX_VALUE for none. */
     long alarmAt = Long.MAX_VALUE;
+
     private final ReleasePolicy policy;
     private final List<OpenHold> holds = new ArrayList<>();
+
     /** Calls that were made and not answered, with the time of each. */
     private final Map<Long, Long> calls = new HashMap<>();
+
     private final Set<String> asked = new HashSet<>();
     private Attempt attempt;
     private boolean unwanted;
@@ -57,7 +63,8 @@
         this.idleSince = now;
     }
 
-    // ---- What happens to its request ----------------------------------------------------------------------
+    // ---- What happens to its request
+    // ----------------------------------------------------------------------
 
     void opened(Hold hold, long now) {
         boolean possible = hold.certainty() == Certainty.POSSIBLE;
@@ -85,13 +92,17 @@
 
     /** No attempt will take the states that are held; places may still be used. */
     void statesUnneeded() {
-        holds.replaceAll(open -> new OpenHold(open.hold(), open.provableFrom(),
-                open.needed() && !open.hold().place().isEmpty()));
+        holds.replaceAll(
+                open ->
+                        new OpenHold(
+                                open.hold(),
+                                open.provableFrom(),
+                                open.needed() && !open.hold().place().isEmpty()));
     }
 
     /**
-     * The attempt ended. Where it never reached its engine, the time of what is held has run on, and a release that had
-     * begun before it goes on.
+     * The attempt ended. Where it never reached its engine, the time of what is held has run on,
+     * and a release that had begun before it goes on.
      */
     void attemptEnded(boolean reached, long now) {
         if (attempt != null && attempt.stoppedRelease && !reached) {
@@ -111,7 +122,10 @@
         return unwanted;
     }
 
-    /** A stream began: its engine has taken all that was held, but for what a lost read may yet leave. */
+    /**
+     * A stream began: its engine has taken all that was held, but for what a lost read may yet
+     * leave.
+     */
     void taken(long now) {
         holds.removeIf(open -> open.provableFrom() <= now);
         attempt = null;
@@ -123,12 +137,14 @@
         return holds.isEmpty();
     }
 
-    // ---- Releases -----------------------------------------------------------------------------------------
+    // ---- Releases
+    // -----------------------------------------------------------------------------------------
 
     /** {@return when the next call is due; Long.MAX_VALUE for never as things are} */
     long due() {
         long releasableFrom = holds.isEmpty() ? Long.MAX_VALUE : releasableFrom();
-        return releasableFrom == Long.MAX_VALUE ? Long.MAX_VALUE
+        return releasableFrom == Long.MAX_VALUE
+                ? Long.MAX_VALUE
                 : Math.min(expiresAt, Math.max(callableFrom, releasableFrom));
     }
 
@@ -136,8 +152,11 @@
         if (unwanted && attempt == null) {
             return Long.MIN_VALUE;
         }
-        boolean mayTake = attempt != null && attempt.written && (attempt.purpose == AttemptPurpose.FETCH
-                || holds.stream().allMatch(OpenHold::needed));
+        boolean mayTake =
+                attempt != null
+                        && attempt.written
+                        && (attempt.purpose == AttemptPurpose.FETCH
+                                || holds.stream().allMatch(OpenHold::needed));
         return mayTake ? Long.MAX_VALUE : idleSince + policy.idleMicros();
     }
 
@@ -165,7 +184,8 @@
 
     /** No engine can be asked now. */
     void waitForAnswer(long now) {
-        // The first few follow each other quickly, as the limit runs; after that it is too late for haste.
+        // The first few follow each other quickly, as the limit runs; after that it is too late for
+        // haste.
         callableFrom = now + (policy.retryMicros() << Math.max(0, callsMade - CALLS_AT_ONCE));
         expiresAt = expiresAt == Long.MAX_VALUE ? now + policy.expiryMicros() : expiresAt;
     }
@@ -177,7 +197,10 @@
         }
     }
 
-    /** A call released all that could be proven when it was made. {@return whether the call was waited for} */
+    /**
+     * A call released all that could be proven when it was made. {@return whether the call was
+     * waited for}
+     */
     boolean callDone(long call) {
         Long madeAt = calls.remove(call);
         if (madeAt == null) {
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationCarrier.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationCarrier.java
@@ -2,7 +2,10 @@
 
 /** Carries out what a {@link ReservationTable} decides. Called during the table's own methods. */
 public interface ReservationCarrier {
-    /** Calls an engine. Answered by {@link ReservationTable#releaseEnded}, unless the call is abandoned. */
+    /**
+     * Calls an engine. Answered by {@link ReservationTable#releaseEnded}, unless the call is
+     * abandoned.
+     */
     void release(ReleaseCall call);
 
     /** Stops waiting for a call's answer; nothing of it is reported any more. */
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
@@ -7,12 +7,14 @@
 import sorrelhoist.core.time.Alarms;
 
 /**
- * What requests have reserved at engines, until it is known to be gone: the one place where that is kept.
+ * What requests have reserved at engines, until it is known to be gone: the one place where that is
+ * kept.
  *
- * <p>A hold is opened by each outcome that can leave something, also by reads that were lost or given up on. It ends by
- * proof alone: a stream began, which has taken it; or an engine has answered a release that was sent when nothing could
- * be added to it any more. While an attempt that takes it is with its engine, nothing is sent. In every other case a
- * release is under way after half the limit at the latest, counted from the request's last outcome; at once where the
+ * <p>A hold is opened by each outcome that can leave something, also by reads that were lost or
+ * given up on. It ends by proof alone: a stream began, which has taken it; or an engine has
+ * answered a release that was sent when nothing could be added to it any more. While an attempt
+ * that takes it is with its engine, nothing is sent. In every other case a release is under way
+ * after half the limit at the latest, counted from the request's last outcome; at once where the
  * request is over. Time runs on while an attempt's connection does not come up.
  *
  * <p>One thread at a time.
@@ -24,8 +26,13 @@
     private final int most;
     private final Map<ReservationKey, Reservation> reservations = new LinkedHashMap<>();
     private final Map<Long, Reservation> calls = new HashMap<>();
-    /** For each reservation an entry at the time at which it is due, or before; some are out of date. */
+
+    /**
+     * For each reservation an entry at the time at which it is due, or before; some are out of
+     * date.
+     */
     private final Alarms<Reservation> alarms = new Alarms<>();
+
     private long lastCall;
     private long expired;
 
@@ -37,21 +44,24 @@
      * @param carrier makes the calls
      * @param most keys at once; beyond, the oldest that nothing wants any more is given up on
      */
-    public ReservationTable(ReleasePolicy policy, ReleaseTargets targets, ReservationCarrier carrier, int most) {
+    public ReservationTable(
+            ReleasePolicy policy, ReleaseTargets targets, ReservationCarrier carrier, int most) {
         this.policy = policy;
         this.targets = targets;
         this.carrier = carrier;
         this.most = most;
     }
 
-    // ---- What happens to requests -------------------------------------------------------------------------
+    // ---- What happens to requests
+    // -------------------------------------------------------------------------
 
     /** Something is held, or may be. */
     public void opened(ReservationKey key, Hold hold, long now) {
         if (reservations.size() >= most && !reservations.containsKey(key)) {
             makeRoom();
         }
-        Reservation reservation = reservations.computeIfAbsent(key, k -> new Reservation(k, policy, now));
+        Reservation reservation =
+                reservations.computeIfAbsent(key, k -> new Reservation(k, policy, now));
         reservation.opened(hold, now);
         setAlarm(reservation);
     }
@@ -64,12 +74,14 @@
 
     /** An attempt goes out. */
     public void attemptSent(ReservationKey key, AttemptPurpose purpose) {
-        with(key, reservation -> {
-            if (purpose == AttemptPurpose.FETCH) {
-                abandonCalls(reservation);
-            }
-            reservation.attemptSent(purpose);
-        });
+        with(
+                key,
+                reservation -> {
+                    if (purpose == AttemptPurpose.FETCH) {
+                        abandonCalls(reservation);
+                    }
+                    reservation.attemptSent(purpose);
+                });
     }
 
     /** The attempt that is out waits for a connection. */
@@ -77,7 +89,10 @@
         with(key, Reservation::attemptConnecting);
     }
 
-    /** No attempt will take the states that are held: the prompt is read anew, or they could not be fetched. */
+    /**
+     * No attempt will take the states that are held: the prompt is read anew, or they could not be
+     * fetched.
+     */
     public void statesUnneeded(ReservationKey key) {
         with(key, Reservation::statesUnneeded);
     }
@@ -95,28 +110,34 @@
      * @param now the time
      */
     public void attemptEnded(ReservationKey key, boolean reached, long now) {
-        with(key, reservation -> {
-            reservation.attemptEnded(reached, now);
-            forgetIfEmpty(reservation);
-        });
+        with(
+                key,
+                reservation -> {
+                    reservation.attemptEnded(reached, now);
+                    forgetIfEmpty(reservation);
+                });
     }
 
     /** A stream began: its engine has taken what was held. */
     public void taken(ReservationKey key, long now) {
-        with(key, reservation -> {
-            abandonCalls(reservation);
-            reservation.taken(now);
-            forgetIfEmpty(reservation);
-        });
+        with(
+                key,
+                reservation -> {
+                    abandonCalls(reservation);
+                    reservation.taken(now);
+                    forgetIfEmpty(reservation);
+                });
     }
 
     /** Nothing will take what is held: it is released at once, unless an attempt is out. */
     public void unwanted(ReservationKey key, long now) {
-        with(key, reservation -> {
-            reservation.unwanted();
-            forgetIfEmpty(reservation);
-            advance(reservation, now);
-        });
+        with(
+                key,
+                reservation -> {
+                    reservation.unwanted();
+                    forgetIfEmpty(reservation);
+                    advance(reservation, now);
+                });
     }
 
     private void with(ReservationKey key, Consumer<Reservation> step) {
@@ -127,7 +148,8 @@
         }
     }
 
-    // ---- Calls --------------------------------------------------------------------------------------------
+    // ---- Calls
+    // --------------------------------------------------------------------------------------------
 
     /**
      * A call ended.
@@ -160,7 +182,10 @@
         }
     }
 
-    /** {@return when {@link #advance(long)} is next needed, or a little before; Long.MAX_VALUE for never} */
+    /**
+     * {@return when {@link #advance(long)} is next needed, or a little before; Long.MAX_VALUE for
+     * never}
+     */
     public long next() {
         return alarms.next();
     }
@@ -199,7 +224,8 @@
         long call = ++lastCall;
         calls.put(call, reservation);
         reservation.called(call, engine, now);
-        carrier.release(new ReleaseCall(call, reservation.key.request(), engine, reservation.latest()));
+        carrier.release(
+                new ReleaseCall(call, reservation.key.request(), engine, reservation.latest()));
     }
 
     private void abandonCalls(Reservation reservation) {
@@ -210,7 +236,10 @@
     }
 
     private void makeRoom() {
-        reservations.values().stream().filter(Reservation::isUnwanted).findFirst().ifPresent(this::expire);
+        reservations.values().stream()
+                .filter(Reservation::isUnwanted)
+                .findFirst()
+                .ifPresent(this::expire);
     }
 
     private void expire(Reservation reservation) {
@@ -229,7 +258,8 @@
         }
     }
 
-    // ---- For tests and logs -------------------------------------------------------------------------------
+    // ---- For tests and logs
+    // -------------------------------------------------------------------------------
 
     /** {@return keys for which something is held or may be} */
     public int size() {
@@ -238,7 +268,10 @@
 
     /** {@return those among them that an attempt may still take} */
     public int wanted() {
-        return (int) reservations.values().stream().filter(reservation -> !reservation.isUnwanted()).count();
+        return (int)
+                reservations.values().stream()
+                        .filter(reservation -> !reservation.isUnwanted())
+                        .count();
     }
 
     /** {@return calls that are under way} */
--- a/core/src/main/java/sorrelhoist/core/sched/Allowance.java
+++ b/core/src/main/java/sorrelhoist/core/sched/Allowance.java
@@ -1,6 +1,9 @@
 package sorrelhoist.core.sched;
 
-/** A bucket of something that refills with time, up to a second's worth. What was overspent is paid back first. */
+/**
+ * A bucket of something that refills with time, up to a second's worth. What was overspent is paid
+ * back first.
+ */
 final class Allowance {
     private static final double SECOND = 1e6;
     private final double perSecond;
--- a/core/src/main/java/sorrelhoist/core/sched/Background.java
+++ b/core/src/main/java/sorrelhoist/core/sched/Background.java
@@ -4,12 +4,13 @@
 import java.util.List;
 
 /**
- * Gives background work its place: which job may run a slice now, and how much of it. Requests go first: while any
- * wait, a job runs only if it has waited longer than its bound, and then one slice at a time with a pause after it, so
- * that starvation is bounded and requests lose a known share at most.
+ * Gives background work its place: which job may run a slice now, and how much of it. Requests go
+ * first: while any wait, a job runs only if it has waited longer than its bound, and then one slice
+ * at a time with a pause after it, so that starvation is bounded and requests lose a known share at
+ * most.
  *
- * <p>Time is the caller's, in microseconds. The caller runs the slice and reports what it cost; a job that overspends
- * pays it back before it runs again.
+ * <p>Time is the caller's, in microseconds. The caller runs the slice and reports what it cost; a
+ * job that overspends pays it back before it runs again.
  */
 public final class Background {
     /**
@@ -21,8 +22,12 @@
      * @param bytesPerSecond bytes that it may read or write a second
      * @param maxWaitMicros after which it goes before all others, and before requests
      */
-    public record Job(String name, int priority, long cpuPerSecond, long bytesPerSecond, long maxWaitMicros) {
-    }
+    public record Job(
+            String name,
+            int priority,
+            long cpuPerSecond,
+            long bytesPerSecond,
+            long maxWaitMicros) {}
 
     /**
      * Leave to run.
@@ -32,8 +37,7 @@
      * @param bytes how much at most
      * @param late whether it runs because its bound has passed
      */
-    public record Slice(Job job, long cpuMicros, long bytes, boolean late) {
-    }
+    public record Slice(Job job, long cpuMicros, long bytes, boolean late) {}
 
     private static final class Entry {
         final Job job;
@@ -54,14 +58,19 @@
 
         /** From when on it goes before everything: its bound after it was due, or its deadline. */
         long lateFrom() {
-            return dueAt == Long.MAX_VALUE ? Long.MAX_VALUE
-                    : Math.min(deadline, dueAt + Math.min(job.maxWaitMicros(), Long.MAX_VALUE - dueAt));
+            return dueAt == Long.MAX_VALUE
+                    ? Long.MAX_VALUE
+                    : Math.min(
+                            deadline,
+                            dueAt + Math.min(job.maxWaitMicros(), Long.MAX_VALUE - dueAt));
         }
     }
 
-    private static final long SLICE = 2_000; // of CPU: what a request that comes meanwhile waits at most
+    private static final long SLICE =
+            2_000; // of CPU: what a request that comes meanwhile waits at most
     private static final long LATE_SLICE = 500; // while requests wait
-    private static final int PAUSE = 9; // times a late slice's cost: requests keep nine tenths of the thread
+    private static final int PAUSE =
+            9; // times a late slice's cost: requests keep nine tenths of the thread
     private final List<Entry> entries = new ArrayList<>();
     private final Allowance cpu;
     private long lateAgainAt;
@@ -104,7 +113,8 @@
      */
     public Slice next(long now, boolean requestsWait) {
         if (running != null) {
-            throw new IllegalStateException(running.job.name() + " has not reported what its slice cost");
+            throw new IllegalStateException(
+                    running.job.name() + " has not reported what its slice cost");
         }
         Entry best = null;
         for (Entry e : entries) {
@@ -122,8 +132,11 @@
         }
         running = best;
         long most = requestsWait ? LATE_SLICE : SLICE;
-        return new Slice(best.job, (long) Math.max(1, Math.min(most, best.cpu.left(now))),
-                (long) Math.max(1, best.bytes.left(now)), late);
+        return new Slice(
+                best.job,
+                (long) Math.max(1, Math.min(most, best.cpu.left(now))),
+                (long) Math.max(1, best.bytes.left(now)),
+                late);
     }
 
     /** Late work by how late it is, then priority, then who has waited longest. */
@@ -133,7 +146,9 @@
         if (aLate || bLate) {
             return aLate && (!bLate || a.lateFrom() < b.lateFrom());
         }
-        return a.job.priority() != b.job.priority() ? a.job.priority() > b.job.priority() : a.dueAt < b.dueAt;
+        return a.job.priority() != b.job.priority()
+                ? a.job.priority() > b.job.priority()
+                : a.dueAt < b.dueAt;
     }
 
     /**
@@ -156,13 +171,17 @@
         e.deadline = deadline;
     }
 
-    /** {@return when {@link #next} may first give something, as far as is known now; Long.MAX_VALUE for never} */
+    /**
+     * {@return when {@link #next} may first give something, as far as is known now; Long.MAX_VALUE
+     * for never}
+     */
     public long wakeAt(long now) {
         long wake = Long.MAX_VALUE;
         for (Entry e : entries) {
             if (e.dueAt < Long.MAX_VALUE) {
                 long free = Math.max(e.cpu.freeAt(now), e.bytes.freeAt(now));
-                long turn = Math.min(Math.max(e.dueAt, cpu.freeAt(now)), Math.max(e.lateFrom(), now));
+                long turn =
+                        Math.min(Math.max(e.dueAt, cpu.freeAt(now)), Math.max(e.lateFrom(), now));
                 wake = Math.min(wake, Math.max(Math.max(e.dueAt, now), Math.max(free, turn)));
             }
         }
@@ -170,7 +189,10 @@
     }
 
     private Entry entry(Job job) {
-        return entries.stream().filter(e -> e.job.equals(job)).findFirst().orElseThrow(
-                () -> new IllegalArgumentException("job " + job.name() + " was not added"));
+        return entries.stream()
+                .filter(e -> e.job.equals(job))
+                .findFirst()
+                .orElseThrow(
+                        () -> new IllegalArgumentException("job " + job.name() + " was not added"));
     }
 }
--- a/core/src/main/java/sorrelhoist/core/text/Tokens.java
+++ b/core/src/main/java/sorrelhoist/core/text/Tokens.java
@@ -1,14 +1,14 @@
 package sorrelhoist.core.text;
 
 /**
- * An estimate of how many tokens a text has: one for each four bytes of UTF-8, rounded up. Deadlines and costs grow
- * with this number, so it has to be proportional rather than exact; Decide's learnt lines take up the factor.
+ * An estimate of how many tokens a text has: one for each four bytes of UTF-8, rounded up.
+ * Deadlines and costs grow with this number, so it has to be proportional rather than exact;
+ * Decide's learnt lines take up the factor.
  */
 public final class Tokens {
     private static final int BYTES_PER_TOKEN = 4;
 
-    private Tokens() {
-    }
+    private Tokens() {}
 
     /** {@return tokens of this text; 0 for none} */
     public static int estimate(String text) {
--- a/core/src/main/java/sorrelhoist/core/time/Alarms.java
+++ b/core/src/main/java/sorrelhoist/core/time/Alarms.java
@@ -4,21 +4,21 @@
 import java.util.PriorityQueue;
 
 /**
- * Things due at a time, in the order of their times and, among equals, of their setting. Time is the caller's.
+ * Things due at a time, in the order of their times and, among equals, of their setting. Time is
+ * the caller's.
  *
  * @param <T> what is due
  */
 public final class Alarms<T> {
-    private record Entry<T>(long at, long order, T what) {
-    }
+    private record Entry<T>(long at, long order, T what) {}
 
-    private final PriorityQueue<Entry<T>> queue = new PriorityQueue<>(
-            Comparator.<Entry<T>>comparingLong(Entry::at).thenComparingLong(Entry::order));
+    private final PriorityQueue<Entry<T>> queue =
+            new PriorityQueue<>(
+                    Comparator.<Entry<T>>comparingLong(Entry::at).thenComparingLong(Entry::order));
     private long set;
 
     /** Makes an empty set. */
-    public Alarms() {
-    }
+    public Alarms() {}
 
     /**
      * Sets an alarm.
--- a/core/src/main/java/sorrelhoist/core/time/Backoff.java
+++ b/core/src/main/java/sorrelhoist/core/time/Backoff.java
@@ -2,7 +2,9 @@
 
 import java.util.SplittableRandom;
 
-/** Waits between attempts at something that fails: doubling, with a random half so that peers part. */
+/**
+ * Waits between attempts at something that fails: doubling, with a random half so that peers part.
+ */
 public final class Backoff {
     private final long first;
     private final long most;
--- a/core/src/main/java/sorrelhoist/core/why/Words.java
+++ b/core/src/main/java/sorrelhoist/core/why/Words.java
@@ -7,8 +7,7 @@
 public final class Words {
     private static final double MILLI = 1000;
 
-    private Words() {
-    }
+    private Words() {}
 
     /**
      * Says why a request was refused, and when to come back.
@@ -24,9 +23,17 @@
 
     /** {@return what was short, for a final answer that served nothing} */
     public static String lack(Reason why) {
-        String sum = millis(why.expected()) + " expected to the first token (read " + millis(why.read()) + ", answer "
-                + millis(why.first()) + ", engines behind by " + millis(why.lag()) + "), " + millis(why.limit())
-                + " allowed";
+        String sum =
+                millis(why.expected())
+                        + " expected to the first token (read "
+                        + millis(why.read())
+                        + ", answer "
+                        + millis(why.first())
+                        + ", engines behind by "
+                        + millis(why.lag())
+                        + "), "
+                        + millis(why.limit())
+                        + " allowed";
         return switch (why.kind()) {
             case DOOR -> "the engines are too busy: " + sum;
             case DOOR_LESS_WORTH -> "the engines are kept for requests of more worth: " + sum;
@@ -37,12 +44,17 @@
             case REPEAT_UNSAFE -> "an engine failed, and nowhere is a repeat known to be harmless";
             case REPEAT_BUDGET -> "an engine failed, and the budget of repeats is spent";
             case ATTEMPTS -> "all of " + count(why.limit()) + " attempts failed";
-            case TOLD_FULL -> "engines were tried " + count(why.expected()) + " times, and the last was full";
-            case DEADLINE -> "its time of " + millis(why.limit()) + " was up before the first token";
-            case HELD_TOO_LONG -> "its prompt was read, and no engine could write the answer for "
-                    + millis(why.expected());
-            case ROUTER_FULL -> why.limit() > 0 ? "this edge holds " + count(why.expected()) + " requests already"
-                    : "this edge is about to stop";
+            case TOLD_FULL ->
+                    "engines were tried " + count(why.expected()) + " times, and the last was full";
+            case DEADLINE ->
+                    "its time of " + millis(why.limit()) + " was up before the first token";
+            case HELD_TOO_LONG ->
+                    "its prompt was read, and no engine could write the answer for "
+                            + millis(why.expected());
+            case ROUTER_FULL ->
+                    why.limit() > 0
+                            ? "this edge holds " + count(why.expected()) + " requests already"
+                            : "this edge is about to stop";
             case CLIENT_GONE -> "its client left";
             default -> "nothing is known of why";
         };
@@ -55,25 +67,41 @@
      * @return a part of a sentence
      */
     public static String choice(Reason why) {
-        String how = switch (why.kind()) {
-            case KEPT -> "likely keeps most of the prompt";
-            case CHEAPEST -> "cheapest to read at";
-            case UNSEEN -> "by hash, as the beginning was never seen";
-            case SHIFTED -> "lightest, as the keeper was heaviest";
-            case UNJAMMED -> "soonest, as the first choice was jammed";
-            case TRIAL -> "a trial of one that was set aside";
-            case MIXED -> "reads and answers";
-            case WRITER_READS -> "reads the prompt itself, as no reader can";
-            case TWO_DRAWS -> "lighter of two drawn";
-            default -> "no reason given";
-        };
-        boolean tokens = switch (why.kind()) {
-            case MIXED, WRITER_READS, TWO_DRAWS -> true;
-            default -> false;
-        };
-        String figures = Double.isNaN(why.estimate()) ? "" : ", " + figure(why.estimate(), tokens)
-                + (why.next() == null ? "" : " against " + figure(why.nextEstimate(), tokens) + " at " + why.next());
-        return how + figures + "; due at " + millis(why.expected()) + " of an aim of " + millis(why.limit());
+        String how =
+                switch (why.kind()) {
+                    case KEPT -> "likely keeps most of the prompt";
+                    case CHEAPEST -> "cheapest to read at";
+                    case UNSEEN -> "by hash, as the beginning was never seen";
+                    case SHIFTED -> "lightest, as the keeper was heaviest";
+                    case UNJAMMED -> "soonest, as the first choice was jammed";
+                    case TRIAL -> "a trial of one that was set aside";
+                    case MIXED -> "reads and answers";
+                    case WRITER_READS -> "reads the prompt itself, as no reader can";
+                    case TWO_DRAWS -> "lighter of two drawn";
+                    default -> "no reason given";
+                };
+        boolean tokens =
+                switch (why.kind()) {
+                    case MIXED, WRITER_READS, TWO_DRAWS -> true;
+                    default -> false;
+                };
+        String figures =
+                Double.isNaN(why.estimate())
+                        ? ""
+                        : ", "
+                                + figure(why.estimate(), tokens)
+                                + (why.next() == null
+                                        ? ""
+                                        : " against "
+                                                + figure(why.nextEstimate(), tokens)
+                                                + " at "
+                                                + why.next());
+        return how
+                + figures
+                + "; due at "
+                + millis(why.expected())
+                + " of an aim of "
+                + millis(why.limit());
     }
 
     private static String figure(double value, boolean tokens) {
@@ -89,7 +117,9 @@
     }
 
     private static String millis(double micros) {
-        return Double.isNaN(micros) ? "unknown" : String.format(Locale.ROOT, micros < 100 * MILLI ? "%.1f ms" : "%.0f ms",
-                micros / MILLI);
+        return Double.isNaN(micros)
+                ? "unknown"
+                : String.format(
+                        Locale.ROOT, micros < 100 * MILLI ? "%.1f ms" : "%.0f ms", micros / MILLI);
     }
 }
--- a/core/src/test/java/sorrelhoist/core/know/ExchangeTest.java
+++ b/core/src/test/java/sorrelhoist/core/know/ExchangeTest.java
@@ -19,10 +19,15 @@
     private static Knowledge known(int from, int to) {
         List<Knowledge.Key> keys = new ArrayList<>();
         for (int i = from; i < to; i++) {
-            keys.add(new Knowledge.Key("session-" + i, (to - i) * 10L, 1, List.of(
-                    new Knowledge.Holding("r1", 1, 50))));
+            keys.add(
+                    new Knowledge.Key(
+                            "session-" + i,
+                            (to - i) * 10L,
+                            1,
+                            List.of(new Knowledge.Holding("r1", 1, 50))));
         }
-        return new Knowledge(keys, List.of(new Knowledge.Health("r1", 1, 0.5, 1, 3)), List.of(SUMS), SUMS);
+        return new Knowledge(
+                keys, List.of(new Knowledge.Health("r1", 1, 0.5, 1, 3)), List.of(SUMS), SUMS);
     }
 
     private static List<Knowledge> teach(Lesson lesson, int most) throws KnowledgeForm.Unreadable {
@@ -36,8 +41,10 @@
 
     @Test
     void aLessonHoldsEverythingOnceAndTheNewestFirst() throws Exception {
-        List<Knowledge> got = teach(new Lesson(known(0, 3000), Digest.read(new byte[0]), 10 << 20, 0), 1000);
-        List<String> names = got.stream().flatMap(k -> k.keys().stream()).map(Knowledge.Key::name).toList();
+        List<Knowledge> got =
+                teach(new Lesson(known(0, 3000), Digest.read(new byte[0]), 10 << 20, 0), 1000);
+        List<String> names =
+                got.stream().flatMap(k -> k.keys().stream()).map(Knowledge.Key::name).toList();
         assertEquals(3000, names.size());
         assertEquals(3000, names.stream().distinct().count());
         assertTrue(got.get(0).keys().stream().allMatch(k -> k.age() <= 4000));
@@ -56,10 +63,15 @@
 
     @Test
     void aLessonThatBrokeGoesOnWhereItWas() throws Exception {
-        List<Knowledge> first = teach(new Lesson(known(0, 3000), Digest.read(new byte[0]), 10 << 20, 0), 3);
+        List<Knowledge> first =
+                teach(new Lesson(known(0, 3000), Digest.read(new byte[0]), 10 << 20, 0), 3);
         List<Knowledge.Key> have = first.stream().flatMap(k -> k.keys().stream()).toList();
-        Lesson rest = new Lesson(known(0, 3000), Digest.read(Digest.of(new Knowledge(have, List.of(), List.of(),
-                SUMS))), 10 << 20, 0);
+        Lesson rest =
+                new Lesson(
+                        known(0, 3000),
+                        Digest.read(Digest.of(new Knowledge(have, List.of(), List.of(), SUMS))),
+                        10 << 20,
+                        0);
         assertEquals(3000 - have.size(), rest.size());
     }
 
--- a/core/src/test/java/sorrelhoist/core/know/KnowTest.java
+++ b/core/src/test/java/sorrelhoist/core/know/KnowTest.java
@@ -15,18 +15,25 @@
 import sorrelhoist.Routing.ServerState;
 import sorrelhoist.core.members.EngineTable;
 
-/** Knowledge as bytes, a past that was cut or damaged anywhere, and processes by their incarnations. */
+/**
+ * Knowledge as bytes, a past that was cut or damaged anywhere, and processes by their incarnations.
+ */
 class KnowTest {
     private static final long S = 1_000_000;
 
     private static Knowledge sample(int keys) {
         List<Knowledge.Key> all = new ArrayList<>();
         for (int i = 0; i < keys; i++) {
-            all.add(new Knowledge.Key("key-" + i, (keys - i) * 1000L, i % 7, List.of(
-                    new Knowledge.Holding("r" + i % 3, 5, 100 + i))));
+            all.add(
+                    new Knowledge.Key(
+                            "key-" + i,
+                            (keys - i) * 1000L,
+                            i % 7,
+                            List.of(new Knowledge.Holding("r" + i % 3, 5, 100 + i))));
         }
         Knowledge.Sums s = new Knowledge.Sums(10, 1000, 50_000, 200_000, 9_000_000);
-        return new Knowledge(all, List.of(new Knowledge.Health("r1", 5, 0.25, 1.5, 9)), List.of(s, s), s);
+        return new Knowledge(
+                all, List.of(new Knowledge.Health("r1", 5, 0.25, 1.5, 9)), List.of(s, s), s);
     }
 
     @Test
@@ -61,7 +68,10 @@
         byte[] bytes = KnowledgeForm.write(sample(20), 10_000);
         SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 20_000; i++) {
-            byte[] hurt = Arrays.copyOf(bytes, random.nextInt(4) == 0 ? random.nextInt(bytes.length) : bytes.length);
+            byte[] hurt =
+                    Arrays.copyOf(
+                            bytes,
+                            random.nextInt(4) == 0 ? random.nextInt(bytes.length) : bytes.length);
             for (int n = random.nextInt(4); n > 0 && hurt.length > 0; n--) {
                 hurt[random.nextInt(hurt.length)] = (byte) random.nextInt(256);
             }
@@ -113,10 +123,17 @@
     @Test
     void theNewestIsTakenFirstAndTheOldNotAtAll() {
         byte[] k = KnowledgeForm.write(sample(1), 1000);
-        List<PastKeeper.Memory> m = PastKeeper.believe(2000 * S, List.of(new PastFrames.Frame(100 * S, k),
-                new PastFrames.Frame(1000 * S, k), new PastFrames.Frame(1990 * S, k),
-                new PastFrames.Frame(5000 * S, k), new PastFrames.Frame(1500 * S, new byte[] {1, 2})));
-        assertEquals(List.of(0L, 10 * S, 1000 * S), m.stream().map(PastKeeper.Memory::age).toList());
+        List<PastKeeper.Memory> m =
+                PastKeeper.believe(
+                        2000 * S,
+                        List.of(
+                                new PastFrames.Frame(100 * S, k),
+                                new PastFrames.Frame(1000 * S, k),
+                                new PastFrames.Frame(1990 * S, k),
+                                new PastFrames.Frame(5000 * S, k),
+                                new PastFrames.Frame(1500 * S, new byte[] {1, 2})));
+        assertEquals(
+                List.of(0L, 10 * S, 1000 * S), m.stream().map(PastKeeper.Memory::age).toList());
     }
 
     @Test
@@ -138,17 +155,41 @@
         EngineTable before = new EngineTable(List.of("a"), List.of("k"));
         EngineTable after = new EngineTable(List.of("a"), List.of("k"));
         for (int i = 0; i < 3; i++) {
-            EngineTable.Entry e = new EngineTable.Entry("r" + i, "a", "x", "k", ServerState.SERVING, 1, 70 + i, 9 * S, "");
-            EngineTable.Entry later = new EngineTable.Entry("r" + i, "a", "x", "k", ServerState.SERVING, 1,
-                    i == 2 ? 99 : 70 + i, 20 * S, "");
+            EngineTable.Entry e =
+                    new EngineTable.Entry(
+                            "r" + i, "a", "x", "k", ServerState.SERVING, 1, 70 + i, 9 * S, "");
+            EngineTable.Entry later =
+                    new EngineTable.Entry(
+                            "r" + i,
+                            "a",
+                            "x",
+                            "k",
+                            ServerState.SERVING,
+                            1,
+                            i == 2 ? 99 : 70 + i,
+                            20 * S,
+                            "");
             before.take(100 * S, List.of(e));
             after.take(111 * S + 17, List.of(later));
         }
-        Knowledge k = new Knowledge(List.of(new Knowledge.Key("s", 0, 1, List.of(
-                new Knowledge.Holding("r0", before.since("r0"), 5), new Knowledge.Holding("r1", 1, 5),
-                new Knowledge.Holding("r2", before.since("r2"), 5)))), List.of(), List.of(),
-                new Knowledge.Sums(0, 0, 0, 0, 0));
+        Knowledge k =
+                new Knowledge(
+                        List.of(
+                                new Knowledge.Key(
+                                        "s",
+                                        0,
+                                        1,
+                                        List.of(
+                                                new Knowledge.Holding("r0", before.since("r0"), 5),
+                                                new Knowledge.Holding("r1", 1, 5),
+                                                new Knowledge.Holding(
+                                                        "r2", before.since("r2"), 5)))),
+                        List.of(),
+                        List.of(),
+                        new Knowledge.Sums(0, 0, 0, 0, 0));
         Knowledge taught = Processes.inward(Processes.outward(k, before), after);
-        assertEquals(List.of(new Knowledge.Holding("r0", after.since("r0"), 5)), taught.keys().get(0).holders());
+        assertEquals(
+                List.of(new Knowledge.Holding("r0", after.since("r0"), 5)),
+                taught.keys().get(0).holders());
     }
 }
--- a/core/src/test/java/sorrelhoist/core/life/Fleet.java
+++ b/core/src/test/java/sorrelhoist/core/life/Fleet.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import sorrelhoist.Routing.*;
 
-/** Small settings and engines for tests: two readers and three writers, one class of each kind of repeat. */
+/**
+ * Small settings and engines for tests: two readers and three writers, one class of each kind of
+ * repeat.
+ */
 final class Fleet {
     static final long SECOND = 1_000_000;
     static final int SAFE = 0;
@@ -14,22 +17,38 @@
     static final long RELEASE = 500_000;
     static final long STALL = 3 * SECOND;
 
-    private Fleet() {
-    }
+    private Fleet() {}
 
     static Settings decide(boolean cancel) {
-        return new Settings(1, 0, 0, false, 0.1, Reports.IN_OUTCOMES,
-                List.of(new RequestClass(SECOND, 40_000, 1, Repeat.SAFE, Scope.ALL, 0),
+        return new Settings(
+                1,
+                0,
+                0,
+                false,
+                0.1,
+                Reports.IN_OUTCOMES,
+                List.of(
+                        new RequestClass(SECOND, 40_000, 1, Repeat.SAFE, Scope.ALL, 0),
                         new RequestClass(SECOND, 40_000, 1, Repeat.KEYED, Scope.CELL, 2 * SECOND),
                         new RequestClass(SECOND, 40_000, 1, Repeat.UNSAFE, Scope.ALL, 0)),
-                List.of(), List.of(new Kind(Role.READ, 200_000), new Kind(Role.WRITE, 150_000)),
+                List.of(),
+                List.of(new Kind(Role.READ, 200_000), new Kind(Role.WRITE, 150_000)),
                 new Limits(5, cancel, false, true, 2 * SECOND, false, false, 0.003, 0.003),
                 new Rules(0.26, 12 * SECOND, 3, 3 * SECOND, RELEASE));
     }
 
     static RouterSettings settings(boolean cancel, boolean resumes, long seed) {
-        return new RouterSettings("edge", 1, decide(cancel), List.of(4 * SECOND, 4 * SECOND, 4 * SECOND),
-                List.of(0L, 0L, 0L), MARGIN, resumes, STALL, 10_000, seed);
+        return new RouterSettings(
+                "edge",
+                1,
+                decide(cancel),
+                List.of(4 * SECOND, 4 * SECOND, 4 * SECOND),
+                List.of(0L, 0L, 0L),
+                MARGIN,
+                resumes,
+                STALL,
+                10_000,
+                seed);
     }
 
     static List<Server> servers() {
@@ -44,6 +63,7 @@
     }
 
     static Call call(int cls, int maxTokens, long timeout) {
-        return new Call("c", cls, 0, "s", "p", 50, "x".repeat(400), 100, maxTokens, timeout, 0, null);
+        return new Call(
+                "c", cls, 0, "s", "p", 50, "x".repeat(400), 100, maxTokens, timeout, 0, null);
     }
 }
--- a/core/src/test/java/sorrelhoist/core/life/Histories.java
+++ b/core/src/test/java/sorrelhoist/core/life/Histories.java
@@ -14,8 +14,9 @@
 import sorrelhoist.core.time.Alarms;
 
 /**
- * Random histories of a router in virtual time: clients that come and leave, engines that answer, fail, hang, stall
- * and send nonsense, a roster that changes. What the router orders is checked against the rules as it is ordered.
+ * Random histories of a router in virtual time: clients that come and leave, engines that answer,
+ * fail, hang, stall and send nonsense, a roster that changes. What the router orders is checked
+ * against the rules as it is ordered.
  */
 final class Histories {
     private static final class Client {
@@ -28,8 +29,7 @@
         boolean gone;
     }
 
-    private record HeldState(String name, long since) {
-    }
+    private record HeldState(String name, long since) {}
 
     final List<String> broken = new ArrayList<>();
     private final SplittableRandom random;
@@ -59,7 +59,8 @@
         this.random = new SplittableRandom(seed);
         this.sabotage = sabotage;
         this.trouble = random.nextDouble() * 0.5;
-        RouterSettings settings = Fleet.settings(random.nextInt(5) > 0, random.nextInt(3) > 0, seed);
+        RouterSettings settings =
+                Fleet.settings(random.nextInt(5) > 0, random.nextInt(3) > 0, seed);
         this.router = new Router(settings, this::take, tap.apply(settings));
         router.members(0, ListForm.COMPLETE, Fleet.servers());
     }
@@ -95,10 +96,20 @@
             check();
         }
         if (router.known() + router.attemptsOut() + router.held() + router.reserved() > 0) {
-            broken.add("left: " + router.known() + " known, " + router.attemptsOut() + " out, " + router.held()
-                    + " held, " + router.reserved() + " reserved");
+            broken.add(
+                    "left: "
+                            + router.known()
+                            + " known, "
+                            + router.attemptsOut()
+                            + " out, "
+                            + router.held()
+                            + " held, "
+                            + router.reserved()
+                            + " reserved");
         }
-        clients.values().stream().filter(c -> !c.ended && !c.gone).forEach(c -> broken.add("rule 1: no answer"));
+        clients.values().stream()
+                .filter(c -> !c.ended && !c.gone)
+                .forEach(c -> broken.add("rule 1: no answer"));
     }
 
     private void arrive() {
@@ -107,7 +118,8 @@
         c.sentAt = now;
         long timeout = random.nextInt(3) == 0 ? 50_000 + random.nextLong(5 * Fleet.SECOND) : 0;
         int most = 1 + random.nextInt(30);
-        c.firstTokenBy = now + (timeout > 0 ? Math.min(timeout, 4 * Fleet.SECOND) : 4 * Fleet.SECOND);
+        c.firstTokenBy =
+                now + (timeout > 0 ? Math.min(timeout, 4 * Fleet.SECOND) : 4 * Fleet.SECOND);
         c.endsBy = timeout > 0 ? now + timeout : Long.MAX_VALUE;
         pending = c;
         long client = router.arrived(now, Fleet.call(c.cls, most, timeout));
@@ -117,17 +129,20 @@
             long blocked = now + random.nextLong(Fleet.SECOND);
             world.set(blocked, () -> router.clientBlocked(now, client, true));
             if (random.nextInt(3) > 0) {
-                world.set(blocked + random.nextLong(4 * Fleet.SECOND),
+                world.set(
+                        blocked + random.nextLong(4 * Fleet.SECOND),
                         () -> router.clientBlocked(now, client, false));
             }
         }
         if (random.nextInt(4) == 0) {
-            world.set(now + random.nextLong(Fleet.SECOND), () -> {
-                if (!c.ended) {
-                    c.gone = true;
-                    router.clientGone(now, client);
-                }
-            });
+            world.set(
+                    now + random.nextLong(Fleet.SECOND),
+                    () -> {
+                        if (!c.ended) {
+                            c.gone = true;
+                            router.clientGone(now, client);
+                        }
+                    });
         }
     }
 
@@ -141,11 +156,22 @@
         List<Server> all = Fleet.servers();
         Server s = all.get(random.nextInt(all.size()));
         drainedAt.put(s.id(), now);
-        router.members(now, ListForm.UPDATE, List.of(new Server(s.id(), s.zone(), s.kind(), s.cell(),
-                random.nextBoolean() ? ServerState.DRAINING : ServerState.GONE, 1, 0)));
+        router.members(
+                now,
+                ListForm.UPDATE,
+                List.of(
+                        new Server(
+                                s.id(),
+                                s.zone(),
+                                s.kind(),
+                                s.cell(),
+                                random.nextBoolean() ? ServerState.DRAINING : ServerState.GONE,
+                                1,
+                                0)));
     }
 
-    // ---- Engines ------------------------------------------------------------------------------------------
+    // ---- Engines
+    // ------------------------------------------------------------------------------------------
 
     private void take(Command given) {
         Command order = sabotage.apply(given);
@@ -211,12 +237,15 @@
     }
 
     private void later(long delay, AttemptId id, Runnable what) {
-        world.set(now + delay, () -> {
-            // A carrier reports nothing of what it was told to drop; sometimes word is on its way already.
-            if (isOut(id) || random.nextInt(3) == 0) {
-                what.run();
-            }
-        });
+        world.set(
+                now + delay,
+                () -> {
+                    // A carrier reports nothing of what it was told to drop; sometimes word is on
+                    // its way already.
+                    if (isOut(id) || random.nextInt(3) == 0) {
+                        what.run();
+                    }
+                });
     }
 
     private Outcome trouble() {
@@ -236,13 +265,16 @@
             later(took, o.attempt(), () -> lose(o.attempt(), trouble(), 0));
         } else if (luck >= trouble * 0.7) {
             String state = "s" + states++;
-            later(took, o.attempt(), () -> {
-                if (isOut(o.attempt())) {
-                    held.put(state, new HeldState(o.name(), now));
-                }
-                end(o.attempt());
-                router.readDone(now, o.attempt(), state, random.nextInt(100), Load.NONE);
-            });
+            later(
+                    took,
+                    o.attempt(),
+                    () -> {
+                        if (isOut(o.attempt())) {
+                            held.put(state, new HeldState(o.name(), now));
+                        }
+                        end(o.attempt());
+                        router.readDone(now, o.attempt(), state, random.nextInt(100), Load.NONE);
+                    });
         }
     }
 
@@ -259,10 +291,13 @@
                 run(o);
             }
         } else if (luck < trouble * 0.4) {
-            later(took, o.attempt(), () -> {
-                held.remove(stateOf.get(o.attempt()));
-                lose(o.attempt(), Outcome.FULL, 1);
-            });
+            later(
+                    took,
+                    o.attempt(),
+                    () -> {
+                        held.remove(stateOf.get(o.attempt()));
+                        lose(o.attempt(), Outcome.FULL, 1);
+                    });
         } else if (luck >= trouble * 0.6) {
             run(o);
             tokens(o, o.fromToken(), took);
@@ -277,7 +312,8 @@
         }
         String cell = o.engine().equals("w1") ? "1" : "0";
         String first = cells.putIfAbsent(o.name(), cell);
-        if (o.call().cls() == Fleet.KEYED && (first != null && !first.equals(cell) || o.fromToken() > 0)) {
+        if (o.call().cls() == Fleet.KEYED
+                && (first != null && !first.equals(cell) || o.fromToken() > 0)) {
             broken.add("rule 2: a keyed request ran in two cells");
         }
     }
@@ -286,46 +322,60 @@
     private final Map<String, String> cells = new HashMap<>();
 
     private void tokens(Command.Write o, int index, long delay) {
-        later(delay, o.attempt(), () -> {
-            held.remove(stateOf.get(o.attempt()));
-            double luck = random.nextDouble();
-            int most = o.call().maxTokens();
-            if (luck < trouble * 0.02) {
-                lose(o.attempt(), random.nextBoolean() ? Outcome.ERROR : Outcome.RESET, 0);
-            } else if (luck < trouble * 0.04) {
-                return;
-            } else if (luck < trouble * 0.06) {
-                router.token(now, o.attempt(), index + 1 + random.nextInt(3), "x", null);
-                tokens(o, index, 1000);
-            } else if (index >= most || index > o.fromToken() && random.nextInt(12) == 0) {
-                end(o.attempt());
-                router.streamDone(now, o.attempt(), random.nextDouble() < trouble * 0.1 ? index + 1 : index, 0,
-                        Load.NONE);
-                router.token(now, o.attempt(), index, "after", null);
-            } else {
-                router.token(now, o.attempt(), index, "t", null);
-                tokens(o, index + 1, 1000 + random.nextLong(60_000));
-            }
-        });
+        later(
+                delay,
+                o.attempt(),
+                () -> {
+                    held.remove(stateOf.get(o.attempt()));
+                    double luck = random.nextDouble();
+                    int most = o.call().maxTokens();
+                    if (luck < trouble * 0.02) {
+                        lose(o.attempt(), random.nextBoolean() ? Outcome.ERROR : Outcome.RESET, 0);
+                    } else if (luck < trouble * 0.04) {
+                        return;
+                    } else if (luck < trouble * 0.06) {
+                        router.token(now, o.attempt(), index + 1 + random.nextInt(3), "x", null);
+                        tokens(o, index, 1000);
+                    } else if (index >= most || index > o.fromToken() && random.nextInt(12) == 0) {
+                        end(o.attempt());
+                        router.streamDone(
+                                now,
+                                o.attempt(),
+                                random.nextDouble() < trouble * 0.1 ? index + 1 : index,
+                                0,
+                                Load.NONE);
+                        router.token(now, o.attempt(), index, "after", null);
+                    } else {
+                        router.token(now, o.attempt(), index, "t", null);
+                        tokens(o, index + 1, 1000 + random.nextLong(60_000));
+                    }
+                });
     }
 
     /** Rule 5: a state that no attempt waits for is taken or let go in time. */
     private void check() {
         if (router.sendsWithoutOutcome() != router.attemptsOut()) {
-            broken.add("a send has not exactly one outcome: " + router.sendsWithoutOutcome() + " are without, "
-                    + router.attemptsOut() + " are out");
+            broken.add(
+                    "a send has not exactly one outcome: "
+                            + router.sendsWithoutOutcome()
+                            + " are without, "
+                            + router.attemptsOut()
+                            + " are out");
         }
-        held.forEach((state, h) -> {
-            if (outBy.getOrDefault(h.name(), 0) == 0 && now - Math.max(h.since(), lastOut.getOrDefault(h.name(), 0L))
-                    > Fleet.RELEASE) {
-                broken.add("rule 5: " + state + " pinned");
-            }
-        });
-        outBy.forEach((name, n) -> {
-            if (n > 0) {
-                lastOut.put(name, now);
-            }
-        });
+        held.forEach(
+                (state, h) -> {
+                    if (outBy.getOrDefault(h.name(), 0) == 0
+                            && now - Math.max(h.since(), lastOut.getOrDefault(h.name(), 0L))
+                                    > Fleet.RELEASE) {
+                        broken.add("rule 5: " + state + " pinned");
+                    }
+                });
+        outBy.forEach(
+                (name, n) -> {
+                    if (n > 0) {
+                        lastOut.put(name, now);
+                    }
+                });
     }
 
     private final Map<String, Long> lastOut = new HashMap<>();
--- a/core/src/test/java/sorrelhoist/core/life/HistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/life/HistoriesTest.java
@@ -7,7 +7,10 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Seeded random histories against the rules, and the same with broken transitions, which must be caught. */
+/**
+ * Seeded random histories against the rules, and the same with broken transitions, which must be
+ * caught.
+ */
 class HistoriesTest {
     private static final int COUNT = Integer.getInteger("histories", 3000);
 
@@ -24,7 +27,15 @@
             refused += h.refused;
             failed += h.failed;
         }
-        System.out.println(COUNT + " histories: " + served + " served, " + refused + " refused, " + failed + " failed");
+        System.out.println(
+                COUNT
+                        + " histories: "
+                        + served
+                        + " served, "
+                        + refused
+                        + " refused, "
+                        + failed
+                        + " failed");
         assertTrue(served > COUNT && refused > COUNT / 20 && failed > COUNT / 100);
     }
 
@@ -43,8 +54,12 @@
     void brokenTransitionsAreCaught() {
         caught("rule 1: no answer", o -> o instanceof Command.Finish ? null : o);
         caught("rule 5: ", o -> o instanceof Command.Release ? null : o);
-        caught("a token lost or doubled", o -> o instanceof Command.Deliver d
-                ? new Command.Deliver(d.client(), d.index() / 2, d.text(), null) : o);
+        caught(
+                "a token lost or doubled",
+                o ->
+                        o instanceof Command.Deliver d
+                                ? new Command.Deliver(d.client(), d.index() / 2, d.text(), null)
+                                : o);
         caught("rule 2: two attempts out", o -> o instanceof Command.Drop ? null : o);
     }
 }
--- a/core/src/test/java/sorrelhoist/core/life/OpaqueStreamsTest.java
+++ b/core/src/test/java/sorrelhoist/core/life/OpaqueStreamsTest.java
@@ -12,16 +12,36 @@
 import sorrelhoist.Routing.*;
 import sorrelhoist.core.reservation.ReleaseReach;
 
-/** A router whose answers are events of its engines, and whose clients come again for the rest by themselves. */
+/**
+ * A router whose answers are events of its engines, and whose clients come again for the rest by
+ * themselves.
+ */
 class OpaqueStreamsTest {
     private static final long SILENCE = 4 * Fleet.SECOND;
     private final List<Command> orders = new ArrayList<>();
-    private final Router router = new Router(new RouterSettings("edge", 1, Fleet.decide(true),
-            List.of(Long.MAX_VALUE / 4, 0L, 0L), List.of(0L, 0L, 0L), 0, false, Fleet.STALL, 100, 7,
-            new Streams(true, false, SILENCE, true), ReleaseReach.ANY_ENGINE), orders::add);
+    private final Router router =
+            new Router(
+                    new RouterSettings(
+                            "edge",
+                            1,
+                            Fleet.decide(true),
+                            List.of(Long.MAX_VALUE / 4, 0L, 0L),
+                            List.of(0L, 0L, 0L),
+                            0,
+                            false,
+                            Fleet.STALL,
+                            100,
+                            7,
+                            new Streams(true, false, SILENCE, true),
+                            ReleaseReach.ANY_ENGINE),
+                    orders::add);
 
     private <T extends Command> T last(Class<T> type) {
-        return orders.stream().filter(type::isInstance).map(type::cast).reduce((a, b) -> b).orElseThrow();
+        return orders.stream()
+                .filter(type::isInstance)
+                .map(type::cast)
+                .reduce((a, b) -> b)
+                .orElseThrow();
     }
 
     private long count(Class<? extends Command> type) {
--- a/core/src/test/java/sorrelhoist/core/life/ReservationOrdersTest.java
+++ b/core/src/test/java/sorrelhoist/core/life/ReservationOrdersTest.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** All orders of two and three events around one request: nothing stays reserved beyond the limit in any of them. */
+/**
+ * All orders of two and three events around one request: nothing stays reserved beyond the limit in
+ * any of them.
+ */
 class ReservationOrdersTest {
     private static int runs;
 
@@ -42,11 +45,20 @@
         }
     }
 
-    private static void play(List<ReservationWorld.Happening> events, ReservationWorld.Tail tail, boolean writersRead,
+    private static void play(
+            List<ReservationWorld.Happening> events,
+            ReservationWorld.Tail tail,
+            boolean writersRead,
             List<String> broken) {
         runs++;
         for (String fault : new ReservationWorld(tail, writersRead).play(events)) {
-            broken.add(events + " then " + tail + (writersRead ? ", writers read" : "") + ": " + fault);
+            broken.add(
+                    events
+                            + " then "
+                            + tail
+                            + (writersRead ? ", writers read" : "")
+                            + ": "
+                            + fault);
         }
     }
 }
