--- a/core/src/test/java/sorrelhoist/core/life/ReservationWorld.java
+++ b/core/src/test/java/sorrelhoist/core/life/ReservationWorld.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sorrelhoist.Routing.ListForm;
 import sorrelhoist.Routing.Limits;
+import sorrelhoist.Routing.ListForm;
 import sorrelhoist.Routing.Load;
 import sorrelhoist.Routing.Outcome;
 import sorrelhoist.Routing.Server;
@@ -18,20 +18,45 @@
 import sorrelhoist.core.time.Alarms;
 
 /**
- * Workers of the operators' platform around one router, in virtual time: they keep what reads leave under the request's
- * id, and any of them releases it. Told in which order what happens, it reports each moment in which something was held
- * for longer than the limit while no attempt of the request was with a worker.
+ * Workers of the operators' platform around one router, in virtual time: they keep what reads leave
+ * under the request's id, and any of them releases it. Told in which order what happens, it reports
+ * each moment in which something was held for longer than the limit while no attempt of the request
+ * was with a worker.
  */
 final class ReservationWorld {
-    /** What can happen. Those that concern no attempt that is out change what becomes of the next one. */
+    /**
+     * What can happen. Those that concern no attempt that is out change what becomes of the next
+     * one.
+     */
     enum Happening {
-        READ_ENDS, READ_LOST, READ_ENDS_AND_IS_LOST, READ_ENDS_AS_IT_IS_DROPPED, READ_ENDS_LONG_AFTER_ITS_DROP,
-        WRITER_FULL, STATE_NOT_FETCHED, WRITER_RESET, WRITER_ERROR, NEXT_UNREACHABLE, NEXT_CONNECTION_HANGS, NEXT_READ_SWALLOWED, TIME_PASSES,
-        CLIENT_GONE, DEADLINE, SAME_ID_AGAIN, RELEASE_LOST, RELEASE_REFUSED, RELEASE_SLOW, WORKER_GONE
+        READ_ENDS,
+        READ_LOST,
+        READ_ENDS_AND_IS_LOST,
+        READ_ENDS_AS_IT_IS_DROPPED,
+        READ_ENDS_LONG_AFTER_ITS_DROP,
+        WRITER_FULL,
+        STATE_NOT_FETCHED,
+        WRITER_RESET,
+        WRITER_ERROR,
+        NEXT_UNREACHABLE,
+        NEXT_CONNECTION_HANGS,
+        NEXT_READ_SWALLOWED,
+        TIME_PASSES,
+        CLIENT_GONE,
+        DEADLINE,
+        SAME_ID_AGAIN,
+        RELEASE_LOST,
+        RELEASE_REFUSED,
+        RELEASE_SLOW,
+        WORKER_GONE
     }
 
     /** What becomes of attempts once all that was to happen has happened. */
-    enum Tail { SERVED, FULL, SILENT }
+    enum Tail {
+        SERVED,
+        FULL,
+        SILENT
+    }
 
     private static final String ID = "a";
     private static final long BUDGET = 2 * Fleet.SECOND;
@@ -41,7 +66,12 @@
     private static final long RELEASE_ARRIVES = 3000;
     private static final long SLOW_RELEASE_ARRIVES = 100_000;
 
-    private enum Connecting { STANDS, FAILS, HANGS, SWALLOWS }
+    private enum Connecting {
+        STANDS,
+        FAILS,
+        HANGS,
+        SWALLOWS
+    }
 
     private static final class Out {
         final AttemptId id;
@@ -78,14 +108,44 @@
         this.tail = tail;
         Settings small = Fleet.decide(true);
         Limits limits = small.limits();
-        Settings settings = new Settings(small.routers(), small.self(), small.zone(), small.asksDiscovery(),
-                small.overShareWorth(), small.reports(), small.classes(), small.tenants(), small.kinds(),
-                new Limits(limits.maxAttempts(), limits.cancel(), limits.probes(), limits.backoffHints(),
-                        limits.maxBackoffMicros(), writersRead, limits.tells(), limits.probePrice(), limits.tellPrice()),
-                small.rules());
-        router = new Router(new RouterSettings("router", 1, settings, List.of(BUDGET, BUDGET, BUDGET),
-                List.of(0L, 0L, 0L), 0, false, Fleet.STALL, 100, 7, new Streams(true, false, Fleet.SECOND, true),
-                ReleaseReach.ANY_ENGINE), this::take);
+        Settings settings =
+                new Settings(
+                        small.routers(),
+                        small.self(),
+                        small.zone(),
+                        small.asksDiscovery(),
+                        small.overShareWorth(),
+                        small.reports(),
+                        small.classes(),
+                        small.tenants(),
+                        small.kinds(),
+                        new Limits(
+                                limits.maxAttempts(),
+                                limits.cancel(),
+                                limits.probes(),
+                                limits.backoffHints(),
+                                limits.maxBackoffMicros(),
+                                writersRead,
+                                limits.tells(),
+                                limits.probePrice(),
+                                limits.tellPrice()),
+                        small.rules());
+        router =
+                new Router(
+                        new RouterSettings(
+                                "router",
+                                1,
+                                settings,
+                                List.of(BUDGET, BUDGET, BUDGET),
+                                List.of(0L, 0L, 0L),
+                                0,
+                                false,
+                                Fleet.STALL,
+                                100,
+                                7,
+                                new Streams(true, false, Fleet.SECOND, true),
+                                ReleaseReach.ANY_ENGINE),
+                        this::take);
         router.members(0, ListForm.COMPLETE, Fleet.servers());
     }
 
@@ -113,7 +173,10 @@
 
     private void arrive() {
         answered = false;
-        client = router.arrived(now, new Call(ID, Fleet.SAFE, 0, "s", "p", 50, "x", 100, 10, BUDGET, 0, null));
+        client =
+                router.arrived(
+                        now,
+                        new Call(ID, Fleet.SAFE, 0, "s", "p", 50, "x", 100, 10, BUDGET, 0, null));
     }
 
     private void passTo(long time) {
@@ -141,7 +204,8 @@
         heldSince = now;
     }
 
-    // ---- What happens -------------------------------------------------------------------------------------
+    // ---- What happens
+    // -------------------------------------------------------------------------------------
 
     private void happen(Happening event) {
         Out attempt = out.values().stream().findFirst().orElse(null);
@@ -205,10 +269,23 @@
             case RELEASE_LOST, RELEASE_REFUSED, RELEASE_SLOW -> releases.add(event);
             case WORKER_GONE -> {
                 if (attempt != null && gone.add(attempt.engine)) {
-                    Server server = Fleet.servers().stream().filter(s -> s.id().equals(attempt.engine)).findFirst()
-                            .orElseThrow();
-                    router.members(now, ListForm.UPDATE, List.of(new Server(server.id(), server.zone(), server.kind(),
-                            server.cell(), ServerState.GONE, server.size(), 0)));
+                    Server server =
+                            Fleet.servers().stream()
+                                    .filter(s -> s.id().equals(attempt.engine))
+                                    .findFirst()
+                                    .orElseThrow();
+                    router.members(
+                            now,
+                            ListForm.UPDATE,
+                            List.of(
+                                    new Server(
+                                            server.id(),
+                                            server.zone(),
+                                            server.kind(),
+                                            server.cell(),
+                                            ServerState.GONE,
+                                            server.size(),
+                                            0)));
                     if (attempt.reached) {
                         lose(attempt, Outcome.RESET, 0);
                     }
@@ -229,7 +306,9 @@
         router.attemptLost(now, attempt.id, outcome, note, Load.NONE);
     }
 
-    /** The time of what is held counts from the last outcome of an attempt that was with a worker. */
+    /**
+     * The time of what is held counts from the last outcome of an attempt that was with a worker.
+     */
     private void end(Out attempt) {
         out.remove(attempt.id);
         if (attempt.reached) {
@@ -242,33 +321,41 @@
     }
 
     private void playTail(Out attempt) {
-        world.set(now + STEP, () -> {
-            if (!isOut(attempt) || !attempt.reached || tail == Tail.SILENT || attempt.streaming) {
-                return;
-            }
-            if (tail == Tail.FULL) {
-                lose(attempt, Outcome.FULL, 0);
-            } else if (attempt.read) {
-                readEnds(attempt);
-            } else {
-                stream(attempt);
-            }
-        });
+        world.set(
+                now + STEP,
+                () -> {
+                    if (!isOut(attempt)
+                            || !attempt.reached
+                            || tail == Tail.SILENT
+                            || attempt.streaming) {
+                        return;
+                    }
+                    if (tail == Tail.FULL) {
+                        lose(attempt, Outcome.FULL, 0);
+                    } else if (attempt.read) {
+                        readEnds(attempt);
+                    } else {
+                        stream(attempt);
+                    }
+                });
     }
 
     private void stream(Out attempt) {
         held = false;
         attempt.streaming = true;
         router.event(now, attempt.id, new Object());
-        world.set(now + STEP, () -> {
-            if (isOut(attempt)) {
-                end(attempt);
-                router.streamWhole(now, attempt.id, 0, Load.NONE);
-            }
-        });
+        world.set(
+                now + STEP,
+                () -> {
+                    if (isOut(attempt)) {
+                        end(attempt);
+                        router.streamWhole(now, attempt.id, 0, Load.NONE);
+                    }
+                });
     }
 
-    // ---- What the router orders ---------------------------------------------------------------------------
+    // ---- What the router orders
+    // ---------------------------------------------------------------------------
 
     private void take(Command order) {
         if (order instanceof Command.Read o) {
@@ -291,7 +378,8 @@
             faults.add("two attempts at once");
         }
         Connecting connecting = gone.contains(attempt.engine) ? Connecting.FAILS : next;
-        // A writer's connection that swallows the request is not played: see the incident of states of lost reads.
+        // A writer's connection that swallows the request is not played: see the incident of states
+        // of lost reads.
         if (connecting == Connecting.SWALLOWS && !attempt.read) {
             connecting = Connecting.STANDS;
         } else {
@@ -302,21 +390,25 @@
         if (connecting == Connecting.SWALLOWS) {
             router.attemptWritten(now, attempt.id);
         } else if (connecting == Connecting.STANDS) {
-            world.set(now + SOON, () -> {
-                if (isOut(attempt)) {
-                    attempt.reached = true;
-                    router.attemptWritten(now, attempt.id);
-                    if (!scripted) {
-                        playTail(attempt);
-                    }
-                }
-            });
+            world.set(
+                    now + SOON,
+                    () -> {
+                        if (isOut(attempt)) {
+                            attempt.reached = true;
+                            router.attemptWritten(now, attempt.id);
+                            if (!scripted) {
+                                playTail(attempt);
+                            }
+                        }
+                    });
         } else if (connecting == Connecting.FAILS) {
-            world.set(now + CONNECT_LIMIT, () -> {
-                if (isOut(attempt)) {
-                    lose(attempt, Outcome.CONNECT_FAILED, 0);
-                }
-            });
+            world.set(
+                    now + CONNECT_LIMIT,
+                    () -> {
+                        if (isOut(attempt)) {
+                            lose(attempt, Outcome.CONNECT_FAILED, 0);
+                        }
+                    });
         }
     }
 
@@ -337,16 +429,18 @@
             return;
         }
         long arrives = fate == Happening.RELEASE_SLOW ? SLOW_RELEASE_ARRIVES : RELEASE_ARRIVES;
-        world.set(now + arrives, () -> {
-            if (abandoned.contains(o.id())) {
-                return;
-            }
-            if (fate == Happening.RELEASE_REFUSED) {
-                router.releaseEnded(now, o.id(), false);
-                return;
-            }
-            held = false;
-            world.set(now + RELEASE_ARRIVES, () -> router.releaseEnded(now, o.id(), true));
-        });
+        world.set(
+                now + arrives,
+                () -> {
+                    if (abandoned.contains(o.id())) {
+                        return;
+                    }
+                    if (fate == Happening.RELEASE_REFUSED) {
+                        router.releaseEnded(now, o.id(), false);
+                        return;
+                    }
+                    held = false;
+                    world.set(now + RELEASE_ARRIVES, () -> router.releaseEnded(now, o.id(), true));
+                });
     }
 }
--- a/core/src/test/java/sorrelhoist/core/life/RouterBench.java
+++ b/core/src/test/java/sorrelhoist/core/life/RouterBench.java
@@ -19,7 +19,10 @@
 import sorrelhoist.core.record.Recorder;
 import sorrelhoist.core.record.Tap;
 
-/** What a whole request costs the router, from its arrival to its answer of two tokens, with and without a recorder. */
+/**
+ * What a whole request costs the router, from its arrival to its answer of two tokens, with and
+ * without a recorder.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -30,6 +33,7 @@
     /** Off, or recording into chunks that are dropped at once. */
     @Param({"off", "on"})
     public String recorder;
+
     private final Call[] calls = new Call[64];
     private Router router;
     private AttemptId last;
@@ -42,16 +46,33 @@
     @Setup
     public void fleet() {
         RouterSettings s = Fleet.settings(true, true, 3);
-        Tap tap = recorder.equals("off") ? Tap.NONE : new Recorder(new Entry.Started("bench", s.name(), s.incarnation(),
-                s.decide(), s.seed()), chunk -> {
-            chunkBytes += chunk.length;
-            return true;
-        });
+        Tap tap =
+                recorder.equals("off")
+                        ? Tap.NONE
+                        : new Recorder(
+                                new Entry.Started(
+                                        "bench", s.name(), s.incarnation(), s.decide(), s.seed()),
+                                chunk -> {
+                                    chunkBytes += chunk.length;
+                                    return true;
+                                });
         router = new Router(s, this::take, tap);
         router.members(now, ListForm.COMPLETE, Fleet.servers());
         for (int i = 0; i < calls.length; i++) {
-            calls[i] = new Call("client-" + i, 0, 0, "session-" + i, "prefix-" + i % 8, 50, "x".repeat(1000), 250, 2,
-                    4_000_000, 0, null);
+            calls[i] =
+                    new Call(
+                            "client-" + i,
+                            0,
+                            0,
+                            "session-" + i,
+                            "prefix-" + i % 8,
+                            50,
+                            "x".repeat(1000),
+                            250,
+                            2,
+                            4_000_000,
+                            0,
+                            null);
         }
     }
 
@@ -80,12 +101,16 @@
     /** Says what a request takes in the record. */
     @org.openjdk.jmh.annotations.TearDown
     public void say() {
-        System.out.println(recorder + ": " + chunkBytes / Math.max(1, requests) + " bytes a request");
+        System.out.println(
+                recorder + ": " + chunkBytes / Math.max(1, requests) + " bytes a request");
     }
 
     /** Runs this alone. */
     public static void main(String[] args) throws RunnerException {
-        new org.openjdk.jmh.runner.Runner(new org.openjdk.jmh.runner.options.OptionsBuilder()
-                .include(RouterBench.class.getSimpleName()).build()).run();
+        new org.openjdk.jmh.runner.Runner(
+                        new org.openjdk.jmh.runner.options.OptionsBuilder()
+                                .include(RouterBench.class.getSimpleName())
+                                .build())
+                .run();
     }
 }
--- a/core/src/test/java/sorrelhoist/core/life/RouterTest.java
+++ b/core/src/test/java/sorrelhoist/core/life/RouterTest.java
@@ -52,8 +52,24 @@
     void enginesThatLeftAreForgottenHoweverTheListSaysIt() {
         Server first = Fleet.servers().get(0);
         for (int i = 0; i < 1000; i++) {
-            Server fresh = new Server("n" + i, first.zone(), first.kind(), first.cell(), ServerState.SERVING, 1, 0);
-            Server left = new Server("n" + (i - 1), first.zone(), first.kind(), first.cell(), ServerState.GONE, 1, 0);
+            Server fresh =
+                    new Server(
+                            "n" + i,
+                            first.zone(),
+                            first.kind(),
+                            first.cell(),
+                            ServerState.SERVING,
+                            1,
+                            0);
+            Server left =
+                    new Server(
+                            "n" + (i - 1),
+                            first.zone(),
+                            first.kind(),
+                            first.cell(),
+                            ServerState.GONE,
+                            1,
+                            0);
             router.members(i, ListForm.UPDATE, List.of(left, fresh));
         }
         assertEquals(Fleet.servers().size() + 1, router.engines());
@@ -116,7 +132,10 @@
         nothingLeft();
     }
 
-    /** Decide goes back to a reader after a writer's error, with the first state still at its reader. */
+    /**
+     * Decide goes back to a reader after a writer's error, with the first state still at its
+     * reader.
+     */
     @Test
     void aStateIsLetGoWhenThePromptIsReadAnew() {
         Command.Write w = placed(0, Fleet.SAFE, 10, 0);
@@ -142,7 +161,9 @@
         assertEquals(2, on.fromToken());
         router.token(60_000, on.attempt(), 2, "c ", null);
         router.streamDone(70_000, on.attempt(), 3, 0, Load.NONE);
-        assertEquals(List.of(0, 1, 2), all(Command.Deliver.class).stream().map(Command.Deliver::index).toList());
+        assertEquals(
+                List.of(0, 1, 2),
+                all(Command.Deliver.class).stream().map(Command.Deliver::index).toList());
         assertEquals(1, all(Command.Finish.class).size());
         assertEquals(new Answer.Served(3), last(Command.Finish.class).answer());
         nothingLeft();
@@ -215,7 +236,8 @@
         }
         assertEquals(0, all(Command.Finish.class).size());
         router.advance(Fleet.SECOND - Fleet.MARGIN);
-        Answer.Failed failed = assertInstanceOf(Answer.Failed.class, last(Command.Finish.class).answer());
+        Answer.Failed failed =
+                assertInstanceOf(Answer.Failed.class, last(Command.Finish.class).answer());
         assertTrue(failed.late());
         nothingLeft();
     }
@@ -296,17 +318,20 @@
 
     @Test
     void aRequestWhoseArrivalCouldNotBeTakenIsAnsweredByTheEndOfItsTime() {
-        Tap failing = new Tap() {
-            @Override
-            public void told(long at, Event event, List<Action> actions) {
-                if (event instanceof Arrived) {
-                    throw new IllegalStateException("a fault of the program's own");
-                }
-            }
-        };
+        Tap failing =
+                new Tap() {
+                    @Override
+                    public void told(long at, Event event, List<Action> actions) {
+                        if (event instanceof Arrived) {
+                            throw new IllegalStateException("a fault of the program's own");
+                        }
+                    }
+                };
         Router faulty = new Router(Fleet.settings(true, true, 7), orders::add, failing);
         faulty.members(0, ListForm.COMPLETE, Fleet.servers());
-        assertThrows(IllegalStateException.class, () -> faulty.arrived(0, Fleet.call(Fleet.SAFE, 10, Fleet.SECOND)));
+        assertThrows(
+                IllegalStateException.class,
+                () -> faulty.arrived(0, Fleet.call(Fleet.SAFE, 10, Fleet.SECOND)));
         assertEquals(1, faulty.open());
         faulty.advance(Fleet.SECOND + Fleet.SECOND / 2);
         assertInstanceOf(Answer.Failed.class, last(Command.Finish.class).answer());
@@ -317,13 +342,16 @@
     @Test
     void anOrderThatCannotBeCarriedOutTakesNoOtherWithIt() {
         boolean[] failed = new boolean[1];
-        Router faulty = new Router(Fleet.settings(true, true, 7), order -> {
-            if (order instanceof Command.Drop && !failed[0]) {
-                failed[0] = true;
-                throw new IllegalStateException("a fault of the program's own");
-            }
-            orders.add(order);
-        });
+        Router faulty =
+                new Router(
+                        Fleet.settings(true, true, 7),
+                        order -> {
+                            if (order instanceof Command.Drop && !failed[0]) {
+                                failed[0] = true;
+                                throw new IllegalStateException("a fault of the program's own");
+                            }
+                            orders.add(order);
+                        });
         faulty.members(0, ListForm.COMPLETE, Fleet.servers());
         for (int i = 0; i < 3; i++) {
             faulty.arrived(i, Fleet.call(Fleet.SAFE, 10, Fleet.SECOND));
@@ -348,7 +376,8 @@
         router.readDone(30_000, last(Command.Read.class).attempt(), "s2", 0, Load.NONE);
         Command.Write second = last(Command.Write.class);
         assertNotEquals(first.attempt(), second.attempt());
-        // Sent at 10 ms, when the read had ended; the window of the class is two seconds, and the carrier may be held up
+        // Sent at 10 ms, when the read had ended; the window of the class is two seconds, and the
+        // carrier may be held up
         // for 150 ms between its clock and its bytes.
         assertEquals(10_000 + 2 * Fleet.SECOND - 150_000, second.sendBy());
     }
@@ -415,7 +444,10 @@
         Command.Read again = last(Command.Read.class);
         assertNotEquals(0, again.attempt().number());
         router.readDone(3 * Fleet.SECOND, again.attempt(), "s2", 0, Load.NONE);
-        assertEquals(Long.MAX_VALUE, last(Command.Write.class).sendBy(), "no window runs for what never ran");
+        assertEquals(
+                Long.MAX_VALUE,
+                last(Command.Write.class).sendBy(),
+                "no window runs for what never ran");
     }
 
     @Test
--- a/core/src/test/java/sorrelhoist/core/members/MembersTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/MembersTest.java
@@ -18,12 +18,18 @@
     private static final long S = 1_000_000;
 
     private static Instance instance(String id, String status, long startedMs) {
-        return new Instance("ENGINES", id, status, "127.0.0.1:1", Map.of("zone", "a", "rack", "r", "kind", "prefill",
-                "started-ms", "" + startedMs));
+        return new Instance(
+                "ENGINES",
+                id,
+                status,
+                "127.0.0.1:1",
+                Map.of("zone", "a", "rack", "r", "kind", "prefill", "started-ms", "" + startedMs));
     }
 
-    private static EngineTable.Entry entry(String id, ServerState state, long incarnation, long upFor) {
-        return new EngineTable.Entry(id, "a", "r", "prefill", state, 1, incarnation, upFor, "127.0.0.1:1");
+    private static EngineTable.Entry entry(
+            String id, ServerState state, long incarnation, long upFor) {
+        return new EngineTable.Entry(
+                id, "a", "r", "prefill", state, 1, incarnation, upFor, "127.0.0.1:1");
     }
 
     @Test
@@ -32,7 +38,9 @@
         assertFalse(view.isComplete());
         view.full(List.of(instance("a", "UP", 0), instance("b", "UP", 0)));
         assertEquals("UP_2_", view.hashCodeText());
-        assertTrue(view.delta(List.of(new Change("MODIFIED", instance("b", "DOWN", 0))), "DOWN_1_UP_1_"));
+        assertTrue(
+                view.delta(
+                        List.of(new Change("MODIFIED", instance("b", "DOWN", 0))), "DOWN_1_UP_1_"));
         assertTrue(view.delta(List.of(new Change("DELETED", instance("b", "DOWN", 0))), "UP_1_"));
         assertFalse(view.delta(List.of(), "UP_2_"));
         assertFalse(view.isComplete());
@@ -43,12 +51,17 @@
     @Test
     void statesAreReadFromStatusAndAbsence() {
         RosterBook book = new RosterBook(10 * S);
-        List<RosterBook.Line> first = book.take(S, List.of(instance("a", "UP", 0), instance("b", "STARTING", 0)));
+        List<RosterBook.Line> first =
+                book.take(S, List.of(instance("a", "UP", 0), instance("b", "STARTING", 0)));
         assertEquals(1, first.size());
         assertEquals(0, book.take(2 * S, List.of(instance("a", "UP", 0))).size());
         assertEquals(1, book.epoch());
-        assertEquals(ServerState.DRAINING, book.take(3 * S, List.of(instance("a", "OUT_OF_SERVICE", 0))).get(0)
-                .entry().state());
+        assertEquals(
+                ServerState.DRAINING,
+                book.take(3 * S, List.of(instance("a", "OUT_OF_SERVICE", 0)))
+                        .get(0)
+                        .entry()
+                        .state());
         RosterBook.Line gone = book.take(4 * S, List.of()).get(0);
         assertEquals(ServerState.GONE, gone.entry().state());
         assertEquals(4 * S, gone.learnedAt());
@@ -61,11 +74,19 @@
     @Test
     void aRegistryThatListsNothingIsNotBelievedAtOnce() {
         RosterBook book = new RosterBook(10 * S);
-        book.take(S, List.of(instance("a", "UP", 0), instance("b", "UP", 0), instance("c", "UP", 0)));
+        book.take(
+                S, List.of(instance("a", "UP", 0), instance("b", "UP", 0), instance("c", "UP", 0)));
         assertEquals(0, book.take(2 * S, List.of()).size());
         assertTrue(book.complaints().get(0).contains("vanished"));
-        assertEquals(0, book.take(3 * S, List.of(instance("a", "UP", 0), instance("b", "UP", 0),
-                instance("c", "UP", 0))).size());
+        assertEquals(
+                0,
+                book.take(
+                                3 * S,
+                                List.of(
+                                        instance("a", "UP", 0),
+                                        instance("b", "UP", 0),
+                                        instance("c", "UP", 0)))
+                        .size());
         assertEquals(0, book.take(4 * S, List.of()).size());
         assertEquals(0, book.take(13 * S, List.of()).size());
         assertEquals(3, book.take(14 * S, List.of()).size());
@@ -74,20 +95,40 @@
     @Test
     void metadataThatCannotBeUsedIsSaidAndLeftOut() {
         RosterBook book = new RosterBook(10 * S);
-        assertEquals(0, book.take(0, List.of(new Instance("E", "x", "UP", "127.0.0.1:1", Map.of("zone", "a")),
-                new Instance("E", "y", "UP", "127.0.0.1:1", Map.of("zone", "a", "kind", "k", "size", "big")))).size());
+        assertEquals(
+                0,
+                book.take(
+                                0,
+                                List.of(
+                                        new Instance(
+                                                "E", "x", "UP", "127.0.0.1:1", Map.of("zone", "a")),
+                                        new Instance(
+                                                "E",
+                                                "y",
+                                                "UP",
+                                                "127.0.0.1:1",
+                                                Map.of("zone", "a", "kind", "k", "size", "big"))))
+                        .size());
         assertEquals(2, book.complaints().size());
     }
 
     @Test
     void aStartsTimeMovesOnlyWithItsIncarnation() {
         EngineTable table = new EngineTable(List.of("a"), List.of("prefill"));
-        long since = table.take(100 * S, List.of(entry("e", ServerState.SERVING, 7, 10 * S))).get(0).since();
+        long since =
+                table.take(100 * S, List.of(entry("e", ServerState.SERVING, 7, 10 * S)))
+                        .get(0)
+                        .since();
         assertEquals(90 * S, since);
         // The same process, told again with an age that a slow network has bent.
-        assertEquals(since, table.take(105 * S, List.of(entry("e", ServerState.DRAINING, 7, 14 * S))).get(0).since());
+        assertEquals(
+                since,
+                table.take(105 * S, List.of(entry("e", ServerState.DRAINING, 7, 14 * S)))
+                        .get(0)
+                        .since());
         // It restarted within a second under the same id: later, whatever the ages say.
-        Server again = table.take(106 * S, List.of(entry("e", ServerState.SERVING, 8, 30 * S))).get(0);
+        Server again =
+                table.take(106 * S, List.of(entry("e", ServerState.SERVING, 8, 30 * S))).get(0);
         assertTrue(again.since() > since);
         // Late word of the process before says nothing of the one that runs.
         assertEquals(List.of(), table.take(107 * S, List.of(entry("e", ServerState.GONE, 7, 0))));
--- a/core/src/test/java/sorrelhoist/core/members/WatchPlanTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/WatchPlanTest.java
@@ -12,7 +12,11 @@
     private static final long HEARTBEAT = 2_000_000;
 
     /** What happens to the n-th attempt after the silence: the time until it speaks, or ends. */
-    private enum Fate { SPEAKS, HANGS, REFUSED }
+    private enum Fate {
+        SPEAKS,
+        HANGS,
+        REFUSED
+    }
 
     /** {@return microseconds from the last sign of life until a new watch spoke} */
     private static long replaced(long seed, Fate... fates) {
@@ -50,7 +54,9 @@
             assertTrue(replaced(seed) < WatchPlan.TOLD);
             assertTrue(replaced(seed, Fate.HANGS) < WatchPlan.TOLD);
             long worst = replaced(seed, Fate.HANGS, Fate.HANGS);
-            assertTrue(worst <= WatchPlan.TOLD - WatchPlan.ATTEMPT / 2 + 5 * STEP, worst + " with seed " + seed);
+            assertTrue(
+                    worst <= WatchPlan.TOLD - WatchPlan.ATTEMPT / 2 + 5 * STEP,
+                    worst + " with seed " + seed);
             assertTrue(replaced(seed, Fate.REFUSED, Fate.HANGS, Fate.REFUSED) < WatchPlan.TOLD);
         }
     }
@@ -62,7 +68,9 @@
             java.util.Arrays.fill(away, Fate.REFUSED);
             long first = replaced(seed, away);
             away[39] = Fate.SPEAKS;
-            assertTrue(first - replaced(seed, away) <= WatchPlan.PAUSE + STEP, "the pause stays short");
+            assertTrue(
+                    first - replaced(seed, away) <= WatchPlan.PAUSE + STEP,
+                    "the pause stays short");
         }
     }
 
@@ -144,8 +152,9 @@
     }
 
     /**
-     * Every order of up to five fates of the attempts after a silence, with a change told at each moment between: it has
-     * arrived by the time at which it counts as told, or a watch in use was open that could have brought it.
+     * Every order of up to five fates of the attempts after a silence, with a change told at each
+     * moment between: it has arrived by the time at which it counts as told, or a watch in use was
+     * open that could have brought it.
      */
     @Test
     void inEveryOrderOfFatesTheNextListComesSoonAfterDiscoveryCanBeReached() {
@@ -160,8 +169,13 @@
             while (order[before] != Fate.SPEAKS) {
                 before++;
             }
-            long hung = java.util.Arrays.stream(order, 0, before).filter(f -> f == Fate.HANGS).count();
-            long bound = WatchPlan.SILENCE + hung * WatchPlan.ATTEMPT + before * WatchPlan.PAUSE + (before + 2) * STEP;
+            long hung =
+                    java.util.Arrays.stream(order, 0, before).filter(f -> f == Fate.HANGS).count();
+            long bound =
+                    WatchPlan.SILENCE
+                            + hung * WatchPlan.ATTEMPT
+                            + before * WatchPlan.PAUSE
+                            + (before + 2) * STEP;
             assertTrue(replaced(fates, order) <= bound, "order " + fates);
         }
     }
--- a/core/src/test/java/sorrelhoist/core/record/DangerTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/DangerTest.java
@@ -15,15 +15,20 @@
     private static final long MINUTE = 60_000_000;
     private final List<String> raised = new ArrayList<>();
     private final List<Long> heard = new ArrayList<>();
-    private final Danger danger = new Danger(new Tap() {
-        @Override
-        public void told(long at, Event event, List<Action> actions) {
-            heard.add(at);
-        }
-    }, RELEASE, (at, what) -> raised.add(what));
+    private final Danger danger =
+            new Danger(
+                    new Tap() {
+                        @Override
+                        public void told(long at, Event event, List<Action> actions) {
+                            heard.add(at);
+                        }
+                    },
+                    RELEASE,
+                    (at, what) -> raised.add(what));
 
     private void read(long at, long id) {
-        danger.told(at, new AttemptEnded(id, 0, "r", Outcome.READ, 1, false, 0, Load.NONE), List.of());
+        danger.told(
+                at, new AttemptEnded(id, 0, "r", Outcome.READ, 1, false, 0, Load.NONE), List.of());
     }
 
     private void answered(long at, Entry.End how, long left, Reason.Kind why) {
@@ -38,7 +43,9 @@
         read(1000, 8);
         danger.told(480_000, new TimerFired(8), List.of(new Release(8)));
         assertEquals(1, raised.size());
-        assertTrue(raised.get(0).startsWith("rule five: a state was held for 479 ms of 500"), raised.toString());
+        assertTrue(
+                raised.get(0).startsWith("rule five: a state was held for 479 ms of 500"),
+                raised.toString());
         assertEquals(List.of(1000L, 200_000L, 1000L, 480_000L), heard);
     }
 
--- a/core/src/test/java/sorrelhoist/core/record/RecordTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordTest.java
@@ -15,23 +15,68 @@
 
 /** The record's bytes: exact, bounded, and honest about what is missing. */
 class RecordTest {
-    private static final Settings SETTINGS = new Settings(3, 1, 0, false, 0.5, Reports.IN_OUTCOMES,
-            List.of(new RequestClass(1_000_000, 40_000, 1, Repeat.SAFE, Scope.ALL, 0)), List.of(new Tenant(2.5)),
-            List.of(new Kind(Role.READ, 1000), new Kind(Role.WRITE, 1000)),
-            new Limits(6, true, true, true, 2000, false, true, 0.003, 0.003), new Rules(0.26, 2000, 3, 3000, 500));
-    private static final Entry.Started HEAD = new Entry.Started("0.2.0", "edge-1", 77, SETTINGS, -5);
-
-    private static final List<Entry> ENTRIES = List.of(
-            new Entry.Told(1, new Members(ListForm.COMPLETE, List.of(new Server("r1", 0, 0, 2, ServerState.SERVING, 1.5,
-                    -9))), List.of(new Timer(250_000, 1L << 60), new Follow(true))),
-            new Entry.Asked(2, 5, 4, "edge-1.x.5", "mine", 0x1234567890L, 4_000_000, 0),
-            new Entry.Told(2, new Arrived(5, 0, 0, "s", null, 100, 0, 20, 4_000_000), List.of(new Send(5, "r1",
-                    4_000_002, new Reason(Reason.Kind.UNSEEN, 30_000, 1_004_000, Double.NaN, Double.NaN, Double.NaN,
-                    25_000, "r2", 26_000)))),
-            new Entry.Told(3, new ProbeAnswered("r1", Outcome.DONE, 12, new Load(0.25, Double.NaN, 3, 1e300)), List.of()),
-            new Entry.Told(3, new PeerMessage(2, "x=\u00e9"), List.of(new Log("a"), new Tell(-1, "b"))),
-            new Entry.Answered(9, 4, Entry.End.REFUSED, 0, 123, Reason.compared(Reason.Kind.REPEAT_BUDGET, 0, 1)),
-            new Entry.Marked(10, "here"));
+    private static final Settings SETTINGS =
+            new Settings(
+                    3,
+                    1,
+                    0,
+                    false,
+                    0.5,
+                    Reports.IN_OUTCOMES,
+                    List.of(new RequestClass(1_000_000, 40_000, 1, Repeat.SAFE, Scope.ALL, 0)),
+                    List.of(new Tenant(2.5)),
+                    List.of(new Kind(Role.READ, 1000), new Kind(Role.WRITE, 1000)),
+                    new Limits(6, true, true, true, 2000, false, true, 0.003, 0.003),
+                    new Rules(0.26, 2000, 3, 3000, 500));
+    private static final Entry.Started HEAD =
+            new Entry.Started("0.2.0", "edge-1", 77, SETTINGS, -5);
+
+    private static final List<Entry> ENTRIES =
+            List.of(
+                    new Entry.Told(
+                            1,
+                            new Members(
+                                    ListForm.COMPLETE,
+                                    List.of(
+                                            new Server(
+                                                    "r1", 0, 0, 2, ServerState.SERVING, 1.5, -9))),
+                            List.of(new Timer(250_000, 1L << 60), new Follow(true))),
+                    new Entry.Asked(2, 5, 4, "edge-1.x.5", "mine", 0x1234567890L, 4_000_000, 0),
+                    new Entry.Told(
+                            2,
+                            new Arrived(5, 0, 0, "s", null, 100, 0, 20, 4_000_000),
+                            List.of(
+                                    new Send(
+                                            5,
+                                            "r1",
+                                            4_000_002,
+                                            new Reason(
+                                                    Reason.Kind.UNSEEN,
+                                                    30_000,
+                                                    1_004_000,
+                                                    Double.NaN,
+                                                    Double.NaN,
+                                                    Double.NaN,
+                                                    25_000,
+                                                    "r2",
+                                                    26_000)))),
+                    new Entry.Told(
+                            3,
+                            new ProbeAnswered(
+                                    "r1", Outcome.DONE, 12, new Load(0.25, Double.NaN, 3, 1e300)),
+                            List.of()),
+                    new Entry.Told(
+                            3,
+                            new PeerMessage(2, "x=\u00e9"),
+                            List.of(new Log("a"), new Tell(-1, "b"))),
+                    new Entry.Answered(
+                            9,
+                            4,
+                            Entry.End.REFUSED,
+                            0,
+                            123,
+                            Reason.compared(Reason.Kind.REPEAT_BUDGET, 0, 1)),
+                    new Entry.Marked(10, "here"));
 
     private static byte[] file(int perChunk) {
         List<byte[]> parts = new ArrayList<>(List.of(Chunks.header()));
@@ -92,11 +137,14 @@
         assertTrue(Chunks.read(foreign).foreign());
         foreign = file.clone();
         foreign[7] = '9';
-        assertEquals("a record of another version of the form", Chunks.read(foreign).faults().get(0));
+        assertEquals(
+                "a record of another version of the form", Chunks.read(foreign).faults().get(0));
         assertThrows(Unreadable.class, () -> Tape.of(List.of(Chunks.header())));
     }
 
-    /** Whatever stands behind a right checksum, reading it ends, and costs no more than its length. */
+    /**
+     * Whatever stands behind a right checksum, reading it ends, and costs no more than its length.
+     */
     @Test
     void noiseBehindARightChecksumIsRefused() {
         SplittableRandom random = new SplittableRandom(4);
@@ -109,7 +157,9 @@
             for (int k = 0; k < 3; k++) {
                 chunk[12 + random.nextInt(chunk.length - 12)] = (byte) random.nextInt();
             }
-            long sum = net.openhft.hashing.LongHashFunction.xx3().hashBytes(chunk, 12, chunk.length - 12);
+            long sum =
+                    net.openhft.hashing.LongHashFunction.xx3()
+                            .hashBytes(chunk, 12, chunk.length - 12);
             byte[] framed = new Bytes().four(chunk.length - 12).eight(sum).copy();
             System.arraycopy(framed, 0, chunk, 0, 12);
             byte[] file = new Bytes().raw(Chunks.header(), 8).raw(chunk, chunk.length).copy();
@@ -138,7 +188,9 @@
         assertFalse(tape.isWhole());
         assertEquals(1, tape.gaps().size());
         assertEquals("[4, 10]", Arrays.toString(tape.gaps().get(0)));
-        assertEquals(List.of(0L, 1L, 2L, 3L, 10L, 11L), tape.lines().stream().map(Tape.Line::number).toList());
+        assertEquals(
+                List.of(0L, 1L, 2L, 3L, 10L, 11L),
+                tape.lines().stream().map(Tape.Line::number).toList());
         assertTrue(Chunks.read(file).chunks().get(2).entries().contains(new Entry.Lost(6)));
     }
 
@@ -148,23 +200,22 @@
         assertEquals(ENTRIES, entries(Tape.of(List.of(file, file))));
     }
 
-    record Before(long a, String b) {
-    }
+    record Before(long a, String b) {}
 
-    record After(long a, String b, double c, Reason why, List<String> d) {
-    }
+    record After(long a, String b, double c, Reason why, List<String> d) {}
 
-    private static final RecordForm.Texts PLAIN = new RecordForm.Texts() {
-        @Override
-        public void write(Bytes out, String text) {
-            out.text(text == null ? "" : text);
-        }
+    private static final RecordForm.Texts PLAIN =
+            new RecordForm.Texts() {
+                @Override
+                public void write(Bytes out, String text) {
+                    out.text(text == null ? "" : text);
+                }
 
-        @Override
-        public String read(Input in) throws Unreadable {
-            return in.text();
-        }
-    };
+                @Override
+                public String read(Input in) throws Unreadable {
+                    return in.text();
+                }
+            };
 
     @Test
     void buildsThatDifferByAFieldReadEachOther() throws Unreadable {
@@ -173,9 +224,14 @@
         After read = RecordForm.of(After.class).read(new Input(old.copy(), 0, old.size()), PLAIN);
         assertEquals(new After(-3, "x", Double.NaN, Reason.UNKNOWN, List.of()), read);
         Bytes later = new Bytes();
-        RecordForm.of(After.class).write(later, new After(9, "y", 0.5, Reason.of(Reason.Kind.COLD), List.of("z")), PLAIN);
-        assertEquals(new Before(9, "y"), RecordForm.of(Before.class).read(new Input(later.copy(), 0, later.size()),
-                PLAIN));
+        RecordForm.of(After.class)
+                .write(
+                        later,
+                        new After(9, "y", 0.5, Reason.of(Reason.Kind.COLD), List.of("z")),
+                        PLAIN);
+        assertEquals(
+                new Before(9, "y"),
+                RecordForm.of(Before.class).read(new Input(later.copy(), 0, later.size()), PLAIN));
     }
 
     @Test
@@ -184,6 +240,8 @@
         Recorder recorder = new Recorder(HEAD, taken::add);
         recorder.asked(new Entry.Asked(1, 2, 3, "n", "c", 0, 0, 0), "a secret question");
         recorder.flush();
-        assertFalse(new String(taken.get(0), java.nio.charset.StandardCharsets.ISO_8859_1).contains("secret"));
+        assertFalse(
+                new String(taken.get(0), java.nio.charset.StandardCharsets.ISO_8859_1)
+                        .contains("secret"));
     }
 }
--- a/core/src/test/java/sorrelhoist/core/record/RegressionsTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RegressionsTest.java
@@ -15,8 +15,9 @@
 import sorrelhoist.Routing.*;
 
 /**
- * Past failures as records: each was cut by `record cut --build` from what an edge recorded, and holds what the build
- * before its fix said. A request that was refused or failed there for want of room has to be sent now.
+ * Past failures as records: each was cut by `record cut --build` from what an edge recorded, and
+ * holds what the build before its fix said. A request that was refused or failed there for want of
+ * room has to be sent now.
  */
 class RegressionsTest {
     private static final Path RECORDS = Path.of("src/test/resources/records");
@@ -27,8 +28,10 @@
 
     private static Set<Long> ended(Tape tape) {
         Set<Long> ids = new HashSet<>();
-        tape.lines().stream().filter(l -> l.entry() instanceof Entry.Told).flatMap(l -> ((Entry.Told) l.entry())
-                .actions().stream()).filter(a -> a instanceof Refuse || a instanceof Fail)
+        tape.lines().stream()
+                .filter(l -> l.entry() instanceof Entry.Told)
+                .flatMap(l -> ((Entry.Told) l.entry()).actions().stream())
+                .filter(a -> a instanceof Refuse || a instanceof Fail)
                 .forEach(a -> ids.add(Story.request(a)));
         return ids;
     }
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTest.java
@@ -20,23 +20,28 @@
     private final List<String> expired = new ArrayList<>();
     private final EngineActivity engines = new EngineActivity(2 * POLICY.retryMicros());
     private long now;
-    private final ReservationTable table = new ReservationTable(POLICY, engines, new ReservationCarrier() {
-        @Override
-        public void release(ReleaseCall call) {
-            calls.add(call);
-            callTimes.add(now);
-        }
+    private final ReservationTable table =
+            new ReservationTable(
+                    POLICY,
+                    engines,
+                    new ReservationCarrier() {
+                        @Override
+                        public void release(ReleaseCall call) {
+                            calls.add(call);
+                            callTimes.add(now);
+                        }
 
-        @Override
-        public void abandon(long call) {
-            abandoned.add(call);
-        }
+                        @Override
+                        public void abandon(long call) {
+                            abandoned.add(call);
+                        }
 
-        @Override
-        public void expired(ReservationKey key, String engine, int made) {
-            expired.add(key.request() + " at " + engine + " after " + made);
-        }
-    }, MOST);
+                        @Override
+                        public void expired(ReservationKey key, String engine, int made) {
+                            expired.add(key.request() + " at " + engine + " after " + made);
+                        }
+                    },
+                    MOST);
 
     ReservationTableTest() {
         engines.replaced(List.of("r0", "r1", "w0", "w1"));
@@ -203,12 +208,16 @@
         assertEquals(0, table.size());
     }
 
-    /** The holder is dead, another engine is silent: the third one asked still has it before the limit. */
+    /**
+     * The holder is dead, another engine is silent: the third one asked still has it before the
+     * limit.
+     */
     @Test
     void aReleaseArrivesWithTimeToSpareThoughTwoEnginesDoNotAnswer() {
         table.readDone(KEY, Hold.ofState("r0", ""), now);
         passTo(LIMIT);
-        assertEquals(POLICY.idleMicros(), callTimes.get(0), "half the limit was waited for a writer");
+        assertEquals(
+                POLICY.idleMicros(), callTimes.get(0), "half the limit was waited for a writer");
         assertTrue(callTimes.get(2) <= LIMIT - POLICY.reserveMicros(), callTimes.toString());
         assertEquals(3, calls.stream().limit(3).map(ReleaseCall::engine).distinct().count());
     }
@@ -243,7 +252,8 @@
             table.readDone(key, Hold.ofState("r0", ""), now);
             table.unwanted(key, now);
         }
-        assertTrue(calls.stream().map(ReleaseCall::engine).distinct().count() >= 3, calls.toString());
+        assertTrue(
+                calls.stream().map(ReleaseCall::engine).distinct().count() >= 3, calls.toString());
     }
 
     @Test
--- a/decide/src/main/java/sorrelhoist/Decide.java
+++ b/decide/src/main/java/sorrelhoist/Decide.java
@@ -17,64 +17,98 @@
 import sorrelhoist.State.*;
 
 /**
- * Every decision of a router, in one place; its settings, events and actions are the records of {@link
- * Routing}. One instance serves one router and is called by one thread. The caller owns time, microseconds;
- * randomness comes from the seed alone: equal events give equal actions. The ordinary path is the project's
- * design (docs/design.md); what comes after it in this file acts only when something is wrong.
+ * Every decision of a router, in one place; its settings, events and actions are the records of
+ * {@link Routing}. One instance serves one router and is called by one thread. The caller owns
+ * time, microseconds; randomness comes from the seed alone: equal events give equal actions. The
+ * ordinary path is the project's design (docs/design.md); what comes after it in this file acts
+ * only when something is wrong.
  */
 public final class Decide {
     // ---- Constants: the ordinary path; times in microseconds ------------
-    private static final long LOAD_WINDOW = 10_000_000; // H: own sends that make up a reader's load L
-    private static final long SHARER_WINDOW = 20_000_000; // W: requests that count as sharers of a key in M
-    private static final double SHIFT_THRESHOLD = 2; // heaviest to lightest load beyond which exploits shift
+    private static final long LOAD_WINDOW =
+            10_000_000; // H: own sends that make up a reader's load L
+    private static final long SHARER_WINDOW =
+            20_000_000; // W: requests that count as sharers of a key in M
+    private static final double SHIFT_THRESHOLD =
+            2; // heaviest to lightest load beyond which exploits shift
     private static final int SHIFT_EVIDENCE = 3; // own sends a reader within H that a shift needs
-    private static final double HOMES = 3; // homes of a prefix, for each reader that its share would fill
+    private static final double HOMES =
+            3; // homes of a prefix, for each reader that its share would fill
     private static final double NEAR_FULL = 0.9; // share of memory from which M counts
-    private static final long KEY_AGE = 60_000_000; // an unused key is forgotten: evicted, or of the past
-    private static final int MAX_KEYS = 20_000; // bounds the table whatever clients send: 1.2 KB each
+    private static final long KEY_AGE =
+            60_000_000; // an unused key is forgotten: evicted, or of the past
+    private static final int MAX_KEYS =
+            20_000; // bounds the table whatever clients send: 1.2 KB each
     private static final double FIT_DECAY = 0.98; // of a past pair in a learnt line: about 50 count
-    private static final double FIT_CLIP = 3; // a time teaches no more than this multiple of the expected
-    private static final double DENSE_GAP = 200_000; // between arrivals, so that a line turns over within H
-    private static final double[] FIRST_LINE = {1000, 30_000, 60}; // made-up: tokens, time, time a token
-    // ---- Constants: health and time-outs ------------------------------------------------------------------
-    private static final double OUTCOME_WEIGHT = 0.3; // of the newest outcome: two failures pass FAILING
+    private static final double FIT_CLIP =
+            3; // a time teaches no more than this multiple of the expected
+    private static final double DENSE_GAP =
+            200_000; // between arrivals, so that a line turns over within H
+    private static final double[] FIRST_LINE = {
+        1000, 30_000, 60
+    }; // made-up: tokens, time, time a token
+    // ---- Constants: health and time-outs
+    // ------------------------------------------------------------------
+    private static final double OUTCOME_WEIGHT =
+            0.3; // of the newest outcome: two failures pass FAILING
     private static final double FAILING = 0.5; // share of failures from which a server is set aside
     private static final double TIME_WEIGHT = 0.25; // of the newest time in a server's slowness
-    private static final double SLOW = 2.5; // multiple of its peers' median from which it is set aside
+    private static final double SLOW =
+            2.5; // multiple of its peers' median from which it is set aside
     private static final int SLOW_SAMPLES = 3; // times heard before slowness is judged
     private static final int TRIALS = 2; // good single requests that bring it back: one may be luck
-    private static final long TRIAL_WAIT = 200_000; // before the first single request, a router; doubles
+    private static final long TRIAL_WAIT =
+            200_000; // before the first single request, a router; doubles
     private static final long TRIAL_WAIT_MAX = 4_000_000;
-    private static final double CANDIDATE_FLOOR = 0.34; // of a role, always kept: the fault may be common
-    private static final long FULL_PAUSE = 200_000; // after full, for its class and tenant, or this multiple
-    private static final double FULL_TIMES = 40; // of the time it took to say so: a slow refusal is dear
-    private static final double FAILURES_TOLD = 2; // by others and not faded, beyond the peers': set aside
-    private static final double LAG_FADE = 1_500_000; // in which a lag that was felt fades to a third
-    private static final double CUT_SHARE = 0.6; // of the remaining time for an attempt, so that another fits
-    private static final double CUT_FACTOR = 4; // of its expected time, if more: work may go on after a cut
+    private static final double CANDIDATE_FLOOR =
+            0.34; // of a role, always kept: the fault may be common
+    private static final long FULL_PAUSE =
+            200_000; // after full, for its class and tenant, or this multiple
+    private static final double FULL_TIMES =
+            40; // of the time it took to say so: a slow refusal is dear
+    private static final double FAILURES_TOLD =
+            2; // by others and not faded, beyond the peers': set aside
+    private static final double LAG_FADE =
+            1_500_000; // in which a lag that was felt fades to a third
+    private static final double CUT_SHARE =
+            0.6; // of the remaining time for an attempt, so that another fits
+    private static final double CUT_FACTOR =
+            4; // of its expected time, if more: work may go on after a cut
     private static final double RETRIES_PER_ARRIVAL = 0.3; // bounds a retry storm
     private static final double RETRIES_SAVED = 25; // by all routers
     private static final double PROBE_SPEND = 0.0003; // points of the result spent on probes
     private static final double TELL_SPEND = 0.003; // and on messages to other routers
-    private static final long TELL_LAG = 100_000; // a lag worth telling; while it grows, each four times that
+    private static final long TELL_LAG =
+            100_000; // a lag worth telling; while it grows, each four times that
     private static final int TELL_BYTES = 256; // of one message: receivers take no more
-    private static final long TAUGHT_FADE = 600_000_000; // in which what was taught is trusted a third
-    private static final double TAUGHT_BAD = 0.4; // of failures taught at most: one own failure then decides
-    private static final double TAUGHT_PAIRS = 10; // a taught line weighs no more: fifty own ones bury it
-    // ---- Constants: holding, admission, guards ------------------------------------------------------------
-    private static final double WRITER_JAM = 200_000; // a writer's lag behind the best that passes it over
+    private static final long TAUGHT_FADE =
+            600_000_000; // in which what was taught is trusted a third
+    private static final double TAUGHT_BAD =
+            0.4; // of failures taught at most: one own failure then decides
+    private static final double TAUGHT_PAIRS =
+            10; // a taught line weighs no more: fifty own ones bury it
+    // ---- Constants: holding, admission, guards
+    // ------------------------------------------------------------
+    private static final double WRITER_JAM =
+            200_000; // a writer's lag behind the best that passes it over
     private static final long HOLD_STEP = 20_000; // between looks for a writer while a state waits
-    private static final double HOLD_SHARE = 0.5; // of the release limit for that; the rest is for ticks
-    private static final double DOOR = 1; // of the aim that a request may need: beyond it, it is refused
-    private static final double RESUMED_DOOR = 0.5; // of the time left, where an answer has begun already
+    private static final double HOLD_SHARE =
+            0.5; // of the release limit for that; the rest is for ticks
+    private static final double DOOR =
+            1; // of the aim that a request may need: beyond it, it is refused
+    private static final double RESUMED_DOOR =
+            0.5; // of the time left, where an answer has begun already
     private static final double DOOR_FOR_LESS = 0.85; // where a class of more worth needs the room
     private static final double OVER_SHARE_DOOR = 0.35; // where a tenant within its share does
-    private static final double ALWAYS_IN = 12; // waiting requests, over all routers, always let in to learn
+    private static final double ALWAYS_IN =
+            12; // waiting requests, over all routers, always let in to learn
     private static final double SHARE_SAVED = 2; // seconds of a tenant's share that it may save up
-    private static final double SHARE_LEAST = 4; // own requests that it may always: few come unevenly
+    private static final double SHARE_LEAST =
+            4; // own requests that it may always: few come unevenly
     private static final long TICK = 250_000; // between housekeeping looks
     private static final long ASK_AGAIN = 1_000_000; // after a failed call to discovery
-    private static final long BACKOFF = 300_000; // clients stay away that long, and a random part of it more
+    private static final long BACKOFF =
+            300_000; // clients stay away that long, and a random part of it more
     private static final long TICK_TOKEN = 1L << 60;
     private static final long ASK_TOKEN = TICK_TOKEN + 1;
 
@@ -124,11 +158,16 @@
         retries = RETRIES_SAVED / settings.routers();
     }
 
-    // ---- Event dispatch -----------------------------------------------------------------------------------
+    // ---- Event dispatch
+    // -----------------------------------------------------------------------------------
 
-    /** Takes one event and returns what to do at once, in order; no action on a request is to hold it. */
+    /**
+     * Takes one event and returns what to do at once, in order; no action on a request is to hold
+     * it.
+     */
     public List<Action> on(long time, Event event) {
-        Objects.requireNonNull(event, "give an event; to pass time alone, ask for a Timer and report it");
+        Objects.requireNonNull(
+                event, "give an event; to pass time alone, ask for a Timer and report it");
         now = SettingsCheck.monotonic(now, time);
         out = new ArrayList<>();
         if (startedAt < 0) {
@@ -172,7 +211,10 @@
         } else {
             Request r = requests.get(token);
             if (r != null && !r.answered && !r.streaming && now >= r.deadline) {
-                giveUp(r, Reason.compared(Kind.DEADLINE, now - r.arrivedAt, r.deadline - r.arrivedAt));
+                giveUp(
+                        r,
+                        Reason.compared(
+                                Kind.DEADLINE, now - r.arrivedAt, r.deadline - r.arrivedAt));
             } else if (r != null && r.waits()) {
                 step(r);
             }
@@ -183,28 +225,38 @@
         act(new Timer(TICK, TICK_TOKEN));
         for (Role role : serving.keySet()) {
             List<Peer> all = serving.get(role);
-            // A silent one is told of while attempts are out: until they are cut, others send there.
-            all.stream().filter(p -> overdue(p) >= 4 * TELL_LAG && overdue(p) % (4 * TELL_LAG) < TICK)
+            // A silent one is told of while attempts are out: until they are cut, others send
+            // there.
+            all.stream()
+                    .filter(p -> overdue(p) >= 4 * TELL_LAG && overdue(p) % (4 * TELL_LAG) < TICK)
                     .forEach(p -> tell(p, News.LAG, 0, (long) overdue(p) / 1000));
             slowStart.measure(role, all, settings, now, now - startedAt);
         }
         var old = keys.entrySet().iterator();
-        while (old.hasNext() && (old.next().getValue().used <= now - KEY_AGE || keys.size() > MAX_KEYS)) {
+        while (old.hasNext()
+                && (old.next().getValue().used <= now - KEY_AGE || keys.size() > MAX_KEYS)) {
             old.remove();
         }
         if (probes >= 1 && settings.limits().probes() && settings.reports() == Reports.IN_PROBES) {
-            peers.values().stream().filter(Peer::serving).min(Comparator.comparingLong(p -> p.probedAt))
-                    .ifPresent(p -> {
-                        probes--;
-                        p.probedAt = now;
-                        act(new Probe(p.id));
-                    });
+            peers.values().stream()
+                    .filter(Peer::serving)
+                    .min(Comparator.comparingLong(p -> p.probedAt))
+                    .ifPresent(
+                            p -> {
+                                probes--;
+                                p.probedAt = now;
+                                act(new Probe(p.id));
+                            });
         }
     }
 
-    // ---- Ordinary path: the reader ------------------------------------------------------------------------
+    // ---- Ordinary path: the reader
+    // ------------------------------------------------------------------------
 
-    /** Exploit the cheapest holder when more matches than not; else explore; an unseen key goes by hash. */
+    /**
+     * Exploit the cheapest holder when more matches than not; else explore; an unseen key goes by
+     * hash.
+     */
     private Peer pickReader(Request r, List<Peer> readers) {
         readers.forEach(this::load);
         int sends = readers.stream().mapToInt(p -> p.sends.size()).sum();
@@ -225,21 +277,24 @@
         boolean unseen = prefix == null && session == null;
         String key = r.prefix() != null ? r.prefix() : r.tie();
         by = unseen ? Kind.UNSEEN : Kind.CHEAPEST;
-        return unjammed(unseen ? byHash(key, readers) : cheapest(readers, r, session, prefix), r, readers);
+        return unjammed(
+                unseen ? byHash(key, readers) : cheapest(readers, r, session, prefix), r, readers);
     }
 
     /**
-     * Exception. Acts while own sends are too few to show a reader's load. The first readers by hash, as many
-     * as a prefix's share of arrivals would fill, are its likely holders; guards against many routers piling
-     * on one. Harm: a text is read and kept more often.
+     * Exception. Acts while own sends are too few to show a reader's load. The first readers by
+     * hash, as many as a prefix's share of arrivals would fill, are its likely holders; guards
+     * against many routers piling on one. Harm: a text is read and kept more often.
      */
     private void markHomes(Key prefix, Request r, List<Peer> readers) {
-        double due = Math.min(readers.size(), 1 + HOMES * prefix.uses / (arrivals + 1) * readers.size());
+        double due =
+                Math.min(readers.size(), 1 + HOMES * prefix.uses / (arrivals + 1) * readers.size());
         if (prefix.homes < (int) due) {
             prefix.homes = (int) due;
             List<Peer> ranked = new ArrayList<>(readers);
             ranked.sort(Comparator.comparingLong(p -> -Hash.of(prefix.name, p.id)));
-            ranked.subList(0, prefix.homes).forEach(p -> note(r.prefix(), r.arrival.prefixTokens(), p, true));
+            ranked.subList(0, prefix.homes)
+                    .forEach(p -> note(r.prefix(), r.arrival.prefixTokens(), p, true));
         }
     }
 
@@ -250,7 +305,8 @@
     /** Tokens of this prompt that the key's entry says the reader keeps. */
     private long kept(Key key, Peer p, Request r) {
         Holder h = key == null ? null : key.holders.get(p.id);
-        long bound = key != null && key.name.equals(r.prefix()) ? r.arrival.prefixTokens() : r.prompt();
+        long bound =
+                key != null && key.name.equals(r.prefix()) ? r.arrival.prefixTokens() : r.prompt();
         return h == null ? 0 : Math.min(h.tokens, bound);
     }
 
@@ -280,7 +336,9 @@
         return p.sends.isEmpty() ? p.load = 0 : p.load;
     }
 
-    /** M: recomputation of the oldest keys that the prompt would evict, times those that share each. */
+    /**
+     * M: recomputation of the oldest keys that the prompt would evict, times those that share each.
+     */
     private double evictionCost(Peer p, long missed) {
         double cost = 0;
         long freed = 0;
@@ -300,7 +358,10 @@
         return readLines.get(p.kind).at(tokens);
     }
 
-    /** Shift: exploits of the heaviest reader go to the lightest while their loads lie too far apart. */
+    /**
+     * Shift: exploits of the heaviest reader go to the lightest while their loads lie too far
+     * apart.
+     */
     private Peer shifted(Peer chosen, List<Peer> readers) {
         Peer lightest = Collections.min(readers, Comparator.comparingDouble(p -> p.load));
         double heaviest = readers.stream().mapToDouble(p -> p.load).max().orElse(0);
@@ -311,14 +372,20 @@
     }
 
     /**
-     * Exception. Acts when what is out at the chosen reader, and its lag, end later than twice the soonest
-     * reader's and one mean read. Guards against a jam that L does not show: a hot beginning, a slow or
-     * hanging reader, other routers' traffic. Harm: a text is read and kept twice.
+     * Exception. Acts when what is out at the chosen reader, and its lag, end later than twice the
+     * soonest reader's and one mean read. Guards against a jam that L does not show: a hot
+     * beginning, a slow or hanging reader, other routers' traffic. Harm: a text is read and kept
+     * twice.
      */
     private Peer unjammed(Peer chosen, Request r, List<Peer> readers) {
         readers.forEach(p -> p.behind = completion(p, r));
-        List<Peer> soonest = readers.stream().sorted(Comparator.<Peer>comparingDouble(p -> p.behind)
-                .thenComparing((a, b) -> nearer(r, a, b) ? -1 : 1)).limit(2).toList();
+        List<Peer> soonest =
+                readers.stream()
+                        .sorted(
+                                Comparator.<Peer>comparingDouble(p -> p.behind)
+                                        .thenComparing((a, b) -> nearer(r, a, b) ? -1 : 1))
+                        .limit(2)
+                        .toList();
         double bound = chosen.behind - readLines.get(chosen.kind).mean();
         boolean jammed = SHIFT_THRESHOLD * soonest.get(0).behind < bound;
         by = jammed ? Kind.UNJAMMED : by;
@@ -329,16 +396,20 @@
         return taken;
     }
 
-    /** Reads out there, the lag that they don't explain (others' reads are ahead of them), and this one. */
+    /**
+     * Reads out there, the lag that they don't explain (others' reads are ahead of them), and this
+     * one.
+     */
     private double completion(Peer p, Request r) {
         return queued(p) + late(p) + readTime(p, missed(p, r));
     }
 
     /**
-     * Exception. Acts at the door where requests are dense. The time between two reads' ends at a reader is
-     * what each costs those behind it; the time from send to end holds the waiting too, and summed over a
-     * queue counts it over and over. Guards against refusing bursts that readers have room for; harm: where
-     * others' reads come in between by chance, more is let in than can be read in time.
+     * Exception. Acts at the door where requests are dense. The time between two reads' ends at a
+     * reader is what each costs those behind it; the time from send to end holds the waiting too,
+     * and summed over a queue counts it over and over. Guards against refusing bursts that readers
+     * have room for; harm: where others' reads come in between by chance, more is let in than can
+     * be read in time.
      */
     private double paced(Peer p, Request r) {
         Line pace = paces.get(p.kind);
@@ -366,13 +437,22 @@
         return felt == null || felt.lag == 0 ? 0 : felt.lag * Math.exp((felt.at - now) / LAG_FADE);
     }
 
-    /** By how much the oldest own attempt there is late; one overtaken by a later one is lost: no jam. */
+    /**
+     * By how much the oldest own attempt there is late; one overtaken by a later one is lost: no
+     * jam.
+     */
     private double overdue(Peer p) {
-        return p.waiting.values().stream().filter(a -> a.sentAt > p.provenAt).findFirst()
-                .map(a -> Math.max(0, now - a.sentAt - a.cost)).orElse(0.0);
+        return p.waiting.values().stream()
+                .filter(a -> a.sentAt > p.provenAt)
+                .findFirst()
+                .map(a -> Math.max(0, now - a.sentAt - a.cost))
+                .orElse(0.0);
     }
 
-    /** Equals are parted by the conversation's hash: by their order all routers would pile on the first. */
+    /**
+     * Equals are parted by the conversation's hash: by their order all routers would pile on the
+     * first.
+     */
     private static boolean nearer(Request r, Peer p, Peer than) {
         return Hash.of(r.tie(), p.id) > Hash.of(r.tie(), than.id);
     }
@@ -403,12 +483,14 @@
         }
     }
 
-    // ---- Ordinary path: the writer ------------------------------------------------------------------------
+    // ---- Ordinary path: the writer
+    // ------------------------------------------------------------------------
 
     /**
-     * Two draws in the reader's cell, else its zone, else all; fewer own tokens under way wins. Exception:
-     * where a first token is long overdue at the winner, the writer least behind takes it. Guards against a
-     * full, slow or hanging writer that tokens do not show; harm: the state crosses cells.
+     * Two draws in the reader's cell, else its zone, else all; fewer own tokens under way wins.
+     * Exception: where a first token is long overdue at the winner, the writer least behind takes
+     * it. Guards against a full, slow or hanging writer that tokens do not show; harm: the state
+     * crosses cells.
      */
     private Peer pickWriter(Peer reader, List<Peer> writers) {
         double link = faded(links.get(reader.cell));
@@ -420,9 +502,12 @@
         double bound = least + WRITER_JAM;
         List<Peer> calm = preferring(writers, p -> p.behind <= bound);
         List<Peer> zone = preferring(calm, p -> p.zone == reader.zone);
-        boolean away = random.nextDouble() < spill.getOrDefault(reader.cell, 0.0) && link < WRITER_JAM;
-        return lighterOfTwo(away ? preferring(zone, p -> spill.getOrDefault(p.cell, 0.0) < 0)
-                : preferring(zone, p -> p.cell == reader.cell));
+        boolean away =
+                random.nextDouble() < spill.getOrDefault(reader.cell, 0.0) && link < WRITER_JAM;
+        return lighterOfTwo(
+                away
+                        ? preferring(zone, p -> spill.getOrDefault(p.cell, 0.0) < 0)
+                        : preferring(zone, p -> p.cell == reader.cell));
     }
 
     private Peer lighterOfTwo(List<Peer> from) {
@@ -448,7 +533,8 @@
         return of.stream().mapToDouble(p -> p.size).sum();
     }
 
-    // ---- Request life -------------------------------------------------------------------------------------
+    // ---- Request life
+    // -------------------------------------------------------------------------------------
 
     private void arrived(Arrived a) {
         SettingsCheck.arrival(a, settings, requests.containsKey(a.id()));
@@ -461,8 +547,16 @@
         if (find(a.prefix()) != null) {
             find(a.prefix()).uses++;
         }
-        retries = Math.min(Math.max(1, RETRIES_SAVED / settings.routers()), retries + RETRIES_PER_ARRIVAL);
-        probes = Math.min(1, probes + PROBE_SPEND / Math.max(PROBE_SPEND, settings.limits().probePrice()));
+        retries =
+                Math.min(
+                        Math.max(1, RETRIES_SAVED / settings.routers()),
+                        retries + RETRIES_PER_ARRIVAL);
+        probes =
+                Math.min(
+                        1,
+                        probes
+                                + PROBE_SPEND
+                                        / Math.max(PROBE_SPEND, settings.limits().probePrice()));
         double part = TELL_SPEND / Math.max(TELL_SPEND, settings.limits().tellPrice());
         bytes = Math.min(TELL_BYTES * (double) settings.routers(), bytes + TELL_BYTES * part);
         act(new Timer(Math.max(0, a.budgetMicros()), a.id()));
@@ -475,7 +569,10 @@
         if (now >= r.deadline) {
             giveUp(r, Reason.compared(Kind.DEADLINE, now - r.arrivedAt, r.deadline - r.arrivedAt));
         } else if (left < 1) {
-            giveUp(r, Reason.compared(r.full ? Kind.TOLD_FULL : Kind.ATTEMPTS, r.sends, r.sends + left));
+            giveUp(
+                    r,
+                    Reason.compared(
+                            r.full ? Kind.TOLD_FULL : Kind.ATTEMPTS, r.sends, r.sends + left));
         } else if (r.reader != null) {
             sendToWriter(r);
         } else {
@@ -531,9 +628,14 @@
     /** Names what keeps a role's servers from a request for which none could be found. */
     private Kind lacking(Role role, Request r) {
         List<Peer> all = serving.getOrDefault(role, List.of());
-        boolean drains = peers.values().stream().anyMatch(p -> p.state == ServerState.DRAINING
-                && settings.kinds().get(p.kind).role() == role);
-        return all.isEmpty() ? drains ? Kind.DRAINING : Kind.NO_SERVER
+        boolean drains =
+                peers.values().stream()
+                        .anyMatch(
+                                p ->
+                                        p.state == ServerState.DRAINING
+                                                && settings.kinds().get(p.kind).role() == role);
+        return all.isEmpty()
+                ? drains ? Kind.DRAINING : Kind.NO_SERVER
                 : all.stream().anyMatch(p -> mayRepeatAt(r, p)) ? Kind.COLD : Kind.REPEAT_UNSAFE;
     }
 
@@ -555,8 +657,18 @@
         }
         p.waiting.put(r.id, a);
         double spent = now - r.arrivedAt + a.expected;
-        act(new Send(r.id, p.id, Math.min(r.deadline, now + patience), Reason.chosen(by, spent, r.aim,
-                estimate, next == null ? null : next.id, nextEstimate)));
+        act(
+                new Send(
+                        r.id,
+                        p.id,
+                        Math.min(r.deadline, now + patience),
+                        Reason.chosen(
+                                by,
+                                spent,
+                                r.aim,
+                                estimate,
+                                next == null ? null : next.id,
+                                nextEstimate)));
     }
 
     private void streamStarted(StreamStarted e) {
@@ -608,10 +720,13 @@
         if (e.outcome() == Outcome.FULL && e.note() == 1) {
             r.reader = null;
             r.failed.remove(a.peer);
-        } else if (e.outcome() == Outcome.ERROR || e.outcome() == Outcome.RESET
+        } else if (e.outcome() == Outcome.ERROR
+                || e.outcome() == Outcome.RESET
                 || e.outcome() == Outcome.CONNECT_FAILED && now + e.tookMicros() > heldUntil(r)) {
-            // What broke off has mostly fetched the state: the next writer would read it all, slowing others.
-            // And a state may not wait for one more such connection. A reader has kept the text and is quick;
+            // What broke off has mostly fetched the state: the next writer would read it all,
+            // slowing others.
+            // And a state may not wait for one more such connection. A reader has kept the text and
+            // is quick;
             // harm: a state that still waits is read twice.
             r.reader = null;
         }
@@ -634,9 +749,12 @@
 
     /** The final answer goes out at once, with a hint when to come back where clients hear one. */
     private void giveUp(Request r, Reason why) {
-        long hint = Math.min(settings.limits().maxBackoffMicros(), BACKOFF + random.nextLong(BACKOFF));
-        act(mayRefuse(r) ? new Refuse(r.id, settings.limits().backoffHints() ? hint : 0, why)
-                : new Fail(r.id, why));
+        long hint =
+                Math.min(settings.limits().maxBackoffMicros(), BACKOFF + random.nextLong(BACKOFF));
+        act(
+                mayRefuse(r)
+                        ? new Refuse(r.id, settings.limits().backoffHints() ? hint : 0, why)
+                        : new Fail(r.id, why));
         conclude(r, why);
     }
 
@@ -665,7 +783,8 @@
         }
     }
 
-    // ---- Health and time-outs -----------------------------------------------------------------------------
+    // ---- Health and time-outs
+    // -----------------------------------------------------------------------------
 
     /** Servers of a role that may take this request now, the unhealthy only to keep the floor. */
     private List<Peer> candidates(Role role, Request r) {
@@ -673,8 +792,11 @@
         List<Peer> fit = new ArrayList<>(all.stream().filter(p -> !p.aside).toList());
         int floor = Math.max(Math.min(1, all.size()), (int) (CANDIDATE_FLOOR * all.size()));
         if (fit.size() < floor) {
-            all.stream().filter(p -> p.aside).sorted(Comparator.comparingDouble(p -> p.bad))
-                    .limit(floor - fit.size()).forEach(fit::add);
+            all.stream()
+                    .filter(p -> p.aside)
+                    .sorted(Comparator.comparingDouble(p -> p.bad))
+                    .limit(floor - fit.size())
+                    .forEach(fit::add);
             fit.sort(Comparator.comparing(p -> p.id));
         }
         fit = preferring(fit, p -> !r.failed.contains(p));
@@ -690,19 +812,32 @@
         return serving.getOrDefault(role, List.of()).stream().filter(which).toList();
     }
 
-    /** A server set aside gets one request at a time after its wait, of those that can afford a retry. */
+    /**
+     * A server set aside gets one request at a time after its wait, of those that can afford a
+     * retry.
+     */
     private Peer dueTrial(Role role, Request r) {
         if (!r.failed.isEmpty() || role == Role.WRITE && r.cls.repeat() != Repeat.SAFE) {
             return null;
         }
-        List<Peer> due = serving(role, p -> p.aside && p.out == 0 && p.trialAt <= now && mayRepeatAt(r, p)
-                && coldAllows(p));
-        due.stream().findFirst().ifPresent(p -> {
-            p.trialAt = now + p.trialWait;
-            by = Kind.TRIAL;
-            next = null;
-            estimate = nextEstimate = Double.NaN;
-        });
+        List<Peer> due =
+                serving(
+                        role,
+                        p ->
+                                p.aside
+                                        && p.out == 0
+                                        && p.trialAt <= now
+                                        && mayRepeatAt(r, p)
+                                        && coldAllows(p));
+        due.stream()
+                .findFirst()
+                .ifPresent(
+                        p -> {
+                            p.trialAt = now + p.trialWait;
+                            by = Kind.TRIAL;
+                            next = null;
+                            estimate = nextEstimate = Double.NaN;
+                        });
         return due.isEmpty() ? null : due.get(0);
     }
 
@@ -730,18 +865,22 @@
                 tell(a.peer, unreached ? News.UNREACHABLE : News.FAILED, 0, settings.zone());
                 heard(a.peer, false, 1);
                 if (e.outcome() == Outcome.TIMED_OUT && a.sentAt > a.peer.provenAt) {
-                    fit(a.read ? readLines.get(a.peer.kind) : firstTokens, a.read ? a.missed : r.prompt(),
+                    fit(
+                            a.read ? readLines.get(a.peer.kind) : firstTokens,
+                            a.read ? a.missed : r.prompt(),
                             e.tookMicros());
                 }
                 if (a.read) {
                     noteHolder(r, a.peer, false);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
-    /** One scale for dead, failing, hanging and slow servers: share of failures, time over expected. */
+    /**
+     * One scale for dead, failing, hanging and slow servers: share of failures, time over expected.
+     */
     private void heard(Peer p, boolean good, double ratio) {
         p.hearsay = false;
         p.bad += OUTCOME_WEIGHT * ((good ? 0 : 1) - p.bad);
@@ -751,7 +890,8 @@
         }
         long most = longestTrialWait();
         long first = Math.min(most, TRIAL_WAIT * settings.routers());
-        boolean slow = p.heard >= SLOW_SAMPLES && p.slow > SLOW * Math.max(0.5, median(p, q -> q.slow));
+        boolean slow =
+                p.heard >= SLOW_SAMPLES && p.slow > SLOW * Math.max(0.5, median(p, q -> q.slow));
         if (!p.aside && (p.bad > FAILING || slow)) {
             p.aside = true;
             p.good = 0;
@@ -769,15 +909,19 @@
         }
     }
 
-    /** All routers together try it about once a second: whoever is told when it is well again can wait. */
+    /**
+     * All routers together try it about once a second: whoever is told when it is well again can
+     * wait.
+     */
     private long longestTrialWait() {
         long fleet = 4 * TRIAL_WAIT * settings.routers();
         return settings.limits().tells() ? Math.max(TRIAL_WAIT_MAX, fleet) : TRIAL_WAIT_MAX;
     }
 
     /**
-     * Where requests are dense, lines turn over soon enough to show jams. Where they are sparse, they learn
-     * what servers need, clipped, and jams fade as lags in seconds, not with the next fifty requests.
+     * Where requests are dense, lines turn over soon enough to show jams. Where they are sparse,
+     * they learn what servers need, clipped, and jams fade as lags in seconds, not with the next
+     * fifty requests.
      */
     private double fit(Line line, long tokens, long took) {
         double expected = line.at(tokens);
@@ -795,7 +939,10 @@
         return all.length == 0 ? 1 : all[(all.length - 1) / 2];
     }
 
-    /** An answer shows how far others held it up; one whose state came from another cell tells of a link. */
+    /**
+     * An answer shows how far others held it up; one whose state came from another cell tells of a
+     * link.
+     */
     private void felt(Request r, Attempt a, int fromCell, long took) {
         a.peer.served.add(now);
         a.peer.provenAt = Math.max(a.peer.provenAt, a.sentAt);
@@ -819,17 +966,21 @@
         p.memory = Double.isNaN(load.memoryShare()) ? p.memory : load.memoryShare();
     }
 
-    // ---- What routers tell each other ------------------------------------------------------------------
+    // ---- What routers tell each other
+    // ------------------------------------------------------------------
 
     /**
-     * Where many routers each see a server seldom, bad news is shared, as far as its price per receiver
-     * allows. All of it is a hint that fades; a false one costs locality, never a rule.
+     * Where many routers each see a server seldom, bad news is shared, as far as its price per
+     * receiver allows. All of it is a hint that fades; a false one costs locality, never a rule.
      */
     private void tell(Peer p, char kind, int payer, long value) {
         news.put(Hash.tag(p.id), new News.Item(kind, payer, value));
         String body = News.write(news);
         double price = body.length() * (settings.routers() - 1.0);
-        if (settings.limits().tells() && price > 0 && price <= bytes && (kind != News.LAG || !dense())) {
+        if (settings.limits().tells()
+                && price > 0
+                && price <= bytes
+                && (kind != News.LAG || !dense())) {
             bytes -= price;
             act(new Tell(-1, body));
             news.clear();
@@ -840,52 +991,92 @@
 
     private void told(String body) {
         int payers = State.PAYERS * settings.classes().size();
-        News.read(body).forEach((tag, item) -> {
-            Peer p = byTag.get(tag);
-            // Others' failures count where own requests are sparse, while fresh and beyond what all have.
-            boolean ill = p != null && !p.aside && (item.kind() == News.UNREACHABLE
-                    ? item.value() == settings.zone() : item.kind() == News.FAILED && !dense()
-                    && p.ill.again(now, LAG_FADE) > FAILURES_TOLD + SLOW * median(p, q -> faded(q.ill)));
-            if (p != null && item.kind() == News.LAG) {
-                p.lag.lag = item.value() * 1000.0;
-                p.lag.at = now;
-            } else if (ill) {
-                p.bad = 1;
-                heard(p, false, 1);
-                p.trialWait = longestTrialWait();
-                p.trialAt = now + random.nextLong(p.trialWait); // not all at once
-            } else if (p != null && p.aside && item.kind() == News.WELL && item.value() == settings.zone()) {
-                p.aside = false;
-                p.bad = Math.min(p.bad, FAILING);
-                p.ill.lag = 0;
-            } else if (p != null && item.kind() == News.FULL && item.payer() < payers) {
-                p.fullUntil.put(item.payer(), now + item.value() * 1000);
-            }
-        });
-    }
-
-    // ---- What a router knows, for its own next life or for another router ----------------------------
+        News.read(body)
+                .forEach(
+                        (tag, item) -> {
+                            Peer p = byTag.get(tag);
+                            // Others' failures count where own requests are sparse, while fresh and
+                            // beyond what all have.
+                            boolean ill =
+                                    p != null
+                                            && !p.aside
+                                            && (item.kind() == News.UNREACHABLE
+                                                    ? item.value() == settings.zone()
+                                                    : item.kind() == News.FAILED
+                                                            && !dense()
+                                                            && p.ill.again(now, LAG_FADE)
+                                                                    > FAILURES_TOLD
+                                                                            + SLOW
+                                                                                    * median(
+                                                                                            p,
+                                                                                            q ->
+                                                                                                    faded(
+                                                                                                            q.ill)));
+                            if (p != null && item.kind() == News.LAG) {
+                                p.lag.lag = item.value() * 1000.0;
+                                p.lag.at = now;
+                            } else if (ill) {
+                                p.bad = 1;
+                                heard(p, false, 1);
+                                p.trialWait = longestTrialWait();
+                                p.trialAt = now + random.nextLong(p.trialWait); // not all at once
+                            } else if (p != null
+                                    && p.aside
+                                    && item.kind() == News.WELL
+                                    && item.value() == settings.zone()) {
+                                p.aside = false;
+                                p.bad = Math.min(p.bad, FAILING);
+                                p.ill.lag = 0;
+                            } else if (p != null
+                                    && item.kind() == News.FULL
+                                    && item.payer() < payers) {
+                                p.fullUntil.put(item.payer(), now + item.value() * 1000);
+                            }
+                        });
+    }
+
+    // ---- What a router knows, for its own next life or for another router
+    // ----------------------------
 
     /** What own evidence has taught, the most recently used keys up to a number. */
     public Knowledge known(long time, int mostKeys) {
         List<Knowledge.Key> some = new ArrayList<>();
-        keys.values().stream().skip(Math.max(0, keys.size() - mostKeys)).forEach(k -> {
-            List<Knowledge.Holding> holders = new ArrayList<>();
-            k.holders.forEach((id, h) -> holders.add(new Knowledge.Holding(id,
-                    peers.containsKey(id) ? peers.get(id).since : 0, h.tokens)));
-            some.add(new Knowledge.Key(k.name, Math.max(0, time - k.used), k.uses, holders));
-        });
+        keys.values().stream()
+                .skip(Math.max(0, keys.size() - mostKeys))
+                .forEach(
+                        k -> {
+                            List<Knowledge.Holding> holders = new ArrayList<>();
+                            k.holders.forEach(
+                                    (id, h) ->
+                                            holders.add(
+                                                    new Knowledge.Holding(
+                                                            id,
+                                                            peers.containsKey(id)
+                                                                    ? peers.get(id).since
+                                                                    : 0,
+                                                            h.tokens)));
+                            some.add(
+                                    new Knowledge.Key(
+                                            k.name, Math.max(0, time - k.used), k.uses, holders));
+                        });
         List<Knowledge.Health> health = new ArrayList<>();
         // What was only heard of is not told on: repeated in a circle it would look like evidence.
-        peers.values().stream().filter(p -> !p.hearsay && (p.heard > 0 || p.bad > 0)).forEach(p ->
-                health.add(new Knowledge.Health(p.id, p.since, p.bad, p.slow, p.heard)));
-        return new Knowledge(some, health, readLines.stream().map(Line::sums).toList(), firstTokens.sums());
+        peers.values().stream()
+                .filter(p -> !p.hearsay && (p.heard > 0 || p.bad > 0))
+                .forEach(
+                        p ->
+                                health.add(
+                                        new Knowledge.Health(
+                                                p.id, p.since, p.bad, p.slow, p.heard)));
+        return new Knowledge(
+                some, health, readLines.stream().map(Line::sums).toList(), firstTokens.sums());
     }
 
     /**
-     * Takes what was taught, so much older now. Own evidence stays wherever there is any; what is old, or
-     * of a process that was replaced, is passed over. All of it is a hint: false, it costs locality or a
-     * retry, never a rule, as no server becomes a candidate by it and none is set aside.
+     * Takes what was taught, so much older now. Own evidence stays wherever there is any; what is
+     * old, or of a process that was replaced, is passed over. All of it is a hint: false, it costs
+     * locality or a retry, never a rule, as no server becomes a candidate by it and none is set
+     * aside.
      */
     public void learn(long time, Knowledge taught, long age) {
         double trust = Math.exp(-age / (double) TAUGHT_FADE);
@@ -930,7 +1121,8 @@
         }
     }
 
-    // ---- The list of servers ------------------------------------------------------------------------------
+    // ---- The list of servers
+    // ------------------------------------------------------------------------------
 
     private void members(Members e) {
         if (e.form() == ListForm.UNAVAILABLE && settings.asksDiscovery()) {
@@ -954,17 +1146,26 @@
             p.take(s);
         }
         // Those that left for good would fill the tables; one sent to lately may be back.
-        peers.values().removeIf(p -> p.state == ServerState.GONE && p.out + p.sentSince(now - KEY_AGE) == 0);
+        peers.values()
+                .removeIf(
+                        p ->
+                                p.state == ServerState.GONE
+                                        && p.out + p.sentSince(now - KEY_AGE) == 0);
         for (Role role : Role.values()) {
-            serving.put(role, peers.values().stream()
-                    .filter(p -> p.serving() && settings.kinds().get(p.kind).role() == role).toList());
+            serving.put(
+                    role,
+                    peers.values().stream()
+                            .filter(p -> p.serving() && settings.kinds().get(p.kind).role() == role)
+                            .toList());
         }
         byTag.clear();
         peers.values().forEach(p -> byTag.put(Hash.tag(p.id), p));
         measureCells();
     }
 
-    /** The part of a cell's reads beyond its writers' part of their zone; below 0 where it has room. */
+    /**
+     * The part of a cell's reads beyond its writers' part of their zone; below 0 where it has room.
+     */
     private void measureCells() {
         spill.clear();
         for (Peer at : peers.values()) {
@@ -979,34 +1180,49 @@
         }
     }
 
-    // ---- Admission and fairness ---------------------------------------------------------------------------
+    // ---- Admission and fairness
+    // ---------------------------------------------------------------------------
 
     /**
-     * What would come late by its read and the writers' first tokens is refused at once.
-     * A class of less worth is held to the tightest aim of those worth more: by its own it would fill the
-     * queue. The writers' lag is that of the better third: dead ones must not close the door on the living.
-     * Returns why it is refused, or null.
+     * What would come late by its read and the writers' first tokens is refused at once. A class of
+     * less worth is held to the tightest aim of those worth more: by its own it would fill the
+     * queue. The writers' lag is that of the better third: dead ones must not close the door on the
+     * living. Returns why it is refused, or null.
      */
     private Reason refusedAtDoor(Request r, List<Peer> readers, Peer reader, List<Peer> writers) {
         boolean over = overShare(r.arrival.tenant());
-        double tightest = settings.classes().stream().filter(c -> c.worth() > r.cls.worth())
-                .mapToDouble(RequestClass::aimMicros).min().orElse(Double.MAX_VALUE);
+        double tightest =
+                settings.classes().stream()
+                        .filter(c -> c.worth() > r.cls.worth())
+                        .mapToDouble(RequestClass::aimMicros)
+                        .min()
+                        .orElse(Double.MAX_VALUE);
         boolean less = tightest < Double.MAX_VALUE;
         double door = over ? OVER_SHARE_DOOR : less ? DOOR_FOR_LESS : DOOR;
-        double soonest = readers.stream().mapToDouble(p -> dense() ? paced(p, r) : completion(p, r)).min()
-                .orElse(0);
-        double read = dense() || reader == null ? soonest
-                : Math.max(completion(reader, r), readTime(reader, missed(reader, r)) + faded(readLag));
+        double soonest =
+                readers.stream()
+                        .mapToDouble(p -> dense() ? paced(p, r) : completion(p, r))
+                        .min()
+                        .orElse(0);
+        double read =
+                dense() || reader == null
+                        ? soonest
+                        : Math.max(
+                                completion(reader, r),
+                                readTime(reader, missed(reader, r)) + faded(readLag));
         double[] lags = writers.stream().mapToDouble(this::overdue).sorted().toArray();
         double lag = Math.max(faded(firstLag), lags.length == 0 ? 0 : lags[lags.length / 3]);
         double expected = read + firstTokens.at(r.prompt()) + lag;
         boolean spare = waiting - random.nextDouble() <= ALWAYS_IN / settings.routers();
-        // After a loss of servers many come for the rest of broken answers, with all their text to read; the
-        // aim alone turns most away, and what was written for them is lost. Harm: new ones wait behind them.
+        // After a loss of servers many come for the rest of broken answers, with all their text to
+        // read; the
+        // aim alone turns most away, and what was written for them is lost. Harm: new ones wait
+        // behind them.
         double limit = door * Math.min(r.aim, tightest);
         limit = r.arrival.resumed() ? Math.max(limit, RESUMED_DOOR * (r.deadline - now)) : limit;
         Kind kind = over ? Kind.DOOR_SHARE : less ? Kind.DOOR_LESS_WORTH : Kind.DOOR;
-        return spare || expected <= limit ? null
+        return spare || expected <= limit
+                ? null
                 : Reason.door(kind, expected, limit, read, firstTokens.at(r.prompt()), lag);
     }
 
@@ -1027,14 +1243,19 @@
         return false;
     }
 
-    // ---- Rule guards --------------------------------------------------------------------------------------
+    // ---- Rule guards
+    // --------------------------------------------------------------------------------------
 
-    /** A repeat must be harmless: any server for safe classes, the group within its window for keyed ones. */
+    /**
+     * A repeat must be harmless: any server for safe classes, the group within its window for keyed
+     * ones.
+     */
     private boolean mayRepeatAt(Request r, Peer p) {
         if (r.mayHaveRunAt == null || r.cls.repeat() == Repeat.SAFE) {
             return true;
         }
-        if (r.cls.repeat() == Repeat.UNSAFE || now >= r.mayHaveRunFrom + r.cls.repeatWindowMicros()) {
+        if (r.cls.repeat() == Repeat.UNSAFE
+                || now >= r.mayHaveRunFrom + r.cls.repeatWindowMicros()) {
             return false;
         }
         return switch (r.cls.scope()) {
@@ -1044,10 +1265,13 @@
         };
     }
 
-    /** A refusal says that a repeat is harmless; where that is not known, only a failure is true. */
+    /**
+     * A refusal says that a repeat is harmless; where that is not known, only a failure is true.
+     */
     private static boolean mayRefuse(Request r) {
         boolean never = r.mayHaveRunAt == null && (r.attempt == null || r.attempt.read);
-        return r.cls.repeat() == Repeat.SAFE || never
+        return r.cls.repeat() == Repeat.SAFE
+                || never
                 || r.cls.repeat() == Repeat.KEYED && r.cls.scope() == Scope.ALL;
     }
 
--- a/decide/src/main/java/sorrelhoist/Hash.java
+++ b/decide/src/main/java/sorrelhoist/Hash.java
@@ -4,10 +4,12 @@
 final class Hash {
     private static final int TAG_SHIFT = 43;
 
-    private Hash() {
-    }
+    private Hash() {}
 
-    /** A key's weight at a server: the highest wins, so a change of the list moves only its own keys. */
+    /**
+     * A key's weight at a server: the highest wins, so a change of the list moves only its own
+     * keys.
+     */
     static long of(String key, String server) {
         return mix(key.hashCode() * 0x9E3779B97F4A7C15L ^ server.hashCode());
     }
--- a/decide/src/main/java/sorrelhoist/Knowledge.java
+++ b/decide/src/main/java/sorrelhoist/Knowledge.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What a router knows that its own evidence taught it, as data: for its own next life, or for another
- * router. Ages are microseconds before the export. It holds nothing that a rule rests on: no roster, no
- * cold server's bounds.
+ * What a router knows that its own evidence taught it, as data: for its own next life, or for
+ * another router. Ages are microseconds before the export. It holds nothing that a rule rests on:
+ * no roster, no cold server's bounds.
  *
  * @param keys prefixes and sessions, the least recently used first
  * @param servers health and slowness
@@ -21,18 +21,17 @@
      * @param uses requests that began with it
      * @param holders readers that likely keep it
      */
-    public record Key(String name, long age, int uses, List<Holding> holders) {
-    }
+    public record Key(String name, long age, int uses, List<Holding> holders) {}
 
     /**
      * A reader that likely keeps a key's tokens.
      *
      * @param server its id
-     * @param since when its process started, on the exporter's clock: another start has lost the text
+     * @param since when its process started, on the exporter's clock: another start has lost the
+     *     text
      * @param tokens kept
      */
-    public record Holding(String server, long since, long tokens) {
-    }
+    public record Holding(String server, long since, long tokens) {}
 
     /**
      * A server's health.
@@ -60,7 +59,12 @@
      */
     public record Sums(double n, double x, double y, double xx, double xy) {
         boolean sound() {
-            return n >= 1 && Double.isFinite(x + y + xx + xy + n) && x >= 0 && y > 0 && xx >= 0 && xy >= 0;
+            return n >= 1
+                    && Double.isFinite(x + y + xx + xy + n)
+                    && x >= 0
+                    && y > 0
+                    && xx >= 0
+                    && xy >= 0;
         }
     }
 }
--- a/decide/src/main/java/sorrelhoist/Line.java
+++ b/decide/src/main/java/sorrelhoist/Line.java
@@ -13,7 +13,8 @@
      * Starts as if from a short and a long prompt that lay on a line.
      *
      * @param decay what a past pair weighs after each new one
-     * @param start tokens of the made-up prompts, in the mean and as spread; time at no tokens; time a token
+     * @param start tokens of the made-up prompts, in the mean and as spread; time at no tokens;
+     *     time a token
      */
     Line(double decay, double[] start) {
         this.decay = decay;
@@ -53,7 +54,10 @@
         return y / n;
     }
 
-    /** The expected time, at least a microsecond; a slope that falls, or that nothing shows, is flat. */
+    /**
+     * The expected time, at least a microsecond; a slope that falls, or that nothing shows, is
+     * flat.
+     */
     double at(double tokens) {
         double spread = n * xx - x * x;
         double slope = spread > n * n ? Math.max(0, (n * xy - x * y) / spread) : 0;
--- a/decide/src/main/java/sorrelhoist/Reason.java
+++ b/decide/src/main/java/sorrelhoist/Reason.java
@@ -1,8 +1,9 @@
 package sorrelhoist;
 
 /**
- * Why an action was taken, as data. Estimates are microseconds unless the kind says otherwise; what was not
- * compared is not a number. Nothing here decides anything, and nothing here comes back into a decision.
+ * Why an action was taken, as data. Estimates are microseconds unless the kind says otherwise; what
+ * was not compared is not a number. Nothing here decides anything, and nothing here comes back into
+ * a decision.
  *
  * @param kind what settled it
  * @param expected the figure that was compared
@@ -10,12 +11,21 @@
  * @param read of a door's sum: the read
  * @param first of a door's sum: the first token after the read
  * @param lag of a door's sum: how far writers are behind
- * @param estimate the chosen server's figure: for a read its completion, for a write tokens under way there
+ * @param estimate the chosen server's figure: for a read its completion, for a write tokens under
+ *     way there
  * @param next the next best server, or null
  * @param nextEstimate its figure
  */
-public record Reason(Kind kind, double expected, double limit, double read, double first, double lag,
-        double estimate, String next, double nextEstimate) {
+public record Reason(
+        Kind kind,
+        double expected,
+        double limit,
+        double read,
+        double first,
+        double lag,
+        double estimate,
+        String next,
+        double nextEstimate) {
     /** The kinds of reason. The order is part of the record's form: new ones come last. */
     public enum Kind {
         /** Nothing is known: from a build that gave no reasons. */
@@ -69,17 +79,24 @@
     }
 
     private static final double NO = Double.NaN;
+
     /** No reason is known. */
     public static final Reason UNKNOWN = of(Kind.UNKNOWN);
 
     /** {@return why a server was chosen; its stage should end so long after the client asked} */
-    static Reason chosen(Kind kind, double expected, double aim, double estimate, String next,
+    static Reason chosen(
+            Kind kind,
+            double expected,
+            double aim,
+            double estimate,
+            String next,
             double nextEstimate) {
         return new Reason(kind, expected, aim, NO, NO, NO, estimate, next, nextEstimate);
     }
 
     /** {@return why the door was closed, with the parts of what was expected} */
-    static Reason door(Kind kind, double expected, double limit, double read, double first, double lag) {
+    static Reason door(
+            Kind kind, double expected, double limit, double read, double first, double lag) {
         return new Reason(kind, expected, limit, read, first, lag, NO, null, NO);
     }
 
--- a/decide/src/main/java/sorrelhoist/Routing.java
+++ b/decide/src/main/java/sorrelhoist/Routing.java
@@ -5,33 +5,70 @@
 /**
  * The vocabulary between a router and {@link Decide}: settings at start, events in, actions out.
  *
- * <p>All times are microseconds on the router's own clock, which only advances. Server ids are opaque.
- * Everything here is plain data; nothing in this file decides anything.
+ * <p>All times are microseconds on the router's own clock, which only advances. Server ids are
+ * opaque. Everything here is plain data; nothing in this file decides anything.
  */
 public final class Routing {
-    private Routing() {
-    }
+    private Routing() {}
 
     /** What a server kind does: reads prompts, writes answers, or both. */
-    public enum Role { READ, WRITE, BOTH }
+    public enum Role {
+        READ,
+        WRITE,
+        BOTH
+    }
 
     /** How safely a request class may be repeated. */
-    public enum Repeat { SAFE, KEYED, UNSAFE }
+    public enum Repeat {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** Which servers drop the repeats of a keyed request. */
-    public enum Scope { ALL, ZONE, CELL }
+    public enum Scope {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How load reports come: never, within outcomes, or only within probe results. */
-    public enum Reports { NONE, IN_OUTCOMES, IN_PROBES }
+    public enum Reports {
+        NONE,
+        IN_OUTCOMES,
+        IN_PROBES
+    }
 
     /** A server's state as discovery lists it. */
-    public enum ServerState { SERVING, DRAINING, GONE }
+    public enum ServerState {
+        SERVING,
+        DRAINING,
+        GONE
+    }
 
     /** How a membership event relates to the list that is held. */
-    public enum ListForm { UPDATE, COMPLETE, RESTORED, UNAVAILABLE }
+    public enum ListForm {
+        UPDATE,
+        COMPLETE,
+        RESTORED,
+        UNAVAILABLE
+    }
 
-    /** How an attempt or a probe ended; {@code READ} is a prompt read whose state waits at the reader. */
-    public enum Outcome { DONE, READ, ERROR, FULL, TIMED_OUT, CONNECT_FAILED, RESET, CANCELLED, SKIPPED }
+    /**
+     * How an attempt or a probe ended; {@code READ} is a prompt read whose state waits at the
+     * reader.
+     */
+    public enum Outcome {
+        DONE,
+        READ,
+        ERROR,
+        FULL,
+        TIMED_OUT,
+        CONNECT_FAILED,
+        RESET,
+        CANCELLED,
+        SKIPPED
+    }
 
     /**
      * One request class.
@@ -41,19 +78,23 @@
      * @param worth worth of one request, compared between classes
      * @param repeat how safely the class may be repeated
      * @param scope for keyed classes: the servers that drop repeats
-     * @param repeatWindowMicros for keyed classes: how long repeats are dropped, from the first send
+     * @param repeatWindowMicros for keyed classes: how long repeats are dropped, from the first
+     *     send
      */
-    public record RequestClass(long aimMicros, long aimPer1000Micros, double worth, Repeat repeat,
-            Scope scope, long repeatWindowMicros) {
-    }
+    public record RequestClass(
+            long aimMicros,
+            long aimPer1000Micros,
+            double worth,
+            Repeat repeat,
+            Scope scope,
+            long repeatWindowMicros) {}
 
     /**
      * One tenant.
      *
      * @param allowancePerSecond requests a second within its share, over all routers
      */
-    public record Tenant(double allowancePerSecond) {
-    }
+    public record Tenant(double allowancePerSecond) {}
 
     /**
      * One kind of server.
@@ -61,8 +102,7 @@
      * @param role what such servers do
      * @param memoryTokens memory, in tokens
      */
-    public record Kind(Role role, long memoryTokens) {
-    }
+    public record Kind(Role role, long memoryTokens) {}
 
     /**
      * What the router may do.
@@ -77,9 +117,16 @@
      * @param probePrice points of the result for one probe a request
      * @param tellPrice points of the result for 256 delivered bytes a request
      */
-    public record Limits(int maxAttempts, boolean cancel, boolean probes, boolean backoffHints,
-            long maxBackoffMicros, boolean writersRead, boolean tells, double probePrice, double tellPrice) {
-    }
+    public record Limits(
+            int maxAttempts,
+            boolean cancel,
+            boolean probes,
+            boolean backoffHints,
+            long maxBackoffMicros,
+            boolean writersRead,
+            boolean tells,
+            double probePrice,
+            double tellPrice) {}
 
     /**
      * Figures of the rules.
@@ -90,9 +137,12 @@
      * @param fallMicros for this long, it falls over
      * @param releaseMicros a held state is taken or let go within this time
      */
-    public record Rules(double coldFrom, long coldMicros, double fallMultiple, long fallMicros,
-            long releaseMicros) {
-    }
+    public record Rules(
+            double coldFrom,
+            long coldMicros,
+            double fallMultiple,
+            long fallMicros,
+            long releaseMicros) {}
 
     /**
      * All that a router is told at start.
@@ -101,7 +151,8 @@
      * @param self this router's number, from 0
      * @param zone the zone in which this router stands
      * @param asksDiscovery true where list changes come only to those that follow
-     * @param overShareWorth worth of a tenant's requests beyond its share, as a share of the class's
+     * @param overShareWorth worth of a tenant's requests beyond its share, as a share of the
+     *     class's
      * @param reports how load reports come
      * @param classes request classes, by index
      * @param tenants tenants, by index; may be empty
@@ -109,10 +160,18 @@
      * @param limits what is permitted
      * @param rules the rules' figures
      */
-    public record Settings(int routers, int self, int zone, boolean asksDiscovery, double overShareWorth,
-            Reports reports, List<RequestClass> classes, List<Tenant> tenants, List<Kind> kinds,
-            Limits limits, Rules rules) {
-    }
+    public record Settings(
+            int routers,
+            int self,
+            int zone,
+            boolean asksDiscovery,
+            double overShareWorth,
+            Reports reports,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            List<Kind> kinds,
+            Limits limits,
+            Rules rules) {}
 
     /**
      * One line of the list of servers.
@@ -125,9 +184,8 @@
      * @param size for comparison with servers of the same role
      * @param since time of its last start; 0 for long ago
      */
-    public record Server(String id, int zone, int kind, int cell, ServerState state, double size,
-            long since) {
-    }
+    public record Server(
+            String id, int zone, int kind, int cell, ServerState state, double size, long since) {}
 
     /**
      * A server's report of its load, late and noisy; what is not told is not a number.
@@ -143,8 +201,7 @@
     }
 
     /** What a router tells the module. */
-    public sealed interface Event {
-    }
+    public sealed interface Event {}
 
     /**
      * Discovery spoke. The first event of an instance should be one of these.
@@ -152,8 +209,7 @@
      * @param form how the lines relate to the list held
      * @param servers the lines; empty where unavailable
      */
-    public record Members(ListForm form, List<Server> servers) implements Event {
-    }
+    public record Members(ListForm form, List<Server> servers) implements Event {}
 
     /**
      * A request came and is owed one final answer.
@@ -167,14 +223,42 @@
      * @param prefixTokens those among them that belong to the shared beginning
      * @param maxTokens the most that may be answered
      * @param budgetMicros time until the client gives up
-     * @param resumed whether its client has the beginning of the answer, of a stream that broke or was moved
+     * @param resumed whether its client has the beginning of the answer, of a stream that broke or
+     *     was moved
      */
-    public record Arrived(long id, int cls, int tenant, String session, String prefix, long promptTokens,
-            long prefixTokens, long maxTokens, long budgetMicros, boolean resumed) implements Event {
+    public record Arrived(
+            long id,
+            int cls,
+            int tenant,
+            String session,
+            String prefix,
+            long promptTokens,
+            long prefixTokens,
+            long maxTokens,
+            long budgetMicros,
+            boolean resumed)
+            implements Event {
         /** A request whose client has nothing yet. */
-        public Arrived(long id, int cls, int tenant, String session, String prefix, long promptTokens,
-                long prefixTokens, long maxTokens, long budgetMicros) {
-            this(id, cls, tenant, session, prefix, promptTokens, prefixTokens, maxTokens, budgetMicros,
+        public Arrived(
+                long id,
+                int cls,
+                int tenant,
+                String session,
+                String prefix,
+                long promptTokens,
+                long prefixTokens,
+                long maxTokens,
+                long budgetMicros) {
+            this(
+                    id,
+                    cls,
+                    tenant,
+                    session,
+                    prefix,
+                    promptTokens,
+                    prefixTokens,
+                    maxTokens,
+                    budgetMicros,
                     false);
         }
     }
@@ -191,9 +275,16 @@
      * @param note kept tokens after READ and DONE; 1 after FULL where no state was there to fetch
      * @param report the server's load report, or {@link Load#NONE}
      */
-    public record AttemptEnded(long id, int attempt, String server, Outcome outcome, long tookMicros,
-            boolean ended, long note, Load report) implements Event {
-    }
+    public record AttemptEnded(
+            long id,
+            int attempt,
+            String server,
+            Outcome outcome,
+            long tookMicros,
+            boolean ended,
+            long note,
+            Load report)
+            implements Event {}
 
     /**
      * The answer has begun; deadline and time-out no longer run.
@@ -203,8 +294,8 @@
      * @param server the writer
      * @param tookMicros time since the send
      */
-    public record StreamStarted(long id, int attempt, String server, long tookMicros) implements Event {
-    }
+    public record StreamStarted(long id, int attempt, String server, long tookMicros)
+            implements Event {}
 
     /**
      * The answer to a {@link Reserve}.
@@ -213,8 +304,7 @@
      * @param server where a place was asked for
      * @param held whether one is held
      */
-    public record PlaceAnswered(long id, String server, boolean held) implements Event {
-    }
+    public record PlaceAnswered(long id, String server, boolean held) implements Event {}
 
     /**
      * A probe's result.
@@ -225,16 +315,14 @@
      * @param report the server's load report, or {@link Load#NONE}
      */
     public record ProbeAnswered(String server, Outcome outcome, long tookMicros, Load report)
-            implements Event {
-    }
+            implements Event {}
 
     /**
      * A timer fell due.
      *
      * @param token as given with {@link Timer}
      */
-    public record TimerFired(long token) implements Event {
-    }
+    public record TimerFired(long token) implements Event {}
 
     /**
      * Another router's message.
@@ -242,8 +330,7 @@
      * @param from number of the sender
      * @param body as sent
      */
-    public record PeerMessage(int from, String body) implements Event {
-    }
+    public record PeerMessage(int from, String body) implements Event {}
 
     /**
      * The number of routers, or this one's number, changed.
@@ -251,20 +338,17 @@
      * @param routers routers that share the servers, this one included
      * @param self this router's number, from 0
      */
-    public record Seated(int routers, int self) implements Event {
-    }
+    public record Seated(int routers, int self) implements Event {}
 
     /**
      * The client left; nothing is owed any more.
      *
      * @param id the request
      */
-    public record ClientGone(long id) implements Event {
-    }
+    public record ClientGone(long id) implements Event {}
 
     /** What the module tells the router to do, in order. */
-    public sealed interface Action {
-    }
+    public sealed interface Action {}
 
     /**
      * Send the request to a server.
@@ -274,8 +358,7 @@
      * @param cutAt clock time at which the attempt is given up; 0 for the client's deadline
      * @param why what settled it
      */
-    public record Send(long id, String server, long cutAt, Reason why) implements Action {
-    }
+    public record Send(long id, String server, long cutAt, Reason why) implements Action {}
 
     /**
      * Hold a place ahead at a writer.
@@ -283,16 +366,14 @@
      * @param id the request
      * @param server the writer
      */
-    public record Reserve(long id, String server) implements Action {
-    }
+    public record Reserve(long id, String server) implements Action {}
 
     /**
      * Let go of all that is held for the request and that no attempt waits for.
      *
      * @param id the request
      */
-    public record Release(long id) implements Action {
-    }
+    public record Release(long id) implements Action {}
 
     /**
      * Final answer: trying again is harmless.
@@ -301,8 +382,7 @@
      * @param backoffMicros when to come back; 0 for no advice
      * @param why what was short
      */
-    public record Refuse(long id, long backoffMicros, Reason why) implements Action {
-    }
+    public record Refuse(long id, long backoffMicros, Reason why) implements Action {}
 
     /**
      * Final answer: failed, nothing promised.
@@ -310,8 +390,7 @@
      * @param id the request
      * @param why what was short
      */
-    public record Fail(long id, Reason why) implements Action {
-    }
+    public record Fail(long id, Reason why) implements Action {}
 
     /**
      * Stop waiting for an attempt.
@@ -320,24 +399,21 @@
      * @param attempt number of the send
      * @param why what settled it
      */
-    public record Cancel(long id, int attempt, Reason why) implements Action {
-    }
+    public record Cancel(long id, int attempt, Reason why) implements Action {}
 
     /**
      * End a running stream in good order; the client comes back and goes on elsewhere.
      *
      * @param id the request
      */
-    public record Move(long id) implements Action {
-    }
+    public record Move(long id) implements Action {}
 
     /**
      * Probe a server.
      *
      * @param server which
      */
-    public record Probe(String server) implements Action {
-    }
+    public record Probe(String server) implements Action {}
 
     /**
      * Ask for a {@link TimerFired}.
@@ -345,8 +421,7 @@
      * @param delayMicros from now
      * @param token handed back
      */
-    public record Timer(long delayMicros, long token) implements Action {
-    }
+    public record Timer(long delayMicros, long token) implements Action {}
 
     /**
      * Send a message to another router.
@@ -354,34 +429,29 @@
      * @param to its number; -1 for all
      * @param body at most 256 bytes
      */
-    public record Tell(int to, String body) implements Action {
-    }
+    public record Tell(int to, String body) implements Action {}
 
     /**
      * Ask discovery to push changes, or to stop.
      *
      * @param on which
      */
-    public record Follow(boolean on) implements Action {
-    }
+    public record Follow(boolean on) implements Action {}
 
     /** Ask discovery for the complete list once. */
-    public record FetchList() implements Action {
-    }
+    public record FetchList() implements Action {}
 
     /**
      * Close idle connections to a server.
      *
      * @param server which
      */
-    public record CloseIdle(String server) implements Action {
-    }
+    public record CloseIdle(String server) implements Action {}
 
     /**
      * A line for the log.
      *
      * @param text the line
      */
-    public record Log(String text) implements Action {
-    }
+    public record Log(String text) implements Action {}
 }
--- a/decide/src/main/java/sorrelhoist/SlowStart.java
+++ b/decide/src/main/java/sorrelhoist/SlowStart.java
@@ -7,19 +7,23 @@
 import sorrelhoist.State.Peer;
 
 /**
- * Slow start: how much a server that has just started may be sent. Starts are told on this router's own
- * clock; whoever tells them translates other machines' clocks.
+ * Slow start: how much a server that has just started may be sent. Starts are told on this router's
+ * own clock; whoever tells them translates other machines' clocks.
  */
 final class SlowStart {
     static final long LONG_AGO = Long.MIN_VALUE;
-    private static final int SERVED_WINDOWS = 4; // of the rule, over which what was served is counted
-    private static final double SAFETY = 0.8; // of what the rule would bear: others' sends are unseen
+    private static final int SERVED_WINDOWS =
+            4; // of the rule, over which what was served is counted
+    private static final double SAFETY =
+            0.8; // of what the rule would bear: others' sends are unseen
     private static final double TURNS = 0.5; // a router's turns at a cold server, knowing nothing
     private static final double UNEVEN = 2; // multiple of the mean that one server may get
 
     private final double[] mostServed = new double[Role.values().length];
 
-    /** A start that lies ahead counts as now: no server is held cold for longer than the rules say. */
+    /**
+     * A start that lies ahead counts as now: no server is held cold for longer than the rules say.
+     */
     static long startedAt(long told, long now) {
         return told <= 0 ? LONG_AGO : Math.min(told, now);
     }
@@ -39,7 +43,8 @@
      */
     void measure(Role role, List<Peer> servers, Settings settings, long now, long age) {
         long window = settings.rules().fallMicros();
-        double served = servers.stream().mapToLong(p -> p.servedSince(now - SERVED_WINDOWS * window)).sum();
+        double served =
+                servers.stream().mapToLong(p -> p.servedSince(now - SERVED_WINDOWS * window)).sum();
         double passed = Math.min(SERVED_WINDOWS, age / (double) window);
         double chance = 2 * Math.sqrt(served / settings.routers()); // evens out over the routers
         double sure = (served - chance) / Math.max(1, passed) / Math.max(1, servers.size());
@@ -47,12 +52,13 @@
     }
 
     /**
-     * Whether a server may be sent one more request. A cold server's capacity is not told. A warm one can do
-     * at least the most that this router has had served by its role's servers in the mean, less what chance
-     * adds to a small count. All routers granting that part of theirs, the sum stays under the rule's
-     * multiple. A part under one is drawn for: in each window so many routers may send one that, at twice the
-     * mean sends to a server of the role (placement lets loads lie no further apart), their sum is that of
-     * the parts. Each draws for itself, so their windows need not begin together.
+     * Whether a server may be sent one more request. A cold server's capacity is not told. A warm
+     * one can do at least the most that this router has had served by its role's servers in the
+     * mean, less what chance adds to a small count. All routers granting that part of theirs, the
+     * sum stays under the rule's multiple. A part under one is drawn for: in each window so many
+     * routers may send one that, at twice the mean sends to a server of the role (placement lets
+     * loads lie no further apart), their sum is that of the parts. Each draws for itself, so their
+     * windows need not begin together.
      *
      * @param p the server
      * @param role its role
--- a/decide/src/main/java/sorrelhoist/State.java
+++ b/decide/src/main/java/sorrelhoist/State.java
@@ -8,16 +8,17 @@
 import java.util.TreeMap;
 import sorrelhoist.Routing.*;
 
-/** What {@link Decide} keeps about servers and requests: plain fields, no decision and no tuned value. */
+/**
+ * What {@link Decide} keeps about servers and requests: plain fields, no decision and no tuned
+ * value.
+ */
 final class State {
     /** Class and tenant make up one number. */
     static final int PAYERS = 1000;
 
-    private State() {
-    }
+    private State() {}
 
-    record Sent(long at, double cost) {
-    }
+    record Sent(long at, double cost) {}
 
     /** A server as this router knows it. */
     static final class Peer {
@@ -112,8 +113,7 @@
         final ArrayDeque<Long> seen = new ArrayDeque<>();
         long tokens;
 
-        Holder() {
-        }
+        Holder() {}
 
         Holder(long tokens) {
             this.tokens = tokens;
--- a/decide/src/test/java/sorrelhoist/DecideTest.java
+++ b/decide/src/test/java/sorrelhoist/DecideTest.java
@@ -43,7 +43,8 @@
     }
 
     /** Reads and answers one request to its end; returns the reader. */
-    private String serve(long id, String session, String prefix, long prompt, long prefixTokens, long kept) {
+    private String serve(
+            long id, String session, String prefix, long prompt, long prefixTokens, long kept) {
         Send s = arrive(id, session, prefix, prompt, prefixTokens);
         Send w = read(s, kept);
         decide.on(now, new StreamStarted(id, 1, w.server(), 20_000));
@@ -67,7 +68,9 @@
             String prefix = "p" + i;
             Decide other = new Decide(plain(), 1000 + i);
             other.on(0, new Members(ListForm.RESTORED, fleet()));
-            String here = send(start(plain(), fleet()).on(10 * SECOND, request(1, "x", prefix, 900, 800))).server();
+            String here =
+                    send(start(plain(), fleet()).on(10 * SECOND, request(1, "x", prefix, 900, 800)))
+                            .server();
             assertEquals(here, send(other.on(0, request(1, "y", prefix, 900, 800))).server());
             readers.add(here);
         }
@@ -98,7 +101,8 @@
             assertTrue(all(onArrival, Reserve.class).isEmpty());
             String w = answer(s, 0, 50_000);
             boolean near = List.of("r1", "r2").contains(s.server());
-            assertTrue(List.of(near ? "w1" : "w3", near ? "w2" : "w4").contains(w), s + " then " + w);
+            assertTrue(
+                    List.of(near ? "w1" : "w3", near ? "w2" : "w4").contains(w), s + " then " + w);
         }
     }
 
@@ -106,7 +110,11 @@
     void aRestartForgetsWhatTheServerKept() {
         Send first = arrive(1, "a", null, 4000, 0);
         answer(first, 0, 50_000);
-        Server home = fleet().stream().filter(s -> s.id().equals(first.server())).findFirst().orElseThrow();
+        Server home =
+                fleet().stream()
+                        .filter(s -> s.id().equals(first.server()))
+                        .findFirst()
+                        .orElseThrow();
         decide.on(now, new Members(ListForm.UPDATE, List.of(with(home, ServerState.SERVING, now))));
         now += 13 * SECOND;
         decide.on(now, new TimerFired(99));
@@ -124,7 +132,10 @@
         assertNotEquals(s.server(), again.server());
     }
 
-    /** While connections to writers do not come up, what was read waits on; a second wait would pin it. */
+    /**
+     * While connections to writers do not come up, what was read waits on; a second wait would pin
+     * it.
+     */
     @Test
     void aStateIsReadAnewRatherThanPinnedWhileWritersCannotBeReached() {
         Send w = read(arrive(1, "a", null, 1000, 0), 0);
@@ -132,15 +143,22 @@
         assertTrue(w.server().startsWith("w"));
         now += 20_000;
         Send quick = send(decide.on(now, ended(w, 1, Outcome.CONNECT_FAILED, 20_000, 0)));
-        assertTrue(quick.server().startsWith("w"), "a refused connection costs the state next to no time");
+        assertTrue(
+                quick.server().startsWith("w"),
+                "a refused connection costs the state next to no time");
         now += 240_000;
         Send anew = send(decide.on(now, ended(quick, 2, Outcome.CONNECT_FAILED, 240_000, 0)));
-        assertTrue(anew.server().startsWith("r"), anew + ": the same wait again would hold the state for too long");
+        assertTrue(
+                anew.server().startsWith("r"),
+                anew + ": the same wait again would hold the state for too long");
         Send last = send(decide.on(now + 50_000, ended(anew, 3, Outcome.READ, 50_000, 900)));
         assertTrue(last.server().startsWith("w"));
     }
 
-    /** The deadline is for the first token; a stream that has begun is neither refused nor cut by it. */
+    /**
+     * The deadline is for the first token; a stream that has begun is neither refused nor cut by
+     * it.
+     */
     @Test
     void theDeadlineStopsWithTheFirstToken() {
         Send w = read(arrive(1, "a", null, 1000, 0), 0);
@@ -153,7 +171,8 @@
         Send s = arrive(1, "a", null, 1000, 0);
         assertTrue(s.cutAt() - now < 3 * SECOND, "cut after " + (s.cutAt() - now));
         now = s.cutAt();
-        assertNotEquals(s.server(), send(decide.on(now, ended(s, 0, Outcome.TIMED_OUT, 0, 0))).server());
+        assertNotEquals(
+                s.server(), send(decide.on(now, ended(s, 0, Outcome.TIMED_OUT, 0, 0))).server());
     }
 
     @Test
@@ -224,8 +243,14 @@
 
     @Test
     void aDrainIsObeyedAtOnce() {
-        List<Server> draining = fleet().stream().map(s -> s.id().equals("r1") || s.id().equals("w1")
-                ? with(s, ServerState.DRAINING, 0) : s).toList();
+        List<Server> draining =
+                fleet().stream()
+                        .map(
+                                s ->
+                                        s.id().equals("r1") || s.id().equals("w1")
+                                                ? with(s, ServerState.DRAINING, 0)
+                                                : s)
+                        .toList();
         decide.on(now, new Members(ListForm.COMPLETE, draining));
         for (int i = 0; i < 40; i++) {
             Send s = arrive(i, "s" + i, null, 1000, 0);
@@ -278,7 +303,10 @@
         Send s = send(d.on(now, request(1, "a", null, 1000, 0)));
         Send w = send(d.on(now, ended(s, 0, Outcome.READ, 40_000, 0)));
         Send again = send(d.on(now, ended(w, 1, Outcome.ERROR, 500, 0)));
-        Set<String> cell = w.server().matches("w[12]") ? Set.of("r1", "r2", "w1", "w2") : Set.of("r3", "r4", "w3", "w4");
+        Set<String> cell =
+                w.server().matches("w[12]")
+                        ? Set.of("r1", "r2", "w1", "w2")
+                        : Set.of("r3", "r4", "w3", "w4");
         assertTrue(cell.contains(again.server()));
         Send write = send(d.on(now, ended(again, 2, Outcome.READ, 40_000, 0)));
         assertTrue(write.server().startsWith("w") && cell.contains(write.server()));
@@ -286,8 +314,10 @@
 
     @Test
     void aColdServerIsNotPushedOver() {
-        List<Server> cold = fleet().stream().map(s -> s.id().equals("r1")
-                ? with(s, ServerState.SERVING, now) : s).toList();
+        List<Server> cold =
+                fleet().stream()
+                        .map(s -> s.id().equals("r1") ? with(s, ServerState.SERVING, now) : s)
+                        .toList();
         decide.on(now, new Members(ListForm.COMPLETE, cold));
         int sent = 0;
         for (int i = 0; i < 30; i++) {
@@ -310,9 +340,14 @@
     @Test
     void writersThatReadAnswerWhenNoReaderIsLeft() {
         List<Server> writers = List.of(writer("w1", 0));
-        assertEquals("w1", send(start(settings(Repeat.SAFE, Scope.ALL, true, List.of()), writers)
-                .on(now, request(1, "a", null, 1000, 0))).server());
-        assertTrue(all(start(plain(), writers).on(now, request(1, "a", null, 1000, 0)), Send.class).isEmpty());
+        assertEquals(
+                "w1",
+                send(start(settings(Repeat.SAFE, Scope.ALL, true, List.of()), writers)
+                                .on(now, request(1, "a", null, 1000, 0)))
+                        .server());
+        assertTrue(
+                all(start(plain(), writers).on(now, request(1, "a", null, 1000, 0)), Send.class)
+                        .isEmpty());
     }
 
     @Test
@@ -335,7 +370,14 @@
 
     @Test
     void aTenantBeyondItsShareMakesRoomFirst() {
-        Decide d = start(settings(Repeat.SAFE, Scope.ALL, false, List.of(new Tenant(2), new Tenant(50))), fleet());
+        Decide d =
+                start(
+                        settings(
+                                Repeat.SAFE,
+                                Scope.ALL,
+                                false,
+                                List.of(new Tenant(2), new Tenant(50))),
+                        fleet());
         int[] refused = new int[2];
         for (int i = 0; i < 200; i++) {
             now += 10_000;
@@ -347,18 +389,44 @@
 
     @Test
     void aFailedCallToDiscoveryIsRepeatedLater() {
-        Decide d = new Decide(settings(Repeat.SAFE, Scope.ALL, false, List.of(), true, Reports.NONE, false, true, 5), 1);
+        Decide d =
+                new Decide(
+                        settings(
+                                Repeat.SAFE,
+                                Scope.ALL,
+                                false,
+                                List.of(),
+                                true,
+                                Reports.NONE,
+                                false,
+                                true,
+                                5),
+                        1);
         assertTrue(d.on(now, new Members(ListForm.RESTORED, fleet())).contains(new Follow(true)));
-        Timer again = all(d.on(now, new Members(ListForm.UNAVAILABLE, List.of())), Timer.class).get(0);
-        assertTrue(d.on(now + again.delayMicros(), new TimerFired(again.token())).contains(new Follow(true)));
+        Timer again =
+                all(d.on(now, new Members(ListForm.UNAVAILABLE, List.of())), Timer.class).get(0);
+        assertTrue(
+                d.on(now + again.delayMicros(), new TimerFired(again.token()))
+                        .contains(new Follow(true)));
     }
 
     @Test
     void probesAreSentOnlyWhereAllowedAndNeeded() {
-        Settings pull = settings(Repeat.SAFE, Scope.ALL, false, List.of(), false, Reports.IN_PROBES, true, true, 5);
+        Settings pull =
+                settings(
+                        Repeat.SAFE,
+                        Scope.ALL,
+                        false,
+                        List.of(),
+                        false,
+                        Reports.IN_PROBES,
+                        true,
+                        true,
+                        5);
         for (Settings s : List.of(pull, plain())) {
             Decide d = new Decide(s, 1);
-            Timer tick = all(d.on(now, new Members(ListForm.RESTORED, fleet())), Timer.class).get(0);
+            Timer tick =
+                    all(d.on(now, new Members(ListForm.RESTORED, fleet())), Timer.class).get(0);
             for (int i = 0; i < 20; i++) {
                 d.on(now, request(i, "s" + i, null, 1000, 0));
             }
@@ -411,7 +479,10 @@
         assertTrue(refused > 50 && refused < 96, "refused " + refused);
     }
 
-    /** Spoilt answers: the writer had fetched the state, and another had to read the whole prompt by itself. */
+    /**
+     * Spoilt answers: the writer had fetched the state, and another had to read the whole prompt by
+     * itself.
+     */
     @Test
     void afterAnAnswerThatBrokeOffThePromptIsReadAnewAtAReader() {
         for (Outcome broke : List.of(Outcome.ERROR, Outcome.RESET)) {
@@ -425,34 +496,47 @@
         }
     }
 
-    /** A crash of servers breaks many answers at once: by the first aim alone their clients were turned away. */
+    /**
+     * A crash of servers breaks many answers at once: by the first aim alone their clients were
+     * turned away.
+     */
     @Test
     void whoComesForTheRestOfAnAnswerIsLetInBeyondTheAimButNotWithoutEnd() {
         int[] refused = new int[2];
         for (int kind = 0; kind < 2; kind++) {
             Decide d = start(plain(), fleet());
             for (int i = 0; i < 100; i++) {
-                Arrived a = new Arrived(i, 0, 0, "s" + i, null, 3000, 0, 200, 4 * SECOND, kind == 1);
+                Arrived a =
+                        new Arrived(i, 0, 0, "s" + i, null, 3000, 0, 200, 4 * SECOND, kind == 1);
                 refused[kind] += all(d.on(now, a), Refuse.class).size();
             }
         }
-        assertTrue(refused[1] > 0 && refused[1] < refused[0] - 10, refused[1] + " against " + refused[0]);
+        assertTrue(
+                refused[1] > 0 && refused[1] < refused[0] - 10,
+                refused[1] + " against " + refused[0]);
     }
 
-    /** Workers come and go under new ids all day: what is known of those that left must not add up. */
+    /**
+     * Workers come and go under new ids all day: what is known of those that left must not add up.
+     */
     @Test
     void workersThatLeftForGoodLeaveNothingBehind() {
         List<Server> present = new ArrayList<>(fleet());
         for (int i = 0; i < 400; i++) {
             now += 5 * SECOND;
             Server old = present.remove(0);
-            Server fresh = new Server("n" + i, old.zone(), old.kind(), old.cell(), ServerState.SERVING, 1, 0);
+            Server fresh =
+                    new Server(
+                            "n" + i, old.zone(), old.kind(), old.cell(), ServerState.SERVING, 1, 0);
             present.add(fresh);
-            decide.on(now, new Members(ListForm.UPDATE, List.of(with(old, ServerState.GONE, 0), fresh)));
+            decide.on(
+                    now,
+                    new Members(ListForm.UPDATE, List.of(with(old, ServerState.GONE, 0), fresh)));
             serve(i, "s" + i, null, 1000, 0, 0);
         }
         int known = decide.known(now, 100).servers().size();
-        assertTrue(known <= fleet().size() + 2 * 60 / 5, known + " servers known of 8 that are there");
+        assertTrue(
+                known <= fleet().size() + 2 * 60 / 5, known + " servers known of 8 that are there");
     }
 
     @Test
@@ -477,12 +561,26 @@
         assertThrows(IllegalArgumentException.class, () -> decide.on(5, new TimerFired(1)));
         assertThrows(NullPointerException.class, () -> decide.on(now, null));
         arrive(1, "a", null, 10, 0);
-        assertThrows(IllegalArgumentException.class, () -> decide.on(now, request(1, "a", null, 10, 0)));
+        assertThrows(
+                IllegalArgumentException.class, () -> decide.on(now, request(1, "a", null, 10, 0)));
         Settings p = plain();
-        Settings noKinds = new Settings(2, 0, 0, false, 1, Reports.NONE, p.classes(), List.of(), List.of(),
-                p.limits(), p.rules());
-        assertEquals("setting missing or inconsistent: kinds",
-                assertThrows(IllegalArgumentException.class, () -> new Decide(noKinds, 1)).getMessage());
+        Settings noKinds =
+                new Settings(
+                        2,
+                        0,
+                        0,
+                        false,
+                        1,
+                        Reports.NONE,
+                        p.classes(),
+                        List.of(),
+                        List.of(),
+                        p.limits(),
+                        p.rules());
+        assertEquals(
+                "setting missing or inconsistent: kinds",
+                assertThrows(IllegalArgumentException.class, () -> new Decide(noKinds, 1))
+                        .getMessage());
         assertThrows(IllegalArgumentException.class, () -> new Decide(null, 1));
     }
 
@@ -491,8 +589,10 @@
         Decide decide = new Decide(Fixtures.plain(), 1);
         decide.on(0, new Members(ListForm.COMPLETE, Fixtures.fleet()));
         assertTrue(decide.on(1, new Seated(150, 149)).isEmpty());
-        assertThrows(IllegalArgumentException.class,
-                () -> decide.on(2, new Seated(0, 0)));
-        assertEquals(1, Fixtures.all(decide.on(3, Fixtures.request(1, "s", "p", 500, 100)), Send.class).size());
+        assertThrows(IllegalArgumentException.class, () -> decide.on(2, new Seated(0, 0)));
+        assertEquals(
+                1,
+                Fixtures.all(decide.on(3, Fixtures.request(1, "s", "p", 500, 100)), Send.class)
+                        .size());
     }
 }
--- a/decide/src/test/java/sorrelhoist/EmbeddingExampleTest.java
+++ b/decide/src/test/java/sorrelhoist/EmbeddingExampleTest.java
@@ -4,12 +4,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.Routing.*;
 
-/** A router of one's own in a few lines, as the README describes it: a loop that feeds events and acts. */
+/**
+ * A router of one's own in a few lines, as the README describes it: a loop that feeds events and
+ * acts.
+ */
 class EmbeddingExampleTest {
     /** A stand-in for the router's network: each send is answered after a fixed time. */
     private record Due(long at, Event event) implements Comparable<Due> {
@@ -31,10 +33,23 @@
                 boolean reader = s.server().startsWith("reader");
                 path.add(s.server());
                 Outcome outcome = reader ? Outcome.READ : Outcome.DONE;
-                pending.add(new Due(now + 50_000, new AttemptEnded(s.id(), attempt, s.server(), outcome, 50_000,
-                        !reader, 0, Load.NONE)));
+                pending.add(
+                        new Due(
+                                now + 50_000,
+                                new AttemptEnded(
+                                        s.id(),
+                                        attempt,
+                                        s.server(),
+                                        outcome,
+                                        50_000,
+                                        !reader,
+                                        0,
+                                        Load.NONE)));
                 if (!reader) {
-                    pending.add(new Due(now + 20_000, new StreamStarted(s.id(), attempt, s.server(), 20_000)));
+                    pending.add(
+                            new Due(
+                                    now + 20_000,
+                                    new StreamStarted(s.id(), attempt, s.server(), 20_000)));
                 }
                 attempt++;
             } else if (action instanceof Timer t) {
@@ -47,8 +62,14 @@
 
     @Test
     void aRequestIsReadAndAnsweredAndNothingMoreIsDone() {
-        perform(decide.on(now, new Members(ListForm.RESTORED,
-                List.of(Fixtures.reader("reader-1", 0), Fixtures.writer("writer-1", 0)))));
+        perform(
+                decide.on(
+                        now,
+                        new Members(
+                                ListForm.RESTORED,
+                                List.of(
+                                        Fixtures.reader("reader-1", 0),
+                                        Fixtures.writer("writer-1", 0)))));
         perform(decide.on(now, Fixtures.request(1, "session", "system-prompt", 1500, 1200)));
         while (now < 5_000_000) {
             Due due = pending.remove();
--- a/decide/src/test/java/sorrelhoist/Fixtures.java
+++ b/decide/src/test/java/sorrelhoist/Fixtures.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import sorrelhoist.Routing.*;
 
 /** Small settings, servers and events for the module's tests. */
@@ -10,21 +9,48 @@
     static final long SECOND = 1_000_000;
     static final long RELEASE = 500_000;
 
-    private Fixtures() {
-    }
+    private Fixtures() {}
 
-    static Settings settings(Repeat repeat, Scope scope, boolean writersRead, List<Tenant> tenants) {
+    static Settings settings(
+            Repeat repeat, Scope scope, boolean writersRead, List<Tenant> tenants) {
         return settings(repeat, scope, writersRead, tenants, false, Reports.NONE, false, true, 5);
     }
 
-    static Settings settings(Repeat repeat, Scope scope, boolean writersRead, List<Tenant> tenants, boolean asks,
-            Reports reports, boolean probes, boolean cancel, int attempts) {
-        return new Settings(2, 0, 0, asks, 0.1, reports,
-                List.of(new RequestClass(SECOND, 40_000, 1, repeat, scope, 2 * SECOND),
+    static Settings settings(
+            Repeat repeat,
+            Scope scope,
+            boolean writersRead,
+            List<Tenant> tenants,
+            boolean asks,
+            Reports reports,
+            boolean probes,
+            boolean cancel,
+            int attempts) {
+        return new Settings(
+                2,
+                0,
+                0,
+                asks,
+                0.1,
+                reports,
+                List.of(
+                        new RequestClass(SECOND, 40_000, 1, repeat, scope, 2 * SECOND),
                         new RequestClass(800_000, 40_000, 3, repeat, scope, 2 * SECOND)),
                 tenants,
-                List.of(new Kind(Role.READ, 200_000), new Kind(Role.WRITE, 150_000), new Kind(Role.BOTH, 150_000)),
-                new Limits(attempts, cancel, probes, true, 2 * SECOND, writersRead, asks, 0.003, 0.003),
+                List.of(
+                        new Kind(Role.READ, 200_000),
+                        new Kind(Role.WRITE, 150_000),
+                        new Kind(Role.BOTH, 150_000)),
+                new Limits(
+                        attempts,
+                        cancel,
+                        probes,
+                        true,
+                        2 * SECOND,
+                        writersRead,
+                        asks,
+                        0.003,
+                        0.003),
                 new Rules(0.26, 12 * SECOND, 3, 3 * SECOND, RELEASE));
     }
 
@@ -45,8 +71,15 @@
     }
 
     static List<Server> fleet() {
-        return List.of(reader("r1", 0), reader("r2", 0), reader("r3", 1), reader("r4", 1),
-                writer("w1", 0), writer("w2", 0), writer("w3", 1), writer("w4", 1));
+        return List.of(
+                reader("r1", 0),
+                reader("r2", 0),
+                reader("r3", 1),
+                reader("r4", 1),
+                writer("w1", 0),
+                writer("w2", 0),
+                writer("w3", 1),
+                writer("w4", 1));
     }
 
     static Arrived request(long id, String session, String prefix, long prompt, long prefixTokens) {
@@ -54,7 +87,15 @@
     }
 
     static AttemptEnded ended(Send s, int attempt, Outcome outcome, long took, long note) {
-        return new AttemptEnded(s.id(), attempt, s.server(), outcome, took, outcome == Outcome.DONE, note, Load.NONE);
+        return new AttemptEnded(
+                s.id(),
+                attempt,
+                s.server(),
+                outcome,
+                took,
+                outcome == Outcome.DONE,
+                note,
+                Load.NONE);
     }
 
     static <T extends Action> List<T> all(List<Action> actions, Class<T> type) {
--- a/decide/src/test/java/sorrelhoist/FleetTest.java
+++ b/decide/src/test/java/sorrelhoist/FleetTest.java
@@ -24,8 +24,18 @@
     private static Settings part(int routers, int self) {
         Settings s = settings(Repeat.SAFE, Scope.ALL, false, List.of());
         Limits l = s.limits();
-        return new Settings(routers, self, 0, false, 0.1, Reports.NONE, s.classes(), List.of(), s.kinds(),
-                new Limits(5, true, false, true, l.maxBackoffMicros(), false, true, 0.003, 0.003), s.rules());
+        return new Settings(
+                routers,
+                self,
+                0,
+                false,
+                0.1,
+                Reports.NONE,
+                s.classes(),
+                List.of(),
+                s.kinds(),
+                new Limits(5, true, false, true, l.maxBackoffMicros(), false, true, 0.003, 0.003),
+                s.rules());
     }
 
     private static List<Decide> routers(int n, List<Server> fleet) {
@@ -47,20 +57,27 @@
 
     /** A world with one clock: each read takes 60 ms, a first token 40 ms, an answer a second. */
     private static final class World {
-        record Due(long at, long order, int router, Event event) {
-        }
+        record Due(long at, long order, int router, Event event) {}
 
         final Map<String, List<Long>> sends = new TreeMap<>();
-        final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-                : Long.compare(a.order, b.order));
+        final PriorityQueue<Due> due =
+                new PriorityQueue<>(
+                        (a, b) ->
+                                a.at != b.at
+                                        ? Long.compare(a.at, b.at)
+                                        : Long.compare(a.order, b.order));
         final Map<Long, Integer> attempts = new TreeMap<>();
         final List<Decide> routers;
+
         /** Sends to these fail at once. */
         Set<String> failing = Set.of();
+
         long failingUntil = Long.MAX_VALUE;
         int failures;
+
         /** Reads sent there from this time on are never answered. */
         String silent = "";
+
         boolean told = true;
         long silentFrom = Long.MAX_VALUE;
         long order;
@@ -100,19 +117,59 @@
                 sends.computeIfAbsent(s.server(), id -> new ArrayList<>()).add(now);
                 int n = attempts.merge(s.id(), 1, Integer::sum) - 1;
                 if (s.server().equals(silent) && now >= silentFrom) {
-                    later(s.cutAt(), router, new AttemptEnded(s.id(), n, s.server(), Outcome.TIMED_OUT,
-                            s.cutAt() - now, false, 0, Load.NONE));
+                    later(
+                            s.cutAt(),
+                            router,
+                            new AttemptEnded(
+                                    s.id(),
+                                    n,
+                                    s.server(),
+                                    Outcome.TIMED_OUT,
+                                    s.cutAt() - now,
+                                    false,
+                                    0,
+                                    Load.NONE));
                 } else if (failing.contains(s.server()) && now < failingUntil) {
                     failures++;
-                    later(now + 2000, router, new AttemptEnded(s.id(), n, s.server(), Outcome.ERROR, 2000, false, 0,
-                            Load.NONE));
+                    later(
+                            now + 2000,
+                            router,
+                            new AttemptEnded(
+                                    s.id(),
+                                    n,
+                                    s.server(),
+                                    Outcome.ERROR,
+                                    2000,
+                                    false,
+                                    0,
+                                    Load.NONE));
                 } else if (s.server().startsWith("r")) {
-                    later(now + 60_000, router, new AttemptEnded(s.id(), n, s.server(), Outcome.READ, 60_000,
-                            false, 0, Load.NONE));
+                    later(
+                            now + 60_000,
+                            router,
+                            new AttemptEnded(
+                                    s.id(),
+                                    n,
+                                    s.server(),
+                                    Outcome.READ,
+                                    60_000,
+                                    false,
+                                    0,
+                                    Load.NONE));
                 } else {
                     later(now + 40_000, router, new StreamStarted(s.id(), n, s.server(), 40_000));
-                    later(now + SECOND, router, new AttemptEnded(s.id(), n, s.server(), Outcome.DONE, SECOND,
-                            true, 0, Load.NONE));
+                    later(
+                            now + SECOND,
+                            router,
+                            new AttemptEnded(
+                                    s.id(),
+                                    n,
+                                    s.server(),
+                                    Outcome.DONE,
+                                    SECOND,
+                                    true,
+                                    0,
+                                    Load.NONE));
                 }
             }
         }
@@ -142,23 +199,32 @@
         long start = 30 * SECOND;
         for (int id = 0; id < 150 * 44; id++) {
             long at = SECOND + (long) (random.nextDouble() * 43 * SECOND);
-            world.later(at, random.nextInt(n), request(id, "s" + random.nextInt(3000), "p" + random.nextInt(30), 1000,
-                    600));
+            world.later(
+                    at,
+                    random.nextInt(n),
+                    request(id, "s" + random.nextInt(3000), "p" + random.nextInt(30), 1000, 600));
         }
         for (int i = 0; i < n; i++) {
             for (String id : List.of("r3", "w13")) {
                 Server s = fleet.stream().filter(x -> x.id().equals(id)).findFirst().orElseThrow();
-                world.later(start, i, new Members(ListForm.UPDATE, List.of(with(s, ServerState.SERVING, start))));
+                world.later(
+                        start,
+                        i,
+                        new Members(ListForm.UPDATE, List.of(with(s, ServerState.SERVING, start))));
             }
         }
         world.play(44 * SECOND);
         Rules rules = part(n, 0).rules();
         for (String id : List.of("r3", "w13")) {
-            // 150 a second over ten servers of a role: each can do 45 in a window at least, cold 0.26 of it.
+            // 150 a second over ten servers of a role: each can do 45 in a window at least, cold
+            // 0.26 of it.
             double bearable = rules.fallMultiple() * rules.coldFrom() * 45;
             long most = world.mostWithin(id, start, start + rules.coldMicros(), rules.fallMicros());
-            assertTrue(most <= bearable, n + " routers sent " + id + " " + most + " of " + bearable);
-            assertTrue(world.mostWithin(id, start, start + 13 * SECOND, 13 * SECOND) > 0, id + " never tried");
+            assertTrue(
+                    most <= bearable, n + " routers sent " + id + " " + most + " of " + bearable);
+            assertTrue(
+                    world.mostWithin(id, start, start + 13 * SECOND, 13 * SECOND) > 0,
+                    id + " never tried");
         }
     }
 
@@ -170,36 +236,49 @@
         world.silentFrom = 20 * SECOND;
         Random random = new Random(n);
         for (int id = 0; id < 75 * 26; id++) {
-            world.later(SECOND + (long) (random.nextDouble() * 25 * SECOND), random.nextInt(n),
+            world.later(
+                    SECOND + (long) (random.nextDouble() * 25 * SECOND),
+                    random.nextInt(n),
                     request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
         }
         world.play(26 * SECOND);
         return world.mostWithin("r3", 20 * SECOND, 26 * SECOND, 6 * SECOND);
     }
 
-    /** Each alone finds out by a request of its own that is lost, and sees too few to find out soon. */
+    /**
+     * Each alone finds out by a request of its own that is lost, and sees too few to find out soon.
+     */
     @Test
     void aReaderThatFallsSilentIsToldOfBeforeItsAttemptsAreCut() {
         long alone = sentToSilent(100, false);
         long told = sentToSilent(100, true);
-        assertTrue(told < 0.6 * alone, told + " reads sent to a silent reader, " + alone + " where none tells");
+        assertTrue(
+                told < 0.6 * alone,
+                told + " reads sent to a silent reader, " + alone + " where none tells");
     }
 
-    /** {@return how many attempts failed in 20 s at these, at 75 requests a second by 100 routers} */
+    /**
+     * {@return how many attempts failed in 20 s at these, at 75 requests a second by 100 routers}
+     */
     private static int failures(boolean told, Set<String> failing) {
         World world = new World(100, fleet(10, 10));
         world.told = told;
         world.failing = failing;
         Random random = new Random(5);
         for (int id = 0; id < 75 * 20; id++) {
-            world.later(SECOND + (long) (random.nextDouble() * 20 * SECOND), random.nextInt(100),
+            world.later(
+                    SECOND + (long) (random.nextDouble() * 20 * SECOND),
+                    random.nextInt(100),
                     request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
         }
         world.play(22 * SECOND);
         return world.failures;
     }
 
-    /** A failure costs a request that may not be repeated; each router alone would need two at each such server. */
+    /**
+     * A failure costs a request that may not be repeated; each router alone would need two at each
+     * such server.
+     */
     @Test
     void aServerThatFailsFastIsSetAsideByWhatOthersTell() {
         int alone = failures(false, Set.of("w13"));
@@ -207,7 +286,10 @@
         assertTrue(told < 0.5 * alone, told + " failures, " + alone + " where none tells");
     }
 
-    /** Whoever finds it well tells: the others, who wait much longer for their own trial, send there again. */
+    /**
+     * Whoever finds it well tells: the others, who wait much longer for their own trial, send there
+     * again.
+     */
     @Test
     void aServerThatIsWellAgainSoonHasItsShare() {
         World world = new World(100, fleet(10, 10));
@@ -215,17 +297,28 @@
         world.failingUntil = 12 * SECOND;
         Random random = new Random(6);
         for (int id = 0; id < 75 * 30; id++) {
-            world.later(SECOND + (long) (random.nextDouble() * 30 * SECOND), random.nextInt(100),
+            world.later(
+                    SECOND + (long) (random.nextDouble() * 30 * SECOND),
+                    random.nextInt(100),
                     request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
         }
         world.play(31 * SECOND);
-        long sick = world.sends.get("w13").stream().filter(t -> t > 6 * SECOND && t < 12 * SECOND).count();
-        long well = world.sends.get("w13").stream().filter(t -> t > 21 * SECOND && t < 31 * SECOND).count();
+        long sick =
+                world.sends.get("w13").stream()
+                        .filter(t -> t > 6 * SECOND && t < 12 * SECOND)
+                        .count();
+        long well =
+                world.sends.get("w13").stream()
+                        .filter(t -> t > 21 * SECOND && t < 31 * SECOND)
+                        .count();
         assertTrue(sick <= 20, sick + " sent in six seconds to a server that fails, of about 45");
         assertTrue(well >= 35, well + " sent in ten seconds once it was well, of about 75");
     }
 
-    /** Half of the writers fail: the others must not be set aside for what is told of them by mistake or chance. */
+    /**
+     * Half of the writers fail: the others must not be set aside for what is told of them by
+     * mistake or chance.
+     */
     @Test
     void whatIsToldOfManyServersLeavesTheSoundOnesInUse() {
         int alone = failures(false, Set.of("w10", "w12", "w14", "w16", "w18"));
@@ -233,7 +326,10 @@
         assertTrue(told <= alone, told + " failures, " + alone + " where none tells");
     }
 
-    /** A restarted reader is worth a quarter of a warm one from the start: it must not stand idle until it is warm. */
+    /**
+     * A restarted reader is worth a quarter of a warm one from the start: it must not stand idle
+     * until it is warm.
+     */
     @Test
     void aColdServerGetsItsPartAlsoWhereEachRouterSeesItSeldom() {
         List<Server> fleet = fleet(25, 25);
@@ -241,11 +337,16 @@
         Random random = new Random(8);
         long start = 25 * SECOND;
         for (int id = 0; id < 75 * 37; id++) {
-            world.later(SECOND + (long) (random.nextDouble() * 37 * SECOND), random.nextInt(100),
+            world.later(
+                    SECOND + (long) (random.nextDouble() * 37 * SECOND),
+                    random.nextInt(100),
                     request(id, "s" + random.nextInt(2000), "p" + random.nextInt(200), 1000, 600));
         }
-        List<Server> cold = fleet.stream().filter(s -> Set.of("r3", "r7", "w27", "w31").contains(s.id()))
-                .map(s -> with(s, ServerState.SERVING, start)).toList();
+        List<Server> cold =
+                fleet.stream()
+                        .filter(s -> Set.of("r3", "r7", "w27", "w31").contains(s.id()))
+                        .map(s -> with(s, ServerState.SERVING, start))
+                        .toList();
         for (int i = 0; i < 100; i++) {
             world.later(start, i, new Members(ListForm.UPDATE, cold));
         }
@@ -256,7 +357,9 @@
             long sent = world.mostWithin(s.id(), start, start + 12 * SECOND, 12 * SECOND);
             long most = world.mostWithin(s.id(), start, start + 12 * SECOND, 3 * SECOND);
             all += sent;
-            assertTrue(sent >= 1 && most <= 9 * 3 * 0.26, s.id() + " was sent " + sent + ", " + most + " in 3 s");
+            assertTrue(
+                    sent >= 1 && most <= 9 * 3 * 0.26,
+                    s.id() + " was sent " + sent + ", " + most + " in 3 s");
         }
         assertTrue(all >= 4 * 36 * 0.1, all + " sent to the four");
     }
@@ -264,16 +367,21 @@
     @ParameterizedTest
     @ValueSource(ints = {2, 150})
     void routersThatKnowNothingSendAColdFleetLittle(int n) {
-        List<Server> cold = fleet(10, 10).stream().map(s -> with(s, ServerState.SERVING, SECOND)).toList();
+        List<Server> cold =
+                fleet(10, 10).stream().map(s -> with(s, ServerState.SERVING, SECOND)).toList();
         World world = new World(n, cold);
         Random random = new Random(n);
         for (int id = 0; id < 150 * 8; id++) {
-            world.later(SECOND + (long) (random.nextDouble() * 8 * SECOND), random.nextInt(n),
+            world.later(
+                    SECOND + (long) (random.nextDouble() * 8 * SECOND),
+                    random.nextInt(n),
                     request(id, "s" + id, "p" + random.nextInt(30), 1000, 600));
         }
         world.play(10 * SECOND);
         for (String id : world.sends.keySet()) {
-            assertTrue(world.mostWithin(id, 0, 10 * SECOND, 3 * SECOND) <= 12, id + world.sends.get(id));
+            assertTrue(
+                    world.mostWithin(id, 0, 10 * SECOND, 3 * SECOND) <= 12,
+                    id + world.sends.get(id));
         }
     }
 
@@ -282,11 +390,19 @@
         Map<String, Integer> hits = new TreeMap<>();
         List<Decide> routers = routers(100, fleet(10, 10));
         for (int i = 0; i < 100; i++) {
-            hits.merge(send(routers.get(i).on(SECOND, request(i, "s" + i, "p", 4000, 300))).server(), 1, Integer::sum);
-            hits.merge(send(routers.get(i).on(SECOND, request(1000 + i, "t" + i, "p", 4000, 300))).server(), 1,
+            hits.merge(
+                    send(routers.get(i).on(SECOND, request(i, "s" + i, "p", 4000, 300))).server(),
+                    1,
+                    Integer::sum);
+            hits.merge(
+                    send(routers.get(i).on(SECOND, request(1000 + i, "t" + i, "p", 4000, 300)))
+                            .server(),
+                    1,
                     Integer::sum);
         }
-        hits.remove(send(routers(1, fleet(10, 10)).get(0).on(0, request(1, "x", "p", 4000, 300))).server());
+        hits.remove(
+                send(routers(1, fleet(10, 10)).get(0).on(0, request(1, "x", "p", 4000, 300)))
+                        .server());
         assertTrue(hits.size() > 6 && hits.values().stream().allMatch(h -> h < 40), "" + hits);
     }
 
@@ -295,27 +411,51 @@
         World world = new World(100, fleet(10, 10));
         Random random = new Random(3);
         for (int id = 0; id < 3000; id++) {
-            world.later(SECOND + (long) (random.nextDouble() * 30 * SECOND), random.nextInt(100),
-                    request(id, "s" + id, id % 2 == 0 ? "hot" : "p" + random.nextInt(60), 1000, 800));
+            world.later(
+                    SECOND + (long) (random.nextDouble() * 30 * SECOND),
+                    random.nextInt(100),
+                    request(
+                            id,
+                            "s" + id,
+                            id % 2 == 0 ? "hot" : "p" + random.nextInt(60),
+                            1000,
+                            800));
         }
         world.play(31 * SECOND);
-        long most = world.sends.entrySet().stream().filter(e -> e.getKey().startsWith("r"))
-                .mapToLong(e -> e.getValue().stream().filter(t -> t > 16 * SECOND).count()).max().orElseThrow();
+        long most =
+                world.sends.entrySet().stream()
+                        .filter(e -> e.getKey().startsWith("r"))
+                        .mapToLong(e -> e.getValue().stream().filter(t -> t > 16 * SECOND).count())
+                        .max()
+                        .orElseThrow();
         assertTrue(most < 450, "the busiest of ten readers got " + most + " of 1500");
     }
 
     @Test
     void aCellWithFewWritersSendsItsSurplusToThoseWithMany() {
-        List<Server> skewed = List.of(reader("r0", 0), reader("r1", 0), reader("r2", 0), reader("r3", 1),
-                writer("w0", 0), writer("w1", 1), writer("w2", 1), writer("w3", 1));
+        List<Server> skewed =
+                List.of(
+                        reader("r0", 0),
+                        reader("r1", 0),
+                        reader("r2", 0),
+                        reader("r3", 1),
+                        writer("w0", 0),
+                        writer("w1", 1),
+                        writer("w2", 1),
+                        writer("w3", 1));
         World world = new World(40, skewed);
         Random random = new Random(5);
         for (int id = 0; id < 2000; id++) {
-            world.later(SECOND + (long) (random.nextDouble() * 30 * SECOND), random.nextInt(40),
+            world.later(
+                    SECOND + (long) (random.nextDouble() * 30 * SECOND),
+                    random.nextInt(40),
                     request(id, "s" + id, null, 1000, 0));
         }
         world.play(33 * SECOND);
-        int all = List.of("w0", "w1", "w2", "w3").stream().mapToInt(w -> world.sends.get(w).size()).sum();
+        int all =
+                List.of("w0", "w1", "w2", "w3").stream()
+                        .mapToInt(w -> world.sends.get(w).size())
+                        .sum();
         for (String w : List.of("w0", "w1", "w2", "w3")) {
             double share = world.sends.get(w).size() / (double) all;
             assertTrue(share > 0.15 && share < 0.35, w + " took " + share);
@@ -328,8 +468,16 @@
         for (int n : List.of(3, 150)) {
             List<Decide> routers = routers(n, fleet(10, 10));
             for (int id = 0; id < 600; id++) {
-                letIn.merge(n, all(routers.get(id % n).on(SECOND, request(id, "s" + id, null, 900_000, 0)),
-                        Send.class).size(), Integer::sum);
+                letIn.merge(
+                        n,
+                        all(
+                                        routers.get(id % n)
+                                                .on(
+                                                        SECOND,
+                                                        request(id, "s" + id, null, 900_000, 0)),
+                                        Send.class)
+                                .size(),
+                        Integer::sum);
             }
         }
         assertTrue(letIn.get(3) >= 6 && letIn.get(3) <= 18, "" + letIn);
@@ -367,9 +515,13 @@
         }
         Tell told = all(after, Tell.class).get(0);
         assertTrue(told.body().length() <= 256);
-        assertEquals(s.server(), send(two.get(1).on(3 * SECOND, request(90, "c", "p", 1000, 900))).server());
+        assertEquals(
+                s.server(),
+                send(two.get(1).on(3 * SECOND, request(90, "c", "p", 1000, 900))).server());
         two.get(1).on(3 * SECOND, new PeerMessage(0, told.body()));
-        assertNotEquals(s.server(), send(two.get(1).on(3 * SECOND, request(91, "d", "p", 1000, 900))).server());
+        assertNotEquals(
+                s.server(),
+                send(two.get(1).on(3 * SECOND, request(91, "d", "p", 1000, 900))).server());
     }
 
     @Test
--- a/decide/src/test/java/sorrelhoist/KnowledgeTest.java
+++ b/decide/src/test/java/sorrelhoist/KnowledgeTest.java
@@ -30,8 +30,16 @@
 
     private static Knowledge onlyKey(String server, long since, long age) {
         Knowledge.Sums none = new Knowledge.Sums(0, 0, 0, 0, 0);
-        return new Knowledge(List.of(new Knowledge.Key("talk", age, 3, List.of(
-                new Knowledge.Holding(server, since, 900)))), List.of(), List.of(), none);
+        return new Knowledge(
+                List.of(
+                        new Knowledge.Key(
+                                "talk",
+                                age,
+                                3,
+                                List.of(new Knowledge.Holding(server, since, 900)))),
+                List.of(),
+                List.of(),
+                none);
     }
 
     private static String readerOf(Decide d, long at) {
@@ -53,7 +61,11 @@
     void whatIsOldOrOfAnotherProcessIsPassedOver() {
         String untaught = readerOf(fresh(), SECOND);
         String other = untaught.equals("r1") ? "r2" : "r1";
-        for (Knowledge k : List.of(onlyKey(other, 0, 61 * SECOND), onlyKey(other, 5, 0), onlyKey("gone", 0, 0))) {
+        for (Knowledge k :
+                List.of(
+                        onlyKey(other, 0, 61 * SECOND),
+                        onlyKey(other, 5, 0),
+                        onlyKey("gone", 0, 0))) {
             Decide d = fresh();
             d.learn(SECOND, k, 0);
             assertEquals(untaught, readerOf(d, SECOND));
@@ -69,8 +81,13 @@
         String own = readerOf(d, SECOND);
         String other = own.equals("r1") ? "r2" : "r1";
         d.learn(2 * SECOND, onlyKey(other, 0, 0), 0);
-        assertTrue(d.known(2 * SECOND, 100).keys().stream().filter(k -> k.name().equals("talk"))
-                .allMatch(k -> k.holders().stream().noneMatch(h -> h.server().equals(other))));
+        assertTrue(
+                d.known(2 * SECOND, 100).keys().stream()
+                        .filter(k -> k.name().equals("talk"))
+                        .allMatch(
+                                k ->
+                                        k.holders().stream()
+                                                .noneMatch(h -> h.server().equals(other))));
     }
 
     @Test
@@ -91,8 +108,14 @@
         Decide a = fresh();
         Decide b = fresh();
         Knowledge.Sums none = new Knowledge.Sums(0, 0, 0, 0, 0);
-        a.learn(SECOND, new Knowledge(onlyKey("r2", 0, 10 * SECOND).keys(), List.of(
-                new Knowledge.Health("r1", 0, 0.9, 5, 50)), List.of(), none), 0);
+        a.learn(
+                SECOND,
+                new Knowledge(
+                        onlyKey("r2", 0, 10 * SECOND).keys(),
+                        List.of(new Knowledge.Health("r1", 0, 0.9, 5, 50)),
+                        List.of(),
+                        none),
+                0);
         assertEquals(List.of(), a.known(SECOND, 10).servers());
         for (long t = 2; t < 20; t++) {
             b.learn(t * SECOND, a.known(t * SECOND, 10), 0);
@@ -107,11 +130,24 @@
     @Test
     void aFalseTeacherBreaksNoRule() {
         Decide d = fresh();
-        d.on(SECOND, new Members(ListForm.UPDATE, List.of(with(reader("r1", 0), ServerState.DRAINING, 0))));
+        d.on(
+                SECOND,
+                new Members(
+                        ListForm.UPDATE, List.of(with(reader("r1", 0), ServerState.DRAINING, 0))));
         Knowledge.Sums wild = new Knowledge.Sums(Double.NaN, -1, 0, 1, 1);
-        Knowledge lies = new Knowledge(List.of(new Knowledge.Key("talk", 0, -5, List.of(
-                new Knowledge.Holding("r1", 0, Long.MAX_VALUE)))), List.of(new Knowledge.Health("r2", 0, 99, 1e9, -1),
-                new Knowledge.Health("r3", 0, Double.NaN, Double.NaN, 0)), List.of(wild, wild, wild), wild);
+        Knowledge lies =
+                new Knowledge(
+                        List.of(
+                                new Knowledge.Key(
+                                        "talk",
+                                        0,
+                                        -5,
+                                        List.of(new Knowledge.Holding("r1", 0, Long.MAX_VALUE)))),
+                        List.of(
+                                new Knowledge.Health("r2", 0, 99, 1e9, -1),
+                                new Knowledge.Health("r3", 0, Double.NaN, Double.NaN, 0)),
+                        List.of(wild, wild, wild),
+                        wild);
         d.learn(SECOND, lies, 0);
         Send first = send(d.on(SECOND, request(77, "talk", null, 1000, 0)));
         assertNotEquals("r1", first.server());
--- a/decide/src/test/java/sorrelhoist/ReasonTest.java
+++ b/decide/src/test/java/sorrelhoist/ReasonTest.java
@@ -23,11 +23,21 @@
     }
 
     private void start(Repeat repeat, List<Server> servers) {
-        Settings settings = new Settings(1, 0, 0, false, 0.5, Reports.NONE,
-                List.of(new RequestClass(SECOND, 40_000, 1, repeat, Scope.ALL, 0)),
-                List.of(), List.of(new Routing.Kind(Role.READ, 200_000), new Routing.Kind(Role.WRITE, 200_000)),
-                new Limits(3, true, true, true, 2 * SECOND, false, true, 0.003, 0.003),
-                new Rules(0.26, 2 * SECOND, 3, 3 * SECOND, SECOND / 2));
+        Settings settings =
+                new Settings(
+                        1,
+                        0,
+                        0,
+                        false,
+                        0.5,
+                        Reports.NONE,
+                        List.of(new RequestClass(SECOND, 40_000, 1, repeat, Scope.ALL, 0)),
+                        List.of(),
+                        List.of(
+                                new Routing.Kind(Role.READ, 200_000),
+                                new Routing.Kind(Role.WRITE, 200_000)),
+                        new Limits(3, true, true, true, 2 * SECOND, false, true, 0.003, 0.003),
+                        new Rules(0.26, 2 * SECOND, 3, 3 * SECOND, SECOND / 2));
         decide = new Decide(settings, 7);
         decide.on(now, new Members(ListForm.COMPLETE, servers));
     }
@@ -50,13 +60,28 @@
         assertEquals(read.server().equals("r1") ? "r2" : "r1", read.why().next());
         assertTrue(read.why().estimate() > 0 && read.why().limit() == 1_040_000, read.toString());
         now += 50_000;
-        Send write = only(decide.on(now, new AttemptEnded(1, 0, read.server(), Outcome.READ, 50_000, false, 0,
-                Load.NONE)), Send.class);
+        Send write =
+                only(
+                        decide.on(
+                                now,
+                                new AttemptEnded(
+                                        1,
+                                        0,
+                                        read.server(),
+                                        Outcome.READ,
+                                        50_000,
+                                        false,
+                                        0,
+                                        Load.NONE)),
+                        Send.class);
         assertEquals(Kind.TWO_DRAWS, write.why().kind());
         assertTrue(write.why().expected() >= 50_000, "counts from the client's asking: " + write);
         decide.on(now, new StreamStarted(1, 1, "w1", 1000));
         decide.on(now, new AttemptEnded(1, 1, "w1", Outcome.DONE, 2000, true, 0, Load.NONE));
-        Send again = only(decide.on(now, new Arrived(2, 0, 0, "s1", null, 1000, 0, 20, 4 * SECOND)), Send.class);
+        Send again =
+                only(
+                        decide.on(now, new Arrived(2, 0, 0, "s1", null, 1000, 0, 20, 4 * SECOND)),
+                        Send.class);
         assertEquals(Kind.KEPT, again.why().kind());
         assertEquals(read.server(), again.server());
     }
@@ -78,9 +103,11 @@
     @Test
     void whatIsMissingIsTold() {
         start(Repeat.SAFE, List.of(W1));
-        assertEquals(Kind.NO_SERVER, only(decide.on(now, ask(1, SECOND)), Refuse.class).why().kind());
+        assertEquals(
+                Kind.NO_SERVER, only(decide.on(now, ask(1, SECOND)), Refuse.class).why().kind());
         start(Repeat.SAFE, List.of(server("r1", 0, ServerState.DRAINING, 0), W1));
-        assertEquals(Kind.DRAINING, only(decide.on(now, ask(1, SECOND)), Refuse.class).why().kind());
+        assertEquals(
+                Kind.DRAINING, only(decide.on(now, ask(1, SECOND)), Refuse.class).why().kind());
         // Just started, and this router's turn at it is used up.
         start(Repeat.SAFE, List.of(server("r1", 0, ServerState.SERVING, now), W1));
         Kind last = null;
@@ -98,23 +125,39 @@
         Send read = only(decide.on(now, ask(1, SECOND)), Send.class);
         now += SECOND;
         List<Action> late = decide.on(now, new TimerFired(1));
-        assertEquals(Reason.compared(Kind.DEADLINE, SECOND, SECOND), only(late, Refuse.class).why());
+        assertEquals(
+                Reason.compared(Kind.DEADLINE, SECOND, SECOND), only(late, Refuse.class).why());
         assertEquals(Kind.DEADLINE, only(late, Cancel.class).why().kind());
-        decide.on(now, new AttemptEnded(1, 0, read.server(), Outcome.CANCELLED, SECOND, true, 0, Load.NONE));
+        decide.on(
+                now,
+                new AttemptEnded(
+                        1, 0, read.server(), Outcome.CANCELLED, SECOND, true, 0, Load.NONE));
 
         start(Repeat.UNSAFE, List.of(R1, W1));
         read = only(decide.on(now, ask(1, SECOND)), Send.class);
-        decide.on(now, new AttemptEnded(1, 0, read.server(), Outcome.READ, 1000, false, 0, Load.NONE));
-        Fail fail = only(decide.on(now, new AttemptEnded(1, 1, "w1", Outcome.ERROR, 1000, false, 0, Load.NONE)),
-                Fail.class);
+        decide.on(
+                now,
+                new AttemptEnded(1, 0, read.server(), Outcome.READ, 1000, false, 0, Load.NONE));
+        Fail fail =
+                only(
+                        decide.on(
+                                now,
+                                new AttemptEnded(
+                                        1, 1, "w1", Outcome.ERROR, 1000, false, 0, Load.NONE)),
+                        Fail.class);
         assertEquals(Kind.REPEAT_UNSAFE, fail.why().kind());
 
         start(Repeat.SAFE, List.of(R1, W1));
         decide.on(now, ask(1, SECOND));
         decide.on(now, new AttemptEnded(1, 0, "r1", Outcome.READ, 1000, false, 0, Load.NONE));
         decide.on(now, new AttemptEnded(1, 1, "w1", Outcome.FULL, 1000, false, 0, Load.NONE));
-        Refuse full = only(decide.on(now, new AttemptEnded(1, 2, "w1", Outcome.FULL, 1000, false, 0, Load.NONE)),
-                Refuse.class);
+        Refuse full =
+                only(
+                        decide.on(
+                                now,
+                                new AttemptEnded(
+                                        1, 2, "w1", Outcome.FULL, 1000, false, 0, Load.NONE)),
+                        Refuse.class);
         assertEquals(Reason.compared(Kind.TOLD_FULL, 3, 3), full.why());
     }
 }
--- a/decide/src/test/java/sorrelhoist/RulesTest.java
+++ b/decide/src/test/java/sorrelhoist/RulesTest.java
@@ -28,15 +28,25 @@
         for (Repeat repeat : Repeat.values()) {
             for (Scope scope : Scope.values()) {
                 boolean odd = variants.size() % 2 == 1;
-                variants.add(settings(repeat, scope, odd, odd ? List.of(new Tenant(3), new Tenant(9)) : List.of(), odd,
-                        Reports.values()[variants.size() % 3], odd, variants.size() % 3 != 0,
-                        2 + variants.size() % 5));
+                variants.add(
+                        settings(
+                                repeat,
+                                scope,
+                                odd,
+                                odd ? List.of(new Tenant(3), new Tenant(9)) : List.of(),
+                                odd,
+                                Reports.values()[variants.size() % 3],
+                                odd,
+                                variants.size() % 3 != 0,
+                                2 + variants.size() % 5));
             }
         }
         for (int seed = 0; seed < 2 * variants.size(); seed++) {
             History h = new History(variants.get(seed % variants.size()), seed);
             h.play();
-            assertTrue(h.served > 100 && h.refused + h.failed > 0, "a history that shows nothing: " + seed);
+            assertTrue(
+                    h.served > 100 && h.refused + h.failed > 0,
+                    "a history that shows nothing: " + seed);
         }
     }
 
@@ -125,9 +135,17 @@
             String session = random.nextInt(10) == 0 ? null : "a" + random.nextInt(40);
             String prefix = random.nextInt(4) == 0 ? null : "p" + random.nextInt(6);
             long prompt = 50 + random.nextInt(6000);
-            Arrived a = new Arrived(nextId++, random.nextInt(2), random.nextInt(2), session, prefix, prompt,
-                    prefix == null ? 0 : prompt / 2, 200, random.nextInt(20) == 0 ? 0 : SECOND / 2
-                    + random.nextInt(3_000_000));
+            Arrived a =
+                    new Arrived(
+                            nextId++,
+                            random.nextInt(2),
+                            random.nextInt(2),
+                            session,
+                            prefix,
+                            prompt,
+                            prefix == null ? 0 : prompt / 2,
+                            200,
+                            random.nextInt(20) == 0 ? 0 : SECOND / 2 + random.nextInt(3_000_000));
             requests.put(a.id(), new Open(a, now));
             give(a);
         }
@@ -139,13 +157,23 @@
             Server s = servers.get("s" + random.nextInt(12));
             ServerState state = ServerState.values()[random.nextInt(3)];
             boolean restart = s.state() != ServerState.SERVING && state == ServerState.SERVING;
-            put(new Server(s.id(), s.zone(), s.kind(), s.cell(), state, s.size(), restart ? now : s.since()));
+            put(
+                    new Server(
+                            s.id(),
+                            s.zone(),
+                            s.kind(),
+                            s.cell(),
+                            state,
+                            s.size(),
+                            restart ? now : s.since()));
             if (random.nextInt(4) == 0) {
                 give(new Members(ListForm.UNAVAILABLE, List.of()));
             }
             boolean whole = random.nextBoolean();
-            give(new Members(whole ? ListForm.COMPLETE : ListForm.UPDATE,
-                    whole ? List.copyOf(servers.values()) : List.of(servers.get(s.id()))));
+            give(
+                    new Members(
+                            whole ? ListForm.COMPLETE : ListForm.UPDATE,
+                            whole ? List.copyOf(servers.values()) : List.of(servers.get(s.id()))));
         }
 
         void fireTimers() {
@@ -186,9 +214,12 @@
             r.endsAt.remove(n);
             r.freeSince = now;
             r.state |= outcome == Outcome.READ;
-            long note = outcome == Outcome.FULL && role != Role.READ && random.nextBoolean() ? 1 : 0;
+            long note =
+                    outcome == Outcome.FULL && role != Role.READ && random.nextBoolean() ? 1 : 0;
             r.state &= note == 0;
-            if (role != Role.READ && outcome != Outcome.FULL && outcome != Outcome.CONNECT_FAILED
+            if (role != Role.READ
+                    && outcome != Outcome.FULL
+                    && outcome != Outcome.CONNECT_FAILED
                     && r.mayHaveRun == null) {
                 r.mayHaveRun = servers.get(s.server());
             }
@@ -196,17 +227,35 @@
                 r.over = true;
                 served++;
             }
-            give(new AttemptEnded(r.arrived.id(), n, s.server(), outcome, 1000 + random.nextInt(300_000), r.over, note,
-                    random.nextBoolean() ? Load.NONE
-                            : new Load(random.nextDouble(), random.nextInt(9000), 1, Double.NaN)));
+            give(
+                    new AttemptEnded(
+                            r.arrived.id(),
+                            n,
+                            s.server(),
+                            outcome,
+                            1000 + random.nextInt(300_000),
+                            r.over,
+                            note,
+                            random.nextBoolean()
+                                    ? Load.NONE
+                                    : new Load(
+                                            random.nextDouble(),
+                                            random.nextInt(9000),
+                                            1,
+                                            Double.NaN)));
         }
 
         Outcome draw(Role role) {
             if (random.nextInt(5) > 0) {
                 return role == Role.READ ? Outcome.READ : Outcome.DONE;
             }
-            return List.of(Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET,
-                    Outcome.TIMED_OUT).get(random.nextInt(5));
+            return List.of(
+                            Outcome.ERROR,
+                            Outcome.FULL,
+                            Outcome.CONNECT_FAILED,
+                            Outcome.RESET,
+                            Outcome.TIMED_OUT)
+                    .get(random.nextInt(5));
         }
 
         void give(Event event) {
@@ -232,7 +281,8 @@
                 assertTrue(settings.limits().cancel());
                 requests.get(a.id()).endsAt.computeIfPresent(a.attempt(), (n, t) -> now + STEP);
             } else if (action instanceof Timer a) {
-                timers.computeIfAbsent(now + Math.max(1, a.delayMicros()), t -> new ArrayList<>()).add(a.token());
+                timers.computeIfAbsent(now + Math.max(1, a.delayMicros()), t -> new ArrayList<>())
+                        .add(a.token());
             } else if (action instanceof Probe) {
                 assertTrue(settings.limits().probes());
             }
@@ -247,10 +297,14 @@
             assertEquals(ServerState.SERVING, s.state(), "sent to a server that drains or is gone");
             if (r.mayHaveRun != null && settings.classes().get(0).repeat() != Repeat.SAFE) {
                 assertEquals(Repeat.KEYED, settings.classes().get(0).repeat());
-                assertTrue(now < r.mayHaveRunSentAt + settings.classes().get(0).repeatWindowMicros());
+                assertTrue(
+                        now < r.mayHaveRunSentAt + settings.classes().get(0).repeatWindowMicros());
                 Scope scope = settings.classes().get(0).scope();
-                assertTrue(scope == Scope.ALL || scope == Scope.ZONE && s.zone() == r.mayHaveRun.zone()
-                        || scope == Scope.CELL && s.cell() == r.mayHaveRun.cell(), "sent outside its group");
+                assertTrue(
+                        scope == Scope.ALL
+                                || scope == Scope.ZONE && s.zone() == r.mayHaveRun.zone()
+                                || scope == Scope.CELL && s.cell() == r.mayHaveRun.cell(),
+                        "sent outside its group");
             }
             if (r.mayHaveRun == null) {
                 r.mayHaveRunSentAt = now;
@@ -258,10 +312,15 @@
             checkCold(s);
             r.out.put(r.sends, a);
             long natural = now + random.nextInt(random.nextInt(10) == 0 ? 5_000_000 : 200_000);
-            r.endsAt.put(r.sends++, Math.max(now + STEP, Math.min(natural, Math.min(a.cutAt(), r.deadline))));
+            r.endsAt.put(
+                    r.sends++,
+                    Math.max(now + STEP, Math.min(natural, Math.min(a.cutAt(), r.deadline))));
         }
 
-        /** A cold server gets single requests, or the rule's multiple of its share of what a warm one has had. */
+        /**
+         * A cold server gets single requests, or the rule's multiple of its share of what a warm
+         * one has had.
+         */
         void checkCold(Server s) {
             ArrayDeque<Long> sends = recentSends.computeIfAbsent(s.id(), id -> new ArrayDeque<>());
             sends.add(now);
@@ -271,8 +330,10 @@
                 return;
             }
             long sinceStart = sends.stream().filter(t -> t >= s.since()).count();
-            double bearable = settings.rules().fallMultiple() * settings.rules().coldFrom()
-                    * mostSent.getOrDefault(s.kind(), 0);
+            double bearable =
+                    settings.rules().fallMultiple()
+                            * settings.rules().coldFrom()
+                            * mostSent.getOrDefault(s.kind(), 0);
             assertTrue(sinceStart <= Math.max(1, bearable), s.id() + " cold got " + sinceStart);
         }
 
@@ -286,16 +347,25 @@
 
         boolean mayRefuse(Open r) {
             RequestClass c = settings.classes().get(r.arrived.cls());
-            boolean writing = r.out.values().stream()
-                    .anyMatch(s -> settings.kinds().get(servers.get(s.server()).kind()).role() != Role.READ);
-            return c.repeat() == Repeat.SAFE || r.mayHaveRun == null && !writing
+            boolean writing =
+                    r.out.values().stream()
+                            .anyMatch(
+                                    s ->
+                                            settings.kinds()
+                                                            .get(servers.get(s.server()).kind())
+                                                            .role()
+                                                    != Role.READ);
+            return c.repeat() == Repeat.SAFE
+                    || r.mayHaveRun == null && !writing
                     || c.repeat() == Repeat.KEYED && c.scope() == Scope.ALL;
         }
 
         void check() {
             for (Open r : List.copyOf(requests.values())) {
                 assertTrue(r.over || r.streaming || now <= r.deadline + SLACK, "no answer in time");
-                assertTrue(!r.state || !r.out.isEmpty() || now - r.freeSince <= RELEASE, "a state left pinned");
+                assertTrue(
+                        !r.state || !r.out.isEmpty() || now - r.freeSince <= RELEASE,
+                        "a state left pinned");
                 if (r.over && r.out.isEmpty() && !r.state) {
                     requests.remove(r.arrived.id());
                 }
--- a/decide/src/test/java/sorrelhoist/SlowStartTest.java
+++ b/decide/src/test/java/sorrelhoist/SlowStartTest.java
@@ -32,9 +32,12 @@
     private long ids;
 
     private void told(ListForm form, long r1Since) {
-        List<Server> servers = fleet().stream().map(s -> s.id().equals("r1")
-                ? with(s, ServerState.SERVING, r1Since) : s).toList();
-        decide.on(now, new Members(form, form == ListForm.UPDATE ? servers.subList(0, 1) : servers));
+        List<Server> servers =
+                fleet().stream()
+                        .map(s -> s.id().equals("r1") ? with(s, ServerState.SERVING, r1Since) : s)
+                        .toList();
+        decide.on(
+                now, new Members(form, form == ListForm.UPDATE ? servers.subList(0, 1) : servers));
     }
 
     /** {@return how many of some requests over one window go to r1} */
@@ -42,9 +45,11 @@
         int sent = 0;
         for (int i = 0; i < ASKED; i++) {
             now += WINDOW / ASKED;
-            for (Send read : all(decide.on(now, request(++ids, "s" + ids, null, 1000, 0)), Send.class)) {
+            for (Send read :
+                    all(decide.on(now, request(++ids, "s" + ids, null, 1000, 0)), Send.class)) {
                 sent += read.server().equals("r1") ? 1 : 0;
-                for (Send write : all(decide.on(now, ended(read, 0, Outcome.READ, 40_000, 0)), Send.class)) {
+                for (Send write :
+                        all(decide.on(now, ended(read, 0, Outcome.READ, 40_000, 0)), Send.class)) {
                     decide.on(now, ended(write, 1, Outcome.DONE, 40_000, 0));
                 }
             }
@@ -60,8 +65,12 @@
         Send held = all(decide.on(now, request(++ids, "kept", null, 1000, 0)), Send.class).get(0);
         decide.on(now, ended(held, 0, Outcome.READ, 40_000, 0));
         told(ListForm.UPDATE, now + stepSeconds * SECOND);
-        assertTrue(decide.known(now, 10).keys().stream().filter(k -> k.name().equals("kept")).flatMap(k ->
-                k.holders().stream()).noneMatch(h -> h.server().equals("r1")), "what it kept went with it");
+        assertTrue(
+                decide.known(now, 10).keys().stream()
+                        .filter(k -> k.name().equals("kept"))
+                        .flatMap(k -> k.holders().stream())
+                        .noneMatch(h -> h.server().equals("r1")),
+                "what it kept went with it");
     }
 
     @ParameterizedTest
@@ -81,7 +90,9 @@
         decide.on(now, new Members(ListForm.COMPLETE, List.of()));
         now += HOUR;
         told(ListForm.COMPLETE, since);
-        assertTrue(before > MOST_COLD && sentInAWindow() > MOST_COLD, "the same process, seen again, is warm");
+        assertTrue(
+                before > MOST_COLD && sentInAWindow() > MOST_COLD,
+                "the same process, seen again, is warm");
     }
 
     @Test
--- a/edge/src/main/java/sorrelhoist/edge/Clock.java
+++ b/edge/src/main/java/sorrelhoist/edge/Clock.java
@@ -2,7 +2,10 @@
 
 import java.time.Instant;
 
-/** Microseconds since 1970 that never go back: read once from the wall, then carried on by the monotonic clock. */
+/**
+ * Microseconds since 1970 that never go back: read once from the wall, then carried on by the
+ * monotonic clock.
+ */
 final class Clock {
     private final long start;
     private final long nanos = System.nanoTime();
