--- a/edge/src/main/java/sorrelhoist/edge/Edge.java
+++ b/edge/src/main/java/sorrelhoist/edge/Edge.java
@@ -36,16 +36,21 @@
 import sorrelhoist.protocol.http2.Http2Limits;
 import sorrelhoist.protocol.net.Net;
 
-/** An edge: client listener, router, engine connections and the stream to the planner, put together. */
+/**
+ * An edge: client listener, router, engine connections and the stream to the planner, put together.
+ */
 public final class Edge implements Http2Connection.Watcher {
     private static final Logger LOG = LoggerFactory.getLogger(Edge.class);
     private static final int SEGMENTS = 8; // so that an eighth of the record goes at a time
     private static final long MINUTE = 60_000_000;
     private static final int MESSAGE_OVERHEAD = 64 << 10;
     private static final long LOOK_MILLIS = 20;
-    private static final Background.Job PAST = new Background.Job("past", 1, 50_000, 16 << 20, 10_000_000);
-    private static final Background.Job RECORD = new Background.Job("record", 3, 50_000, 64 << 20, 100_000);
-    private static final Background.Job TEACH = new Background.Job("teach", 2, 30_000, 4 << 20, 5_000_000);
+    private static final Background.Job PAST =
+            new Background.Job("past", 1, 50_000, 16 << 20, 10_000_000);
+    private static final Background.Job RECORD =
+            new Background.Job("record", 3, 50_000, 64 << 20, 100_000);
+    private static final Background.Job TEACH =
+            new Background.Job("teach", 2, 30_000, 4 << 20, 5_000_000);
     private final EdgeSettings settings;
     private final EventLoopGroup network;
     private final RouterLoop loop;
@@ -83,22 +88,57 @@
         long incarnation = System.currentTimeMillis();
         network = Net.loops(s.threads(), "edge-net");
         RouterSettings router = settings.router(incarnation);
-        record = settings.record().folder().isEmpty() ? null : openRecord(settings.record(), router);
+        record =
+                settings.record().folder().isEmpty() ? null : openRecord(settings.record(), router);
         loop = new RouterLoop(router, record == null ? Tap.NONE : record.tap());
-        EngineTable table = new EngineTable(settings.zones(),
-                settings.kinds().stream().map(EdgeSettings.KindSettings::name).toList());
-        engines = new Engines(settings.name(), loop, network, table, new GrpcChannel.Options(
-                s.connectionsPerEngine(), s.dialMs() * 1000, s.idleMs() * 1000, 1 << 20, Http2Limits.CLIENT), tracing);
+        EngineTable table =
+                new EngineTable(
+                        settings.zones(),
+                        settings.kinds().stream().map(EdgeSettings.KindSettings::name).toList());
+        engines =
+                new Engines(
+                        settings.name(),
+                        loop,
+                        network,
+                        table,
+                        new GrpcChannel.Options(
+                                s.connectionsPerEngine(),
+                                s.dialMs() * 1000,
+                                s.idleMs() * 1000,
+                                1 << 20,
+                                Http2Limits.CLIENT),
+                        tracing);
         past = settings.pastFolder().isEmpty() ? null : openPast(settings.pastFolder());
         // What is known of engines can only be taken once the engines themselves are.
-        planner = new PlannerLink(settings, incarnation, loop, table, network.next(), () -> recall(table),
-                this::tellLearner);
+        planner =
+                new PlannerLink(
+                        settings,
+                        incarnation,
+                        loop,
+                        table,
+                        network.next(),
+                        () -> recall(table),
+                        this::tellLearner);
         Seal seal = settings.teachKeys().isEmpty() ? null : seal(settings.teachKeys());
-        teacher = seal == null ? null : new Teacher(settings.name(), seal,
-                most -> Processes.outward(loop.known(most), table), what -> loop.post(r -> what.run()),
-                () -> loop.due(TEACH));
-        learner = seal == null ? null : new Learner(settings.name(), settings.zone(), seal, network.next(), this::known,
-                k -> loop.post(r -> loop.learn(Processes.inward(k, table), 0)));
+        teacher =
+                seal == null
+                        ? null
+                        : new Teacher(
+                                settings.name(),
+                                seal,
+                                most -> Processes.outward(loop.known(most), table),
+                                what -> loop.post(r -> what.run()),
+                                () -> loop.due(TEACH));
+        learner =
+                seal == null
+                        ? null
+                        : new Learner(
+                                settings.name(),
+                                settings.zone(),
+                                seal,
+                                network.next(),
+                                this::known,
+                                k -> loop.post(r -> loop.learn(Processes.inward(k, table), 0)));
         loop.connect(engines, planner);
     }
 
@@ -116,13 +156,21 @@
 
     private static RecordWork openRecord(EdgeSettings.RecordSettings s, RouterSettings router) {
         long bytes = (long) s.megabytes() << 20;
-        Shelf.Bounds bounds = new Shelf.Bounds(Math.max(1 << 20, bytes / SEGMENTS), bytes, s.minutes() * MINUTE,
-                (long) s.keptMegabytes() << 20);
+        Shelf.Bounds bounds =
+                new Shelf.Bounds(
+                        Math.max(1 << 20, bytes / SEGMENTS),
+                        bytes,
+                        s.minutes() * MINUTE,
+                        (long) s.keptMegabytes() << 20);
         try {
             return new RecordWork(new RecordFolder(Path.of(s.folder())), bounds, router);
         } catch (IOException e) {
-            LOG.atWarn().addKeyValue("event", "record_unwritten").log("record.folder {} cannot be used, so nothing is "
-                    + "recorded: {}", s.folder(), e.toString());
+            LOG.atWarn()
+                    .addKeyValue("event", "record_unwritten")
+                    .log(
+                            "record.folder {} cannot be used, so nothing is " + "recorded: {}",
+                            s.folder(),
+                            e.toString());
             return null;
         }
     }
@@ -138,8 +186,9 @@
         try {
             return new PastWork(new FolderDisk(Path.of(folder)), loop.now());
         } catch (IOException e) {
-            LOG.atWarn().addKeyValue("event", "past_unreadable").log("pastFolder {} cannot be used: {}", folder,
-                    e.toString());
+            LOG.atWarn()
+                    .addKeyValue("event", "past_unreadable")
+                    .log("pastFolder {} cannot be used: {}", folder, e.toString());
             return null;
         }
     }
@@ -155,14 +204,17 @@
     }
 
     private void keepPast(EngineTable table) {
-        past.restore(loop.now()).forEach(m -> loop.learn(Processes.inward(m.knowledge(), table), m.age()));
-        loop.background(PAST, now -> {
-            int keys = past.keysDue(now);
-            if (keys > 0) {
-                past.write(now, Processes.outward(loop.known(keys), table));
-            }
-            return past.nextAt();
-        });
+        past.restore(loop.now())
+                .forEach(m -> loop.learn(Processes.inward(m.knowledge(), table), m.age()));
+        loop.background(
+                PAST,
+                now -> {
+                    int keys = past.keysDue(now);
+                    if (keys > 0) {
+                        past.write(now, Processes.outward(loop.known(keys), table));
+                    }
+                    return past.nextAt();
+                });
     }
 
     /** {@return what this edge knows, for tests} */
@@ -174,24 +226,35 @@
 
     /** Listens, and looks for its planner. {@return this} */
     public Edge start() throws IOException {
-        InferenceApi api = new InferenceApi(settings, loop, tracing, () -> loop.ready() && !draining);
+        InferenceApi api =
+                new InferenceApi(settings, loop, tracing, () -> loop.ready() && !draining);
         GrpcServer server = api.server(settings.serving().maxPromptBytes() + MESSAGE_OVERHEAD);
-        Http2Limits limits = Http2Limits.SERVER.withMaxStreams(settings.serving().streamsPerConnection());
-        listener = Net.listen(network, settings.port(), () -> Http2Connection.server(limits, server, this));
+        Http2Limits limits =
+                Http2Limits.SERVER.withMaxStreams(settings.serving().streamsPerConnection());
+        listener =
+                Net.listen(
+                        network,
+                        settings.port(),
+                        () -> Http2Connection.server(limits, server, this));
         if (teacher != null) {
             server.on(Teacher.TEACH, teacher::open);
-            loop.background(TEACH, now -> {
-                long wait = teacher.slice(loop::moved);
-                return wait == Long.MAX_VALUE ? wait : now + wait;
-            });
+            loop.background(
+                    TEACH,
+                    now -> {
+                        long wait = teacher.slice(loop::moved);
+                        return wait == Long.MAX_VALUE ? wait : now + wait;
+                    });
         }
         if (record != null) {
             loop.background(RECORD, now -> record.slice(loop::moved) ? now : Long.MAX_VALUE);
             loop.post(r -> record.onDue(() -> loop.due(RECORD)));
         }
         planner.start(port());
-        LOG.atInfo().addKeyValue("event", "started").addKeyValue("edge", settings.name())
-                .addKeyValue("port", port()).log("edge listens");
+        LOG.atInfo()
+                .addKeyValue("event", "started")
+                .addKeyValue("edge", settings.name())
+                .addKeyValue("port", port())
+                .log("edge listens");
         return this;
     }
 
@@ -210,7 +273,10 @@
         return loop.ready();
     }
 
-    /** {@return whether an engine serves, as this edge was last told: 1, 0, or -1 for one that it does not know} */
+    /**
+     * {@return whether an engine serves, as this edge was last told: 1, 0, or -1 for one that it
+     * does not know}
+     */
     public int serving(String engine) {
         return loop.serving(engine);
     }
@@ -218,8 +284,16 @@
     /** What is still held, for tests: open, known, out and held requests, and calls to engines. */
     public CompletableFuture<int[]> counts() {
         var result = new CompletableFuture<int[]>();
-        loop.post(r -> result.complete(new int[] {r.open(), r.known(), r.attemptsOut(), r.held(),
-            engines.flights()}));
+        loop.post(
+                r ->
+                        result.complete(
+                                new int[] {
+                                    r.open(),
+                                    r.known(),
+                                    r.attemptsOut(),
+                                    r.held(),
+                                    engines.flights()
+                                }));
         return result;
     }
 
@@ -231,17 +305,23 @@
     @Override
     public void closed(Http2Connection connection, String why) {
         clients.remove(connection);
-        LOG.atDebug().addKeyValue("event", "client_closed").log("a client's connection ended: {}", why);
+        LOG.atDebug()
+                .addKeyValue("event", "client_closed")
+                .log("a client's connection ended: {}", why);
     }
 
     /**
-     * Ends in good order: takes no new requests, lets running answers end within their time, then stops. Blocks.
+     * Ends in good order: takes no new requests, lets running answers end within their time, then
+     * stops. Blocks.
      *
      * @param hurry asked again and again; true ends the wait
      */
     public void drain(java.util.function.BooleanSupplier hurry) {
         draining = true;
-        LOG.atInfo().addKeyValue("event", "draining").addKeyValue("open", open()).log("edge drains");
+        LOG.atInfo()
+                .addKeyValue("event", "draining")
+                .addKeyValue("open", open())
+                .log("edge drains");
         loop.post(sorrelhoist.core.life.Router::drainNow);
         clients.forEach(c -> c.executor().execute(c::drain));
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(settings.serving().drainMs());
--- a/edge/src/main/java/sorrelhoist/edge/EdgeSettings.java
+++ b/edge/src/main/java/sorrelhoist/edge/EdgeSettings.java
@@ -20,26 +20,43 @@
  * @param limits what is permitted
  * @param rules the rules' figures
  * @param serving how clients and engines are served
- * @param traceShare share of requests whose spans are logged, 0 for none; clients that sample decide for theirs
+ * @param traceShare share of requests whose spans are logged, 0 for none; clients that sample
+ *     decide for theirs
  * @param pastFolder where it keeps what it knows for its next life; empty for nowhere
- * @param teachKeys secrets with which edges teach each other, the signing one first; empty for no teaching
+ * @param teachKeys secrets with which edges teach each other, the signing one first; empty for no
+ *     teaching
  * @param record where and how much of its decisions it records
  * @param seed of all randomness
  */
-public record EdgeSettings(String name, String zone, List<String> zones, int port, String planner, String model,
-        int routers, List<ClassSettings> classes, List<TenantSettings> tenants, List<KindSettings> kinds,
-        LimitSettings limits, RuleSettings rules, ServingSettings serving, double traceShare,
-        String pastFolder, List<KeySettings> teachKeys, RecordSettings record, long seed) {
+public record EdgeSettings(
+        String name,
+        String zone,
+        List<String> zones,
+        int port,
+        String planner,
+        String model,
+        int routers,
+        List<ClassSettings> classes,
+        List<TenantSettings> tenants,
+        List<KindSettings> kinds,
+        LimitSettings limits,
+        RuleSettings rules,
+        ServingSettings serving,
+        double traceShare,
+        String pastFolder,
+        List<KeySettings> teachKeys,
+        RecordSettings record,
+        long seed) {
     /**
      * The record of decisions.
      *
      * @param folder where it lies, one for each edge; empty for none
      * @param megabytes of what is not kept: the window that is always there
      * @param minutes after which what is not kept is let go
-     * @param keptMegabytes of what is kept, because a rule was in danger or somebody asked; the oldest goes
+     * @param keptMegabytes of what is kept, because a rule was in danger or somebody asked; the
+     *     oldest goes
      */
-    public record RecordSettings(String folder, int megabytes, int minutes, int keptMegabytes) {
-    }
+    public record RecordSettings(String folder, int megabytes, int minutes, int keptMegabytes) {}
 
     /**
      * A secret that edges share.
@@ -47,8 +64,7 @@
      * @param id its name
      * @param secret 16 bytes or more
      */
-    public record KeySettings(String id, String secret) {
-    }
+    public record KeySettings(String id, String secret) {}
 
     /**
      * A request class.
@@ -63,9 +79,16 @@
      * @param scope for keyed classes: the engines that drop repeats: all, zone or cell
      * @param repeatWindowMs for keyed classes: how long
      */
-    public record ClassSettings(String name, long aimMs, long aimMsPer1000, long deadlineMs, long deadlineMsPer1000,
-            double worth, String repeat, String scope, long repeatWindowMs) {
-    }
+    public record ClassSettings(
+            String name,
+            long aimMs,
+            long aimMsPer1000,
+            long deadlineMs,
+            long deadlineMsPer1000,
+            double worth,
+            String repeat,
+            String scope,
+            long repeatWindowMs) {}
 
     /**
      * A tenant.
@@ -73,8 +96,7 @@
      * @param name its name
      * @param perSecond requests a second within its share, over all edges
      */
-    public record TenantSettings(String name, double perSecond) {
-    }
+    public record TenantSettings(String name, double perSecond) {}
 
     /**
      * A kind of engine.
@@ -83,8 +105,7 @@
      * @param role read, write or both
      * @param memoryTokens memory, in tokens
      */
-    public record KindSettings(String name, String role, long memoryTokens) {
-    }
+    public record KindSettings(String name, String role, long memoryTokens) {}
 
     /**
      * What is permitted.
@@ -101,10 +122,18 @@
      * @param reports how load reports come: none, outcomes or probes
      * @param overShareWorth worth of a tenant's requests beyond its share, 0 to 1
      */
-    public record LimitSettings(int maxAttempts, boolean cancel, boolean probes, boolean backoffHints,
-            long maxBackoffMs, boolean writersRead, boolean tells, double probePrice, double tellPrice,
-            String reports, double overShareWorth) {
-    }
+    public record LimitSettings(
+            int maxAttempts,
+            boolean cancel,
+            boolean probes,
+            boolean backoffHints,
+            long maxBackoffMs,
+            boolean writersRead,
+            boolean tells,
+            double probePrice,
+            double tellPrice,
+            String reports,
+            double overShareWorth) {}
 
     /**
      * The rules' figures.
@@ -115,8 +144,8 @@
      * @param fallMs for this long, it falls over
      * @param releaseMs a held state is taken or let go within this time
      */
-    public record RuleSettings(double coldFrom, long coldMs, double fallMultiple, long fallMs, long releaseMs) {
-    }
+    public record RuleSettings(
+            double coldFrom, long coldMs, double fallMultiple, long fallMs, long releaseMs) {}
 
     /**
      * How clients and engines are served.
@@ -135,34 +164,81 @@
      * @param streamsPerConnection that a client may have open on one connection
      * @param drainMs for running answers when the edge is stopped
      */
-    public record ServingSettings(long marginMs, boolean resumes, long stallMs, int maxOpen, int defaultMaxTokens,
-            int mostMaxTokens, int maxPromptBytes, int threads, int connectionsPerEngine, long dialMs, long idleMs,
-            int streamsPerConnection, long drainMs) {
-    }
+    public record ServingSettings(
+            long marginMs,
+            boolean resumes,
+            long stallMs,
+            int maxOpen,
+            int defaultMaxTokens,
+            int mostMaxTokens,
+            int maxPromptBytes,
+            int threads,
+            int connectionsPerEngine,
+            long dialMs,
+            long idleMs,
+            int streamsPerConnection,
+            long drainMs) {}
 
     /** {@return the same for the decisions} */
     public RouterSettings router(long incarnation) {
-        Routing.Settings decide = new Routing.Settings(routers, 0, zones.indexOf(zone), false,
-                limits.overShareWorth(), switch (limits.reports()) {
-                    case "outcomes" -> Routing.Reports.IN_OUTCOMES;
-                    case "probes" -> Routing.Reports.IN_PROBES;
-                    default -> Routing.Reports.NONE;
-                },
-                classes.stream().map(c -> new Routing.RequestClass(c.aimMs() * 1000, c.aimMsPer1000() * 1000,
-                        c.worth(), Routing.Repeat.valueOf(upper(c.repeat())), Routing.Scope.valueOf(upper(c.scope())),
-                        c.repeatWindowMs() * 1000)).toList(),
-                tenants.stream().map(t -> new Routing.Tenant(t.perSecond())).toList(),
-                kinds.stream().map(k -> new Routing.Kind(Routing.Role.valueOf(upper(k.role())), k.memoryTokens()))
-                        .toList(),
-                new Routing.Limits(limits.maxAttempts(), limits.cancel(), limits.probes(), limits.backoffHints(),
-                        limits.maxBackoffMs() * 1000, limits.writersRead(), limits.tells(), limits.probePrice(),
-                        limits.tellPrice()),
-                new Routing.Rules(rules.coldFrom(), rules.coldMs() * 1000, rules.fallMultiple(),
-                        rules.fallMs() * 1000, rules.releaseMs() * 1000));
-        return new RouterSettings(name, incarnation, decide,
+        Routing.Settings decide =
+                new Routing.Settings(
+                        routers,
+                        0,
+                        zones.indexOf(zone),
+                        false,
+                        limits.overShareWorth(),
+                        switch (limits.reports()) {
+                            case "outcomes" -> Routing.Reports.IN_OUTCOMES;
+                            case "probes" -> Routing.Reports.IN_PROBES;
+                            default -> Routing.Reports.NONE;
+                        },
+                        classes.stream()
+                                .map(
+                                        c ->
+                                                new Routing.RequestClass(
+                                                        c.aimMs() * 1000,
+                                                        c.aimMsPer1000() * 1000,
+                                                        c.worth(),
+                                                        Routing.Repeat.valueOf(upper(c.repeat())),
+                                                        Routing.Scope.valueOf(upper(c.scope())),
+                                                        c.repeatWindowMs() * 1000))
+                                .toList(),
+                        tenants.stream().map(t -> new Routing.Tenant(t.perSecond())).toList(),
+                        kinds.stream()
+                                .map(
+                                        k ->
+                                                new Routing.Kind(
+                                                        Routing.Role.valueOf(upper(k.role())),
+                                                        k.memoryTokens()))
+                                .toList(),
+                        new Routing.Limits(
+                                limits.maxAttempts(),
+                                limits.cancel(),
+                                limits.probes(),
+                                limits.backoffHints(),
+                                limits.maxBackoffMs() * 1000,
+                                limits.writersRead(),
+                                limits.tells(),
+                                limits.probePrice(),
+                                limits.tellPrice()),
+                        new Routing.Rules(
+                                rules.coldFrom(),
+                                rules.coldMs() * 1000,
+                                rules.fallMultiple(),
+                                rules.fallMs() * 1000,
+                                rules.releaseMs() * 1000));
+        return new RouterSettings(
+                name,
+                incarnation,
+                decide,
                 classes.stream().map(c -> c.deadlineMs() * 1000).toList(),
-                classes.stream().map(c -> c.deadlineMsPer1000() * 1000).toList(), serving.marginMs() * 1000,
-                serving.resumes(), serving.stallMs() * 1000, serving.maxOpen(), seed ^ incarnation);
+                classes.stream().map(c -> c.deadlineMsPer1000() * 1000).toList(),
+                serving.marginMs() * 1000,
+                serving.resumes(),
+                serving.stallMs() * 1000,
+                serving.maxOpen(),
+                seed ^ incarnation);
     }
 
     private static String upper(String word) {
--- a/edge/src/main/java/sorrelhoist/edge/Engines.java
+++ b/edge/src/main/java/sorrelhoist/edge/Engines.java
@@ -33,13 +33,15 @@
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.protobuf.ProtoException;
 
-/** Carries commands to engines and their answers back. Called on the router's thread; calls run on network threads. */
+/**
+ * Carries commands to engines and their answers back. Called on the router's thread; calls run on
+ * network threads.
+ */
 final class Engines implements EngineCommands {
     private static final Logger LOG = LoggerFactory.getLogger(Engines.class);
     private static final long MAX_HOP = 3_600_000_000L;
 
-    private record Flight(GrpcChannel channel, ClientCall call, Object span) {
-    }
+    private record Flight(GrpcChannel channel, ClientCall call, Object span) {}
 
     private final String edge;
     private final RouterLoop loop;
@@ -51,7 +53,12 @@
     private final Map<AttemptId, Flight> flights = new HashMap<>();
     private final Map<Long, Flight> releases = new HashMap<>();
 
-    Engines(String edge, RouterLoop loop, EventLoopGroup network, EngineTable table, GrpcChannel.Options options,
+    Engines(
+            String edge,
+            RouterLoop loop,
+            EventLoopGroup network,
+            EngineTable table,
+            GrpcChannel.Options options,
             Tracing tracing) {
         this.tracing = tracing;
         this.edge = edge;
@@ -72,8 +79,11 @@
 
     @Override
     public void releaseExpired(Command.ReleaseExpired command) {
-        LOG.atWarn().addKeyValue("event", "release_expired").addKeyValue("request", command.name())
-                .addKeyValue("engine", command.engine()).addKeyValue("calls", command.calls())
+        LOG.atWarn()
+                .addKeyValue("event", "release_expired")
+                .addKeyValue("request", command.name())
+                .addKeyValue("engine", command.engine())
+                .addKeyValue("calls", command.calls())
                 .log("what is held for a request was not released in time");
     }
 
@@ -98,14 +108,20 @@
         try {
             fresh = new GrpcChannel(network.next(), address, options);
         } catch (IllegalArgumentException e) {
-            LOG.atWarn().addKeyValue("event", "bad_address").addKeyValue("engine", engine).log(e.getMessage());
+            LOG.atWarn()
+                    .addKeyValue("event", "bad_address")
+                    .addKeyValue("engine", engine)
+                    .log(e.getMessage());
             return null;
         }
         channels.put(engine, fresh);
         return fresh;
     }
 
-    /** Runs something on a channel's thread, unless that has ended: as the edge stops, releases may still be due. */
+    /**
+     * Runs something on a channel's thread, unless that has ended: as the edge stops, releases may
+     * still be due.
+     */
     private static void onNetwork(GrpcChannel channel, Runnable task) {
         if (channel.loop().isShuttingDown()) {
             return;
@@ -122,8 +138,16 @@
         return new Headers().add("grpc-timeout", Timeouts.format(left));
     }
 
-    private void fly(AttemptId id, String engine, String path, Call asked, String name, long until, byte[] request,
-            Reason why, Answers answers) {
+    private void fly(
+            AttemptId id,
+            String engine,
+            String path,
+            Call asked,
+            String name,
+            long until,
+            byte[] request,
+            Reason why,
+            Answers answers) {
         GrpcChannel channel = channel(engine);
         if (channel == null) {
             loop.post(r -> r.attemptLost(loop.now(), id, Outcome.CONNECT_FAILED, 0, Load.NONE));
@@ -134,8 +158,15 @@
         if (asked.previousAttempts() > 0) {
             metadata.add("grpc-previous-rpc-attempts", Integer.toString(asked.previousAttempts()));
         }
-        Object span = tracing.attempt(asked.trace(), path.equals(EngineApi.PREFILL) ? "prefill" : "decode", engine,
-                name, id.number(), metadata, why);
+        Object span =
+                tracing.attempt(
+                        asked.trace(),
+                        path.equals(EngineApi.PREFILL) ? "prefill" : "decode",
+                        engine,
+                        name,
+                        id.number(),
+                        metadata,
+                        why);
         ClientCall call = channel.call(path, metadata, answers);
         call.sendLast(request);
         flights.put(id, new Flight(channel, call, span));
@@ -149,17 +180,28 @@
             loop.post(r -> r.releaseEnded(loop.now(), command.id(), false));
             return;
         }
-        ClientCall call = channel.call(EngineApi.RELEASE, until(loop.now() + options.dialMicros() * 4), new Unheard() {
-            @Override
-            public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End end) {
-                boolean done = end == ClientCall.End.STATUS && status.isOk();
-                loop.post(r -> {
-                    releases.remove(command.id());
-                    r.releaseEnded(loop.now(), command.id(), done);
-                });
-            }
-        });
-        call.sendLast(new ReleaseRequest(command.name(), command.state(), command.place(), command.upTo()).bytes());
+        ClientCall call =
+                channel.call(
+                        EngineApi.RELEASE,
+                        until(loop.now() + options.dialMicros() * 4),
+                        new Unheard() {
+                            @Override
+                            public void closed(
+                                    ClientCall c,
+                                    Status status,
+                                    Headers trailers,
+                                    ClientCall.End end) {
+                                boolean done = end == ClientCall.End.STATUS && status.isOk();
+                                loop.post(
+                                        r -> {
+                                            releases.remove(command.id());
+                                            r.releaseEnded(loop.now(), command.id(), done);
+                                        });
+                            }
+                        });
+        call.sendLast(
+                new ReleaseRequest(command.name(), command.state(), command.place(), command.upTo())
+                        .bytes());
         releases.put(command.id(), new Flight(channel, call, null));
         onNetwork(channel, () -> channel.start(call));
     }
@@ -174,21 +216,56 @@
 
     @Override
     public void read(Command.Read o) {
-        PrefillRequest request = new PrefillRequest(o.name(), o.call().clientId(), edge, o.attempt().number(),
-                o.prompt(), (int) o.promptTokens(), o.call().maxTokens(), o.call().cls());
-        fly(o.attempt(), o.engine(), EngineApi.PREFILL, o.call(), o.name(), o.until(), request.bytes(),
-                o.why(), new Reading(o.attempt()));
+        PrefillRequest request =
+                new PrefillRequest(
+                        o.name(),
+                        o.call().clientId(),
+                        edge,
+                        o.attempt().number(),
+                        o.prompt(),
+                        (int) o.promptTokens(),
+                        o.call().maxTokens(),
+                        o.call().cls());
+        fly(
+                o.attempt(),
+                o.engine(),
+                EngineApi.PREFILL,
+                o.call(),
+                o.name(),
+                o.until(),
+                request.bytes(),
+                o.why(),
+                new Reading(o.attempt()));
     }
 
     @Override
     public void write(Command.Write o) {
         boolean alone = o.state() == null;
         String readerAddress = alone ? "" : table.address(o.state().engine());
-        DecodeRequest request = new DecodeRequest(o.name(), o.call().clientId(), edge, o.attempt().number(),
-                alone ? "" : o.state().state(), readerAddress, alone ? o.prompt() : "", (int) o.promptTokens(),
-                o.call().maxTokens(), o.fromToken(), o.place(), o.call().cls());
-        fly(o.attempt(), o.engine(), EngineApi.DECODE, o.call(), o.name(), o.until(), request.bytes(),
-                o.why(), new Writing(o.attempt()));
+        DecodeRequest request =
+                new DecodeRequest(
+                        o.name(),
+                        o.call().clientId(),
+                        edge,
+                        o.attempt().number(),
+                        alone ? "" : o.state().state(),
+                        readerAddress,
+                        alone ? o.prompt() : "",
+                        (int) o.promptTokens(),
+                        o.call().maxTokens(),
+                        o.fromToken(),
+                        o.place(),
+                        o.call().cls());
+        fly(
+                o.attempt(),
+                o.engine(),
+                EngineApi.DECODE,
+                o.call(),
+                o.name(),
+                o.until(),
+                request.bytes(),
+                o.why(),
+                new Writing(o.attempt()));
     }
 
     @Override
@@ -197,19 +274,31 @@
         if (channel == null) {
             return;
         }
-        ClientCall call = channel.call(EngineApi.RESERVE, until(loop.now() + options.dialMicros()), new Unheard() {
-            @Override
-            public void message(ClientCall c, byte[] message, int wireBytes) {
-                try {
-                    ReserveReply reply = ReserveReply.parse(message);
-                    loop.post(r -> r.placeAnswered(loop.now(), o.request(), o.engine(), reply.held(),
-                            reply.placeId()));
-                } catch (ProtoException e) {
-                    c.cancel();
-                }
-            }
-        });
-        call.sendLast(new ReserveRequest(o.name(), (int) o.call().promptTokens(), o.call().maxTokens()).bytes());
+        ClientCall call =
+                channel.call(
+                        EngineApi.RESERVE,
+                        until(loop.now() + options.dialMicros()),
+                        new Unheard() {
+                            @Override
+                            public void message(ClientCall c, byte[] message, int wireBytes) {
+                                try {
+                                    ReserveReply reply = ReserveReply.parse(message);
+                                    loop.post(
+                                            r ->
+                                                    r.placeAnswered(
+                                                            loop.now(),
+                                                            o.request(),
+                                                            o.engine(),
+                                                            reply.held(),
+                                                            reply.placeId()));
+                                } catch (ProtoException e) {
+                                    c.cancel();
+                                }
+                            }
+                        });
+        call.sendLast(
+                new ReserveRequest(o.name(), (int) o.call().promptTokens(), o.call().maxTokens())
+                        .bytes());
         onNetwork(channel, () -> channel.start(call));
     }
 
@@ -224,7 +313,9 @@
 
     private static Load load(Headers trailers) {
         LoadReport r = EngineApi.load(trailers);
-        return r == null ? Load.NONE : new Load(r.memoryShare(), r.waitingTokens(), r.held(), r.queued());
+        return r == null
+                ? Load.NONE
+                : new Load(r.memoryShare(), r.waitingTokens(), r.held(), r.queued());
     }
 
     /** For calls whose answer tells nothing. */
@@ -257,32 +348,34 @@
                 return; // the router gave it up, and knows
             }
             Load load = load(trailers);
-            loop.post(r -> {
-                Flight flight = flights.remove(id);
-                if (flight == null) {
-                    return;
-                }
-                boolean ok = end == ClientCall.End.STATUS && status.isOk();
-                Outcome outcome = ok ? Outcome.ERROR : Outcomes.of(status, end);
-                boolean done = ok && done(loop.now(), r, load);
-                tracing.attemptEnded(flight.span(), done ? "DONE" : outcome.toString());
-                if (!done) {
-                    boolean noState = Outcomes.isMissingState(status, end);
-                    r.attemptLost(loop.now(), id, outcome, noState ? 1 : 0, load);
-                }
-            });
+            loop.post(
+                    r -> {
+                        Flight flight = flights.remove(id);
+                        if (flight == null) {
+                            return;
+                        }
+                        boolean ok = end == ClientCall.End.STATUS && status.isOk();
+                        Outcome outcome = ok ? Outcome.ERROR : Outcomes.of(status, end);
+                        boolean done = ok && done(loop.now(), r, load);
+                        tracing.attemptEnded(flight.span(), done ? "DONE" : outcome.toString());
+                        if (!done) {
+                            boolean noState = Outcomes.isMissingState(status, end);
+                            r.attemptLost(loop.now(), id, outcome, noState ? 1 : 0, load);
+                        }
+                    });
         }
 
         /** The engine sent what is no message: it may have run. */
         void nonsense(ClientCall call) {
             call.cancel();
-            loop.post(r -> {
-                Flight flight = flights.remove(id);
-                if (flight != null) {
-                    tracing.attemptEnded(flight.span(), "nonsense");
-                    r.attemptLost(loop.now(), id, Outcome.ERROR, 0, Load.NONE);
-                }
-            });
+            loop.post(
+                    r -> {
+                        Flight flight = flights.remove(id);
+                        if (flight != null) {
+                            tracing.attemptEnded(flight.span(), "nonsense");
+                            r.attemptLost(loop.now(), id, Outcome.ERROR, 0, Load.NONE);
+                        }
+                    });
         }
     }
 
@@ -338,11 +431,21 @@
                 finish = event.finish();
             } else {
                 Runnable credit = () -> taken(call, wireBytes);
-                loop.post(r -> r.token(loop.now(), id, event.token().index(), event.token().text(), credit));
+                loop.post(
+                        r ->
+                                r.token(
+                                        loop.now(),
+                                        id,
+                                        event.token().index(),
+                                        event.token().text(),
+                                        credit));
             }
         }
 
-        /** The client has room again. Credit is of use in large pieces only: small ones wait for each other. */
+        /**
+         * The client has room again. Credit is of use in large pieces only: small ones wait for
+         * each other.
+         */
         private void taken(ClientCall call, int wireBytes) {
             if (owed.addAndGet(wireBytes) >= CREDIT_AT) {
                 on.execute(() -> call.credit(owed.getAndSet(0)));
--- a/edge/src/main/java/sorrelhoist/edge/InferenceApi.java
+++ b/edge/src/main/java/sorrelhoist/edge/InferenceApi.java
@@ -25,6 +25,7 @@
 final class InferenceApi {
     /** Bytes waiting for a client above which its engine gets no more credit. */
     private static final int HIGH_MARK = 16 << 10;
+
     private final EdgeSettings settings;
     private final Requests requests;
     private final RouterLoop loop;
@@ -43,10 +44,18 @@
         String s = ModelMessages.SERVICE;
         return new GrpcServer(maxMessage)
                 .unary(s + "ServerLive", (call, m) -> answer(call, ModelMessages.yes(true)))
-                .unary(s + "ServerReady", (call, m) -> answer(call, ModelMessages.yes(serving.getAsBoolean())))
-                .unary(s + "ModelReady", (call, m) -> ofModel(call, m, ModelMessages.yes(serving.getAsBoolean())))
-                .unary(s + "ServerMetadata", (call, m) -> answer(call, ModelMessages.server("sorrelhoist", "0.2.0")))
-                .unary(s + "ModelMetadata", (call, m) -> ofModel(call, m, ModelMessages.model(settings.model())))
+                .unary(
+                        s + "ServerReady",
+                        (call, m) -> answer(call, ModelMessages.yes(serving.getAsBoolean())))
+                .unary(
+                        s + "ModelReady",
+                        (call, m) -> ofModel(call, m, ModelMessages.yes(serving.getAsBoolean())))
+                .unary(
+                        s + "ServerMetadata",
+                        (call, m) -> answer(call, ModelMessages.server("sorrelhoist", "0.2.0")))
+                .unary(
+                        s + "ModelMetadata",
+                        (call, m) -> ofModel(call, m, ModelMessages.model(settings.model())))
                 .on(s + "ModelInfer", call -> new Whole(call))
                 .on(s + "ModelStreamInfer", call -> new Streamed(call))
                 .unary(ModelMessages.HEALTH + "Check", this::health)
@@ -64,8 +73,11 @@
             if (name.equals(settings.model())) {
                 answer(call, message);
             } else {
-                call.close(new Status(Code.NOT_FOUND, "no model \"" + name + "\": ask for \"" + settings.model()
-                        + "\""), null);
+                call.close(
+                        new Status(
+                                Code.NOT_FOUND,
+                                "no model \"" + name + "\": ask for \"" + settings.model() + "\""),
+                        null);
             }
         } catch (ProtoException e) {
             call.close(new Status(Code.INVALID_ARGUMENT, e.getMessage()), null);
@@ -89,7 +101,10 @@
         }
     }
 
-    /** Tells the health now and whenever it changes; looks once a second, which is soon enough for a balancer. */
+    /**
+     * Tells the health now and whenever it changes; looks once a second, which is soon enough for a
+     * balancer.
+     */
     private final class Watch implements ServerCall.Listener, Runnable {
         private final ServerCall call;
         private int told = -1;
@@ -132,7 +147,11 @@
         @Override
         public void message(byte[] message) {
             if (submitted) {
-                end(new Status(Code.INVALID_ARGUMENT, "one request a call: open another call for the next"), null);
+                end(
+                        new Status(
+                                Code.INVALID_ARGUMENT,
+                                "one request a call: open another call for the next"),
+                        null);
                 loop.gone(this);
                 return;
             }
@@ -145,7 +164,10 @@
                 Call asked = requests.call(request, call.timeoutMicros(), before, trace);
                 loop.submit(asked, this);
             } catch (ProtoException e) {
-                end(new Status(Code.INVALID_ARGUMENT, "the request is no ModelInferRequest: " + e.getMessage()),
+                end(
+                        new Status(
+                                Code.INVALID_ARGUMENT,
+                                "the request is no ModelInferRequest: " + e.getMessage()),
                         null);
             } catch (Requests.Bad e) {
                 end(e.status(), null);
@@ -175,7 +197,8 @@
         private void end(Status status, Headers trailers, Reason why) {
             if (!over) {
                 over = true;
-                tracing.requestEnded(trace, status.isOk() ? "Served" : status.code().toString(), why);
+                tracing.requestEnded(
+                        trace, status.isOk() ? "Served" : status.code().toString(), why);
                 call.close(status, trailers);
             }
         }
@@ -192,34 +215,58 @@
 
         @Override
         public void token(int index, String text, Runnable credit) {
-            call.executor().execute(() -> {
-                if (!over) {
-                    give(text, credit);
-                }
-            });
+            call.executor()
+                    .execute(
+                            () -> {
+                                if (!over) {
+                                    give(text, credit);
+                                }
+                            });
         }
 
         @Override
         public void finish(Answer answer) {
-            call.executor().execute(() -> {
-                if (over) {
-                    return;
-                }
-                if (answer instanceof Answer.Served s) {
-                    whole(s.tokens());
-                    end(Status.OK, null);
-                } else if (answer instanceof Answer.Refused r) {
-                    Headers hint = r.backoffMicros() <= 0 ? null : new Headers().add("grpc-retry-pushback-ms",
-                            Long.toString((r.backoffMicros() + 999) / 1000));
-                    end(new Status(Code.RESOURCE_EXHAUSTED, Words.refusal(r.why(), r.backoffMicros())), hint, r.why());
-                } else if (answer instanceof Answer.Stalled) {
-                    over = true;
-                    tracing.requestEnded(trace, "Stalled", null);
-                    call.abort();
-                } else if (answer instanceof Answer.Failed f) {
-                    end(new Status(f.late() ? Code.DEADLINE_EXCEEDED : Code.UNAVAILABLE, f.why()), null, f.reason());
-                }
-            });
+            call.executor()
+                    .execute(
+                            () -> {
+                                if (over) {
+                                    return;
+                                }
+                                if (answer instanceof Answer.Served s) {
+                                    whole(s.tokens());
+                                    end(Status.OK, null);
+                                } else if (answer instanceof Answer.Refused r) {
+                                    Headers hint =
+                                            r.backoffMicros() <= 0
+                                                    ? null
+                                                    : new Headers()
+                                                            .add(
+                                                                    "grpc-retry-pushback-ms",
+                                                                    Long.toString(
+                                                                            (r.backoffMicros()
+                                                                                            + 999)
+                                                                                    / 1000));
+                                    end(
+                                            new Status(
+                                                    Code.RESOURCE_EXHAUSTED,
+                                                    Words.refusal(r.why(), r.backoffMicros())),
+                                            hint,
+                                            r.why());
+                                } else if (answer instanceof Answer.Stalled) {
+                                    over = true;
+                                    tracing.requestEnded(trace, "Stalled", null);
+                                    call.abort();
+                                } else if (answer instanceof Answer.Failed f) {
+                                    end(
+                                            new Status(
+                                                    f.late()
+                                                            ? Code.DEADLINE_EXCEEDED
+                                                            : Code.UNAVAILABLE,
+                                                    f.why()),
+                                            null,
+                                            f.reason());
+                                }
+                            });
         }
 
         Map<String, Parameter> closing(int tokens) {
@@ -264,7 +311,9 @@
 
         @Override
         void whole(int tokens) {
-            call.send(new InferResponse(settings.model(), id, closing(tokens), List.of()).streamedBytes());
+            call.send(
+                    new InferResponse(settings.model(), id, closing(tokens), List.of())
+                            .streamedBytes());
         }
     }
 
@@ -284,8 +333,15 @@
 
         @Override
         void whole(int tokens) {
-            call.send(new InferResponse(settings.model(), id, closing(tokens),
-                    List.of(Tensor.text(InferResponse.TEXT_OUTPUT, text.toString()))).bytes());
+            call.send(
+                    new InferResponse(
+                                    settings.model(),
+                                    id,
+                                    closing(tokens),
+                                    List.of(
+                                            Tensor.text(
+                                                    InferResponse.TEXT_OUTPUT, text.toString())))
+                            .bytes());
         }
     }
 }
--- a/edge/src/main/java/sorrelhoist/edge/Outcomes.java
+++ b/edge/src/main/java/sorrelhoist/edge/Outcomes.java
@@ -5,21 +5,24 @@
 import sorrelhoist.protocol.grpc.Code;
 import sorrelhoist.protocol.grpc.Status;
 
-/** What the end of an engine's call means to the decisions. Only what proves it is taken for never having run. */
+/**
+ * What the end of an engine's call means to the decisions. Only what proves it is taken for never
+ * having run.
+ */
 final class Outcomes {
-    private Outcomes() {
-    }
+    private Outcomes() {}
 
     static Outcome of(Status status, ClientCall.End end) {
         return switch (end) {
             case NOT_SENT, UNPROCESSED -> Outcome.CONNECT_FAILED;
             case BROKEN -> Outcome.RESET;
             case CANCELLED -> Outcome.CANCELLED;
-            case STATUS -> switch (status.code()) {
-                case RESOURCE_EXHAUSTED, FAILED_PRECONDITION -> Outcome.FULL;
-                case DEADLINE_EXCEEDED -> Outcome.TIMED_OUT;
-                default -> Outcome.ERROR;
-            };
+            case STATUS ->
+                    switch (status.code()) {
+                        case RESOURCE_EXHAUSTED, FAILED_PRECONDITION -> Outcome.FULL;
+                        case DEADLINE_EXCEEDED -> Outcome.TIMED_OUT;
+                        default -> Outcome.ERROR;
+                    };
         };
     }
 
--- a/edge/src/main/java/sorrelhoist/edge/PlannerLink.java
+++ b/edge/src/main/java/sorrelhoist/edge/PlannerLink.java
@@ -28,13 +28,20 @@
 import sorrelhoist.protocol.plan.Roster;
 import sorrelhoist.protocol.protobuf.ProtoException;
 
-/** The edge's stream to its planner. While there is none, the edge goes on with what it was last told. */
+/**
+ * The edge's stream to its planner. While there is none, the edge goes on with what it was last
+ * told.
+ */
 final class PlannerLink implements ClientCall.Listener, PlannerCommands {
     private static final Logger LOG = LoggerFactory.getLogger(PlannerLink.class);
     private static final long FIRST_WAIT = 50_000;
     private static final long LONGEST_WAIT = 1_000_000;
-    private static final ServerState[] STATES = {ServerState.SERVING, ServerState.DRAINING, ServerState.GONE};
-    private static final ListForm[] FORMS = {ListForm.UPDATE, ListForm.COMPLETE, ListForm.UNAVAILABLE};
+    private static final ServerState[] STATES = {
+        ServerState.SERVING, ServerState.DRAINING, ServerState.GONE
+    };
+    private static final ListForm[] FORMS = {
+        ListForm.UPDATE, ListForm.COMPLETE, ListForm.UNAVAILABLE
+    };
 
     private final RouterLoop loop;
     private final EngineTable table;
@@ -48,8 +55,14 @@
     private boolean stopped;
     private Runnable firstRoster;
 
-    PlannerLink(EdgeSettings settings, long incarnation, RouterLoop loop, EngineTable table, EventLoop network,
-            Runnable firstRoster, Consumer<List<LearnPlan.Peer>> peers) {
+    PlannerLink(
+            EdgeSettings settings,
+            long incarnation,
+            RouterLoop loop,
+            EngineTable table,
+            EventLoop network,
+            Runnable firstRoster,
+            Consumer<List<LearnPlan.Peer>> peers) {
         this.firstRoster = firstRoster;
         this.peers = peers;
         this.settings = settings;
@@ -74,10 +87,12 @@
     }
 
     void stop() {
-        channel.loop().execute(() -> {
-            stopped = true;
-            channel.shut();
-        });
+        channel.loop()
+                .execute(
+                        () -> {
+                            stopped = true;
+                            channel.shut();
+                        });
     }
 
     @Override
@@ -96,11 +111,13 @@
     }
 
     private void send(EdgeMessage message) {
-        channel.loop().execute(() -> {
-            if (call != null && call.isSent() && !call.isClosed()) {
-                call.send(message.bytes());
-            }
-        });
+        channel.loop()
+                .execute(
+                        () -> {
+                            if (call != null && call.isSent() && !call.isClosed()) {
+                                call.send(message.bytes());
+                            }
+                        });
     }
 
     @Override
@@ -111,25 +128,40 @@
         try {
             event = PlanEvent.parse(message);
         } catch (ProtoException e) {
-            LOG.atWarn().addKeyValue("event", "bad_plan").log("the planner sent what is no message: {}",
-                    e.getMessage());
+            LOG.atWarn()
+                    .addKeyValue("event", "bad_plan")
+                    .log("the planner sent what is no message: {}", e.getMessage());
             c.cancel();
             return;
         }
         if (event.seat() != null && event.seat().routers() > 0) {
-            LOG.atInfo().addKeyValue("event", "seated").addKeyValue("routers", event.seat().routers())
-                    .addKeyValue("self", event.seat().self()).log("seat");
+            LOG.atInfo()
+                    .addKeyValue("event", "seated")
+                    .addKeyValue("routers", event.seat().routers())
+                    .addKeyValue("self", event.seat().self())
+                    .log("seat");
             loop.post(r -> r.seated(loop.now(), event.seat().routers(), event.seat().self()));
         } else if (event.roster() != null) {
             loop.post(r -> roster(event.roster()));
         } else if (event.probe() != null) {
             ProbeAnswer p = event.probe();
-            Load load = p.answered() ? new Load(p.memoryShare(), p.waitingTokens(), p.held(), p.queued()) : Load.NONE;
-            loop.post(r -> r.probeAnswered(loop.now(), p.engine(), p.answered() ? Outcome.DONE : Outcome.TIMED_OUT,
-                    p.tookMicros(), load));
+            Load load =
+                    p.answered()
+                            ? new Load(p.memoryShare(), p.waitingTokens(), p.held(), p.queued())
+                            : Load.NONE;
+            loop.post(
+                    r ->
+                            r.probeAnswered(
+                                    loop.now(),
+                                    p.engine(),
+                                    p.answered() ? Outcome.DONE : Outcome.TIMED_OUT,
+                                    p.tookMicros(),
+                                    load));
         } else if (event.peers() != null) {
-            peers.accept(event.peers().peers().stream().map(p -> new LearnPlan.Peer(p.edge(), p.zone(), p.address()))
-                    .toList());
+            peers.accept(
+                    event.peers().peers().stream()
+                            .map(p -> new LearnPlan.Peer(p.edge(), p.zone(), p.address()))
+                            .toList());
         } else if (event.news() != null) {
             loop.post(r -> r.peerMessage(loop.now(), event.news().from(), event.news().body()));
         }
@@ -141,21 +173,33 @@
         }
         List<EngineTable.Entry> entries = roster.lines().stream().map(PlannerLink::entry).toList();
         var servers = table.take(loop.now(), entries);
-        table.complaints().forEach(c -> LOG.atWarn().addKeyValue("event", "engine_left_out").log(c));
-        LOG.atInfo().addKeyValue("event", "roster").addKeyValue("form", FORMS[roster.form()])
-                .addKeyValue("lines", servers.size()).addKeyValue("epoch", roster.epoch())
-                .addKeyValue("known_for_us", roster.knownForMicros()).log("roster");
+        table.complaints()
+                .forEach(c -> LOG.atWarn().addKeyValue("event", "engine_left_out").log(c));
+        LOG.atInfo()
+                .addKeyValue("event", "roster")
+                .addKeyValue("form", FORMS[roster.form()])
+                .addKeyValue("lines", servers.size())
+                .addKeyValue("epoch", roster.epoch())
+                .addKeyValue("known_for_us", roster.knownForMicros())
+                .log("roster");
         loop.members(FORMS[roster.form()], servers, loop.now());
         if (!servers.isEmpty()) {
             firstRoster.run();
-            firstRoster = () -> { };
+            firstRoster = () -> {};
         }
     }
 
     private static EngineTable.Entry entry(Line l) {
-        return new EngineTable.Entry(l.id(), l.zone(), l.rack(), l.kind(),
-                STATES[Math.min(Math.max(0, l.state()), STATES.length - 1)], l.size(), l.incarnation(),
-                l.upForMicros(), l.address());
+        return new EngineTable.Entry(
+                l.id(),
+                l.zone(),
+                l.rack(),
+                l.kind(),
+                STATES[Math.min(Math.max(0, l.state()), STATES.length - 1)],
+                l.size(),
+                l.incarnation(),
+                l.upForMicros(),
+                l.address());
     }
 
     @Override
@@ -164,7 +208,9 @@
             return;
         }
         long wait = backoff.failed();
-        LOG.atWarn().addKeyValue("event", "planner_away").addKeyValue("retry_us", wait)
+        LOG.atWarn()
+                .addKeyValue("event", "planner_away")
+                .addKeyValue("retry_us", wait)
                 .log("no stream to the planner: {}", status.message());
         channel.loop().schedule(this::attach, wait, TimeUnit.MICROSECONDS);
     }
--- a/edge/src/main/java/sorrelhoist/edge/Refusals.java
+++ b/edge/src/main/java/sorrelhoist/edge/Refusals.java
@@ -9,8 +9,9 @@
 import sorrelhoist.core.why.Words;
 
 /**
- * Says in the log why requests were not served: one line a second at most, with a count for each kind of reason and
- * the last one of the commonest in words. An overload must not drown the log that explains it. On the router's thread.
+ * Says in the log why requests were not served: one line a second at most, with a count for each
+ * kind of reason and the last one of the commonest in words. An overload must not drown the log
+ * that explains it. On the router's thread.
  */
 final class Refusals {
     private static final Logger LOG = LoggerFactory.getLogger(Refusals.class);
@@ -32,9 +33,18 @@
     /** Says what was counted, if anything was and the last line is old enough. */
     void say(long now) {
         if (!counts.isEmpty() && now - saidAt >= EVERY) {
-            Reason.Kind most = counts.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
-            LOG.atInfo().addKeyValue("event", "not_served").addKeyValue("counts", counts.toString())
-                    .log("not served since the last line: {}; mostly as {}", counts, Words.lack(last.get(most)));
+            Reason.Kind most =
+                    counts.entrySet().stream()
+                            .max(Map.Entry.comparingByValue())
+                            .orElseThrow()
+                            .getKey();
+            LOG.atInfo()
+                    .addKeyValue("event", "not_served")
+                    .addKeyValue("counts", counts.toString())
+                    .log(
+                            "not served since the last line: {}; mostly as {}",
+                            counts,
+                            Words.lack(last.get(most)));
             saidAt = now;
             counts.clear();
             last.clear();
--- a/edge/src/main/java/sorrelhoist/edge/Requests.java
+++ b/edge/src/main/java/sorrelhoist/edge/Requests.java
@@ -40,24 +40,46 @@
 
     Call call(InferRequest r, long timeoutMicros, int previousAttempts, Object trace) throws Bad {
         if (!r.modelName().equals(settings.model())) {
-            throw new Bad(Code.NOT_FOUND, "no model \"" + cut(r.modelName()) + "\": ask for \"" + settings.model()
-                    + "\"");
+            throw new Bad(
+                    Code.NOT_FOUND,
+                    "no model \""
+                            + cut(r.modelName())
+                            + "\": ask for \""
+                            + settings.model()
+                            + "\"");
         }
         String prompt = prompt(r);
         Map<String, Parameter> p = r.parameters();
-        long most = whole(p, "max_tokens", settings.serving().defaultMaxTokens(), 1,
-                settings.serving().mostMaxTokens());
+        long most =
+                whole(
+                        p,
+                        "max_tokens",
+                        settings.serving().defaultMaxTokens(),
+                        1,
+                        settings.serving().mostMaxTokens());
         long tokens = Tokens.estimate(prompt);
         String prefix = text(p, "prefix");
         long prefixTokens = whole(p, "prefix_tokens", 0, 0, tokens);
-        List<String> classes = settings.classes().stream().map(EdgeSettings.ClassSettings::name).toList();
-        List<String> tenants = settings.tenants().stream().map(EdgeSettings.TenantSettings::name).toList();
+        List<String> classes =
+                settings.classes().stream().map(EdgeSettings.ClassSettings::name).toList();
+        List<String> tenants =
+                settings.tenants().stream().map(EdgeSettings.TenantSettings::name).toList();
         if (r.id().length() > MAX_NAME) {
             throw bad("the request's id is longer than " + MAX_NAME + " characters");
         }
-        return new Call(r.id(), name(p, "class", classes), name(p, "tenant", tenants), text(p, "session"), prefix,
-                prefix == null ? 0 : prefixTokens, prompt, tokens, (int) most, Math.max(0, timeoutMicros),
-                previousAttempts, trace);
+        return new Call(
+                r.id(),
+                name(p, "class", classes),
+                name(p, "tenant", tenants),
+                text(p, "session"),
+                prefix,
+                prefix == null ? 0 : prefixTokens,
+                prompt,
+                tokens,
+                (int) most,
+                Math.max(0, timeoutMicros),
+                previousAttempts,
+                trace);
     }
 
     private String prompt(InferRequest r) throws Bad {
@@ -66,14 +88,22 @@
             at = r.inputs().get(i).name().equals(InferRequest.TEXT_INPUT) ? i : at;
         }
         if (at < 0) {
-            throw bad("input \"text_input\" is missing: give the prompt as a BYTES tensor of that name");
+            throw bad(
+                    "input \"text_input\" is missing: give the prompt as a BYTES tensor of that"
+                            + " name");
         }
         Tensor t = r.inputs().get(at);
         if (!t.datatype().equals(Tensor.BYTES)) {
-            throw bad("input \"text_input\" has datatype \"" + cut(t.datatype()) + "\": give BYTES");
+            throw bad(
+                    "input \"text_input\" has datatype \"" + cut(t.datatype()) + "\": give BYTES");
         }
         if (!r.raw().isEmpty() && r.raw().size() != r.inputs().size()) {
-            throw bad("raw_input_contents has " + r.raw().size() + " entries for " + r.inputs().size() + " inputs");
+            throw bad(
+                    "raw_input_contents has "
+                            + r.raw().size()
+                            + " entries for "
+                            + r.inputs().size()
+                            + " inputs");
         }
         List<byte[]> elements;
         try {
@@ -86,7 +116,11 @@
         }
         byte[] bytes = elements.get(0);
         if (bytes.length == 0 || bytes.length > settings.serving().maxPromptBytes()) {
-            throw bad("the prompt has " + bytes.length + " bytes: give 1 to " + settings.serving().maxPromptBytes());
+            throw bad(
+                    "the prompt has "
+                            + bytes.length
+                            + " bytes: give 1 to "
+                            + settings.serving().maxPromptBytes());
         }
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
@@ -95,13 +129,15 @@
         }
     }
 
-    private static long whole(Map<String, Parameter> p, String name, long absent, long least, long most) throws Bad {
+    private static long whole(
+            Map<String, Parameter> p, String name, long absent, long least, long most) throws Bad {
         Parameter value = p.get(name);
         if (value == null) {
             return absent;
         }
         if (!(value.value() instanceof Long n) || n < least || n > most) {
-            throw bad("parameter \"" + name + "\" has to be an int64 from " + least + " to " + most);
+            throw bad(
+                    "parameter \"" + name + "\" has to be an int64 from " + least + " to " + most);
         }
         return n;
     }
@@ -112,7 +148,12 @@
             return null;
         }
         if (!(value.value() instanceof String s) || s.length() > MAX_NAME) {
-            throw bad("parameter \"" + name + "\" has to be a string of at most " + MAX_NAME + " characters");
+            throw bad(
+                    "parameter \""
+                            + name
+                            + "\" has to be a string of at most "
+                            + MAX_NAME
+                            + " characters");
         }
         return s.isEmpty() ? null : s;
     }
--- a/edge/src/main/java/sorrelhoist/edge/RouterLoop.java
+++ b/edge/src/main/java/sorrelhoist/edge/RouterLoop.java
@@ -26,13 +26,14 @@
 import sorrelhoist.core.sched.Background;
 
 /**
- * The one thread on which a router decides, fed by a queue. Network threads hand in what they parsed; commands go back
- * to them. It decides nothing itself.
+ * The one thread on which a router decides, fed by a queue. Network threads hand in what they
+ * parsed; commands go back to them. It decides nothing itself.
  */
 final class RouterLoop {
     private static final Logger LOG = LoggerFactory.getLogger(RouterLoop.class);
     private static final long STOP_MILLIS = 2000;
-    private static final long BACKGROUND_CPU = 100_000; // a tenth of this thread, when no request waits
+    private static final long BACKGROUND_CPU =
+            100_000; // a tenth of this thread, when no request waits
     private static final long RETRY_MICROS = 1000;
 
     private final DefaultEventExecutor thread =
@@ -77,40 +78,47 @@
 
     /** Runs something on the router's thread, with what is due before it. */
     void post(Consumer<Router> what) {
-        thread.execute(() -> {
-            try {
-                router.advance(clock.now());
-                what.accept(router);
-            } catch (RuntimeException | Error e) {
-                // One event that cannot be taken must not end the thread that answers all the others.
-                LOG.atError().setCause(e).addKeyValue("event", "router_fault").log("an event could not be taken");
-            }
-            refusals.say(clock.now());
-            open = router.open();
-            arm();
-        });
+        thread.execute(
+                () -> {
+                    try {
+                        router.advance(clock.now());
+                        what.accept(router);
+                    } catch (RuntimeException | Error e) {
+                        // One event that cannot be taken must not end the thread that answers all
+                        // the others.
+                        LOG.atError()
+                                .setCause(e)
+                                .addKeyValue("event", "router_fault")
+                                .log("an event could not be taken");
+                    }
+                    refusals.say(clock.now());
+                    open = router.open();
+                    arm();
+                });
     }
 
     void submit(Call call, Client client) {
-        post(r -> {
-            arriving = client;
-            long number = r.arrived(clock.now(), call);
-            if (arriving != null) {
-                clients.put(number, client);
-                numbers.put(client, number);
-                arriving = null;
-            }
-        });
+        post(
+                r -> {
+                    arriving = client;
+                    long number = r.arrived(clock.now(), call);
+                    if (arriving != null) {
+                        clients.put(number, client);
+                        numbers.put(client, number);
+                        arriving = null;
+                    }
+                });
     }
 
     void gone(Client client) {
-        post(r -> {
-            Long number = numbers.remove(client);
-            if (number != null) {
-                clients.remove(number);
-                r.clientGone(clock.now(), number);
-            }
-        });
+        post(
+                r -> {
+                    Long number = numbers.remove(client);
+                    if (number != null) {
+                        clients.remove(number);
+                        r.clientGone(clock.now(), number);
+                    }
+                });
     }
 
     int serving(String engine) {
@@ -119,12 +127,13 @@
     }
 
     void blocked(Client client, boolean blocked) {
-        post(r -> {
-            Long number = numbers.get(client);
-            if (number != null) {
-                r.clientBlocked(clock.now(), number, blocked);
-            }
-        });
+        post(
+                r -> {
+                    Long number = numbers.get(client);
+                    if (number != null) {
+                        r.clientBlocked(clock.now(), number, blocked);
+                    }
+                });
     }
 
     /**
@@ -134,12 +143,13 @@
      * @param run runs one slice; takes the time, returns when it is due again
      */
     void background(Background.Job job, LongUnaryOperator run) {
-        thread.execute(() -> {
-            background.add(job, clock.now());
-            background.due(job, clock.now(), Long.MAX_VALUE);
-            jobs.put(job, run);
-            wakeBackground(background.wakeAt(clock.now()));
-        });
+        thread.execute(
+                () -> {
+                    background.add(job, clock.now());
+                    background.due(job, clock.now(), Long.MAX_VALUE);
+                    jobs.put(job, run);
+                    wakeBackground(background.wakeAt(clock.now()));
+                });
     }
 
     /** On the router's thread: the slice that runs has moved so many bytes. */
@@ -155,7 +165,10 @@
 
     private void wakeBackground(long at) {
         if (at < Long.MAX_VALUE) {
-            thread.schedule(this::runBackground, Math.max(RETRY_MICROS, at - clock.now()), TimeUnit.MICROSECONDS);
+            thread.schedule(
+                    this::runBackground,
+                    Math.max(RETRY_MICROS, at - clock.now()),
+                    TimeUnit.MICROSECONDS);
         }
     }
 
@@ -167,8 +180,10 @@
             try {
                 again = jobs.get(slice.job()).applyAsLong(clock.now());
             } catch (RuntimeException | Error e) {
-                LOG.atError().setCause(e).addKeyValue("event", "background_fault").log("{} failed",
-                        slice.job().name());
+                LOG.atError()
+                        .setCause(e)
+                        .addKeyValue("event", "background_fault")
+                        .log("{} failed", slice.job().name());
             }
             long cost = (System.nanoTime() - start) / 1000;
             background.ran(clock.now(), cost, backgroundBytes, again, Long.MAX_VALUE);
@@ -200,10 +215,13 @@
         long next = router.nextAlarm();
         if (next < armedFor) {
             armedFor = next;
-            thread.schedule(() -> {
-                armedFor = Long.MAX_VALUE;
-                post(r -> { });
-            }, Math.max(0, next - clock.now()), TimeUnit.MICROSECONDS);
+            thread.schedule(
+                    () -> {
+                        armedFor = Long.MAX_VALUE;
+                        post(r -> {});
+                    },
+                    Math.max(0, next - clock.now()),
+                    TimeUnit.MICROSECONDS);
         }
     }
 
@@ -243,7 +261,10 @@
 
         @Override
         public void log(Command.Log command) {
-            LOG.atInfo().addKeyValue("event", "decide").addKeyValue("request", command.request()).log(command.text());
+            LOG.atInfo()
+                    .addKeyValue("event", "decide")
+                    .addKeyValue("request", command.request())
+                    .log(command.text());
         }
 
         @Override
--- a/edge/src/main/java/sorrelhoist/edge/past/Disk.java
+++ b/edge/src/main/java/sorrelhoist/edge/past/Disk.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** The few things that a past needs of a folder; apart from it, so that tests can let each of them fail. */
+/**
+ * The few things that a past needs of a folder; apart from it, so that tests can let each of them
+ * fail.
+ */
 public interface Disk {
     /** {@return a file's bytes, or null where there is none} */
     byte[] read(String name) throws IOException;
--- a/edge/src/main/java/sorrelhoist/edge/past/FolderDisk.java
+++ b/edge/src/main/java/sorrelhoist/edge/past/FolderDisk.java
@@ -33,26 +33,32 @@
 
     @Override
     public void append(String name, byte[] bytes) throws IOException {
-        Files.write(folder.resolve(name), bytes, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        Files.write(
+                folder.resolve(name), bytes, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
 
     @Override
     public void truncate(String name, long length) throws IOException {
-        try (FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
             channel.truncate(length);
         }
     }
 
     @Override
     public void sync(String name) throws IOException {
-        try (FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
             channel.force(true);
         }
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE,
+        Files.move(
+                folder.resolve(from),
+                folder.resolve(to),
+                StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
         // The name itself lasts only once the folder is on disk.
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
--- a/edge/src/main/java/sorrelhoist/edge/past/PastStore.java
+++ b/edge/src/main/java/sorrelhoist/edge/past/PastStore.java
@@ -9,9 +9,9 @@
 import sorrelhoist.core.know.PastFrames;
 
 /**
- * A router's past on disk: a snapshot and a log of what was appended since. Each is on disk before the next step is
- * begun; a kill between any two leaves both readable. A file that is damaged or foreign is set aside under another
- * name, and its sound beginning used where it has one.
+ * A router's past on disk: a snapshot and a log of what was appended since. Each is on disk before
+ * the next step is begun; a kill between any two leaves both readable. A file that is damaged or
+ * foreign is set aside under another name, and its sound beginning used where it has one.
  */
 public final class PastStore {
     private static final Logger LOG = LoggerFactory.getLogger(PastStore.class);
@@ -42,8 +42,11 @@
         PastFrames.Read r = PastFrames.read(bytes);
         if (r.fault() != null) {
             disk.rename(name, name + ASIDE);
-            LOG.atWarn().addKeyValue("event", "past_set_aside").addKeyValue("file", name + ASIDE)
-                    .addKeyValue("frames_used", r.frames().size()).log("{}: {}; the file is set aside", name, r.fault());
+            LOG.atWarn()
+                    .addKeyValue("event", "past_set_aside")
+                    .addKeyValue("file", name + ASIDE)
+                    .addKeyValue("frames_used", r.frames().size())
+                    .log("{}: {}; the file is set aside", name, r.fault());
         } else if (name.equals(LOG_FILE)) {
             logOpen = r.validBytes() > 0;
             if (r.validBytes() < bytes.length) {
@@ -64,7 +67,8 @@
             disk.append(LOG_FILE, frame);
             disk.sync(LOG_FILE);
         } catch (IOException e) {
-            // Half a frame may stand there: nothing may follow it, so the next append begins a log anew.
+            // Half a frame may stand there: nothing may follow it, so the next append begins a log
+            // anew.
             logOpen = false;
             throw e;
         }
--- a/edge/src/main/java/sorrelhoist/edge/past/PastWork.java
+++ b/edge/src/main/java/sorrelhoist/edge/past/PastWork.java
@@ -12,17 +12,22 @@
 import sorrelhoist.core.know.PastFrames;
 import sorrelhoist.core.know.PastKeeper;
 
-/** Reads a router's past at its start, and writes what it knows as it goes on; the disk has a thread of its own. */
+/**
+ * Reads a router's past at its start, and writes what it knows as it goes on; the disk has a thread
+ * of its own.
+ */
 public final class PastWork {
     private static final Logger LOG = LoggerFactory.getLogger(PastWork.class);
     private static final int APPEND_KEYS = 2000;
     private static final int SNAPSHOT_KEYS = 50_000;
     private final PastStore store;
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(r -> {
-        Thread t = new Thread(r, "past");
-        t.setDaemon(true);
-        return t;
-    });
+    private final ExecutorService thread =
+            Executors.newSingleThreadExecutor(
+                    r -> {
+                        Thread t = new Thread(r, "past");
+                        t.setDaemon(true);
+                        return t;
+                    });
     private final PastKeeper keeper;
     private boolean complained;
 
@@ -37,16 +42,24 @@
         this.keeper = new PastKeeper(now);
     }
 
-    /** {@return what is believed of the past, the newest first; empty where there is none or it cannot be read} */
+    /**
+     * {@return what is believed of the past, the newest first; empty where there is none or it
+     * cannot be read}
+     */
     public List<PastKeeper.Memory> restore(long now) {
         try {
             List<PastFrames.Frame> frames = store.restore();
             List<PastKeeper.Memory> believed = PastKeeper.believe(now, frames);
-            LOG.atInfo().addKeyValue("event", "past").addKeyValue("frames", frames.size())
-                    .addKeyValue("believed", believed.size()).log("own past read");
+            LOG.atInfo()
+                    .addKeyValue("event", "past")
+                    .addKeyValue("frames", frames.size())
+                    .addKeyValue("believed", believed.size())
+                    .log("own past read");
             return believed;
         } catch (IOException e) {
-            LOG.atWarn().addKeyValue("event", "past_unreadable").log("the past cannot be read: {}", e.toString());
+            LOG.atWarn()
+                    .addKeyValue("event", "past_unreadable")
+                    .log("the past cannot be read: {}", e.toString());
             return List.of();
         }
     }
@@ -70,23 +83,28 @@
         PastKeeper.Step step = keeper.due(now);
         boolean all = step == PastKeeper.Step.SNAPSHOT;
         keeper.wrote(now, step, all ? 0 : PastKeeper.APPEND_BYTES);
-        thread.execute(() -> {
-            try {
-                byte[] bytes = KnowledgeForm.write(known, all ? PastKeeper.SNAPSHOT_BYTES : PastKeeper.APPEND_BYTES);
-                if (all) {
-                    store.snapshot(now, bytes);
-                } else {
-                    store.append(now, bytes);
-                }
-                complained = false;
-            } catch (IOException e) {
-                if (!complained) {
-                    complained = true;
-                    LOG.atWarn().addKeyValue("event", "past_unwritten").log("the past cannot be written: {}",
-                            e.toString());
-                }
-            }
-        });
+        thread.execute(
+                () -> {
+                    try {
+                        byte[] bytes =
+                                KnowledgeForm.write(
+                                        known,
+                                        all ? PastKeeper.SNAPSHOT_BYTES : PastKeeper.APPEND_BYTES);
+                        if (all) {
+                            store.snapshot(now, bytes);
+                        } else {
+                            store.append(now, bytes);
+                        }
+                        complained = false;
+                    } catch (IOException e) {
+                        if (!complained) {
+                            complained = true;
+                            LOG.atWarn()
+                                    .addKeyValue("event", "past_unwritten")
+                                    .log("the past cannot be written: {}", e.toString());
+                        }
+                    }
+                });
     }
 
     /** Finishes what is being written. */
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordFolder.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordFolder.java
@@ -11,10 +11,14 @@
 import sorrelhoist.core.record.Chunks;
 import sorrelhoist.core.record.Shelf;
 
-/** The files of a record in a folder: carries out what a {@link Shelf} says. Used by one thread at a time. */
+/**
+ * The files of a record in a folder: carries out what a {@link Shelf} says. Used by one thread at a
+ * time.
+ */
 public class RecordFolder {
     /** A file of this name asks for what is there to be kept. */
     public static final String KEEP = "keep";
+
     private final Path folder;
 
     /**
@@ -32,8 +36,11 @@
         try (Stream<Path> files = Files.list(folder)) {
             for (Path f : files.toList()) {
                 if (Files.isRegularFile(f)) {
-                    all.add(new Shelf.Found(f.getFileName().toString(), Files.size(f),
-                            Files.getLastModifiedTime(f).toMillis() * 1000));
+                    all.add(
+                            new Shelf.Found(
+                                    f.getFileName().toString(),
+                                    Files.size(f),
+                                    Files.getLastModifiedTime(f).toMillis() * 1000));
                 }
             }
         }
@@ -50,7 +57,10 @@
             } else if (step instanceof Shelf.Remove r) {
                 Files.deleteIfExists(folder.resolve(r.name()));
             } else if (step instanceof Shelf.Rename r && Files.exists(folder.resolve(r.from()))) {
-                Files.move(folder.resolve(r.from()), folder.resolve(r.to()), StandardCopyOption.ATOMIC_MOVE);
+                Files.move(
+                        folder.resolve(r.from()),
+                        folder.resolve(r.to()),
+                        StandardCopyOption.ATOMIC_MOVE);
             }
         }
     }
@@ -66,7 +76,9 @@
 
     private void sync(String name) throws IOException {
         if (Files.exists(folder.resolve(name))) {
-            try (var channel = java.nio.channels.FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
+            try (var channel =
+                    java.nio.channels.FileChannel.open(
+                            folder.resolve(name), StandardOpenOption.WRITE)) {
                 channel.force(true);
             }
         }
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordWork.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordWork.java
@@ -18,13 +18,14 @@
 import sorrelhoist.core.record.Tap;
 
 /**
- * Records what a router decides. Chunks are made on the router's thread as things happen, handed on in background
- * slices within a budget of bytes, and written by a thread of their own: a disk that is slow or full costs the record
- * its chunks, counted and marked, and costs requests nothing.
+ * Records what a router decides. Chunks are made on the router's thread as things happen, handed on
+ * in background slices within a budget of bytes, and written by a thread of their own: a disk that
+ * is slow or full costs the record its chunks, counted and marked, and costs requests nothing.
  */
 public final class RecordWork {
     /** The version that records name. */
     public static final String BUILD = "0.2.0";
+
     private static final Logger LOG = LoggerFactory.getLogger(RecordWork.class);
     private static final long PENDING = 16 << 20; // bytes that wait for the disk at most
     private static final int SLICE = 16; // chunks handed on at once
@@ -36,13 +37,15 @@
     private final ArrayDeque<byte[]> made = new ArrayDeque<>();
     private final AtomicLong pending = new AtomicLong();
     private final AtomicBoolean broken = new AtomicBoolean();
-    private Runnable due = () -> { };
+    private Runnable due = () -> {};
     private boolean ended;
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(r -> {
-        Thread t = new Thread(r, "record");
-        t.setDaemon(true);
-        return t;
-    });
+    private final ExecutorService thread =
+            Executors.newSingleThreadExecutor(
+                    r -> {
+                        Thread t = new Thread(r, "record");
+                        t.setDaemon(true);
+                        return t;
+                    });
 
     /**
      * Makes it.
@@ -51,11 +54,19 @@
      * @param bounds of it
      * @param router what is recorded
      */
-    public RecordWork(RecordFolder folder, Shelf.Bounds bounds, RouterSettings router) throws IOException {
+    public RecordWork(RecordFolder folder, Shelf.Bounds bounds, RouterSettings router)
+            throws IOException {
         this.folder = folder;
         this.shelf = new Shelf(bounds, router.incarnation(), folder.found());
-        this.recorder = new Recorder(new Entry.Started(BUILD, router.name(), router.incarnation(), router.decide(),
-                router.seed()), this::take);
+        this.recorder =
+                new Recorder(
+                        new Entry.Started(
+                                BUILD,
+                                router.name(),
+                                router.incarnation(),
+                                router.decide(),
+                                router.seed()),
+                        this::take);
         this.danger = new Danger(recorder, router.decide().rules().releaseMicros(), this::keep);
     }
 
@@ -91,10 +102,13 @@
 
     /** Keeps what is there: what goes before is written first. On the router's thread. */
     public void keep(long at, String why) {
-        LOG.atWarn().addKeyValue("event", "record_kept").addKeyValue("why", why).log("the record is kept: {}", why);
+        LOG.atWarn()
+                .addKeyValue("event", "record_kept")
+                .addKeyValue("why", why)
+                .log("the record is kept: {}", why);
         recorder.mark(at, why);
         recorder.flush();
-        while (slice(n -> { })) {
+        while (slice(n -> {})) {
             // All that was made goes before the keeping.
         }
         thread.execute(() -> carry(() -> folder.carry(shelf.keep(wall()), null)));
@@ -110,13 +124,16 @@
 
     private void write(byte[] chunk) {
         try {
-            carry(() -> {
-                folder.carry(shelf.chunk(wall(), chunk.length), chunk);
-                if (folder.keepAsked()) {
-                    folder.carry(shelf.keep(wall()), null);
-                    LOG.atInfo().addKeyValue("event", "record_kept").log("the record is kept, as was asked");
-                }
-            });
+            carry(
+                    () -> {
+                        folder.carry(shelf.chunk(wall(), chunk.length), chunk);
+                        if (folder.keepAsked()) {
+                            folder.carry(shelf.keep(wall()), null);
+                            LOG.atInfo()
+                                    .addKeyValue("event", "record_kept")
+                                    .log("the record is kept, as was asked");
+                        }
+                    });
         } finally {
             pending.addAndGet(-chunk.length);
         }
@@ -126,14 +143,19 @@
         try {
             work.run();
             if (broken.getAndSet(false)) {
-                LOG.atInfo().addKeyValue("event", "record_written").log("the record can be written again");
+                LOG.atInfo()
+                        .addKeyValue("event", "record_written")
+                        .log("the record can be written again");
             }
         } catch (IOException e) {
             // What did not fit may have left half a chunk: nothing may follow it in that file.
             shelf.broke();
             if (!broken.getAndSet(true)) {
-                LOG.atWarn().addKeyValue("event", "record_unwritten").log("the record cannot be written, and has a gap "
-                        + "from here on: {}", e.toString());
+                LOG.atWarn()
+                        .addKeyValue("event", "record_unwritten")
+                        .log(
+                                "the record cannot be written, and has a gap " + "from here on: {}",
+                                e.toString());
             }
         }
     }
@@ -146,7 +168,7 @@
     /** Writes what is left, with a mark at its end, and ends; last on the router's thread. */
     public void stop(long at) {
         recorder.flush();
-        while (slice(n -> { })) {
+        while (slice(n -> {})) {
             // To the end.
         }
         thread.shutdown();
@@ -158,7 +180,9 @@
                 made.forEach(this::write);
                 made.clear();
             } else {
-                LOG.atWarn().addKeyValue("event", "record_unwritten").log("the end of the record was not written");
+                LOG.atWarn()
+                        .addKeyValue("event", "record_unwritten")
+                        .log("the end of the record was not written");
             }
             ended = true;
         } catch (InterruptedException e) {
--- a/edge/src/main/java/sorrelhoist/edge/teach/Learner.java
+++ b/edge/src/main/java/sorrelhoist/edge/teach/Learner.java
@@ -46,8 +46,13 @@
      * @param known gives what is known already
      * @param learn takes what was taught
      */
-    public Learner(String name, String zone, Seal seal, EventLoop loop,
-            Supplier<java.util.concurrent.CompletableFuture<Knowledge>> known, Consumer<Knowledge> learn) {
+    public Learner(
+            String name,
+            String zone,
+            Seal seal,
+            EventLoop loop,
+            Supplier<java.util.concurrent.CompletableFuture<Knowledge>> known,
+            Consumer<Knowledge> learn) {
         this.name = name;
         this.seal = seal;
         this.loop = loop;
@@ -58,18 +63,20 @@
 
     /** The planner told of the other edges. */
     public void peers(List<LearnPlan.Peer> all) {
-        loop.execute(() -> {
-            peers = all;
-            ask();
-        });
+        loop.execute(
+                () -> {
+                    peers = all;
+                    ask();
+                });
     }
 
     /** The roster is known, and the own past taken: what is taught can be understood. */
     public void ready() {
-        loop.execute(() -> {
-            ready = true;
-            ask();
-        });
+        loop.execute(
+                () -> {
+                    ready = true;
+                    ask();
+                });
     }
 
     /** Asks nobody any more. */
@@ -96,48 +103,78 @@
         }
         long number = ++exchange;
         byte[] digest = Digest.of(have);
-        ClientCall call = channel.call(Teacher.TEACH, null, new ClientCall.Listener() {
-            private int index;
-            private boolean whole;
+        ClientCall call =
+                channel.call(
+                        Teacher.TEACH,
+                        null,
+                        new ClientCall.Listener() {
+                            private int index;
+                            private boolean whole;
 
-            @Override
-            public void message(ClientCall c, byte[] message, int wireBytes) {
-                c.credit(wireBytes);
-                try {
-                    LessonChunk chunk = LessonChunk.parse(message);
-                    if (chunk.index() != index || !seal.verify(chunk.keyId(), chunk.tag(), peer.edge(), name, number,
-                            index, chunk.payload())) {
-                        LOG.atWarn().addKeyValue("event", "lesson_refused").addKeyValue("peer", peer.edge())
-                                .log("a chunk's seal or place is not right");
-                        c.cancel();
-                        return;
-                    }
-                    index++;
-                    whole = chunk.last();
-                    if (chunk.payload().length > 0) {
-                        learn.accept(KnowledgeForm.read(chunk.payload()));
-                    }
-                } catch (ProtoException | KnowledgeForm.Unreadable e) {
-                    LOG.atWarn().addKeyValue("event", "lesson_refused").addKeyValue("peer", peer.edge())
-                            .log("a chunk cannot be read: {}", e.getMessage());
-                    c.cancel();
-                }
-            }
+                            @Override
+                            public void message(ClientCall c, byte[] message, int wireBytes) {
+                                c.credit(wireBytes);
+                                try {
+                                    LessonChunk chunk = LessonChunk.parse(message);
+                                    if (chunk.index() != index
+                                            || !seal.verify(
+                                                    chunk.keyId(),
+                                                    chunk.tag(),
+                                                    peer.edge(),
+                                                    name,
+                                                    number,
+                                                    index,
+                                                    chunk.payload())) {
+                                        LOG.atWarn()
+                                                .addKeyValue("event", "lesson_refused")
+                                                .addKeyValue("peer", peer.edge())
+                                                .log("a chunk's seal or place is not right");
+                                        c.cancel();
+                                        return;
+                                    }
+                                    index++;
+                                    whole = chunk.last();
+                                    if (chunk.payload().length > 0) {
+                                        learn.accept(KnowledgeForm.read(chunk.payload()));
+                                    }
+                                } catch (ProtoException | KnowledgeForm.Unreadable e) {
+                                    LOG.atWarn()
+                                            .addKeyValue("event", "lesson_refused")
+                                            .addKeyValue("peer", peer.edge())
+                                            .log("a chunk cannot be read: {}", e.getMessage());
+                                    c.cancel();
+                                }
+                            }
 
-            @Override
-            public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End end) {
-                LOG.atInfo().addKeyValue("event", "lesson").addKeyValue("peer", peer.edge())
-                        .addKeyValue("chunks", index).addKeyValue("whole", whole).log(status.code().toString());
-                if (whole) {
-                    plan.taught(peer);
-                }
-                channel.shut();
-                asking = false;
-                ask();
-            }
-        });
-        call.sendLast(new LearnRequest(name, peer.edge(), number, digest, seal.keyId(),
-                seal.sign(name, peer.edge(), number, 0, digest)).bytes());
+                            @Override
+                            public void closed(
+                                    ClientCall c,
+                                    Status status,
+                                    Headers trailers,
+                                    ClientCall.End end) {
+                                LOG.atInfo()
+                                        .addKeyValue("event", "lesson")
+                                        .addKeyValue("peer", peer.edge())
+                                        .addKeyValue("chunks", index)
+                                        .addKeyValue("whole", whole)
+                                        .log(status.code().toString());
+                                if (whole) {
+                                    plan.taught(peer);
+                                }
+                                channel.shut();
+                                asking = false;
+                                ask();
+                            }
+                        });
+        call.sendLast(
+                new LearnRequest(
+                                name,
+                                peer.edge(),
+                                number,
+                                digest,
+                                seal.keyId(),
+                                seal.sign(name, peer.edge(), number, 0, digest))
+                        .bytes());
         channel.start(call);
         // A peer that trickles is given up; what has come stays.
         loop.schedule(call::cancel, EXCHANGE_SECONDS, TimeUnit.SECONDS);
--- a/edge/src/main/java/sorrelhoist/edge/teach/Teacher.java
+++ b/edge/src/main/java/sorrelhoist/edge/teach/Teacher.java
@@ -15,12 +15,14 @@
 import sorrelhoist.protocol.protobuf.ProtoException;
 
 /**
- * Teaches new routers what this one knows, one chunk a slice of background work. Few lessons at once, each bounded in
- * bytes and time; a learner that takes nothing gets nothing more. Its state is the router thread's.
+ * Teaches new routers what this one knows, one chunk a slice of background work. Few lessons at
+ * once, each bounded in bytes and time; a learner that takes nothing gets nothing more. Its state
+ * is the router thread's.
  */
 public final class Teacher {
     /** Path of the method. */
     public static final String TEACH = "/sorrelhoist.know.v1.Teacher/Teach";
+
     private static final int MOST_AT_ONCE = 4;
     private static final int MOST_KEYS = 10_000;
     private static final int MOST_BYTES = 4 << 20;
@@ -61,8 +63,12 @@
      * @param router runs something on the router's thread
      * @param wake tells that there is background work
      */
-    public Teacher(String name, Seal seal, IntFunction<Knowledge> known,
-            java.util.function.Consumer<Runnable> router, Runnable wake) {
+    public Teacher(
+            String name,
+            Seal seal,
+            IntFunction<Knowledge> known,
+            java.util.function.Consumer<Runnable> router,
+            Runnable wake) {
         this.name = name;
         this.seal = seal;
         this.known = known;
@@ -79,9 +85,18 @@
             public void message(byte[] bytes) {
                 try {
                     LearnRequest r = LearnRequest.parse(bytes);
-                    if (!r.teacher().equals(name) || !seal.verify(r.keyId(), r.tag(), r.learner(), name, r.exchange(),
-                            0, r.digest())) {
-                        call.close(new Status(Code.UNAUTHENTICATED, "the request's seal is not right"), null);
+                    if (!r.teacher().equals(name)
+                            || !seal.verify(
+                                    r.keyId(),
+                                    r.tag(),
+                                    r.learner(),
+                                    name,
+                                    r.exchange(),
+                                    0,
+                                    r.digest())) {
+                        call.close(
+                                new Status(Code.UNAUTHENTICATED, "the request's seal is not right"),
+                                null);
                         return;
                     }
                     router.accept(() -> session = begin(call, r));
@@ -110,12 +125,22 @@
 
     private Session begin(ServerCall call, LearnRequest r) {
         if (sessions.size() >= MOST_AT_ONCE) {
-            call.executor().execute(() -> call.close(new Status(Code.RESOURCE_EXHAUSTED, "teaching others"), null));
+            call.executor()
+                    .execute(
+                            () ->
+                                    call.close(
+                                            new Status(Code.RESOURCE_EXHAUSTED, "teaching others"),
+                                            null));
             return null;
         }
         long now = System.nanoTime() / 1000;
-        Session s = new Session(call, r, new Lesson(known.apply(MOST_KEYS), Digest.read(r.digest()), MOST_BYTES, now),
-                now + LESSON_MICROS);
+        Session s =
+                new Session(
+                        call,
+                        r,
+                        new Lesson(
+                                known.apply(MOST_KEYS), Digest.read(r.digest()), MOST_BYTES, now),
+                        now + LESSON_MICROS);
         sessions.add(s);
         wake.run();
         return s;
@@ -134,25 +159,39 @@
         }
         long now = System.nanoTime() / 1000;
         if (s.gone || now > s.until) {
-            s.call.executor().execute(() -> s.call.close(new Status(Code.DEADLINE_EXCEEDED, "the lesson took too long"),
-                    null));
+            s.call.executor()
+                    .execute(
+                            () ->
+                                    s.call.close(
+                                            new Status(
+                                                    Code.DEADLINE_EXCEEDED,
+                                                    "the lesson took too long"),
+                                            null));
         } else if (s.behind > BEHIND) {
             sessions.add(s);
         } else {
             byte[] payload = s.lesson.next(now);
             byte[] piece = payload == null ? new byte[0] : payload;
             int index = s.index++;
-            LessonChunk chunk = new LessonChunk(index, piece, payload == null, seal.keyId(),
-                    seal.sign(name, s.request.learner(), s.request.exchange(), index, piece));
+            LessonChunk chunk =
+                    new LessonChunk(
+                            index,
+                            piece,
+                            payload == null,
+                            seal.keyId(),
+                            seal.sign(
+                                    name, s.request.learner(), s.request.exchange(), index, piece));
             spent.accept(piece.length);
             s.behind += piece.length;
-            s.call.executor().execute(() -> {
-                s.call.send(chunk.bytes());
-                s.behind = s.call.pendingBytes();
-                if (chunk.last()) {
-                    s.call.close(Status.OK, null);
-                }
-            });
+            s.call.executor()
+                    .execute(
+                            () -> {
+                                s.call.send(chunk.bytes());
+                                s.behind = s.call.pendingBytes();
+                                if (chunk.last()) {
+                                    s.call.close(Status.OK, null);
+                                }
+                            });
             if (payload != null) {
                 sessions.add(s);
             }
--- a/edge/src/test/java/sorrelhoist/edge/past/PastStoreTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/past/PastStoreTest.java
@@ -113,12 +113,21 @@
             PastStore store = new PastStore(after);
             List<PastFrames.Frame> frames = store.restore();
             long newest = frames.stream().mapToLong(PastFrames.Frame::savedAt).max().orElse(-1);
-            assertTrue(newest >= written, "killed at " + at + ": step " + written + " is lost, newest " + newest);
+            assertTrue(
+                    newest >= written,
+                    "killed at " + at + ": step " + written + " is lost, newest " + newest);
             frames.forEach(f -> assertArrayEquals(payload((int) f.savedAt()), f.payload()));
-            assertTrue(files.keySet().stream().noneMatch(n -> n.endsWith(".aside")), "killed at " + at);
+            assertTrue(
+                    files.keySet().stream().noneMatch(n -> n.endsWith(".aside")),
+                    "killed at " + at);
             store.append(100, payload(3));
-            assertEquals(100, new PastStore(after).restore().stream().mapToLong(PastFrames.Frame::savedAt).max()
-                    .orElse(-1));
+            assertEquals(
+                    100,
+                    new PastStore(after)
+                            .restore().stream()
+                                    .mapToLong(PastFrames.Frame::savedAt)
+                                    .max()
+                                    .orElse(-1));
             kills++;
             if (written == STEPS - 1) {
                 break;
--- a/edge/src/test/java/sorrelhoist/edge/record/RecordWorkTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/record/RecordWorkTest.java
@@ -20,18 +20,31 @@
 import sorrelhoist.core.record.Tape;
 import sorrelhoist.core.record.Unreadable;
 
-/** A disk that is slow, full or away costs the record its chunks, says so, and costs nobody else anything. */
+/**
+ * A disk that is slow, full or away costs the record its chunks, says so, and costs nobody else
+ * anything.
+ */
 class RecordWorkTest {
-    private static final Settings DECIDE = new Settings(1, 0, 0, false, 0.5, Reports.NONE,
-            List.of(new RequestClass(1_000_000, 0, 1, Repeat.SAFE, Scope.ALL, 0)), List.of(),
-            List.of(new Kind(Role.READ, 1000), new Kind(Role.WRITE, 1000)),
-            new Limits(6, true, true, true, 2000, false, true, 0.003, 0.003), new Rules(0.26, 2000, 3, 3000, 500_000));
-    private static final RouterSettings ROUTER = new RouterSettings("edge-1", 42, DECIDE, List.of(4_000_000L),
-            List.of(0L), 0, true, 1, 100, 7);
-    private static final Shelf.Bounds ROOMY = new Shelf.Bounds(1 << 20, 1 << 30, Long.MAX_VALUE / 2, 1 << 30);
+    private static final Settings DECIDE =
+            new Settings(
+                    1,
+                    0,
+                    0,
+                    false,
+                    0.5,
+                    Reports.NONE,
+                    List.of(new RequestClass(1_000_000, 0, 1, Repeat.SAFE, Scope.ALL, 0)),
+                    List.of(),
+                    List.of(new Kind(Role.READ, 1000), new Kind(Role.WRITE, 1000)),
+                    new Limits(6, true, true, true, 2000, false, true, 0.003, 0.003),
+                    new Rules(0.26, 2000, 3, 3000, 500_000));
+    private static final RouterSettings ROUTER =
+            new RouterSettings(
+                    "edge-1", 42, DECIDE, List.of(4_000_000L), List.of(0L), 0, true, 1, 100, 7);
+    private static final Shelf.Bounds ROOMY =
+            new Shelf.Bounds(1 << 20, 1 << 30, Long.MAX_VALUE / 2, 1 << 30);
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private RecordWork work(RecordFolder on, Shelf.Bounds bounds) throws IOException {
         return new RecordWork(on, bounds, ROUTER);
@@ -74,22 +87,25 @@
     @Test
     void aDiskThatHangsCostsChunksThatAreCounted() throws Exception {
         CountDownLatch hangs = new CountDownLatch(1);
-        RecordWork work = work(new RecordFolder(folder) {
-            @Override
-            protected void append(String name, byte[] chunk) throws IOException {
-                try {
-                    hangs.await();
-                } catch (InterruptedException e) {
-                    throw new IOException(e);
-                }
-                super.append(name, chunk);
-            }
-        }, ROOMY);
+        RecordWork work =
+                work(
+                        new RecordFolder(folder) {
+                            @Override
+                            protected void append(String name, byte[] chunk) throws IOException {
+                                try {
+                                    hangs.await();
+                                } catch (InterruptedException e) {
+                                    throw new IOException(e);
+                                }
+                                super.append(name, chunk);
+                            }
+                        },
+                        ROOMY);
         int told = 600_000; // more than may wait
         tell(work, 0, told);
         hangs.countDown();
         while (work.pending() > 0) {
-            work.slice(n -> { });
+            work.slice(n -> {});
             Thread.onSpinWait();
         }
         tell(work, told, 1000);
@@ -105,16 +121,20 @@
     @Test
     void aDiskThatIsFullForAWhileLeavesAGapAndSoundFiles() throws Exception {
         int[] writes = {0};
-        RecordWork work = work(new RecordFolder(folder) {
-            @Override
-            protected void append(String name, byte[] chunk) throws IOException {
-                if (++writes[0] == 3 || writes[0] == 4) {
-                    super.append(name, java.util.Arrays.copyOf(chunk, chunk.length / 2));
-                    throw new IOException("no space left");
-                }
-                super.append(name, chunk);
-            }
-        }, ROOMY);
+        RecordWork work =
+                work(
+                        new RecordFolder(folder) {
+                            @Override
+                            protected void append(String name, byte[] chunk) throws IOException {
+                                if (++writes[0] == 3 || writes[0] == 4) {
+                                    super.append(
+                                            name, java.util.Arrays.copyOf(chunk, chunk.length / 2));
+                                    throw new IOException("no space left");
+                                }
+                                super.append(name, chunk);
+                            }
+                        },
+                        ROOMY);
         tell(work, 0, 20_000);
         work.stop(1_000_000);
         Tape tape = tape();
@@ -126,8 +146,10 @@
 
     @Test
     void theWindowIsBoundedAndWhatIsKeptStays() throws Exception {
-        RecordWork work = work(new RecordFolder(folder), new Shelf.Bounds(200_000, 800_000, Long.MAX_VALUE / 2,
-                10_000_000));
+        RecordWork work =
+                work(
+                        new RecordFolder(folder),
+                        new Shelf.Bounds(200_000, 800_000, Long.MAX_VALUE / 2, 10_000_000));
         tell(work, 0, 50_000);
         work.keep(50_000, "somebody asked");
         tell(work, 50_001, 100_000);
@@ -145,8 +167,12 @@
         }
         assertTrue(kept > 500_000 && kept <= 900_000, kept + " kept");
         assertTrue(others > 500_000 && others <= 900_000, others + " others");
-        assertTrue(tape().lines().stream().anyMatch(l -> l.entry() instanceof Entry.Marked m
-                && m.text().equals("somebody asked")));
+        assertTrue(
+                tape().lines().stream()
+                        .anyMatch(
+                                l ->
+                                        l.entry() instanceof Entry.Marked m
+                                                && m.text().equals("somebody asked")));
     }
 
     @Test
@@ -168,8 +194,21 @@
         RecordWork first = work(new RecordFolder(folder), ROOMY);
         tell(first, 0, 1000);
         first.stop(1000);
-        RecordWork second = new RecordWork(new RecordFolder(folder), ROOMY, new RouterSettings("edge-1", 43, DECIDE,
-                List.of(4_000_000L), List.of(0L), 0, true, 1, 100, 7));
+        RecordWork second =
+                new RecordWork(
+                        new RecordFolder(folder),
+                        ROOMY,
+                        new RouterSettings(
+                                "edge-1",
+                                43,
+                                DECIDE,
+                                List.of(4_000_000L),
+                                List.of(0L),
+                                0,
+                                true,
+                                1,
+                                100,
+                                7));
         tell(second, 0, 10);
         second.stop(10);
         Tape tape = tape();
--- a/lab/src/main/java/sorrelhoist/lab/day/Day.java
+++ b/lab/src/main/java/sorrelhoist/lab/day/Day.java
@@ -12,7 +12,13 @@
  * @param loads its load, by class
  * @param events what happens, by time
  */
-public record Day(String name, long seed, long length, List<Zone> zones, List<Load> loads, List<Event> events) {
+public record Day(
+        String name,
+        long seed,
+        long length,
+        List<Zone> zones,
+        List<Load> loads,
+        List<Event> events) {
     /**
      * A zone.
      *
@@ -20,8 +26,7 @@
      * @param edges its edges
      * @param racks its racks
      */
-    public record Zone(String name, int edges, List<Rack> racks) {
-    }
+    public record Zone(String name, int edges, List<Rack> racks) {}
 
     /**
      * A rack.
@@ -30,8 +35,7 @@
      * @param readers engines that read
      * @param writers engines that write
      */
-    public record Rack(String name, int readers, int writers) {
-    }
+    public record Rack(String name, int readers, int writers) {}
 
     /**
      * Requests of one class.
@@ -48,9 +52,18 @@
      * @param timeout until clients give up
      * @param cancels share of clients that leave early
      */
-    public record Load(String cls, double rate, int promptLow, int promptHigh, int answerLow, int answerHigh,
-            int sessions, int prefixes, int prefixTokens, long timeout, double cancels) {
-    }
+    public record Load(
+            String cls,
+            double rate,
+            int promptLow,
+            int promptHigh,
+            int answerLow,
+            int answerHigh,
+            int sessions,
+            int prefixes,
+            int prefixTokens,
+            long timeout,
+            double cancels) {}
 
     /**
      * Something that happens.
@@ -63,6 +76,6 @@
      * @param span how long; 0 for ever
      * @param line where the file says so
      */
-    public record Event(long at, String deed, String target, String pick, double amount, long span, int line) {
-    }
+    public record Event(
+            long at, String deed, String target, String pick, double amount, long span, int line) {}
 }
--- a/lab/src/main/java/sorrelhoist/lab/day/DayFile.java
+++ b/lab/src/main/java/sorrelhoist/lab/day/DayFile.java
@@ -35,8 +35,7 @@
     private final List<Day.Load> loads = new ArrayList<>();
     private final List<Day.Event> events = new ArrayList<>();
 
-    private DayFile() {
-    }
+    private DayFile() {}
 
     /**
      * Reads a day.
@@ -50,13 +49,19 @@
     }
 
     private Day read(String text) throws Faulty {
-        BaseErrorListener listener = new BaseErrorListener() {
-            @Override
-            public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
-                    RecognitionException e) {
-                faults.add(line + ":" + (column + 1) + ": " + message);
-            }
-        };
+        BaseErrorListener listener =
+                new BaseErrorListener() {
+                    @Override
+                    public void syntaxError(
+                            Recognizer<?, ?> recognizer,
+                            Object symbol,
+                            int line,
+                            int column,
+                            String message,
+                            RecognitionException e) {
+                        faults.add(line + ":" + (column + 1) + ": " + message);
+                    }
+                };
         DayLanguageLexer lexer = new DayLanguageLexer(CharStreams.fromString(text));
         DayLanguageParser parser = new DayLanguageParser(new CommonTokenStream(lexer));
         lexer.removeErrorListeners();
@@ -78,7 +83,12 @@
     }
 
     private void fault(ParserRuleContext at, String what) {
-        faults.add(at.getStart().getLine() + ":" + (at.getStart().getCharPositionInLine() + 1) + ": " + what);
+        faults.add(
+                at.getStart().getLine()
+                        + ":"
+                        + (at.getStart().getCharPositionInLine() + 1)
+                        + ": "
+                        + what);
     }
 
     private void check(DayLanguageParser.DayContext tree) {
@@ -94,8 +104,16 @@
     }
 
     private int count(String role) {
-        return zones.stream().flatMap(z -> z.racks().stream()).mapToInt(r -> role.equals("reader") ? r.readers()
-                : role.equals("writer") ? r.writers() : r.readers() + r.writers()).sum();
+        return zones.stream()
+                .flatMap(z -> z.racks().stream())
+                .mapToInt(
+                        r ->
+                                role.equals("reader")
+                                        ? r.readers()
+                                        : role.equals("writer")
+                                                ? r.writers()
+                                                : r.readers() + r.writers())
+                .sum();
     }
 
     private void item(DayLanguageParser.ItemContext item) {
@@ -115,8 +133,11 @@
     private void zone(DayLanguageParser.ZoneContext z) {
         List<Day.Rack> racks = new ArrayList<>();
         for (DayLanguageParser.RackContext r : z.rack()) {
-            racks.add(new Day.Rack(name(r.name()), (int) whole(r, r.INT(0).getText(), 0, 64),
-                    (int) whole(r, r.INT(1).getText(), 0, 64)));
+            racks.add(
+                    new Day.Rack(
+                            name(r.name()),
+                            (int) whole(r, r.INT(0).getText(), 0, 64),
+                            (int) whole(r, r.INT(1).getText(), 0, 64)));
         }
         int edges = z.INT() == null ? 0 : (int) whole(z, z.INT().getText(), 0, 16);
         zones.add(new Day.Zone(name(z.name()), edges, racks));
@@ -140,8 +161,11 @@
             } else if (i instanceof DayLanguageParser.SessionsContext r) {
                 sessions = (int) whole(r, r.INT().getText(), 1, 100_000);
             } else if (i instanceof DayLanguageParser.PrefixesContext r) {
-                prefixes = new int[] {(int) whole(r, r.INT(0).getText(), 0, 10_000),
-                    (int) whole(r, r.INT(1).getText(), 1, 30_000)};
+                prefixes =
+                        new int[] {
+                            (int) whole(r, r.INT(0).getText(), 0, 10_000),
+                            (int) whole(r, r.INT(1).getText(), 1, 30_000)
+                        };
             } else if (i instanceof DayLanguageParser.TimeoutContext r) {
                 timeout = time(r.time());
             } else if (i instanceof DayLanguageParser.CancelsContext r) {
@@ -151,8 +175,19 @@
         if (rate <= 0 || rate > 10_000) {
             fault(c, "a rate has to be above 0 and at most 10000");
         }
-        loads.add(new Day.Load(name(c.name()), rate, prompt[0], prompt[1], answer[0], answer[1], sessions,
-                prefixes[0], prefixes[1], timeout, cancels));
+        loads.add(
+                new Day.Load(
+                        name(c.name()),
+                        rate,
+                        prompt[0],
+                        prompt[1],
+                        answer[0],
+                        answer[1],
+                        sessions,
+                        prefixes[0],
+                        prefixes[1],
+                        timeout,
+                        cancels));
     }
 
     private void event(DayLanguageParser.EventContext e) {
@@ -163,7 +198,9 @@
             add(at, "crash", c.target(), 0, c.time(), line);
         } else if (d instanceof DayLanguageParser.CutContext c) {
             String rack = name(c.name());
-            if (zones.stream().flatMap(z -> z.racks().stream()).noneMatch(r -> r.name().equals(rack))) {
+            if (zones.stream()
+                    .flatMap(z -> z.racks().stream())
+                    .noneMatch(r -> r.name().equals(rack))) {
                 fault(c, "no rack is called \"" + rack + "\"");
             }
             events.add(new Day.Event(at, "cut", "rack", rack, 0, time(c.time()), line));
@@ -180,7 +217,9 @@
         } else if (d instanceof DayLanguageParser.DrainContext c) {
             add(at, "drain", c.target(), 0, c.time(), line);
         } else if (d instanceof DayLanguageParser.BurstContext c) {
-            events.add(new Day.Event(at, "burst", "load", "", number(c.number()), time(c.time()), line));
+            events.add(
+                    new Day.Event(
+                            at, "burst", "load", "", number(c.number()), time(c.time()), line));
         } else if (d instanceof DayLanguageParser.KillEdgeContext c) {
             int edges = zones.stream().mapToInt(Day.Zone::edges).sum();
             long edge = whole(c, c.INT().getText(), 1, Math.max(1, edges));
@@ -190,20 +229,41 @@
         } else if (d instanceof DayLanguageParser.RegistryContext c) {
             events.add(new Day.Event(at, c.how.getText(), "registry", "", 0, time(c.time()), line));
         } else if (d instanceof DayLanguageParser.RegistryLagContext c) {
-            events.add(new Day.Event(at, "lag", "registry", "", time(c.time(0)) / 1000.0, time(c.time(1)), line));
+            events.add(
+                    new Day.Event(
+                            at,
+                            "lag",
+                            "registry",
+                            "",
+                            time(c.time(0)) / 1000.0,
+                            time(c.time(1)),
+                            line));
         }
         if (at > length) {
             fault(e, "this comes after the day's length of " + length / 1000 + " ms");
         }
     }
 
-    private void add(long at, String deed, DayLanguageParser.TargetContext t, double amount,
-            DayLanguageParser.TimeContext span, int line) {
+    private void add(
+            long at,
+            String deed,
+            DayLanguageParser.TargetContext t,
+            double amount,
+            DayLanguageParser.TimeContext span,
+            int line) {
         String pick = t.pick().getText();
         if (pick.matches("[0-9]+")) {
             whole(t, pick, 1, Math.max(1, count(t.which.getText())));
         }
-        events.add(new Day.Event(at, deed, t.which.getText(), pick, amount, span == null ? 0 : time(span), line));
+        events.add(
+                new Day.Event(
+                        at,
+                        deed,
+                        t.which.getText(),
+                        pick,
+                        amount,
+                        span == null ? 0 : time(span),
+                        line));
     }
 
     private long whole(ParserRuleContext at, String text, long least, long most) {
--- a/lab/src/main/java/sorrelhoist/lab/judge/Judge.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/Judge.java
@@ -10,15 +10,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Judges a day by what its clients and stand-ins saw on the wire, and by nothing that the router says of itself.
- * The five rules:
+ * Judges a day by what its clients and stand-ins saw on the wire, and by nothing that the router
+ * says of itself. The five rules:
  *
- * <ol><li>one final answer for each request taken by an edge that lives, before its client's time is up, and its
- * tokens in order without gap;
- * <li>no effect twice: classes that are unsafe run once, and no request has two attempts out;
- * <li>nothing new to an engine later than the grace after the registry told that it drains or is gone;
- * <li>no cold engine pushed over;
- * <li>no state held with no attempt out for longer than the limit.</ol>
+ * <ol>
+ *   <li>one final answer for each request taken by an edge that lives, before its client's time is
+ *       up, and its tokens in order without gap;
+ *   <li>no effect twice: classes that are unsafe run once, and no request has two attempts out;
+ *   <li>nothing new to an engine later than the grace after the registry told that it drains or is
+ *       gone;
+ *   <li>no cold engine pushed over;
+ *   <li>no state held with no attempt out for longer than the limit.
+ * </ol>
  */
 public final class Judge {
     /**
@@ -30,8 +33,8 @@
      * @param wire what the wire itself may take, on a machine as busy as this one
      * @param unsafe indices of classes that may run once only
      */
-    public record Figures(long answerSlack, long drainGrace, long release, long wire, Set<Integer> unsafe) {
-    }
+    public record Figures(
+            long answerSlack, long drainGrace, long release, long wire, Set<Integer> unsafe) {}
 
     private static final class Request {
         Line sent;
@@ -86,13 +89,32 @@
                     }
                     r.end = r.end == null ? l : r.end;
                 }
-                case "after" -> breach(1, l, "request " + l.text("req") + " was sent more after its final answer");
+                case "after" ->
+                        breach(
+                                1,
+                                l,
+                                "request "
+                                        + l.text("req")
+                                        + " was sent more after its final answer");
                 case "run" -> request(l.text("client")).runs.add(l);
                 case "killed" -> {
                     kills.computeIfAbsent(l.text("target"), k -> new ArrayList<>()).add(l);
-                    deaths.add(new long[] {l.t(), lines.stream().filter(s -> s.event().equals("start")
-                            && s.who().equals(l.text("target")) && s.t() > l.t()).mapToLong(Line::t).findFirst()
-                            .orElse(l.text("target").matches("edge.*|planner") ? l.t() : Long.MAX_VALUE)});
+                    deaths.add(
+                            new long[] {
+                                l.t(),
+                                lines.stream()
+                                        .filter(
+                                                s ->
+                                                        s.event().equals("start")
+                                                                && s.who().equals(l.text("target"))
+                                                                && s.t() > l.t())
+                                        .mapToLong(Line::t)
+                                        .findFirst()
+                                        .orElse(
+                                                l.text("target").matches("edge.*|planner")
+                                                        ? l.t()
+                                                        : Long.MAX_VALUE)
+                            });
                 }
                 case "told" -> {
                     if (l.text("command").startsWith("cut")) {
@@ -100,7 +122,7 @@
                     }
                 }
                 case "fell" -> breach(4, l, "engine " + l.who() + " was pushed over while cold");
-                default -> { }
+                default -> {}
             }
         }
         requests.remove("");
@@ -120,12 +142,14 @@
         broken.add(String.format("rule %d at %.3f s: %s", rule, (at.t() - start) / 1e6, what));
     }
 
-    // ---- Rule 1 -------------------------------------------------------------------------------------------
+    // ---- Rule 1
+    // -------------------------------------------------------------------------------------------
 
     private boolean excused(Request r) {
         long end = r.end == null ? Long.MAX_VALUE : r.end.t();
-        return r.end != null && r.end.text("status").equals("NOT_SENT") || kills.getOrDefault(r.sent.text("edge"),
-                List.of()).stream().anyMatch(k -> k.t() >= r.sent.t() - figures.wire() && k.t() <= end);
+        return r.end != null && r.end.text("status").equals("NOT_SENT")
+                || kills.getOrDefault(r.sent.text("edge"), List.of()).stream()
+                        .anyMatch(k -> k.t() >= r.sent.t() - figures.wire() && k.t() <= end);
     }
 
     private void answer(Request r) {
@@ -138,15 +162,26 @@
         }
         long allowed = r.sent.number("timeout") + figures.answerSlack();
         long took = r.end.t() - r.sent.t();
-        boolean mute = r.end.text("status").equals("GAVE_UP") || r.end.text("status").equals("BROKEN");
+        boolean mute =
+                r.end.text("status").equals("GAVE_UP") || r.end.text("status").equals("BROKEN");
         if (r.end.flag("cancelled") || excused(r)) {
             return;
         }
         if (mute || took > allowed) {
-            breach(1, r.end, "request " + id + " was not answered in time: " + r.end.text("status") + " after "
-                    + took / 1000 + " ms of " + allowed / 1000);
+            breach(
+                    1,
+                    r.end,
+                    "request "
+                            + id
+                            + " was not answered in time: "
+                            + r.end.text("status")
+                            + " after "
+                            + took / 1000
+                            + " ms of "
+                            + allowed / 1000);
         }
-        String[] words = r.end.text("text").isBlank() ? new String[0] : r.end.text("text").trim().split(" ");
+        String[] words =
+                r.end.text("text").isBlank() ? new String[0] : r.end.text("text").trim().split(" ");
         for (int i = 0; i < words.length; i++) {
             if (!words[i].matches("[a-z]+" + i)) {
                 breach(1, r.end, "request " + id + ": token " + i + " is \"" + words[i] + "\"");
@@ -154,20 +189,36 @@
             }
         }
         if (r.end.text("status").equals("OK") && r.end.number("tokens") != words.length) {
-            breach(1, r.end, "request " + id + " says " + r.end.number("tokens") + " tokens and has " + words.length);
+            breach(
+                    1,
+                    r.end,
+                    "request "
+                            + id
+                            + " says "
+                            + r.end.number("tokens")
+                            + " tokens and has "
+                            + words.length);
         }
     }
 
-    // ---- Rule 2 -------------------------------------------------------------------------------------------
+    // ---- Rule 2
+    // -------------------------------------------------------------------------------------------
 
     private void effects(Request r) {
         if (figures.unsafe().contains((int) r.sent.number("cls")) && r.runs.size() > 1) {
-            breach(2, r.runs.get(1), "request " + r.sent.text("req") + " of an unsafe class ran "
-                    + r.runs.size() + " times");
+            breach(
+                    2,
+                    r.runs.get(1),
+                    "request "
+                            + r.sent.text("req")
+                            + " of an unsafe class ran "
+                            + r.runs.size()
+                            + " times");
         }
     }
 
-    // ---- Rules 2 and 5: attempts and states ---------------------------------------------------------------
+    // ---- Rules 2 and 5: attempts and states
+    // ---------------------------------------------------------------
 
     private void attempts(List<Line> lines) {
         Map<String, List<Attempt>> byRequest = new HashMap<>();
@@ -191,58 +242,110 @@
                         a.how = l.text("how");
                     }
                 }
-                case "killed", "start" -> open.values().removeIf(a -> {
-                    boolean dead = a.engine.equals(l.event().equals("killed") ? l.text("target") : l.who());
-                    a.to = dead ? Math.min(a.to, l.t()) : a.to;
-                    return dead;
-                });
+                case "killed", "start" ->
+                        open.values()
+                                .removeIf(
+                                        a -> {
+                                            boolean dead =
+                                                    a.engine.equals(
+                                                            l.event().equals("killed")
+                                                                    ? l.text("target")
+                                                                    : l.who());
+                                            a.to = dead ? Math.min(a.to, l.t()) : a.to;
+                                            return dead;
+                                        });
                 case "held" -> held.put(l.text("state"), l);
                 case "freed" -> freed.put(l.text("state"), l);
-                default -> { }
+                default -> {}
             }
         }
         long end = lines.isEmpty() ? 0 : lines.get(lines.size() - 1).t();
         byRequest.forEach((req, list) -> overlaps(req, list, lines));
-        held.forEach((state, l) -> pinned(state, l, freed.get(state), byRequest.get(l.text("req")), end));
+        held.forEach(
+                (state, l) ->
+                        pinned(state, l, freed.get(state), byRequest.get(l.text("req")), end));
     }
 
-    /** One attempt at a time; a cancelled or cut-off one may be on its way out while the next begins. */
+    /**
+     * One attempt at a time; a cancelled or cut-off one may be on its way out while the next
+     * begins.
+     */
     private void overlaps(String req, List<Attempt> list, List<Line> lines) {
         for (int i = 0; i + 1 < list.size(); i++) {
             Attempt a = list.get(i);
             Attempt b = list.get(i + 1);
             boolean goingOut = a.how.equals("cancelled") && a.to - b.from <= figures.wire();
-            if (a.to > b.from + figures.wire() && !goingOut && !unheard(a.engine, a.from, b.from + figures.wire())) {
-                breach(2, line(b.from, lines), "request " + req + " has two attempts out, at " + a.engine + " and "
-                        + b.engine);
+            if (a.to > b.from + figures.wire()
+                    && !goingOut
+                    && !unheard(a.engine, a.from, b.from + figures.wire())) {
+                breach(
+                        2,
+                        line(b.from, lines),
+                        "request "
+                                + req
+                                + " has two attempts out, at "
+                                + a.engine
+                                + " and "
+                                + b.engine);
             }
         }
     }
 
     /** Nothing that is sent reaches an engine that is cut off. */
     private boolean unheard(String engine, long from, long to) {
-        return cuts.getOrDefault(engine, List.of()).stream().anyMatch(c -> c.t() <= to
-                && c.t() + 1000 * Long.parseLong(c.text("command").replaceAll("[^0-9]", "")) >= from);
+        return cuts.getOrDefault(engine, List.of()).stream()
+                .anyMatch(
+                        c ->
+                                c.t() <= to
+                                        && c.t()
+                                                        + 1000
+                                                                * Long.parseLong(
+                                                                        c.text("command")
+                                                                                .replaceAll(
+                                                                                        "[^0-9]",
+                                                                                        ""))
+                                                >= from);
     }
 
     private static Line line(long t, List<Line> lines) {
-        return lines.stream().filter(l -> l.t() >= t).findFirst().orElse(lines.get(lines.size() - 1));
+        return lines.stream()
+                .filter(l -> l.t() >= t)
+                .findFirst()
+                .orElse(lines.get(lines.size() - 1));
     }
 
     private void pinned(String state, Line held, Line freed, List<Attempt> attempts, long end) {
         String engine = held.who();
-        long to = freed != null ? freed.t() : kills.getOrDefault(engine, List.of()).stream()
-                .mapToLong(Line::t).filter(t -> t >= held.t()).min().orElse(end);
+        long to =
+                freed != null
+                        ? freed.t()
+                        : kills.getOrDefault(engine, List.of()).stream()
+                                .mapToLong(Line::t)
+                                .filter(t -> t >= held.t())
+                                .min()
+                                .orElse(end);
         // What an edge that was killed had held is freed by the engine itself, some seconds later.
-        boolean orphan = unheard(engine, held.t(), to) || kills.values().stream().flatMap(List::stream)
-                .anyMatch(k -> k.text("target").startsWith("edge") && k.t() >= held.t() - figures.wire()
-                && k.t() <= to);
+        boolean orphan =
+                unheard(engine, held.t(), to)
+                        || kills.values().stream()
+                                .flatMap(List::stream)
+                                .anyMatch(
+                                        k ->
+                                                k.text("target").startsWith("edge")
+                                                        && k.t() >= held.t() - figures.wire()
+                                                        && k.t() <= to);
         long free = held.t();
         long number = -1;
         for (Attempt a : attempts == null ? List.<Attempt>of() : attempts) {
             if (a.from >= held.t() && a.from <= to) {
-                // A number that no stand-in saw was out to one that hears nothing: dead, or cut off.
-                gap(state, held, free, a.from, orphan || a.number != number + 1 && deaf(free, a.from));
+                // A number that no stand-in saw was out to one that hears nothing: dead, or cut
+                // off.
+                gap(
+                        state,
+                        held,
+                        free,
+                        a.from,
+                        orphan || a.number != number + 1 && deaf(free, a.from));
                 free = Math.max(free, a.to == Long.MAX_VALUE ? to : a.to);
             }
             number = a.number;
@@ -252,18 +355,27 @@
 
     /** Whether some engine could hear nothing at a time between these. */
     private boolean deaf(long from, long to) {
-        return cuts.keySet().stream().anyMatch(e -> unheard(e, from, to)) || deaths.stream()
-                .anyMatch(d -> d[0] <= to && d[1] >= from);
+        return cuts.keySet().stream().anyMatch(e -> unheard(e, from, to))
+                || deaths.stream().anyMatch(d -> d[0] <= to && d[1] >= from);
     }
 
     private void gap(String state, Line held, long from, long to, boolean orphan) {
         if (to - from > figures.release() + figures.wire() && !orphan) {
-            breach(5, held, "state " + state + " of request " + held.text("req") + " was held for "
-                    + (to - from) / 1000 + " ms with no attempt out");
+            breach(
+                    5,
+                    held,
+                    "state "
+                            + state
+                            + " of request "
+                            + held.text("req")
+                            + " was held for "
+                            + (to - from) / 1000
+                            + " ms with no attempt out");
         }
     }
 
-    // ---- Rule 3 -------------------------------------------------------------------------------------------
+    // ---- Rule 3
+    // -------------------------------------------------------------------------------------------
 
     private void drains(List<Line> lines) {
         Map<String, Long> stopped = new HashMap<>();
@@ -283,16 +395,27 @@
                 stopped.entrySet().removeIf(e -> l.t() - e.getValue() < figures.drainGrace());
             } else if (l.event().equals("prefill") || l.event().equals("decode")) {
                 Long since = stopped.get(l.who());
-                if (since != null && l.t() - since > figures.drainGrace() + figures.wire()
-                        && wrong.computeIfAbsent(l.who(), k -> new HashSet<>()).add(l.text("edge"))) {
-                    breach(3, l, "edge " + l.text("edge") + " sent to " + l.who() + " "
-                            + (l.t() - since) / 1000 + " ms after the registry told that it stops");
+                if (since != null
+                        && l.t() - since > figures.drainGrace() + figures.wire()
+                        && wrong.computeIfAbsent(l.who(), k -> new HashSet<>())
+                                .add(l.text("edge"))) {
+                    breach(
+                            3,
+                            l,
+                            "edge "
+                                    + l.text("edge")
+                                    + " sent to "
+                                    + l.who()
+                                    + " "
+                                    + (l.t() - since) / 1000
+                                    + " ms after the registry told that it stops");
                 }
             }
         }
     }
 
-    // ---- Figures ------------------------------------------------------------------------------------------
+    // ---- Figures
+    // ------------------------------------------------------------------------------------------
 
     private Verdict verdict() {
         int[] n = new int[6];
@@ -302,12 +425,19 @@
         for (Request r : requests.values()) {
             String status = r.end == null ? "NOT_SENT" : r.end.text("status");
             boolean cancelled = r.end != null && r.end.flag("cancelled");
-            n[cancelled ? 3 : excused(r) && !status.equals("OK") ? 4 : status.equals("OK") ? 0
-                    : status.equals("RESOURCE_EXHAUSTED") ? 1 : 2]++;
+            n[
+                    cancelled
+                            ? 3
+                            : excused(r) && !status.equals("OK")
+                                    ? 4
+                                    : status.equals("OK")
+                                            ? 0
+                                            : status.equals("RESOURCE_EXHAUSTED") ? 1 : 2]++;
             if (r.end != null && r.end.number("first") > 0) {
                 long f = Math.min(TOP, r.end.number("first"));
                 first.recordValue(f);
-                windows.computeIfAbsent((r.sent.t() - start) / WINDOW, w -> new Histogram(TOP, 3)).recordValue(f);
+                windows.computeIfAbsent((r.sent.t() - start) / WINDOW, w -> new Histogram(TOP, 3))
+                        .recordValue(f);
                 long tokens = r.end.number("pieces");
                 if (tokens > 1) {
                     perToken.recordValue(Math.min(TOP, (r.end.number("took") - f) / (tokens - 1)));
@@ -316,12 +446,24 @@
         }
         long worst = -1;
         for (Map.Entry<Long, Histogram> w : windows.entrySet()) {
-            if (worst < 0 || w.getValue().getValueAtPercentile(99) > windows.get(worst).getValueAtPercentile(99)) {
+            if (worst < 0
+                    || w.getValue().getValueAtPercentile(99)
+                            > windows.get(worst).getValueAtPercentile(99)) {
                 worst = w.getKey();
             }
         }
         Histogram worstFirst = worst < 0 ? new Histogram(TOP, 3) : windows.get(worst);
-        return new Verdict(broken, requests.size(), n[0], n[1], n[2], n[3], n[4], first, perToken, worstFirst,
+        return new Verdict(
+                broken,
+                requests.size(),
+                n[0],
+                n[1],
+                n[2],
+                n[3],
+                n[4],
+                first,
+                perToken,
+                worstFirst,
                 Math.max(0, worst) * WINDOW);
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/judge/Line.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/Line.java
@@ -47,7 +47,10 @@
         return new Line(n.path("t").asLong(), n.path("who").asText(), n.path("ev").asText(), n);
     }
 
-    /** {@return all lines of the traces in a folder, by time; a last line that a kill cut short is left out} */
+    /**
+     * {@return all lines of the traces in a folder, by time; a last line that a kill cut short is
+     * left out}
+     */
     public static List<Line> readAll(Path folder) throws IOException {
         List<Line> all = new ArrayList<>();
         List<Path> files;
--- a/lab/src/main/java/sorrelhoist/lab/judge/Verdict.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/Verdict.java
@@ -18,8 +18,18 @@
  * @param worstFirst first tokens of the worst ten seconds
  * @param worstAt when these began, microseconds after the first request
  */
-public record Verdict(List<String> broken, int asked, int served, int refused, int failed, int cancelled,
-        int unreachable, Histogram first, Histogram perToken, Histogram worstFirst, long worstAt) {
+public record Verdict(
+        List<String> broken,
+        int asked,
+        int served,
+        int refused,
+        int failed,
+        int cancelled,
+        int unreachable,
+        Histogram first,
+        Histogram perToken,
+        Histogram worstFirst,
+        long worstAt) {
     /** {@return whether every rule was kept} */
     public boolean clean() {
         return broken.isEmpty();
@@ -28,19 +38,38 @@
     /** {@return the same as a table for people} */
     public String table() {
         StringBuilder out = new StringBuilder();
-        out.append(String.format("%-14s %8d%n%-14s %8d%n%-14s %8d%n%-14s %8d%n%-14s %8d%n%-14s %8d%n", "asked", asked,
-                "served", served, "refused", refused, "failed", failed, "cancelled", cancelled, "unreachable",
-                unreachable));
-        out.append(row("first token", first)).append(row("per token", perToken)).append(row("worst 10 s", worstFirst));
-        out.append(String.format("%-14s %8.1f s after the first request%n", "  began", worstAt / 1e6));
+        out.append(
+                String.format(
+                        "%-14s %8d%n%-14s %8d%n%-14s %8d%n%-14s %8d%n%-14s %8d%n%-14s %8d%n",
+                        "asked",
+                        asked,
+                        "served",
+                        served,
+                        "refused",
+                        refused,
+                        "failed",
+                        failed,
+                        "cancelled",
+                        cancelled,
+                        "unreachable",
+                        unreachable));
+        out.append(row("first token", first))
+                .append(row("per token", perToken))
+                .append(row("worst 10 s", worstFirst));
+        out.append(
+                String.format("%-14s %8.1f s after the first request%n", "  began", worstAt / 1e6));
         out.append(String.format("%-14s %8d%n", "rules broken", broken.size()));
         broken.stream().limit(20).forEach(b -> out.append("  ").append(b).append('\n'));
         return out.toString();
     }
 
     private static String row(String name, Histogram h) {
-        return String.format("%-14s median %7.1f ms   99th %7.1f ms   most %7.1f ms   (%d)%n", name,
-                h.getValueAtPercentile(50) / 1000.0, h.getValueAtPercentile(99) / 1000.0, h.getMaxValue() / 1000.0,
+        return String.format(
+                "%-14s median %7.1f ms   99th %7.1f ms   most %7.1f ms   (%d)%n",
+                name,
+                h.getValueAtPercentile(50) / 1000.0,
+                h.getValueAtPercentile(99) / 1000.0,
+                h.getMaxValue() / 1000.0,
                 h.getTotalCount());
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/load/Ask.java
+++ b/lab/src/main/java/sorrelhoist/lab/load/Ask.java
@@ -19,8 +19,15 @@
  * @param maxTokens the most that may be answered; 0 for the default
  * @param timeoutMicros until the client gives up
  */
-public record Ask(String id, String cls, String session, String prefix, int prefixTokens, String prompt,
-        int maxTokens, long timeoutMicros) {
+public record Ask(
+        String id,
+        String cls,
+        String session,
+        String prefix,
+        int prefixTokens,
+        String prompt,
+        int maxTokens,
+        long timeoutMicros) {
     InferRequest request(String model) {
         Map<String, Parameter> p = new LinkedHashMap<>();
         put(p, "class", cls);
@@ -28,7 +35,8 @@
         put(p, "prefix", prefix);
         put(p, "prefix_tokens", prefix == null ? null : (Object) (long) prefixTokens);
         put(p, "max_tokens", maxTokens == 0 ? null : (Object) (long) maxTokens);
-        return new InferRequest(model, "", id, p, List.of(Tensor.text(InferRequest.TEXT_INPUT, prompt)), List.of());
+        return new InferRequest(
+                model, "", id, p, List.of(Tensor.text(InferRequest.TEXT_INPUT, prompt)), List.of());
     }
 
     private static void put(Map<String, Parameter> p, String name, Object value) {
--- a/lab/src/main/java/sorrelhoist/lab/load/DayLoad.java
+++ b/lab/src/main/java/sorrelhoist/lab/load/DayLoad.java
@@ -14,8 +14,8 @@
 import sorrelhoist.protocol.grpc.ClientCall;
 
 /**
- * Sends a day's requests when they are due, whether or not answers come back: a slow router does not slow the load
- * down, so its delay shows. All is drawn ahead from the day's seed.
+ * Sends a day's requests when they are due, whether or not answers come back: a slow router does
+ * not slow the load down, so its delay shows. All is drawn ahead from the day's seed.
  */
 public final class DayLoad {
     /** An edge, for the load to send to. */
@@ -31,20 +31,22 @@
      * @param cls index of its load
      * @param ask the request
      * @param edge which edge it goes to
-     * @param leavesAt with which piece of text its client leaves, from 1, so that it leaves in mid-answer however
-     *     fast the fleet is; 0 for as soon as it has asked; {@link #STAYS} for never
+     * @param leavesAt with which piece of text its client leaves, from 1, so that it leaves in
+     *     mid-answer however fast the fleet is; 0 for as soon as it has asked; {@link #STAYS} for
+     *     never
      */
     public record Planned(long at, int cls, Ask ask, int edge, int leavesAt) {
         /** Of a client that takes its whole answer. */
         public static final int STAYS = -1;
     }
 
-    private static final String WORDS = "please tell me where the pallet for dock seven went and when the truck comes "
-            + "back so that we can plan the loading of the next one before noon today thank you very much indeed ";
+    private static final String WORDS =
+            "please tell me where the pallet for dock seven went and when the truck comes back so"
+                + " that we can plan the loading of the next one before noon today thank you very"
+                + " much indeed ";
     private static final int BYTES_PER_TOKEN = 4;
 
-    private DayLoad() {
-    }
+    private DayLoad() {}
 
     /** {@return all requests of a day, by time} */
     public static List<Planned> plan(Day day, int edges) {
@@ -75,7 +77,8 @@
         return factor;
     }
 
-    private static Planned one(Day day, Day.Load load, int cls, int n, long t, int edges, SplittableRandom random) {
+    private static Planned one(
+            Day day, Day.Load load, int cls, int n, long t, int edges, SplittableRandom random) {
         int session = random.nextInt(load.sessions());
         int prefix = load.prefixes() == 0 ? -1 : random.nextInt(load.prefixes());
         StringBuilder prompt = new StringBuilder();
@@ -83,13 +86,27 @@
             fill(prompt, "guide " + load.cls() + " " + prefix + " ", load.prefixTokens());
         }
         int own = random.nextInt(load.promptLow(), load.promptHigh() + 1);
-        fill(prompt, "session " + session + " question " + n + " ", own + (prefix < 0 ? 0 : load.prefixTokens()));
+        fill(
+                prompt,
+                "session " + session + " question " + n + " ",
+                own + (prefix < 0 ? 0 : load.prefixTokens()));
         int answer = random.nextInt(load.answerLow(), load.answerHigh() + 1);
         int leaves = random.nextDouble() < load.cancels() ? random.nextInt(answer) : Planned.STAYS;
         String id = "d" + day.seed() + "-" + load.cls() + "-" + n;
-        return new Planned(t, cls, new Ask(id, load.cls(), load.cls() + "/" + session,
-                prefix < 0 ? null : load.cls() + "/p" + prefix, load.prefixTokens(), prompt.toString(), answer,
-                load.timeout()), random.nextInt(edges), leaves);
+        return new Planned(
+                t,
+                cls,
+                new Ask(
+                        id,
+                        load.cls(),
+                        load.cls() + "/" + session,
+                        prefix < 0 ? null : load.cls() + "/p" + prefix,
+                        load.prefixTokens(),
+                        prompt.toString(),
+                        answer,
+                        load.timeout()),
+                random.nextInt(edges),
+                leaves);
     }
 
     private static void fill(StringBuilder text, String begin, int tokens) {
@@ -108,12 +125,16 @@
      * @param trace takes what the clients see
      * @param loops event loops of the clients
      */
-    public static void run(List<Planned> plan, Front front, ClientTrace trace, EventLoopGroup loops) {
-        ScheduledExecutorService timer = Executors.newScheduledThreadPool(2, r -> {
-            Thread t = new Thread(r, "load");
-            t.setDaemon(true);
-            return t;
-        });
+    public static void run(
+            List<Planned> plan, Front front, ClientTrace trace, EventLoopGroup loops) {
+        ScheduledExecutorService timer =
+                Executors.newScheduledThreadPool(
+                        2,
+                        r -> {
+                            Thread t = new Thread(r, "load");
+                            t.setDaemon(true);
+                            return t;
+                        });
         AtomicInteger left = new AtomicInteger(plan.size());
         CompletableFuture<Void> all = new CompletableFuture<>();
         if (plan.isEmpty()) {
@@ -122,13 +143,18 @@
         long start = System.nanoTime();
         for (Planned p : plan) {
             long wait = TimeUnit.MICROSECONDS.toNanos(p.at()) - (System.nanoTime() - start);
-            timer.schedule(() -> {
-                send(p, front, trace).whenComplete((r, e) -> {
-                    if (left.decrementAndGet() == 0) {
-                        all.complete(null);
-                    }
-                });
-            }, Math.max(0, wait), TimeUnit.NANOSECONDS);
+            timer.schedule(
+                    () -> {
+                        send(p, front, trace)
+                                .whenComplete(
+                                        (r, e) -> {
+                                            if (left.decrementAndGet() == 0) {
+                                                all.complete(null);
+                                            }
+                                        });
+                    },
+                    Math.max(0, wait),
+                    TimeUnit.NANOSECONDS);
         }
         all.join();
         timer.shutdownNow();
@@ -137,30 +163,70 @@
     private static CompletableFuture<?> send(Planned p, Front front, ClientTrace trace) {
         String id = p.ask().id();
         long sent = ClientTrace.now();
-        trace.at(sent, "sent", "req", id, "cls", p.cls(), "edge", "edge-" + (p.edge() + 1), "timeout",
+        trace.at(
+                sent,
+                "sent",
+                "req",
+                id,
+                "cls",
+                p.cls(),
+                "edge",
+                "edge-" + (p.edge() + 1),
+                "timeout",
                 p.ask().timeoutMicros());
         CompletableFuture<Void> leaves = new CompletableFuture<>();
-        var answer = front.edge(p.edge()).ask(p.ask(), (i, t) -> {
-            if (i + 1 == p.leavesAt()) {
-                leaves.complete(null);
-            }
-        });
+        var answer =
+                front.edge(p.edge())
+                        .ask(
+                                p.ask(),
+                                (i, t) -> {
+                                    if (i + 1 == p.leavesAt()) {
+                                        leaves.complete(null);
+                                    }
+                                });
         leaves.thenRun(() -> answer.cancel(false));
         if (p.leavesAt() == 0) {
             leaves.complete(null);
         }
-        return answer.handle((r, e) -> {
-            if (r == null) {
-                trace.line("final", "req", id, "status", "CANCELLED", "cancelled", true);
-            } else {
-                String status = r.end() == ClientCall.End.STATUS ? r.served() || !r.status().isOk()
-                        ? r.status().code().toString() : "UNFINISHED" : r.end() == ClientCall.End.CANCELLED ? "GAVE_UP"
-                        : r.end() == ClientCall.End.BROKEN ? "BROKEN" : "NOT_SENT";
-                trace.line("final", "req", id, "status", status, "cancelled", false, "tokens", r.declared(), "pieces",
-                        r.tokens(), "text", r.text(), "first", r.firstMicros(), "took", r.tookMicros(), "pushback",
-                        r.pushbackMillis(), "message", r.status().message());
-            }
-            return null;
-        });
+        return answer.handle(
+                (r, e) -> {
+                    if (r == null) {
+                        trace.line("final", "req", id, "status", "CANCELLED", "cancelled", true);
+                    } else {
+                        String status =
+                                r.end() == ClientCall.End.STATUS
+                                        ? r.served() || !r.status().isOk()
+                                                ? r.status().code().toString()
+                                                : "UNFINISHED"
+                                        : r.end() == ClientCall.End.CANCELLED
+                                                ? "GAVE_UP"
+                                                : r.end() == ClientCall.End.BROKEN
+                                                        ? "BROKEN"
+                                                        : "NOT_SENT";
+                        trace.line(
+                                "final",
+                                "req",
+                                id,
+                                "status",
+                                status,
+                                "cancelled",
+                                false,
+                                "tokens",
+                                r.declared(),
+                                "pieces",
+                                r.tokens(),
+                                "text",
+                                r.text(),
+                                "first",
+                                r.firstMicros(),
+                                "took",
+                                r.tookMicros(),
+                                "pushback",
+                                r.pushbackMillis(),
+                                "message",
+                                r.status().message());
+                    }
+                    return null;
+                });
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/load/InferClient.java
+++ b/lab/src/main/java/sorrelhoist/lab/load/InferClient.java
@@ -30,8 +30,16 @@
      * @param firstMicros until the first piece; -1 for none
      * @param tookMicros until the end
      */
-    public record Result(Status status, ClientCall.End end, int tokens, String text, boolean isFinal,
-            long declared, long pushbackMillis, long firstMicros, long tookMicros) {
+    public record Result(
+            Status status,
+            ClientCall.End end,
+            int tokens,
+            String text,
+            boolean isFinal,
+            long declared,
+            long pushbackMillis,
+            long firstMicros,
+            long tookMicros) {
         /** {@return whether the answer came whole} */
         public boolean served() {
             return status.isOk() && isFinal;
@@ -56,8 +64,12 @@
      * @param model the model's name
      */
     public InferClient(EventLoop loop, String address, String model) {
-        this.channel = new GrpcChannel(loop, address,
-                new GrpcChannel.Options(8, 1_000_000, 60_000_000, MAX_MESSAGE, Http2Limits.CLIENT));
+        this.channel =
+                new GrpcChannel(
+                        loop,
+                        address,
+                        new GrpcChannel.Options(
+                                8, 1_000_000, 60_000_000, MAX_MESSAGE, Http2Limits.CLIENT));
         this.model = model;
     }
 
@@ -80,44 +92,65 @@
      * @param pauseMillis before it takes each message; 0 for at once
      * @return how it ended, and a handle that cancels it when cancelled
      */
-    public CompletableFuture<Result> ask(Ask ask, BiConsumer<Integer, String> piece, long pauseMillis) {
+    public CompletableFuture<Result> ask(
+            Ask ask, BiConsumer<Integer, String> piece, long pauseMillis) {
         Answer answer = new Answer(piece, channel.loop(), pauseMillis);
-        Headers metadata = ask.timeoutMicros() > 0
-                ? new Headers().add("grpc-timeout", Timeouts.format(ask.timeoutMicros())) : null;
-        ClientCall call = new ClientCall(ModelMessages.SERVICE + "ModelStreamInfer", metadata, MAX_MESSAGE, answer);
+        Headers metadata =
+                ask.timeoutMicros() > 0
+                        ? new Headers().add("grpc-timeout", Timeouts.format(ask.timeoutMicros()))
+                        : null;
+        ClientCall call =
+                new ClientCall(
+                        ModelMessages.SERVICE + "ModelStreamInfer", metadata, MAX_MESSAGE, answer);
         call.sendLast(ask.request(model).bytes());
-        channel.loop().execute(() -> {
-            channel.start(call);
-            if (ask.timeoutMicros() > 0) {
-                // The client's own deadline: an edge that keeps it is never caught by this.
-                channel.loop().schedule(call::cancel, ask.timeoutMicros() + GRACE, TimeUnit.MICROSECONDS);
-            }
-        });
-        answer.result.whenComplete((r, e) -> {
-            if (answer.result.isCancelled()) {
-                channel.loop().execute(call::cancel);
-            }
-        });
+        channel.loop()
+                .execute(
+                        () -> {
+                            channel.start(call);
+                            if (ask.timeoutMicros() > 0) {
+                                // The client's own deadline: an edge that keeps it is never caught
+                                // by this.
+                                channel.loop()
+                                        .schedule(
+                                                call::cancel,
+                                                ask.timeoutMicros() + GRACE,
+                                                TimeUnit.MICROSECONDS);
+                            }
+                        });
+        answer.result.whenComplete(
+                (r, e) -> {
+                    if (answer.result.isCancelled()) {
+                        channel.loop().execute(call::cancel);
+                    }
+                });
         return answer.result;
     }
 
     /** Asks whether the edge is ready. */
     public CompletableFuture<Boolean> ready() {
         CompletableFuture<Boolean> result = new CompletableFuture<>();
-        ClientCall call = new ClientCall(ModelMessages.SERVICE + "ServerReady", null, MAX_MESSAGE,
-                new ClientCall.Listener() {
-                    private boolean yes;
-
-                    @Override
-                    public void message(ClientCall c, byte[] message, int wireBytes) {
-                        yes = message.length > 0;
-                    }
-
-                    @Override
-                    public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End end) {
-                        result.complete(yes && status.isOk());
-                    }
-                });
+        ClientCall call =
+                new ClientCall(
+                        ModelMessages.SERVICE + "ServerReady",
+                        null,
+                        MAX_MESSAGE,
+                        new ClientCall.Listener() {
+                            private boolean yes;
+
+                            @Override
+                            public void message(ClientCall c, byte[] message, int wireBytes) {
+                                yes = message.length > 0;
+                            }
+
+                            @Override
+                            public void closed(
+                                    ClientCall c,
+                                    Status status,
+                                    Headers trailers,
+                                    ClientCall.End end) {
+                                result.complete(yes && status.isOk());
+                            }
+                        });
         call.sendLast(new byte[0]);
         channel.loop().execute(() -> channel.start(call));
         return result;
@@ -182,7 +215,17 @@
             if (hint != null && hint.matches("[0-9]{1,9}")) {
                 pushback = Long.parseLong(hint);
             }
-            result.complete(new Result(status, end, tokens, text.toString(), isFinal, declared, pushback, first, since()));
+            result.complete(
+                    new Result(
+                            status,
+                            end,
+                            tokens,
+                            text.toString(),
+                            isFinal,
+                            declared,
+                            pushback,
+                            first,
+                            since()));
         }
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/measure/DirectClient.java
+++ b/lab/src/main/java/sorrelhoist/lab/measure/DirectClient.java
@@ -30,18 +30,43 @@
     /** {@return microseconds until the first token, when the answer is whole} */
     CompletableFuture<Long> ask(String id, String prompt, int maxTokens) {
         CompletableFuture<Long> result = new CompletableFuture<>();
-        reader.loop().execute(() -> {
-            long start = System.nanoTime();
-            String name = "direct." + ++names;
-            int tokens = (prompt.length() + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
-            start(reader, EngineApi.PREFILL, new PrefillRequest(name, id, "direct", 0, prompt, tokens, maxTokens, 0)
-                    .bytes(), result, m -> {
-                        PrefillReply reply = PrefillReply.parse(m);
-                        start(writer, EngineApi.DECODE, new DecodeRequest(name, id, "direct", 1, reply.stateId(),
-                                readerAddress, "", tokens, maxTokens, 0, "", 0).bytes(), result, new Tokens(start,
-                                result));
-                    });
-        });
+        reader.loop()
+                .execute(
+                        () -> {
+                            long start = System.nanoTime();
+                            String name = "direct." + ++names;
+                            int tokens = (prompt.length() + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
+                            start(
+                                    reader,
+                                    EngineApi.PREFILL,
+                                    new PrefillRequest(
+                                                    name, id, "direct", 0, prompt, tokens,
+                                                    maxTokens, 0)
+                                            .bytes(),
+                                    result,
+                                    m -> {
+                                        PrefillReply reply = PrefillReply.parse(m);
+                                        start(
+                                                writer,
+                                                EngineApi.DECODE,
+                                                new DecodeRequest(
+                                                                name,
+                                                                id,
+                                                                "direct",
+                                                                1,
+                                                                reply.stateId(),
+                                                                readerAddress,
+                                                                "",
+                                                                tokens,
+                                                                maxTokens,
+                                                                0,
+                                                                "",
+                                                                0)
+                                                        .bytes(),
+                                                result,
+                                                new Tokens(start, result));
+                                    });
+                        });
         return result;
     }
 
@@ -70,26 +95,39 @@
         }
     }
 
-    static void start(GrpcChannel channel, String path, byte[] request, CompletableFuture<Long> result,
+    static void start(
+            GrpcChannel channel,
+            String path,
+            byte[] request,
+            CompletableFuture<Long> result,
             Take take) {
-        ClientCall call = channel.call(path, null, new ClientCall.Listener() {
-            @Override
-            public void message(ClientCall c, byte[] message, int wireBytes) {
-                c.credit(wireBytes);
-                try {
-                    take.take(message);
-                } catch (ProtoException e) {
-                    result.completeExceptionally(e);
-                }
-            }
+        ClientCall call =
+                channel.call(
+                        path,
+                        null,
+                        new ClientCall.Listener() {
+                            @Override
+                            public void message(ClientCall c, byte[] message, int wireBytes) {
+                                c.credit(wireBytes);
+                                try {
+                                    take.take(message);
+                                } catch (ProtoException e) {
+                                    result.completeExceptionally(e);
+                                }
+                            }
 
-            @Override
-            public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End end) {
-                if (!status.isOk()) {
-                    result.completeExceptionally(new IllegalStateException(status.toString()));
-                }
-            }
-        });
+                            @Override
+                            public void closed(
+                                    ClientCall c,
+                                    Status status,
+                                    Headers trailers,
+                                    ClientCall.End end) {
+                                if (!status.isOk()) {
+                                    result.completeExceptionally(
+                                            new IllegalStateException(status.toString()));
+                                }
+                            }
+                        });
         call.sendLast(request);
         channel.start(call);
     }
--- a/lab/src/main/java/sorrelhoist/lab/measure/FleetMeasure.java
+++ b/lab/src/main/java/sorrelhoist/lab/measure/FleetMeasure.java
@@ -21,9 +21,9 @@
 import sorrelhoist.protocol.net.Net;
 
 /**
- * Measures a whole fleet beside a plain client, by turns in one run: steady rates below and above what its engines can
- * do, and bursts. Requests are sent when they are due, whether or not answers come back, and a first token's time counts
- * from then, so that what is slow shows as slow.
+ * Measures a whole fleet beside a plain client, by turns in one run: steady rates below and above
+ * what its engines can do, and bursts. Requests are sent when they are due, whether or not answers
+ * come back, and a first token's time counts from then, so that what is slow shows as slow.
  */
 public final class FleetMeasure {
     private static final int OPENINGS = 8;
@@ -32,8 +32,10 @@
     private static final long TIMEOUT = 4_000_000;
     private static final int CLIENTS = 4;
     private static final long REST_MILLIS = 3000;
-    private static final String[] WORDS = ("crate pallet dock seven truck north gate when where which morning list "
-            + "carrier noon order label shelf belt weight south").split(" ");
+    private static final String[] WORDS =
+            ("crate pallet dock seven truck north gate when where which morning list "
+                            + "carrier noon order label shelf belt weight south")
+                    .split(" ");
 
     /**
      * What to measure.
@@ -44,8 +46,7 @@
      * @param bursts how many, one after the other
      * @param plain whether the plain client takes its turns
      */
-    public record Plan(int[] rates, int seconds, int burst, int bursts, boolean plain) {
-    }
+    public record Plan(int[] rates, int seconds, int burst, int bursts, boolean plain) {}
 
     /** One stretch's results. */
     private static final class Tally {
@@ -107,7 +108,10 @@
     }
 
     private List<String> addresses(String role) {
-        return fleet.engines().stream().filter(e -> e.role().equals(role)).map(e -> fleet.address(e.id())).toList();
+        return fleet.engines().stream()
+                .filter(e -> e.role().equals(role))
+                .map(e -> fleet.address(e.id()))
+                .toList();
     }
 
     /**
@@ -120,7 +124,9 @@
         say.accept("warming up");
         stretch("warm-up", "edge", 100, plan.seconds());
         rows.clear();
-        say.accept("asked                who    in time  late  refused failed  first token 50th / 99th ms  refused 99th ms");
+        say.accept(
+                "asked                who    in time  late  refused failed  first token 50th / 99th"
+                        + " ms  refused 99th ms");
         for (int rate : plan.rates()) {
             stretch(rate + " a second", "edge", rate, plan.seconds());
             if (plan.plain()) {
@@ -134,13 +140,18 @@
             stretch("burst " + i + " of " + plan.burst(), "plain", plan.burst(), 0);
         }
         if (table != null) {
-            rows.add(0, "asked,who,in_time,late,refused,failed,first_50_ms,first_99_ms,refused_99_ms,send_late_99_ms");
+            rows.add(
+                    0,
+                    "asked,who,in_time,late,refused,failed,first_50_ms,first_99_ms,refused_99_ms,send_late_99_ms");
             Files.write(table, rows);
         }
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    /** Asks at a rate for some seconds, or all at once where they are 0; then waits until the fleet is quiet. */
+    /**
+     * Asks at a rate for some seconds, or all at once where they are 0; then waits until the fleet
+     * is quiet.
+     */
     private void stretch(String name, String who, int rate, int seconds) {
         int count = seconds == 0 ? rate : rate * seconds;
         Tally tally = new Tally();
@@ -150,17 +161,26 @@
         long start = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(5);
         long gap = seconds == 0 ? 0 : 1_000_000_000L / rate;
         int[] next = {0};
-        timer.scheduleAtFixedRate(() -> {
-            for (long now = System.nanoTime(); next[0] < count && start + next[0] * gap <= now; now = System.nanoTime()) {
-                long due = start + next[0] * gap;
-                tally.lateSend.recordValue(Math.min(59_000_000, (now - due) / 1000));
-                all[next[0]] = who.equals("edge") ? edge(number++, due, tally) : direct(number++, due, tally);
-                next[0]++;
-            }
-            if (next[0] == count) {
-                sent.complete(null);
-            }
-        }, 1, 1, TimeUnit.MILLISECONDS);
+        timer.scheduleAtFixedRate(
+                () -> {
+                    for (long now = System.nanoTime();
+                            next[0] < count && start + next[0] * gap <= now;
+                            now = System.nanoTime()) {
+                        long due = start + next[0] * gap;
+                        tally.lateSend.recordValue(Math.min(59_000_000, (now - due) / 1000));
+                        all[next[0]] =
+                                who.equals("edge")
+                                        ? edge(number++, due, tally)
+                                        : direct(number++, due, tally);
+                        next[0]++;
+                    }
+                    if (next[0] == count) {
+                        sent.complete(null);
+                    }
+                },
+                1,
+                1,
+                TimeUnit.MILLISECONDS);
         sent.join();
         timer.shutdown();
         CompletableFuture.allOf(all).join();
@@ -179,29 +199,46 @@
     private CompletableFuture<?> edge(int n, long due, Tally tally) {
         int opening = n % OPENINGS;
         String shared = words(opening, 90);
-        Ask ask = new Ask("f" + n, null, "s" + n, "opening " + opening, shared.length() / 4, shared + words(1000 + n, 90),
-                TOKENS, TIMEOUT);
-        return clients.get(n % CLIENTS).ask(ask, (i, t) -> { }).thenAccept(r -> {
-            long behind = Math.max(0, (System.nanoTime() - due) / 1000 - r.tookMicros());
-            if (r.served()) {
-                tally.served(behind + r.firstMicros());
-            } else {
-                String why = r.status().message();
-                tally.lost(r.refused(), behind + r.tookMicros(), why.substring(0, Math.min(why.length(), 200)));
-            }
-        });
+        Ask ask =
+                new Ask(
+                        "f" + n,
+                        null,
+                        "s" + n,
+                        "opening " + opening,
+                        shared.length() / 4,
+                        shared + words(1000 + n, 90),
+                        TOKENS,
+                        TIMEOUT);
+        return clients.get(n % CLIENTS)
+                .ask(ask, (i, t) -> {})
+                .thenAccept(
+                        r -> {
+                            long behind =
+                                    Math.max(0, (System.nanoTime() - due) / 1000 - r.tookMicros());
+                            if (r.served()) {
+                                tally.served(behind + r.firstMicros());
+                            } else {
+                                String why = r.status().message();
+                                tally.lost(
+                                        r.refused(),
+                                        behind + r.tookMicros(),
+                                        why.substring(0, Math.min(why.length(), 200)));
+                            }
+                        });
     }
 
     private CompletableFuture<?> direct(int n, long due, Tally tally) {
         return plain.ask("f" + n, words(n % OPENINGS, 90) + words(1000 + n, 90), TOKENS)
-                .orTimeout(TIMEOUT, TimeUnit.MICROSECONDS).handle((first, e) -> {
-                    if (e == null) {
-                        tally.served(first);
-                    } else {
-                        tally.lost(false, 0, "plain: " + e.getClass().getSimpleName());
-                    }
-                    return null;
-                });
+                .orTimeout(TIMEOUT, TimeUnit.MICROSECONDS)
+                .handle(
+                        (first, e) -> {
+                            if (e == null) {
+                                tally.served(first);
+                            } else {
+                                tally.lost(false, 0, "plain: " + e.getClass().getSimpleName());
+                            }
+                            return null;
+                        });
     }
 
     private static String words(int seed, int count) {
@@ -215,15 +252,41 @@
 
     private void report(String name, String who, Tally t) {
         double all = Math.max(1, t.all());
-        say.accept(String.format(Locale.ROOT, "%-20s %-6s %6.1f%% %5.1f%% %6.1f%% %5.1f%%  %8.1f / %8.1f  %14.1f%s", name, who,
-                100 * t.inTime / all, 100 * t.late / all, 100 * t.refused / all, 100 * t.failed / all,
-                t.first.getValueAtPercentile(50) / 1000.0, t.first.getValueAtPercentile(99) / 1000.0,
-                t.refusal.getValueAtPercentile(99) / 1000.0, t.lateSend.getValueAtPercentile(99) > 20_000
-                        ? "  (sent late by " + t.lateSend.getValueAtPercentile(99) / 1000 + " ms: the generator is short)" : ""));
-        t.reasons.entrySet().stream().sorted(Map.Entry.<String, Integer>comparingByValue().reversed()).limit(3)
+        say.accept(
+                String.format(
+                        Locale.ROOT,
+                        "%-20s %-6s %6.1f%% %5.1f%% %6.1f%% %5.1f%%  %8.1f / %8.1f  %14.1f%s",
+                        name,
+                        who,
+                        100 * t.inTime / all,
+                        100 * t.late / all,
+                        100 * t.refused / all,
+                        100 * t.failed / all,
+                        t.first.getValueAtPercentile(50) / 1000.0,
+                        t.first.getValueAtPercentile(99) / 1000.0,
+                        t.refusal.getValueAtPercentile(99) / 1000.0,
+                        t.lateSend.getValueAtPercentile(99) > 20_000
+                                ? "  (sent late by "
+                                        + t.lateSend.getValueAtPercentile(99) / 1000
+                                        + " ms: the generator is short)"
+                                : ""));
+        t.reasons.entrySet().stream()
+                .sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
+                .limit(3)
                 .forEach(e -> say.accept("    " + e.getValue() + " x " + e.getKey()));
-        rows.add(String.format(Locale.ROOT, "%s,%s,%d,%d,%d,%d,%.1f,%.1f,%.1f,%.1f", name, who, t.inTime, t.late, t.refused,
-                t.failed, t.first.getValueAtPercentile(50) / 1000.0, t.first.getValueAtPercentile(99) / 1000.0,
-                t.refusal.getValueAtPercentile(99) / 1000.0, t.lateSend.getValueAtPercentile(99) / 1000.0));
+        rows.add(
+                String.format(
+                        Locale.ROOT,
+                        "%s,%s,%d,%d,%d,%d,%.1f,%.1f,%.1f,%.1f",
+                        name,
+                        who,
+                        t.inTime,
+                        t.late,
+                        t.refused,
+                        t.failed,
+                        t.first.getValueAtPercentile(50) / 1000.0,
+                        t.first.getValueAtPercentile(99) / 1000.0,
+                        t.refusal.getValueAtPercentile(99) / 1000.0,
+                        t.lateSend.getValueAtPercentile(99) / 1000.0));
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/measure/PathMeasure.java
+++ b/lab/src/main/java/sorrelhoist/lab/measure/PathMeasure.java
@@ -18,15 +18,34 @@
 import sorrelhoist.lab.run.ProcessFleet;
 
 /**
- * Measures one edge on loopback: what it adds to a first token (edge minus direct, turn by turn), requests a second
- * with CPU a request, and the memory that lives after many.
+ * Measures one edge on loopback: what it adds to a first token (edge minus direct, turn by turn),
+ * requests a second with CPU a request, and the memory that lives after many.
  */
 public final class PathMeasure {
     /** Engines that cost next to nothing, so that the edge is what is measured. */
-    public static final Map<String, Long> FAST = Map.of("stepMicros", 100L, "perAnswerMicros", 0L, "readPerSecond",
-            100_000_000L, "slots", 4096L, "queue", 4096L, "memoryTokens", 100_000_000L, "moveTokensPerSecond",
-            1_000_000_000L, "farTokensPerSecond", 1_000_000_000L, "warmSendsPerSecond", 0L);
-    private static final String PROMPT = "Where is the pallet for dock seven, and when does the truck come back? ";
+    public static final Map<String, Long> FAST =
+            Map.of(
+                    "stepMicros",
+                    100L,
+                    "perAnswerMicros",
+                    0L,
+                    "readPerSecond",
+                    100_000_000L,
+                    "slots",
+                    4096L,
+                    "queue",
+                    4096L,
+                    "memoryTokens",
+                    100_000_000L,
+                    "moveTokensPerSecond",
+                    1_000_000_000L,
+                    "farTokensPerSecond",
+                    1_000_000_000L,
+                    "warmSendsPerSecond",
+                    0L);
+
+    private static final String PROMPT =
+            "Where is the pallet for dock seven, and when does the truck come back? ";
     private static final long TIMEOUT = 8_000_000;
     private static final int CLOCK_TICKS = 100;
     private final ProcessFleet fleet;
@@ -35,7 +54,12 @@
 
     /** {@return one edge, two readers and two writers} */
     public static Day fleet() {
-        return new Day("measure", 1, 1, List.of(new Day.Zone("a", 1, List.of(new Day.Rack("r", 2, 2)))), List.of(),
+        return new Day(
+                "measure",
+                1,
+                1,
+                List.of(new Day.Zone("a", 1, List.of(new Day.Rack("r", 2, 2)))),
+                List.of(),
                 List.of());
     }
 
@@ -71,12 +95,18 @@
 
     /** {@return two edges over the same engines, so that two ways can take turns} */
     public static Day pair() {
-        return new Day("pair", 1, 1, List.of(new Day.Zone("a", 2, List.of(new Day.Rack("r", 2, 2)))), List.of(),
+        return new Day(
+                "pair",
+                1,
+                1,
+                List.of(new Day.Zone("a", 2, List.of(new Day.Rack("r", 2, 2)))),
+                List.of(),
                 List.of());
     }
 
     /**
-     * Measures what recording costs: the first edge records, the second does not, and they take turns.
+     * Measures what recording costs: the first edge records, the second does not, and they take
+     * turns.
      *
      * @param requests of each turn
      * @param turns of each
@@ -98,32 +128,47 @@
             cpu[edge] += cpuMicros(pid) - before;
         }
         for (int edge = 0; edge < 2; edge++) {
-            say.accept(String.format("%s: %.0f requests a second, %.1f us of CPU a request, over %d requests",
-                    edge == 0 ? "recording" : "not recording", requests * turns / seconds[edge],
-                    cpu[edge] / requests / turns, requests * turns));
+            say.accept(
+                    String.format(
+                            "%s: %.0f requests a second, %.1f us of CPU a request, over %d"
+                                    + " requests",
+                            edge == 0 ? "recording" : "not recording",
+                            requests * turns / seconds[edge],
+                            cpu[edge] / requests / turns,
+                            requests * turns));
         }
     }
 
     private void added(InferClient edge, int count) {
-        DirectClient direct = new DirectClient(fleet.loops().next(), fleet.address("r-r1"), fleet.address("r-w1"));
+        DirectClient direct =
+                new DirectClient(
+                        fleet.loops().next(), fleet.address("r-r1"), fleet.address("r-w1"));
         Histogram with = new Histogram(60_000_000, 3);
         Histogram without = new Histogram(60_000_000, 3);
         for (int i = 0; i < count; i++) {
             long d = direct.ask("d" + i, PROMPT + i % 100, 4).join();
-            InferClient.Result r = edge.ask(ask(i, 4), (n, t) -> { }).join();
+            InferClient.Result r = edge.ask(ask(i, 4), (n, t) -> {}).join();
             if (i >= count / 4 && r.served()) {
                 without.recordValue(d);
                 with.recordValue(r.firstMicros());
             }
         }
-        say.accept(String.format("first token, one at a time, %d each: direct median %d us, 99th %d us; through the "
-                + "edge median %d us, 99th %d us; added median %d us, 99th %d us", with.getTotalCount(),
-                without.getValueAtPercentile(50), without.getValueAtPercentile(99), with.getValueAtPercentile(50),
-                with.getValueAtPercentile(99), with.getValueAtPercentile(50) - without.getValueAtPercentile(50),
-                with.getValueAtPercentile(99) - without.getValueAtPercentile(99)));
+        say.accept(
+                String.format(
+                        "first token, one at a time, %d each: direct median %d us, 99th %d us;"
+                            + " through the edge median %d us, 99th %d us; added median %d us, 99th"
+                            + " %d us",
+                        with.getTotalCount(),
+                        without.getValueAtPercentile(50),
+                        without.getValueAtPercentile(99),
+                        with.getValueAtPercentile(50),
+                        with.getValueAtPercentile(99),
+                        with.getValueAtPercentile(50) - without.getValueAtPercentile(50),
+                        with.getValueAtPercentile(99) - without.getValueAtPercentile(99)));
     }
 
-    private void throughput(InferClient edge, int requests, int concurrency, int tokens) throws IOException {
+    private void throughput(InferClient edge, int requests, int concurrency, int tokens)
+            throws IOException {
         long pid = fleet.pid("edge-1");
         say.accept(String.format("live heap of the edge after warm-up: %.1f MB", live(pid) / 1e6));
         int part = requests / 4;
@@ -134,26 +179,40 @@
             burst(edge, part, concurrency, tokens, served);
             double seconds = (System.nanoTime() - start) / 1e9;
             double used = cpuMicros(pid) - cpu;
-            lost.entrySet().stream().limit(3).forEach(e -> say.accept("    " + e.getValue() + " not served: " + e.getKey()));
+            lost.entrySet().stream()
+                    .limit(3)
+                    .forEach(e -> say.accept("    " + e.getValue() + " not served: " + e.getKey()));
             lost.clear();
-            say.accept(String.format("%d requests at %d at once, %d served: %.0f a second, %.0f us of CPU a request; "
-                    + "live heap %.1f MB, resident %.1f MB", part, concurrency, served.get(), part / seconds,
-                    used / part, live(pid) / 1e6, resident(pid) / 1e6));
+            say.accept(
+                    String.format(
+                            "%d requests at %d at once, %d served: %.0f a second, %.0f us of CPU a"
+                                    + " request; live heap %.1f MB, resident %.1f MB",
+                            part,
+                            concurrency,
+                            served.get(),
+                            part / seconds,
+                            used / part,
+                            live(pid) / 1e6,
+                            resident(pid) / 1e6));
         }
     }
 
-    private void burst(InferClient edge, int count, int concurrency, int tokens, AtomicInteger served) {
+    private void burst(
+            InferClient edge, int count, int concurrency, int tokens, AtomicInteger served) {
         Semaphore room = new Semaphore(concurrency);
         CompletableFuture<?>[] last = new CompletableFuture<?>[count];
         for (int i = 0; i < count; i++) {
             room.acquireUninterruptibly();
-            last[i] = edge.ask(ask(i, tokens), (n, t) -> { }).thenAccept(r -> {
-                served.addAndGet(r.served() ? 1 : 0);
-                if (!r.served()) {
-                    lost.merge(r.end() + " " + r.status(), 1, Integer::sum);
-                }
-                room.release();
-            });
+            last[i] =
+                    edge.ask(ask(i, tokens), (n, t) -> {})
+                            .thenAccept(
+                                    r -> {
+                                        served.addAndGet(r.served() ? 1 : 0);
+                                        if (!r.served()) {
+                                            lost.merge(r.end() + " " + r.status(), 1, Integer::sum);
+                                        }
+                                        room.release();
+                                    });
         }
         CompletableFuture.allOf(last).join();
     }
@@ -166,15 +225,23 @@
     }
 
     private static long resident(long pid) throws IOException {
-        return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream().filter(l -> l.startsWith("VmRSS"))
-                .mapToLong(l -> Long.parseLong(l.replaceAll("[^0-9]", "")) * 1024).sum();
+        return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
+                .filter(l -> l.startsWith("VmRSS"))
+                .mapToLong(l -> Long.parseLong(l.replaceAll("[^0-9]", "")) * 1024)
+                .sum();
     }
 
     /** Bytes of objects that live after a full collection, as the JDK's own tool counts them. */
     private static long live(long pid) throws IOException {
-        Process p = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
-                Long.toString(pid), "GC.class_histogram").redirectErrorStream(true).start();
-        String[] lines = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8).split("\n");
+        Process p =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
+                                Long.toString(pid),
+                                "GC.class_histogram")
+                        .redirectErrorStream(true)
+                        .start();
+        String[] lines =
+                new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8).split("\n");
         for (int i = lines.length - 1; i >= 0; i--) {
             if (lines[i].startsWith("Total")) {
                 return Long.parseLong(lines[i].trim().split("\\s+")[2]);
