--- a/lab/src/main/java/sorrelhoist/lab/measure/PlainClient.java
+++ b/lab/src/main/java/sorrelhoist/lab/measure/PlainClient.java
@@ -12,8 +12,9 @@
 import sorrelhoist.protocol.grpc.GrpcChannel;
 
 /**
- * What an edge is measured against: a client that sends each read, and then each write, to the engine with the fewest
- * of its own requests out. It repeats nothing, refuses nothing, and sees all of the load, as it is the only one.
+ * What an edge is measured against: a client that sends each read, and then each write, to the
+ * engine with the fewest of its own requests out. It repeats nothing, refuses nothing, and sees all
+ * of the load, as it is the only one.
  */
 final class PlainClient {
     private static final int BYTES_PER_TOKEN = 4;
@@ -48,34 +49,63 @@
     CompletableFuture<Long> ask(String id, String prompt, int maxTokens) {
         CompletableFuture<Long> result = new CompletableFuture<>();
         long start = System.nanoTime();
-        loop.execute(() -> {
-            String name = "plain." + ++names;
-            int tokens = (prompt.length() + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
-            Engine reader = least(readers);
-            reader.out++;
-            CompletableFuture<Long> read = new CompletableFuture<>();
-            read.whenComplete((r, e) -> {
-                reader.out--;
-                if (e != null) {
-                    result.completeExceptionally(e);
-                }
-            });
-            DirectClient.start(reader.channel, EngineApi.PREFILL, new PrefillRequest(name, id, "plain", 0, prompt,
-                    tokens, maxTokens, 0).bytes(), read, m -> {
-                        PrefillReply reply = PrefillReply.parse(m);
-                        read.complete(0L);
-                        write(name, id, reply.stateId(), reader.address, tokens, maxTokens, start, result);
-                    });
-        });
+        loop.execute(
+                () -> {
+                    String name = "plain." + ++names;
+                    int tokens = (prompt.length() + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
+                    Engine reader = least(readers);
+                    reader.out++;
+                    CompletableFuture<Long> read = new CompletableFuture<>();
+                    read.whenComplete(
+                            (r, e) -> {
+                                reader.out--;
+                                if (e != null) {
+                                    result.completeExceptionally(e);
+                                }
+                            });
+                    DirectClient.start(
+                            reader.channel,
+                            EngineApi.PREFILL,
+                            new PrefillRequest(name, id, "plain", 0, prompt, tokens, maxTokens, 0)
+                                    .bytes(),
+                            read,
+                            m -> {
+                                PrefillReply reply = PrefillReply.parse(m);
+                                read.complete(0L);
+                                write(
+                                        name,
+                                        id,
+                                        reply.stateId(),
+                                        reader.address,
+                                        tokens,
+                                        maxTokens,
+                                        start,
+                                        result);
+                            });
+                });
         return result;
     }
 
-    private void write(String name, String id, String state, String reader, int tokens, int maxTokens, long start,
+    private void write(
+            String name,
+            String id,
+            String state,
+            String reader,
+            int tokens,
+            int maxTokens,
+            long start,
             CompletableFuture<Long> result) {
         Engine writer = least(writers);
         writer.out++;
         result.whenComplete((r, e) -> writer.out--);
-        DirectClient.start(writer.channel, EngineApi.DECODE, new DecodeRequest(name, id, "plain", 1, state, reader, "",
-                tokens, maxTokens, 0, "", 0).bytes(), result, new DirectClient.Tokens(start, result));
+        DirectClient.start(
+                writer.channel,
+                EngineApi.DECODE,
+                new DecodeRequest(
+                                name, id, "plain", 1, state, reader, "", tokens, maxTokens, 0, "",
+                                0)
+                        .bytes(),
+                result,
+                new DirectClient.Tokens(start, result));
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/measure/StreamMeasure.java
+++ b/lab/src/main/java/sorrelhoist/lab/measure/StreamMeasure.java
@@ -15,15 +15,34 @@
 import sorrelhoist.protocol.net.Net;
 
 /**
- * Measures how many streams one edge carries at twenty tokens a second each: for rising numbers of streams, how late a
- * token comes after its due time (fifty milliseconds after the one before).
+ * Measures how many streams one edge carries at twenty tokens a second each: for rising numbers of
+ * streams, how late a token comes after its due time (fifty milliseconds after the one before).
  */
 public final class StreamMeasure {
     /** Engines that write twenty tokens a second whatever their number of answers. */
-    public static final Map<String, Long> STEADY = Map.of("stepMicros", 500L, "perAnswerMicros", 0L,
-            "readPerSecond", 100_000_000L, "slots", 20_000L, "queue", 20_000L, "memoryTokens", 1_000_000_000L,
-            "moveTokensPerSecond", 1_000_000_000L, "farTokensPerSecond", 1_000_000_000L, "warmSendsPerSecond", 0L,
-            "write:stepMicros", 50_000L);
+    public static final Map<String, Long> STEADY =
+            Map.of(
+                    "stepMicros",
+                    500L,
+                    "perAnswerMicros",
+                    0L,
+                    "readPerSecond",
+                    100_000_000L,
+                    "slots",
+                    20_000L,
+                    "queue",
+                    20_000L,
+                    "memoryTokens",
+                    1_000_000_000L,
+                    "moveTokensPerSecond",
+                    1_000_000_000L,
+                    "farTokensPerSecond",
+                    1_000_000_000L,
+                    "warmSendsPerSecond",
+                    0L,
+                    "write:stepMicros",
+                    50_000L);
+
     private static final int SECONDS = 20;
     private static final int GAP = 50_000;
     private static final int SLOW_MILLIS = 100;
@@ -53,7 +72,8 @@
         for (int level : levels) {
             List<InferClient> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(new InferClient(loops.next(), fleet.address("edge-1"), ProcessFleet.MODEL));
+                clients.add(
+                        new InferClient(loops.next(), fleet.address("edge-1"), ProcessFleet.MODEL));
             }
             ConcurrentHistogram late = new ConcurrentHistogram(60_000_000, 3);
             Histogram gaps = new ConcurrentHistogram(60_000_000, 3);
@@ -62,7 +82,14 @@
             long start = System.nanoTime();
             CompletableFuture<?>[] all = new CompletableFuture<?>[level];
             for (int i = 0; i < level; i++) {
-                all[i] = stream(clients.get(i % CLIENTS), i, i < level * slowShare, late, gaps, served);
+                all[i] =
+                        stream(
+                                clients.get(i % CLIENTS),
+                                i,
+                                i < level * slowShare,
+                                late,
+                                gaps,
+                                served);
                 if (i % 2 == 1) {
                     pause(5);
                 }
@@ -70,11 +97,19 @@
             CompletableFuture.allOf(all).join();
             double seconds = (System.nanoTime() - start) / 1e9;
             double used = PathMeasure.cpuMicros(fleet.pid("edge-1")) - cpu;
-            say.accept(String.format("%5d streams, %d served: token gap median %.1f ms, 99th %.1f ms; beyond 50 ms "
-                    + "median %.1f ms, 99th %.1f ms; edge used %.2f cores, %.1f us a token", level, served.get(),
-                    gaps.getValueAtPercentile(50) / 1000.0, gaps.getValueAtPercentile(99) / 1000.0,
-                    late.getValueAtPercentile(50) / 1000.0, late.getValueAtPercentile(99) / 1000.0,
-                    used / 1e6 / seconds, used / Math.max(1, gaps.getTotalCount())));
+            say.accept(
+                    String.format(
+                            "%5d streams, %d served: token gap median %.1f ms, 99th %.1f ms; beyond"
+                                + " 50 ms median %.1f ms, 99th %.1f ms; edge used %.2f cores, %.1f"
+                                + " us a token",
+                            level,
+                            served.get(),
+                            gaps.getValueAtPercentile(50) / 1000.0,
+                            gaps.getValueAtPercentile(99) / 1000.0,
+                            late.getValueAtPercentile(50) / 1000.0,
+                            late.getValueAtPercentile(99) / 1000.0,
+                            used / 1e6 / seconds,
+                            used / Math.max(1, gaps.getTotalCount())));
             clients.forEach(InferClient::close);
         }
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
@@ -88,18 +123,36 @@
         }
     }
 
-    private CompletableFuture<?> stream(InferClient client, int n, boolean slow, Histogram late, Histogram gaps,
+    private CompletableFuture<?> stream(
+            InferClient client,
+            int n,
+            boolean slow,
+            Histogram late,
+            Histogram gaps,
             AtomicInteger served) {
         long[] before = {0};
-        Ask ask = new Ask("s" + n, null, "s" + n, null, 0, "Tell me all about dock " + n, SECONDS * 20, 120_000_000);
-        return client.ask(ask, (i, text) -> {
-            long now = System.nanoTime();
-            if (before[0] > 0) {
-                long gap = Math.min(60_000_000, (now - before[0]) / 1000);
-                gaps.recordValue(gap);
-                late.recordValue(Math.max(0, gap - GAP));
-            }
-            before[0] = now;
-        }, slow ? SLOW_MILLIS : 0).thenAccept(r -> served.addAndGet(r.served() ? 1 : 0));
+        Ask ask =
+                new Ask(
+                        "s" + n,
+                        null,
+                        "s" + n,
+                        null,
+                        0,
+                        "Tell me all about dock " + n,
+                        SECONDS * 20,
+                        120_000_000);
+        return client.ask(
+                        ask,
+                        (i, text) -> {
+                            long now = System.nanoTime();
+                            if (before[0] > 0) {
+                                long gap = Math.min(60_000_000, (now - before[0]) / 1000);
+                                gaps.recordValue(gap);
+                                late.recordValue(Math.max(0, gap - GAP));
+                            }
+                            before[0] = now;
+                        },
+                        slow ? SLOW_MILLIS : 0)
+                .thenAccept(r -> served.addAndGet(r.served() ? 1 : 0));
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/run/DayRunner.java
+++ b/lab/src/main/java/sorrelhoist/lab/run/DayRunner.java
@@ -25,7 +25,10 @@
 import sorrelhoist.protocol.http1.HttpMessage;
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
-/** Plays a day against a fleet of processes: its load, its faults when they are due, and the judge at its end. */
+/**
+ * Plays a day against a fleet of processes: its load, its faults when they are due, and the judge
+ * at its end.
+ */
 public final class DayRunner {
     private static final String CONTROL = "/sorrelhoist.standin.v1.Control/Do";
     private final Day day;
@@ -57,12 +60,16 @@
      */
     public Verdict run(Judge.Figures figures) throws IOException {
         List<DayLoad.Planned> plan = DayLoad.plan(day, fleet.edgeCount());
-        ScheduledExecutorService timer = Executors.newScheduledThreadPool(4, r -> {
-            Thread t = new Thread(r, "faults");
-            t.setDaemon(true);
-            return t;
-        });
-        try (ClientTrace clients = new ClientTrace(fleet.traces().resolve("clients.jsonl"), "clients")) {
+        ScheduledExecutorService timer =
+                Executors.newScheduledThreadPool(
+                        4,
+                        r -> {
+                            Thread t = new Thread(r, "faults");
+                            t.setDaemon(true);
+                            return t;
+                        });
+        try (ClientTrace clients =
+                new ClientTrace(fleet.traces().resolve("clients.jsonl"), "clients")) {
             trace = clients;
             start = System.nanoTime();
             for (Day.Event e : day.events()) {
@@ -90,13 +97,16 @@
     }
 
     private void schedule(ScheduledExecutorService timer, long at, Runnable what) {
-        timer.schedule(() -> {
-            try {
-                what.run();
-            } catch (UncheckedIOException e) {
-                say.accept("could not: " + e.getMessage());
-            }
-        }, TimeUnit.MICROSECONDS.toNanos(at) - (System.nanoTime() - start), TimeUnit.NANOSECONDS);
+        timer.schedule(
+                () -> {
+                    try {
+                        what.run();
+                    } catch (UncheckedIOException e) {
+                        say.accept("could not: " + e.getMessage());
+                    }
+                },
+                TimeUnit.MICROSECONDS.toNanos(at) - (System.nanoTime() - start),
+                TimeUnit.NANOSECONDS);
     }
 
     private interface Step {
@@ -117,48 +127,95 @@
     /** What is done at an event's beginning, and at its end where something is. */
     private List<Runnable> steps(Day.Event e) {
         return switch (e.target()) {
-            case "rack" -> List.of(step("rack " + e.pick() + " is cut off", () -> fleet.engines().stream()
-                    .filter(s -> s.rack().equals(e.pick())).forEach(s -> tell(s, "cut " + e.span() / 1000))));
+            case "rack" ->
+                    List.of(
+                            step(
+                                    "rack " + e.pick() + " is cut off",
+                                    () ->
+                                            fleet.engines().stream()
+                                                    .filter(s -> s.rack().equals(e.pick()))
+                                                    .forEach(
+                                                            s ->
+                                                                    tell(
+                                                                            s,
+                                                                            "cut "
+                                                                                    + e.span()
+                                                                                            / 1000))));
             case "edge" -> {
                 int number = Integer.parseInt(e.pick()) - 1;
-                yield List.of(step("edge " + e.pick() + " is killed", () -> kill("edge-" + e.pick())),
-                        step("edge " + e.pick() + " starts again", () -> fleet.restartEdge(number)));
+                yield List.of(
+                        step("edge " + e.pick() + " is killed", () -> kill("edge-" + e.pick())),
+                        step(
+                                "edge " + e.pick() + " starts again",
+                                () -> fleet.restartEdge(number)));
             }
-            case "planner" -> List.of(step("the planner is killed", () -> kill("planner")),
-                    step("the planner starts again", fleet::restartPlanner));
-            case "registry" -> List.of(step("the registry is told to " + e.deed(), () -> registry(
-                    e.deed() + (e.deed().equals("lag") ? " " + (long) e.amount() : "") + " " + e.span() / 1000)));
-            case "load" -> List.of(step("a burst of " + e.amount() + " times the load", () -> { }));
+            case "planner" ->
+                    List.of(
+                            step("the planner is killed", () -> kill("planner")),
+                            step("the planner starts again", fleet::restartPlanner));
+            case "registry" ->
+                    List.of(
+                            step(
+                                    "the registry is told to " + e.deed(),
+                                    () ->
+                                            registry(
+                                                    e.deed()
+                                                            + (e.deed().equals("lag")
+                                                                    ? " " + (long) e.amount()
+                                                                    : "")
+                                                            + " "
+                                                            + e.span() / 1000)));
+            case "load" -> List.of(step("a burst of " + e.amount() + " times the load", () -> {}));
             default -> engineSteps(e);
         };
     }
 
     private List<Runnable> engineSteps(Day.Event e) {
-        List<ProcessFleet.EngineSpot> all = fleet.engines().stream().filter(s -> e.target().equals("engine")
-                || s.role().equals(e.target().equals("reader") ? "read" : "write")).toList();
-        List<ProcessFleet.EngineSpot> chosen = e.pick().equals("every") ? all : List.of(all.get(
-                e.pick().equals("any") ? random.nextInt(all.size()) : Integer.parseInt(e.pick()) - 1));
+        List<ProcessFleet.EngineSpot> all =
+                fleet.engines().stream()
+                        .filter(
+                                s ->
+                                        e.target().equals("engine")
+                                                || s.role()
+                                                        .equals(
+                                                                e.target().equals("reader")
+                                                                        ? "read"
+                                                                        : "write"))
+                        .toList();
+        List<ProcessFleet.EngineSpot> chosen =
+                e.pick().equals("every")
+                        ? all
+                        : List.of(
+                                all.get(
+                                        e.pick().equals("any")
+                                                ? random.nextInt(all.size())
+                                                : Integer.parseInt(e.pick()) - 1));
         String names = String.join(", ", chosen.stream().map(ProcessFleet.EngineSpot::id).toList());
         long ms = e.span() / 1000;
         if (e.deed().equals("crash")) {
-            return List.of(step(names + " crashes", () -> chosen.forEach(s -> kill(s.id()))),
-                    step(names + " starts again, cold", () -> {
-                        for (ProcessFleet.EngineSpot s : chosen) {
-                            fleet.restartEngine(s);
-                        }
-                    }));
+            return List.of(
+                    step(names + " crashes", () -> chosen.forEach(s -> kill(s.id()))),
+                    step(
+                            names + " starts again, cold",
+                            () -> {
+                                for (ProcessFleet.EngineSpot s : chosen) {
+                                    fleet.restartEngine(s);
+                                }
+                            }));
         }
         if (e.deed().equals("drain")) {
-            return List.of(step(names + " drains", () -> chosen.forEach(s -> tell(s, "drain"))),
+            return List.of(
+                    step(names + " drains", () -> chosen.forEach(s -> tell(s, "drain"))),
                     step(names + " serves again", () -> chosen.forEach(s -> tell(s, "undrain"))));
         }
-        String command = switch (e.deed()) {
-            case "slow" -> "slow " + e.amount() + " " + ms;
-            case "errors" -> "errors " + e.amount() + " " + ms;
-            case "lose" -> "lose " + e.amount() + " " + ms;
-            case "flush" -> "flush " + e.amount();
-            default -> "hang " + ms;
-        };
+        String command =
+                switch (e.deed()) {
+                    case "slow" -> "slow " + e.amount() + " " + ms;
+                    case "errors" -> "errors " + e.amount() + " " + ms;
+                    case "lose" -> "lose " + e.amount() + " " + ms;
+                    case "flush" -> "flush " + e.amount();
+                    default -> "hang " + ms;
+                };
         return List.of(step(names + ": " + command, () -> chosen.forEach(s -> tell(s, command))));
     }
 
@@ -168,30 +225,47 @@
     }
 
     private void tell(ProcessFleet.EngineSpot engine, String command) {
-        GrpcChannel channel = new GrpcChannel(fleet.loops().next(), fleet.address(engine.id()),
-                GrpcChannel.Options.PLAIN);
-        ClientCall call = channel.call(CONTROL, null, new ClientCall.Listener() {
-            @Override
-            public void message(ClientCall c, byte[] message, int wireBytes) {
-                c.credit(wireBytes);
-            }
+        GrpcChannel channel =
+                new GrpcChannel(
+                        fleet.loops().next(),
+                        fleet.address(engine.id()),
+                        GrpcChannel.Options.PLAIN);
+        ClientCall call =
+                channel.call(
+                        CONTROL,
+                        null,
+                        new ClientCall.Listener() {
+                            @Override
+                            public void message(ClientCall c, byte[] message, int wireBytes) {
+                                c.credit(wireBytes);
+                            }
 
-            @Override
-            public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End end) {
-                if (end != ClientCall.End.STATUS || !status.isOk()) {
-                    say.accept(engine.id() + " was not told \"" + command + "\": " + status.message());
-                }
-                channel.shut();
-            }
-        });
+                            @Override
+                            public void closed(
+                                    ClientCall c,
+                                    Status status,
+                                    Headers trailers,
+                                    ClientCall.End end) {
+                                if (end != ClientCall.End.STATUS || !status.isOk()) {
+                                    say.accept(
+                                            engine.id()
+                                                    + " was not told \""
+                                                    + command
+                                                    + "\": "
+                                                    + status.message());
+                                }
+                                channel.shut();
+                            }
+                        });
         call.sendLast(new ProtoWriter().text(1, command).done());
         channel.loop().execute(() -> channel.start(call));
     }
 
     private void registry(String command) {
-        String target = "/control?do=" + java.net.URLEncoder.encode(command, StandardCharsets.UTF_8);
-        new HttpClient(fleet.loops().next(), fleet.address("registry")).send(
-                HttpMessage.request("POST", target, Map.of(), new byte[0]), 1_000_000);
+        String target =
+                "/control?do=" + java.net.URLEncoder.encode(command, StandardCharsets.UTF_8);
+        new HttpClient(fleet.loops().next(), fleet.address("registry"))
+                .send(HttpMessage.request("POST", target, Map.of(), new byte[0]), 1_000_000);
     }
 
     /** {@return the rules' figures of the templates, with room for a busy machine} */
@@ -204,5 +278,4 @@
         }
         return new Judge.Figures(0, 1_000_000, 500_000, 250_000, indices);
     }
-
 }
--- a/lab/src/main/java/sorrelhoist/lab/run/FleetFiles.java
+++ b/lab/src/main/java/sorrelhoist/lab/run/FleetFiles.java
@@ -13,8 +13,8 @@
 import sorrelhoist.lab.day.Day;
 
 /**
- * Writes the settings of a day's processes: each a small Jsonnet file over the template of its kind, as an operator
- * would write them.
+ * Writes the settings of a day's processes: each a small Jsonnet file over the template of its
+ * kind, as an operator would write them.
  */
 final class FleetFiles {
     private final ObjectMapper json = new ObjectMapper();
@@ -47,26 +47,49 @@
 
     Path edge(String name, String zone, int port, String planner) throws IOException {
         ObjectNode n = json.createObjectNode();
-        n.put("name", name).put("zone", zone).put("port", port).put("planner", planner).put("routers", edges());
+        n.put("name", name)
+                .put("zone", zone)
+                .put("port", port)
+                .put("planner", planner)
+                .put("routers", edges());
         ArrayNode zones = n.putArray("zones");
         day.zones().forEach(z -> zones.add(z.name()));
-        return write(name, "edge", n, unrecorded.contains(name) ? ""
-                : "record+: { folder: '" + folder.resolve("record").resolve(name) + "' }");
+        return write(
+                name,
+                "edge",
+                n,
+                unrecorded.contains(name)
+                        ? ""
+                        : "record+: { folder: '" + folder.resolve("record").resolve(name) + "' }");
     }
 
-    Path engine(String id, String role, String zone, String rack, String registry, boolean warm, long seed)
+    Path engine(
+            String id,
+            String role,
+            String zone,
+            String rack,
+            String registry,
+            boolean warm,
+            long seed)
             throws IOException {
         ObjectNode n = json.createObjectNode();
-        n.put("id", id).put("role", role).put("kind", role.equals("read") ? "prefill" : "decode").put("zone", zone)
-                .put("rack", rack).put("registry", registry).put("warm", warm).put("trace", trace(id))
+        n.put("id", id)
+                .put("role", role)
+                .put("kind", role.equals("read") ? "prefill" : "decode")
+                .put("zone", zone)
+                .put("rack", rack)
+                .put("registry", registry)
+                .put("warm", warm)
+                .put("trace", trace(id))
                 .put("seed", seed);
         // "write:NAME" is for writers alone, and wins over NAME.
-        engineExtra.forEach((key, value) -> {
-            Long ofWriters = role.equals("write") ? engineExtra.get("write:" + key) : null;
-            if (!key.startsWith("write:")) {
-                n.put(key, ofWriters == null ? value : ofWriters);
-            }
-        });
+        engineExtra.forEach(
+                (key, value) -> {
+                    Long ofWriters = role.equals("write") ? engineExtra.get("write:" + key) : null;
+                    if (!key.startsWith("write:")) {
+                        n.put(key, ofWriters == null ? value : ofWriters);
+                    }
+                });
         return write(id + (warm ? "" : "-cold"), "engine", n);
     }
 
@@ -86,10 +109,19 @@
         return write(name, template, own, "");
     }
 
-    private Path write(String name, String template, ObjectNode own, String nested) throws IOException {
+    private Path write(String name, String template, ObjectNode own, String nested)
+            throws IOException {
         Path file = folder.resolve(name + ".jsonnet");
-        Files.write(file, List.of("(import '" + template + ".libsonnet') + " + own.toPrettyString() + " { " + nested
-                + " }"));
+        Files.write(
+                file,
+                List.of(
+                        "(import '"
+                                + template
+                                + ".libsonnet') + "
+                                + own.toPrettyString()
+                                + " { "
+                                + nested
+                                + " }"));
         return file;
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/run/Proc.java
+++ b/lab/src/main/java/sorrelhoist/lab/run/Proc.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** One process of a fleet: started, waited for until it says that it is ready, killed, started again. */
+/**
+ * One process of a fleet: started, waited for until it says that it is ready, killed, started
+ * again.
+ */
 final class Proc {
     private static final long READY_SECONDS = 60;
     final String name;
@@ -34,25 +37,40 @@
         all.add(kind);
         all.add("--config");
         all.add(config.toString());
-        process = new ProcessBuilder(all).redirectError(ProcessBuilder.Redirect.appendTo(
-                new File(log.resolve(name + ".log").toString()))).start();
+        process =
+                new ProcessBuilder(all)
+                        .redirectError(
+                                ProcessBuilder.Redirect.appendTo(
+                                        new File(log.resolve(name + ".log").toString())))
+                        .start();
         CompletableFuture<String> ready = new CompletableFuture<>();
         Process started = process;
-        Thread reader = new Thread(() -> {
-            try (BufferedReader out = new BufferedReader(new InputStreamReader(started.getInputStream(),
-                    StandardCharsets.UTF_8))) {
-                for (String line = out.readLine(); line != null; line = out.readLine()) {
-                    if (line.startsWith("ready ")) {
-                        address = line.substring(line.indexOf('=') + 1).trim();
-                        ready.complete(address);
-                    }
-                }
-            } catch (IOException e) {
-                // The process ended; said below.
-            }
-            ready.completeExceptionally(new IOException(name + " ended before it was ready: see "
-                    + log.resolve(name + ".log")));
-        }, "out-" + name);
+        Thread reader =
+                new Thread(
+                        () -> {
+                            try (BufferedReader out =
+                                    new BufferedReader(
+                                            new InputStreamReader(
+                                                    started.getInputStream(),
+                                                    StandardCharsets.UTF_8))) {
+                                for (String line = out.readLine();
+                                        line != null;
+                                        line = out.readLine()) {
+                                    if (line.startsWith("ready ")) {
+                                        address = line.substring(line.indexOf('=') + 1).trim();
+                                        ready.complete(address);
+                                    }
+                                }
+                            } catch (IOException e) {
+                                // The process ended; said below.
+                            }
+                            ready.completeExceptionally(
+                                    new IOException(
+                                            name
+                                                    + " ended before it was ready: see "
+                                                    + log.resolve(name + ".log")));
+                        },
+                        "out-" + name);
         reader.setDaemon(true);
         reader.start();
         return ready;
--- a/lab/src/main/java/sorrelhoist/lab/run/ProcessFleet.java
+++ b/lab/src/main/java/sorrelhoist/lab/run/ProcessFleet.java
@@ -14,10 +14,14 @@
 import sorrelhoist.lab.load.InferClient;
 import sorrelhoist.protocol.net.Net;
 
-/** A day's fleet as processes on this machine: registry, planner, engines and edges, each on a port of its own. */
+/**
+ * A day's fleet as processes on this machine: registry, planner, engines and edges, each on a port
+ * of its own.
+ */
 public final class ProcessFleet implements AutoCloseable {
     /** The model that the templates name. */
     public static final String MODEL = "sorrel";
+
     private static final long READY_MILLIS = 30_000;
 
     /**
@@ -28,8 +32,7 @@
      * @param zone its zone
      * @param rack its rack
      */
-    public record EngineSpot(String id, String role, String zone, String rack) {
-    }
+    public record EngineSpot(String id, String role, String zone, String rack) {}
 
     private final Day day;
     private final FleetFiles files;
@@ -49,10 +52,16 @@
      * @param day whose fleet
      * @param folder for settings, logs and traces; the templates lie there already
      * @param command that starts one process, without its sub-command
-     * @param portBase first port of the edges, then planner and registry; 0 for ports that the system picks
+     * @param portBase first port of the edges, then planner and registry; 0 for ports that the
+     *     system picks
      * @param engineExtra settings of the engines in place of the template's
      */
-    public ProcessFleet(Day day, Path folder, List<String> command, int portBase, Map<String, Long> engineExtra) {
+    public ProcessFleet(
+            Day day,
+            Path folder,
+            List<String> command,
+            int portBase,
+            Map<String, Long> engineExtra) {
         this.day = day;
         this.folder = folder;
         this.command = command;
@@ -103,8 +112,11 @@
 
     private Proc proc(String name) {
         List<String> with = new ArrayList<>(command);
-        with.addAll(1, name.startsWith("edge") ? List.of("-Xmx512m") : List.of("-Xmx160m", "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1"));
+        with.addAll(
+                1,
+                name.startsWith("edge")
+                        ? List.of("-Xmx512m")
+                        : List.of("-Xmx160m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"));
         return procs.computeIfAbsent(name, n -> new Proc(n, with, folder));
     }
 
@@ -115,14 +127,24 @@
     /** Starts everything, and waits until every edge answers a request. */
     public void start() throws IOException {
         files.traces();
-        String registry = Proc.await(proc("registry").start("registry", files.registry(port(edges.size() + 1))),
-                "registry");
+        String registry =
+                Proc.await(
+                        proc("registry").start("registry", files.registry(port(edges.size() + 1))),
+                        "registry");
         Map<String, CompletableFuture<String>> waiting = new LinkedHashMap<>();
-        waiting.put("planner", proc("planner").start("planner", files.planner(port(edges.size()), registry)));
+        waiting.put(
+                "planner",
+                proc("planner").start("planner", files.planner(port(edges.size()), registry)));
         long seed = day.seed();
         for (EngineSpot e : engines) {
-            waiting.put(e.id(), proc(e.id()).start("engine",
-                    files.engine(e.id(), e.role(), e.zone(), e.rack(), registry, true, seed++)));
+            waiting.put(
+                    e.id(),
+                    proc(e.id())
+                            .start(
+                                    "engine",
+                                    files.engine(
+                                            e.id(), e.role(), e.zone(), e.rack(), registry, true,
+                                            seed++)));
         }
         String planner = Proc.await(waiting.get("planner"), "planner");
         for (int i = 0; i < edges.size(); i++) {
@@ -134,20 +156,28 @@
         awaitServing();
     }
 
-    private CompletableFuture<String> startEdge(int number, int port, String planner) throws IOException {
+    private CompletableFuture<String> startEdge(int number, int port, String planner)
+            throws IOException {
         String name = edges.get(number);
         return proc(name).start("edge", files.edge(name, zoneOf.get(name), port, planner));
     }
 
-    /** The edges are ready when they know of every engine; a short answer from each shows that the path is whole. */
+    /**
+     * The edges are ready when they know of every engine; a short answer from each shows that the
+     * path is whole.
+     */
     private void awaitServing() throws IOException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MILLIS);
         for (int i = 0; i < edges.size(); i++) {
             InferClient client = edge(i);
             while (!serves(client)) {
                 if (System.nanoTime() > end) {
-                    throw new IOException(edges.get(i) + " served nothing within " + READY_MILLIS + " ms: see "
-                            + folder.resolve(edges.get(i) + ".log"));
+                    throw new IOException(
+                            edges.get(i)
+                                    + " served nothing within "
+                                    + READY_MILLIS
+                                    + " ms: see "
+                                    + folder.resolve(edges.get(i) + ".log"));
                 }
             }
         }
@@ -155,19 +185,25 @@
 
     private static boolean serves(InferClient client) {
         try {
-            return client.ask(new sorrelhoist.lab.load.Ask("", null, null, null, 0, "Are you there?", 2, 2_000_000),
-                    (i, t) -> { }).get(3, TimeUnit.SECONDS).served();
+            return client.ask(
+                            new sorrelhoist.lab.load.Ask(
+                                    "", null, null, null, 0, "Are you there?", 2, 2_000_000),
+                            (i, t) -> {})
+                    .get(3, TimeUnit.SECONDS)
+                    .served();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
-        } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
+        } catch (java.util.concurrent.ExecutionException
+                | java.util.concurrent.TimeoutException e) {
             return false;
         }
     }
 
     /** {@return a client of an edge, numbered from 0} */
     public InferClient edge(int number) {
-        return clients.computeIfAbsent(number,
+        return clients.computeIfAbsent(
+                number,
                 n -> new InferClient(loops.next(), procs.get(edges.get(n)).address(), MODEL));
     }
 
@@ -177,8 +213,11 @@
         for (int i = 0; i < edges.size(); i++) {
             line.append(i == 0 ? "" : ",").append(procs.get(edges.get(i)).address());
         }
-        return line.append(" planner=").append(procs.get("planner").address()).append(" registry=")
-                .append(procs.get("registry").address()).toString();
+        return line.append(" planner=")
+                .append(procs.get("planner").address())
+                .append(" registry=")
+                .append(procs.get("registry").address())
+                .toString();
     }
 
     /** {@return an address; null for what was never ready} */
@@ -193,7 +232,15 @@
 
     /** Starts an engine again, cold. */
     public void restartEngine(EngineSpot e) throws IOException {
-        Path config = files.engine(e.id(), e.role(), e.zone(), e.rack(), address("registry"), false, day.seed());
+        Path config =
+                files.engine(
+                        e.id(),
+                        e.role(),
+                        e.zone(),
+                        e.rack(),
+                        address("registry"),
+                        false,
+                        day.seed());
         proc(e.id()).start("engine", config);
     }
 
@@ -204,7 +251,8 @@
 
     /** Starts the planner again, on the port that it had. */
     public void restartPlanner() throws IOException {
-        proc("planner").start("planner", files.planner(proc("planner").port(), address("registry")));
+        proc("planner")
+                .start("planner", files.planner(proc("planner").port(), address("registry")));
     }
 
     /** {@return the process id of a part of the fleet} */
--- a/lab/src/main/java/sorrelhoist/lab/sim/DoorStudy.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/DoorStudy.java
@@ -22,16 +22,18 @@
 import sorrelhoist.core.life.RouterSettings;
 
 /**
- * Studies in virtual time what becomes of bursts that the engines have room for, at fleets of several sizes: after quiet,
- * one after the other, straight after an overload, with a writer dead, with a class that may not be repeated, and after a
- * rack came back cold. A burst is 75 requests a reader, all at once: about half a second of work.
+ * Studies in virtual time what becomes of bursts that the engines have room for, at fleets of
+ * several sizes: after quiet, one after the other, straight after an overload, with a writer dead,
+ * with a class that may not be repeated, and after a rack came back cold. A burst is 75 requests a
+ * reader, all at once: about half a second of work.
  */
 public final class DoorStudy {
     private static final long SECOND = 1_000_000;
     private static final int READERS_EACH = 2;
     private static final int BURST_A_READER = 75;
     private static final int RACK = 2; // readers, and as many writers
-    private static final double USUAL = 25; // requests a second and reader, about a quarter of what engines can do
+    private static final double USUAL =
+            25; // requests a second and reader, about a quarter of what engines can do
     private static final double OVER = 300;
     private static final int OPENING = 135;
     private static final int PROMPT = 270;
@@ -41,7 +43,14 @@
     private static final long TIMEOUT = 4 * SECOND;
 
     /** What is done to a fleet before its burst. */
-    public enum Case { QUIET, THIRD_IN_A_ROW, AFTER_OVERLOAD, DEAD_WRITER, UNSAFE_QUARTER, RACK_CAME_BACK }
+    public enum Case {
+        QUIET,
+        THIRD_IN_A_ROW,
+        AFTER_OVERLOAD,
+        DEAD_WRITER,
+        UNSAFE_QUARTER,
+        RACK_CAME_BACK
+    }
 
     /**
      * What became of a burst.
@@ -52,8 +61,8 @@
      * @param lost neither, by reason
      * @param first first tokens, microseconds
      */
-    public record Burst(int asked, int inTime, int late, Map<Reason.Kind, Integer> lost, Histogram first) {
-    }
+    public record Burst(
+            int asked, int inTime, int late, Map<Reason.Kind, Integer> lost, Histogram first) {}
 
     private static final class Fleet {
         final StepEngine.World world = new StepEngine.World();
@@ -100,40 +109,75 @@
         }
 
         private RouterSettings settings(int edges, int self) {
-            Settings decide = new Settings(edges, self, 0, false, 1, Reports.NONE,
-                    List.of(new RequestClass(SECOND, 40_000, 1, Repeat.SAFE, Scope.ALL, 0),
-                            new RequestClass(SECOND, 40_000, 1, Repeat.UNSAFE, Scope.ALL, 0)), List.of(),
-                    List.of(new Kind(Role.READ, 150_000), new Kind(Role.WRITE, 150_000)),
-                    new Limits(6, true, false, true, SECOND, false, true, 0.003, 0.003),
-                    new Rules(0.3, 12 * SECOND, 3, 3 * SECOND, SECOND / 2));
-            return new RouterSettings("edge" + self, 1, decide, List.of(TIMEOUT, TIMEOUT), List.of(0L, 0L), 20_000, true,
-                    10 * SECOND, 100_000, random.nextLong());
+            Settings decide =
+                    new Settings(
+                            edges,
+                            self,
+                            0,
+                            false,
+                            1,
+                            Reports.NONE,
+                            List.of(
+                                    new RequestClass(SECOND, 40_000, 1, Repeat.SAFE, Scope.ALL, 0),
+                                    new RequestClass(
+                                            SECOND, 40_000, 1, Repeat.UNSAFE, Scope.ALL, 0)),
+                            List.of(),
+                            List.of(new Kind(Role.READ, 150_000), new Kind(Role.WRITE, 150_000)),
+                            new Limits(6, true, false, true, SECOND, false, true, 0.003, 0.003),
+                            new Rules(0.3, 12 * SECOND, 3, 3 * SECOND, SECOND / 2));
+            return new RouterSettings(
+                    "edge" + self,
+                    1,
+                    decide,
+                    List.of(TIMEOUT, TIMEOUT),
+                    List.of(0L, 0L),
+                    20_000,
+                    true,
+                    10 * SECOND,
+                    100_000,
+                    random.nextLong());
         }
 
         private void arm(int edge) {
             long next = routers.get(edge).nextAlarm();
             if (next < wakeAt[edge]) {
                 wakeAt[edge] = next;
-                world.in(Math.max(0, next - world.now), () -> {
-                    wakeAt[edge] = Long.MAX_VALUE;
-                    routers.get(edge).advance(world.now);
-                    arm(edge);
-                });
+                world.in(
+                        Math.max(0, next - world.now),
+                        () -> {
+                            wakeAt[edge] = Long.MAX_VALUE;
+                            routers.get(edge).advance(world.now);
+                            arm(edge);
+                        });
             }
         }
 
         private void later(int edge, long micros, Consumer<Router> what) {
-            world.in(micros, () -> {
-                what.accept(routers.get(edge));
-                arm(edge);
-            });
+            world.in(
+                    micros,
+                    () -> {
+                        what.accept(routers.get(edge));
+                        arm(edge);
+                    });
         }
 
         void ask() {
             int n = random.nextInt(1 << 30);
             int edge = random.nextInt(routers.size());
-            Call call = new Call("", random.nextDouble() < unsafe ? 1 : 0, 0, "s" + n, "o" + n % 8, OPENING, "", PROMPT,
-                    TOKENS, TIMEOUT, 0, null);
+            Call call =
+                    new Call(
+                            "",
+                            random.nextDouble() < unsafe ? 1 : 0,
+                            0,
+                            "s" + n,
+                            "o" + n % 8,
+                            OPENING,
+                            "",
+                            PROMPT,
+                            TOKENS,
+                            TIMEOUT,
+                            0,
+                            null);
             asked += counts ? 1 : 0;
             arriving = counts ? world.now : -1;
             long client = routers.get(edge).arrived(world.now, call);
@@ -146,7 +190,14 @@
             long end = world.now + span;
             double rate = aReader * READERS_EACH * routers.size();
             while (world.now < end) {
-                world.run(world.now + Math.max(1, (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND)));
+                world.run(
+                        world.now
+                                + Math.max(
+                                        1,
+                                        (long)
+                                                (-Math.log(1 - random.nextDouble())
+                                                        / rate
+                                                        * SECOND)));
                 ask();
             }
         }
@@ -179,21 +230,61 @@
         private void carry(Router router, int edge, Command order) {
             if (order instanceof Command.Read o) {
                 StepEngine e = engines.get(o.engine());
-                long have = Math.min(o.promptTokens(), Math.max(e.texts.kept(o.call().session()), e.texts.kept(o.call().prefix())));
+                long have =
+                        Math.min(
+                                o.promptTokens(),
+                                Math.max(
+                                        e.texts.kept(o.call().session()),
+                                        e.texts.kept(o.call().prefix())));
                 String state = "x" + names++;
-                world.in(HOP, () -> {
-                    boolean taken = e.dead || e.read(o.promptTokens() - have, () -> {
-                        e.texts.keep(o.call().prefix(), o.call().prefixTokens());
-                        later(edge, HOP, r -> r.readDone(world.now, o.attempt(), state, have, Load.NONE));
-                    });
-                    if (!taken) {
-                        later(edge, HOP, r -> r.attemptLost(world.now, o.attempt(), Outcome.FULL, 0, Load.NONE));
-                    }
-                });
+                world.in(
+                        HOP,
+                        () -> {
+                            boolean taken =
+                                    e.dead
+                                            || e.read(
+                                                    o.promptTokens() - have,
+                                                    () -> {
+                                                        e.texts.keep(
+                                                                o.call().prefix(),
+                                                                o.call().prefixTokens());
+                                                        later(
+                                                                edge,
+                                                                HOP,
+                                                                r ->
+                                                                        r.readDone(
+                                                                                world.now,
+                                                                                o.attempt(),
+                                                                                state,
+                                                                                have,
+                                                                                Load.NONE));
+                                                    });
+                            if (!taken) {
+                                later(
+                                        edge,
+                                        HOP,
+                                        r ->
+                                                r.attemptLost(
+                                                        world.now,
+                                                        o.attempt(),
+                                                        Outcome.FULL,
+                                                        0,
+                                                        Load.NONE));
+                            }
+                        });
             } else if (order instanceof Command.Write o) {
                 StepEngine e = engines.get(o.engine());
                 if (e.dead) {
-                    later(edge, HOP, r -> r.attemptLost(world.now, o.attempt(), Outcome.CONNECT_FAILED, 0, Load.NONE));
+                    later(
+                            edge,
+                            HOP,
+                            r ->
+                                    r.attemptLost(
+                                            world.now,
+                                            o.attempt(),
+                                            Outcome.CONNECT_FAILED,
+                                            0,
+                                            Load.NONE));
                     return;
                 }
                 world.in(2 * HOP, () -> write(edge, e, o));
@@ -210,16 +301,31 @@
         }
 
         private void write(int edge, StepEngine e, Command.Write o) {
-            StepEngine.Write w = e.write(TOKENS - o.fromToken(), i -> later(edge, HOP, r -> {
-                int index = o.fromToken() + i;
-                r.token(world.now, o.attempt(), index, "t", null);
-                if (index + 1 == TOKENS) {
-                    running.remove(o.attempt());
-                    r.streamDone(world.now, o.attempt(), TOKENS, 0, Load.NONE);
-                }
-            }));
+            StepEngine.Write w =
+                    e.write(
+                            TOKENS - o.fromToken(),
+                            i ->
+                                    later(
+                                            edge,
+                                            HOP,
+                                            r -> {
+                                                int index = o.fromToken() + i;
+                                                r.token(world.now, o.attempt(), index, "t", null);
+                                                if (index + 1 == TOKENS) {
+                                                    running.remove(o.attempt());
+                                                    r.streamDone(
+                                                            world.now,
+                                                            o.attempt(),
+                                                            TOKENS,
+                                                            0,
+                                                            Load.NONE);
+                                                }
+                                            }));
             if (w == null) {
-                later(edge, HOP, r -> r.attemptLost(world.now, o.attempt(), Outcome.FULL, 0, Load.NONE));
+                later(
+                        edge,
+                        HOP,
+                        r -> r.attemptLost(world.now, o.attempt(), Outcome.FULL, 0, Load.NONE));
             } else {
                 running.put(o.attempt(), w);
             }
@@ -275,7 +381,8 @@
                 List<Server> rack = f.servers.stream().filter(s -> s.cell() == 0).toList();
                 f.roster(rack.stream().map(s -> with(s, ServerState.GONE, 0)).toList());
                 f.usual(USUAL, 2 * SECOND);
-                f.roster(rack.stream().map(s -> with(s, ServerState.SERVING, f.world.now)).toList());
+                f.roster(
+                        rack.stream().map(s -> with(s, ServerState.SERVING, f.world.now)).toList());
                 f.usual(USUAL, 2 * SECOND);
             }
             default -> f.usual(USUAL / 10, 60 * SECOND);
@@ -296,8 +403,13 @@
      * @param table takes the figures as CSV; null for none
      */
     public void run(int[] sizes, int seeds, Path table) throws IOException {
-        List<String> rows = new ArrayList<>(List.of("edges,case,asked,in_time,late,not_served,first_50_ms,first_99_ms"));
-        say.accept("edges  case              in time   late  not served  first token 50th / 99th ms   by reason");
+        List<String> rows =
+                new ArrayList<>(
+                        List.of(
+                                "edges,case,asked,in_time,late,not_served,first_50_ms,first_99_ms"));
+        say.accept(
+                "edges  case              in time   late  not served  first token 50th / 99th ms  "
+                        + " by reason");
         for (int edges : sizes) {
             for (Case how : Case.values()) {
                 int asked = 0;
@@ -316,10 +428,30 @@
                 int none = lost.values().stream().mapToInt(n -> n).sum();
                 double p50 = first.getValueAtPercentile(50) / 1000.0;
                 double p99 = first.getValueAtPercentile(99) / 1000.0;
-                say.accept(String.format(Locale.ROOT, "%5d  %-16s %7.1f%% %5.1f%% %9.1f%%  %12.1f / %8.1f         %s", edges,
-                        how, 100.0 * inTime / asked, 100.0 * late / asked, 100.0 * none / asked, p50, p99, lost));
-                rows.add(String.format(Locale.ROOT, "%d,%s,%d,%d,%d,%d,%.1f,%.1f", edges, how, asked, inTime, late, none, p50,
-                        p99));
+                say.accept(
+                        String.format(
+                                Locale.ROOT,
+                                "%5d  %-16s %7.1f%% %5.1f%% %9.1f%%  %12.1f / %8.1f         %s",
+                                edges,
+                                how,
+                                100.0 * inTime / asked,
+                                100.0 * late / asked,
+                                100.0 * none / asked,
+                                p50,
+                                p99,
+                                lost));
+                rows.add(
+                        String.format(
+                                Locale.ROOT,
+                                "%d,%s,%d,%d,%d,%d,%.1f,%.1f",
+                                edges,
+                                how,
+                                asked,
+                                inTime,
+                                late,
+                                none,
+                                p50,
+                                p99));
             }
         }
         if (table != null) {
--- a/lab/src/main/java/sorrelhoist/lab/sim/KeptTexts.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/KeptTexts.java
@@ -2,7 +2,10 @@
 
 import java.util.LinkedHashMap;
 
-/** Texts that an engine keeps by their keys, up to a number of tokens; the least recently used go first. */
+/**
+ * Texts that an engine keeps by their keys, up to a number of tokens; the least recently used go
+ * first.
+ */
 final class KeptTexts {
     private final long most;
     private final LinkedHashMap<String, Long> kept = new LinkedHashMap<>(64, 0.75f, true);
--- a/lab/src/main/java/sorrelhoist/lab/sim/KnowledgeStudy.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/KnowledgeStudy.java
@@ -15,8 +15,9 @@
 import sorrelhoist.Knowledge;
 
 /**
- * Studies what it is worth to teach a new router: at a warm fleet one router starts anew, untaught, taught by another,
- * or from its own past, with news of several ages; its first-token times are set against the others'.
+ * Studies what it is worth to teach a new router: at a warm fleet one router starts anew, untaught,
+ * taught by another, or from its own past, with news of several ages; its first-token times are set
+ * against the others'.
  */
 public final class KnowledgeStudy {
     private static final long SECOND = 1_000_000;
@@ -26,15 +27,22 @@
     private static final double NEAR = 1.1;
 
     /** How a router starts. */
-    private enum Start { UNTAUGHT, TAUGHT, OWN_PAST }
-
-    private record Way(String name, Start start, long age) {
+    private enum Start {
+        UNTAUGHT,
+        TAUGHT,
+        OWN_PAST
     }
 
-    private static final List<Way> WAYS = List.of(new Way("untaught", Start.UNTAUGHT, 0),
-            new Way("taught, news 0 s old", Start.TAUGHT, 0), new Way("taught, 30 s", Start.TAUGHT, 30 * SECOND),
-            new Way("taught, 5 min", Start.TAUGHT, 300 * SECOND), new Way("taught, 30 min", Start.TAUGHT, 1800 * SECOND),
-            new Way("own past, 5 s", Start.OWN_PAST, 5 * SECOND));
+    private record Way(String name, Start start, long age) {}
+
+    private static final List<Way> WAYS =
+            List.of(
+                    new Way("untaught", Start.UNTAUGHT, 0),
+                    new Way("taught, news 0 s old", Start.TAUGHT, 0),
+                    new Way("taught, 30 s", Start.TAUGHT, 30 * SECOND),
+                    new Way("taught, 5 min", Start.TAUGHT, 300 * SECOND),
+                    new Way("taught, 30 min", Start.TAUGHT, 1800 * SECOND),
+                    new Way("own past, 5 s", Start.OWN_PAST, 5 * SECOND));
 
     private static final class Curve {
         final double[] first = new double[STEPS];
@@ -67,8 +75,10 @@
     public void run(int[] sizes, Path folder) throws IOException {
         Files.createDirectories(folder);
         List<String> table = new ArrayList<>();
-        table.add("| routers | start | within 10% of the others after | first token in the first 10 s, against the others' "
-                + "| prompt tokens read anew in 60 s, against the others' | unserved |");
+        table.add(
+                "| routers | start | within 10% of the others after | first token in the first 10"
+                        + " s, against the others' | prompt tokens read anew in 60 s, against the"
+                        + " others' | unserved |");
         table.add("| --- | --- | --- | --- | --- | --- |");
         for (int routers : sizes) {
             Map<Way, Curve> curves = new LinkedHashMap<>();
@@ -89,8 +99,10 @@
 
     private void add(Curve c, int routers, Way way, long seed) {
         int readers = Math.max(4, routers * 2 / 5);
-        SimFleet fleet = new SimFleet(routers, readers, Math.max(3, readers * 2 / 3), readers * 3.0, seed);
-        // News is taken where it was then; what is older than the table's memory comes with its age alone.
+        SimFleet fleet =
+                new SimFleet(routers, readers, Math.max(3, readers * 2 / 3), readers * 3.0, seed);
+        // News is taken where it was then; what is older than the table's memory comes with its age
+        // alone.
         long lead = Math.min(way.age(), 60 * SECOND);
         fleet.run(WARM - lead);
         Knowledge news = fleet.known(way.start() == Start.OWN_PAST ? 0 : 1);
@@ -123,7 +135,8 @@
             c.refused += fresh.unserved;
             double others = sum / Math.max(1, served);
             c.others[step] += others / 1000 / seeds;
-            c.first[step] += (Double.isNaN(fresh.meanFirst()) ? others : fresh.meanFirst()) / 1000 / seeds;
+            c.first[step] +=
+                    (Double.isNaN(fresh.meanFirst()) ? others : fresh.meanFirst()) / 1000 / seeds;
         }
         c.missed += missed / Math.max(1, prompt) / seeds;
         c.missedOthers += missedOthers / Math.max(1, promptOthers) / seeds;
@@ -134,27 +147,44 @@
         for (int step = STEPS - 1; step >= 0 && c.first[step] <= NEAR * c.others[step]; step--) {
             near = step;
         }
-        String after = near == 0 ? "at once" : near == STEPS ? "not within 60 s" : near * STEP_SECONDS + " s";
-        return String.format("| %d | %s | %s | %.0f ms, %.0f ms | %.0f%%, %.0f%% | %d |", routers, way.name(), after,
-                (c.first[0] + c.first[1]) / 2, (c.others[0] + c.others[1]) / 2, 100 * c.missed, 100 * c.missedOthers,
+        String after =
+                near == 0
+                        ? "at once"
+                        : near == STEPS ? "not within 60 s" : near * STEP_SECONDS + " s";
+        return String.format(
+                "| %d | %s | %s | %.0f ms, %.0f ms | %.0f%%, %.0f%% | %d |",
+                routers,
+                way.name(),
+                after,
+                (c.first[0] + c.first[1]) / 2,
+                (c.others[0] + c.others[1]) / 2,
+                100 * c.missed,
+                100 * c.missedOthers,
                 c.refused);
     }
 
     private static void draw(int routers, Map<Way, Curve> curves, Path file) throws IOException {
-        XYChart chart = new XYChartBuilder().width(900).height(500).title("A new router among " + routers)
-                .xAxisTitle("seconds after its start").yAxisTitle("mean first token, ms, against the others'").build();
+        XYChart chart =
+                new XYChartBuilder()
+                        .width(900)
+                        .height(500)
+                        .title("A new router among " + routers)
+                        .xAxisTitle("seconds after its start")
+                        .yAxisTitle("mean first token, ms, against the others'")
+                        .build();
         chart.getStyler().setLegendPosition(Styler.LegendPosition.InsideNE);
         double[] x = new double[STEPS];
         for (int i = 0; i < STEPS; i++) {
             x[i] = (i + 1) * STEP_SECONDS;
         }
-        curves.forEach((way, c) -> {
-            double[] y = new double[STEPS];
-            for (int i = 0; i < STEPS; i++) {
-                y[i] = c.first[i] / c.others[i];
-            }
-            chart.addSeries(way.name(), x, y);
-        });
+        curves.forEach(
+                (way, c) -> {
+                    double[] y = new double[STEPS];
+                    for (int i = 0; i < STEPS; i++) {
+                        y[i] = c.first[i] / c.others[i];
+                    }
+                    chart.addSeries(way.name(), x, y);
+                });
         chart.setYAxisTitle("mean first token, as a multiple of the others'");
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
--- a/lab/src/main/java/sorrelhoist/lab/sim/SimFleet.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/SimFleet.java
@@ -17,9 +17,9 @@
 import sorrelhoist.core.time.Alarms;
 
 /**
- * A fleet in virtual time: real routers ({@code core} and {@code Decide}) over a small model of engines. A reader reads
- * one prompt after the other, from where the text that it keeps ends; a writer answers after a time that grows with
- * what it writes. Everything follows from the seed.
+ * A fleet in virtual time: real routers ({@code core} and {@code Decide}) over a small model of
+ * engines. A reader reads one prompt after the other, from where the text that it keeps ends; a
+ * writer answers after a time that grows with what it writes. Everything follows from the seed.
  */
 public final class SimFleet {
     /** What a router's requests went through since it was last asked. */
@@ -30,7 +30,10 @@
         long missed;
         long prompt;
 
-        /** {@return the mean time to the first token, microseconds; not a number where none was served} */
+        /**
+         * {@return the mean time to the first token, microseconds; not a number where none was
+         * served}
+         */
         public double meanFirst() {
             return served == 0 ? Double.NaN : firstMicros / served;
         }
@@ -73,13 +76,15 @@
             if (next < wakeAt) {
                 wakeAt = next;
                 int mine = life;
-                world.set(next, () -> {
-                    if (mine == life) {
-                        wakeAt = Long.MAX_VALUE;
-                        router.advance(now);
-                        arm();
-                    }
-                });
+                world.set(
+                        next,
+                        () -> {
+                            if (mine == life) {
+                                wakeAt = Long.MAX_VALUE;
+                                router.advance(now);
+                                arm();
+                            }
+                        });
             }
         }
     }
@@ -135,13 +140,30 @@
     }
 
     private RouterSettings settings(int self) {
-        Settings decide = new Settings(seats.size(), self, 0, false, 1, Reports.NONE,
-                List.of(new RequestClass(2 * SECOND, 40_000, 1, Repeat.SAFE, Scope.ALL, 0)), List.of(),
-                List.of(new Kind(Role.READ, 200_000), new Kind(Role.WRITE, 200_000)),
-                new Limits(6, true, false, true, SECOND, false, false, 0, 0), new Rules(0.3, 12 * SECOND, 3, 3 * SECOND,
-                        SECOND / 2));
-        return new RouterSettings("edge" + self, seats.get(self).life, decide, List.of(6 * SECOND), List.of(0L), 0, true,
-                10 * SECOND, 100_000, random.nextLong());
+        Settings decide =
+                new Settings(
+                        seats.size(),
+                        self,
+                        0,
+                        false,
+                        1,
+                        Reports.NONE,
+                        List.of(new RequestClass(2 * SECOND, 40_000, 1, Repeat.SAFE, Scope.ALL, 0)),
+                        List.of(),
+                        List.of(new Kind(Role.READ, 200_000), new Kind(Role.WRITE, 200_000)),
+                        new Limits(6, true, false, true, SECOND, false, false, 0, 0),
+                        new Rules(0.3, 12 * SECOND, 3, 3 * SECOND, SECOND / 2));
+        return new RouterSettings(
+                "edge" + self,
+                seats.get(self).life,
+                decide,
+                List.of(6 * SECOND),
+                List.of(0L),
+                0,
+                true,
+                10 * SECOND,
+                100_000,
+                random.nextLong());
     }
 
     /** {@return what a router knows} */
@@ -177,7 +199,8 @@
         world.set(now + (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND), this::arrive);
         int sessions = SESSIONS_EACH * seats.size();
         int session = random.nextInt(sessions);
-        // A front layer that keeps a session at its router most of the time, as a plain one with affinity does.
+        // A front layer that keeps a session at its router most of the time, as a plain one with
+        // affinity does.
         int at = random.nextInt(4) > 0 ? session % seats.size() : random.nextInt(seats.size());
         // The busiest shared texts are asked for far more often than the others.
         int prefix = Math.min(random.nextInt(PREFIXES), session % PREFIXES);
@@ -185,8 +208,20 @@
         long prompt = PREFIX_TOKENS + TURN_TOKENS * (turn + 1);
         Seat seat = seats.get(at);
         long sent = now;
-        Call call = new Call("c", 0, 0, "s" + session + "." + turns.get("s" + session) / 8, "p" + prefix, PREFIX_TOKENS,
-                "", prompt, TOKENS, 0, 0, null);
+        Call call =
+                new Call(
+                        "c",
+                        0,
+                        0,
+                        "s" + session + "." + turns.get("s" + session) / 8,
+                        "p" + prefix,
+                        PREFIX_TOKENS,
+                        "",
+                        prompt,
+                        TOKENS,
+                        0,
+                        0,
+                        null);
         pending = sent;
         long client = seat.router.arrived(now, call);
         seat.sentAt.put(client, sent);
@@ -196,12 +231,14 @@
     private long pending;
 
     private void later(Seat seat, int life, long at, Runnable what) {
-        world.set(at, () -> {
-            if (seat.life == life) {
-                what.run();
-                seat.arm();
-            }
-        });
+        world.set(
+                at,
+                () -> {
+                    if (seat.life == life) {
+                        what.run();
+                        seat.arm();
+                    }
+                });
     }
 
     private void carry(Seat seat, int life, Command order) {
@@ -211,8 +248,10 @@
         if (order instanceof Command.Read o) {
             Reader r = readers.get(o.engine());
             long at = Math.max(now + HOP, r.busyUntil);
-            long kept = Math.max(Math.min(o.promptTokens(), r.texts.kept(o.call().session())), Math.min(
-                    o.call().prefixTokens(), r.texts.kept(o.call().prefix())));
+            long kept =
+                    Math.max(
+                            Math.min(o.promptTokens(), r.texts.kept(o.call().session())),
+                            Math.min(o.call().prefixTokens(), r.texts.kept(o.call().prefix())));
             long missed = o.promptTokens() - kept;
             r.texts.keep(o.call().prefix(), o.call().prefixTokens());
             r.texts.keep(o.call().session(), o.promptTokens());
@@ -220,7 +259,11 @@
             seat.tally.prompt += o.promptTokens();
             r.busyUntil = at + READ_BASE + (long) (missed / READ_PER_MICRO);
             String state = "x" + names++;
-            later(seat, life, r.busyUntil + HOP, () -> seat.router.readDone(now, o.attempt(), state, kept, Load.NONE));
+            later(
+                    seat,
+                    life,
+                    r.busyUntil + HOP,
+                    () -> seat.router.readDone(now, o.attempt(), state, kept, Load.NONE));
         } else if (order instanceof Command.Write o) {
             int busy = writing.merge(o.engine(), 1, Integer::sum);
             long first = now + 2 * HOP + WRITE_BASE + WRITE_EACH * busy;
@@ -236,13 +279,17 @@
     }
 
     private void token(Seat seat, int life, AttemptId id, int index, long at) {
-        later(seat, life, at, () -> {
-            if (index < TOKENS) {
-                seat.router.token(now, id, index, "t", null);
-                token(seat, life, id, index + 1, now + TOKEN);
-            } else {
-                seat.router.streamDone(now, id, index, 0, Load.NONE);
-            }
-        });
+        later(
+                seat,
+                life,
+                at,
+                () -> {
+                    if (index < TOKENS) {
+                        seat.router.token(now, id, index, "t", null);
+                        token(seat, life, id, index + 1, now + TOKEN);
+                    } else {
+                        seat.router.streamDone(now, id, index, 0, Load.NONE);
+                    }
+                });
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/sim/StepEngine.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/StepEngine.java
@@ -7,9 +7,10 @@
 import sorrelhoist.core.time.Alarms;
 
 /**
- * An engine that works in steps, in virtual time: a step reads a chunk of prompt tokens, shared by the prompts in its
- * slots, and gives each running answer one token; its length grows with both. What does not fit waits, and beyond its
- * queue is refused. The figures are those of the stand-in engine's template.
+ * An engine that works in steps, in virtual time: a step reads a chunk of prompt tokens, shared by
+ * the prompts in its slots, and gives each running answer one token; its length grows with both.
+ * What does not fit waits, and beyond its queue is refused. The figures are those of the stand-in
+ * engine's template.
  */
 final class StepEngine {
     private static final double STEP = 8_000;
@@ -101,7 +102,8 @@
         for (Read r : reads.subList(0, Math.min(SLOTS, reads.size()))) {
             planned += Math.min(CHUNK - planned, r.left);
         }
-        world.in((long) (STEP + planned / READ_PER_MICRO + EACH_ANSWER * writes.size()), this::step);
+        world.in(
+                (long) (STEP + planned / READ_PER_MICRO + EACH_ANSWER * writes.size()), this::step);
     }
 
     private void step() {
--- a/lab/src/main/java/sorrelhoist/lab/soak/ClientTraffic.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/ClientTraffic.java
@@ -24,7 +24,10 @@
 import sorrelhoist.protocol.http1.HttpParser;
 import sorrelhoist.protocol.net.Net;
 
-/** The clients of a fleet: an open-loop stream of requests to the routers that the front has taken in. One thread. */
+/**
+ * The clients of a fleet: an open-loop stream of requests to the routers that the front has taken
+ * in. One thread.
+ */
 final class ClientTraffic {
     private static final long CONNECT_MICROS = 1_000_000;
     private static final int MAX_HEAD = 64 << 10;
@@ -64,7 +67,12 @@
         String address();
     }
 
-    ClientTraffic(EventLoop loop, TrafficLog log, long seed, List<RouterTarget> routers, double requestsPerSecond) {
+    ClientTraffic(
+            EventLoop loop,
+            TrafficLog log,
+            long seed,
+            List<RouterTarget> routers,
+            double requestsPerSecond) {
         this.loop = loop;
         this.log = log;
         this.random = new Random(seed);
@@ -127,23 +135,48 @@
 
     /** Opens connections that send half a request, or what is none, and stay. */
     void badCrowd(RouterTarget router, int connections) {
-        String[] texts = {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Ca", "\u0000\u0001 what\r\n\r\n",
+        String[] texts = {
+            "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Ca",
+            "\u0000\u0001 what\r\n\r\n",
             "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: -4\r\n\r\n",
-            "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: h\r\nX-Call-Class: safe\r\nX-Budget-Ms: 1000\r\n"
-                    + "Content-Length: 900\r\n\r\n{\"model\":"};
+            "POST /v1/chat/completions HTTP/1.1\r\n"
+                    + "X-Call-Id: h\r\n"
+                    + "X-Call-Class: safe\r\n"
+                    + "X-Budget-Ms: 1000\r\n"
+                    + "Content-Length: 900\r\n\r\n"
+                    + "{\"model\":"
+        };
         for (int i = 0; i < connections; i++) {
-            Net.connect(loop, router.address(), CONNECT_MICROS, new BadClient(router, texts[i % texts.length]));
+            Net.connect(
+                    loop,
+                    router.address(),
+                    CONNECT_MICROS,
+                    new BadClient(router, texts[i % texts.length]));
         }
     }
 
     private String text(RequestTrace request) {
         int characters = random.nextDouble() < largeShare ? LARGE_BODY : 200 + random.nextInt(3000);
-        String body = "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"" + "x".repeat(characters) + "\"}]}";
-        return "POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: " + request.id + "\r\nX-Call-Class: "
-                + request.requestClass.label() + "\r\nX-Route-Hash: s" + random.nextInt(50) + "\r\nX-Budget-Ms: "
-                + TimeUnit.NANOSECONDS.toMillis(request.budgetNanos) + "\r\nX-Call-Info: prefix=p" + random.nextInt(5)
-                + ",prompt_len=" + body.length() / 4 + ",prefix_len=40,max_out=100\r\nContent-Length: " + body.length()
-                + "\r\n\r\n" + body;
+        String body =
+                "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\""
+                        + "x".repeat(characters)
+                        + "\"}]}";
+        return "POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: "
+                + request.id
+                + "\r\nX-Call-Class: "
+                + request.requestClass.label()
+                + "\r\nX-Route-Hash: s"
+                + random.nextInt(50)
+                + "\r\nX-Budget-Ms: "
+                + TimeUnit.NANOSECONDS.toMillis(request.budgetNanos)
+                + "\r\nX-Call-Info: prefix=p"
+                + random.nextInt(5)
+                + ",prompt_len="
+                + body.length() / 4
+                + ",prefix_len=40,max_out=100\r\nContent-Length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
     }
 
     /** One client's connection. */
@@ -172,20 +205,35 @@
         }
 
         void send() {
-            RequestClass requestClass = RequestClass.values()[random.nextInt(RequestClass.values().length)];
-            long budget = TimeUnit.MILLISECONDS.toNanos(random.nextInt(10) == 0 ? 150 + random.nextInt(400)
-                    : 1500 + random.nextInt(2500));
-            RequestTrace asked = new RequestTrace("r" + Long.toString(++count, 36) + "x"
-                    + Long.toString(random.nextInt(1 << 24), 36), requestClass, router.number(), life, budget, !spoke);
+            RequestClass requestClass =
+                    RequestClass.values()[random.nextInt(RequestClass.values().length)];
+            long budget =
+                    TimeUnit.MILLISECONDS.toNanos(
+                            random.nextInt(10) == 0
+                                    ? 150 + random.nextInt(400)
+                                    : 1500 + random.nextInt(2500));
+            RequestTrace asked =
+                    new RequestTrace(
+                            "r"
+                                    + Long.toString(++count, 36)
+                                    + "x"
+                                    + Long.toString(random.nextInt(1 << 24), 36),
+                            requestClass,
+                            router.number(),
+                            life,
+                            budget,
+                            !spoke);
             request = asked;
             spoke = true;
             log.opened(asked);
             ctx.writeAndFlush(Unpooled.copiedBuffer(text(asked), StandardCharsets.ISO_8859_1))
-                    .addListener((ChannelFutureListener) f -> {
-                        if (f.isSuccess()) {
-                            asked.sentAt = System.nanoTime();
-                        }
-                    });
+                    .addListener(
+                            (ChannelFutureListener)
+                                    f -> {
+                                        if (f.isSuccess()) {
+                                            asked.sentAt = System.nanoTime();
+                                        }
+                                    });
             behave(asked);
             loop.schedule(() -> giveUp(asked), budget + GIVES_UP_NANOS, TimeUnit.NANOSECONDS);
         }
@@ -195,14 +243,17 @@
             double draw = random.nextDouble();
             if (draw < LEAVES) {
                 boolean reset = random.nextBoolean();
-                loop.schedule(() -> leave(asked, reset), random.nextInt(400), TimeUnit.MILLISECONDS);
+                loop.schedule(
+                        () -> leave(asked, reset), random.nextInt(400), TimeUnit.MILLISECONDS);
             } else if (draw < LEAVES + READS_SLOWLY) {
                 asked.slowReader = true;
                 readSlowly(asked);
             } else if (draw < LEAVES + READS_SLOWLY + PIPELINES) {
                 pipelined = true;
-                ctx.writeAndFlush(Unpooled.copiedBuffer("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n",
-                        StandardCharsets.ISO_8859_1));
+                ctx.writeAndFlush(
+                        Unpooled.copiedBuffer(
+                                "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n",
+                                StandardCharsets.ISO_8859_1));
             }
         }
 
@@ -314,7 +365,9 @@
         }
     }
 
-    /** A client that says nothing, or nothing that can be served; it is owed an error or a close. */
+    /**
+     * A client that says nothing, or nothing that can be served; it is owed an error or a close.
+     */
     final class BadClient extends ChannelInboundHandlerAdapter {
         final RouterTarget router;
         final int life;
--- a/lab/src/main/java/sorrelhoist/lab/soak/DiscoveryStandIn.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/DiscoveryStandIn.java
@@ -24,7 +24,10 @@
 import sorrelhoist.protocol.http1.HttpParser;
 import sorrelhoist.protocol.net.Net;
 
-/** Discovery's agent beside one router: a list of workers, and watches that stay open. It can fall silent in many ways. */
+/**
+ * Discovery's agent beside one router: a list of workers, and watches that stay open. It can fall
+ * silent in many ways.
+ */
 final class DiscoveryStandIn {
     private static final long HEARTBEAT_MILLIS = 2000;
     private static final int PARTS = 5;
@@ -57,7 +60,10 @@
 
     /** {@return whether a change that is made now is written to a watch at once} */
     boolean isHeard() {
-        return listener != null && !silent && !slow && watches.stream().anyMatch(w -> w.listed && !w.muted);
+        return listener != null
+                && !silent
+                && !slow
+                && watches.stream().anyMatch(w -> w.listed && !w.muted);
     }
 
     List<WorkerEntry> list() {
@@ -133,7 +139,8 @@
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext context, Object message) throws HttpParser.BadMessage {
+        public void channelRead(ChannelHandlerContext context, Object message)
+                throws HttpParser.BadMessage {
             ByteBuf in = (ByteBuf) message;
             held.writeBytes(in);
             in.release();
@@ -143,8 +150,14 @@
             }
             long from = Long.parseLong(head.target().replaceAll(".*from=([0-9]+).*", "$1"));
             raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            String list = from >= 1 && from <= version ? json(false, entries.values().stream()
-                    .filter(e -> changedIn.getOrDefault(e.uid(), 0L) > from).toList()) : json(true, list());
+            String list =
+                    from >= 1 && from <= version
+                            ? json(
+                                    false,
+                                    entries.values().stream()
+                                            .filter(e -> changedIn.getOrDefault(e.uid(), 0L) > from)
+                                            .toList())
+                            : json(true, list());
             if (slow) {
                 inParts(list, 0);
             } else {
@@ -155,7 +168,10 @@
 
         private void inParts(String list, int part) {
             int size = list.length() / PARTS + 1;
-            say(list.substring(Math.min(list.length(), part * size), Math.min(list.length(), (part + 1) * size)));
+            say(
+                    list.substring(
+                            Math.min(list.length(), part * size),
+                            Math.min(list.length(), (part + 1) * size)));
             if (part + 1 < PARTS) {
                 loop.schedule(() -> inParts(list, part + 1), PART_MILLIS, TimeUnit.MILLISECONDS);
             } else {
--- a/lab/src/main/java/sorrelhoist/lab/soak/FaultProxy.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/FaultProxy.java
@@ -13,7 +13,10 @@
 import java.util.Set;
 import sorrelhoist.protocol.net.Net;
 
-/** The network between one router and one worker: passes bytes on, falls silent, or resets what is open. */
+/**
+ * The network between one router and one worker: passes bytes on, falls silent, or resets what is
+ * open.
+ */
 final class FaultProxy {
     private static final long CONNECT_MICROS = 2_000_000;
     private final EventLoop loop;
@@ -28,7 +31,10 @@
         this.worker = worker;
     }
 
-    /** Takes connections, at its former port after the first time. Not to be called on the loop, as it waits. */
+    /**
+     * Takes connections, at its former port after the first time. Not to be called on the loop, as
+     * it waits.
+     */
     void open() throws IOException {
         listener = Net.listen(loop, port, Link::new);
         port = Net.port(listener);
@@ -52,7 +58,10 @@
         List.copyOf(links).forEach(Link::reset);
     }
 
-    /** Passes nothing on; when that ends, what was open meanwhile is reset, so that nothing arrives late. */
+    /**
+     * Passes nothing on; when that ends, what was open meanwhile is reset, so that nothing arrives
+     * late.
+     */
     void silent(boolean on) {
         silent = on;
         if (on) {
@@ -155,7 +164,9 @@
                 return;
             }
             if (link.near.isActive()) {
-                link.near.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
+                link.near
+                        .writeAndFlush(Unpooled.EMPTY_BUFFER)
+                        .addListener(ChannelFutureListener.CLOSE);
             }
         }
 
--- a/lab/src/main/java/sorrelhoist/lab/soak/FleetRules.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/FleetRules.java
@@ -18,14 +18,25 @@
  * @param idleMillis after which a worker closes a connection that rests
  * @param dialMillis until a connection has to stand
  */
-public record FleetRules(long releaseMillis, long drainGraceMillis, long repeatWindowMillis, long coldMillis,
-        double coldFrom, double fallMultiple, long fallMillis, long idleMillis, long dialMillis) {
+public record FleetRules(
+        long releaseMillis,
+        long drainGraceMillis,
+        long repeatWindowMillis,
+        long coldMillis,
+        double coldFrom,
+        double fallMultiple,
+        long fallMillis,
+        long idleMillis,
+        long dialMillis) {
     /** The rules that the soak plays unless a test wants others. */
-    public static final FleetRules ORDINARY = new FleetRules(500, 1000, 600, 6000, 0.3, 3, 3000, 5000, 250);
+    public static final FleetRules ORDINARY =
+            new FleetRules(500, 1000, 600, 6000, 0.3, 3, 3000, 5000, 250);
 
     /** What may happen to a request of a class twice. */
     public enum RequestClass {
-        SAFE("read_like"), KEYED("idempotency_key"), UNSAFE("non_idempotent");
+        SAFE("read_like"),
+        KEYED("idempotency_key"),
+        UNSAFE("non_idempotent");
 
         private final String semantics;
 
@@ -39,20 +50,38 @@
     }
 
     ObjectNode json(int self, int routers) {
-        ObjectNode json = JsonNodeFactory.instance.objectNode().put("balancers", routers).put("me", self).put("zone", 0);
+        ObjectNode json =
+                JsonNodeFactory.instance
+                        .objectNode()
+                        .put("balancers", routers)
+                        .put("me", self)
+                        .put("zone", 0);
         json.putArray("dcs").add("z");
         json.putArray("kinds").add("read").add("write");
         json.putObject("feedback").put("how", "silent");
-        json.putObject("limits").put("send-cap", 5).put("cancel", true).put("retry-after", true)
-                .put("max-retry-after-us", 2_000_000).put("may-tell", true).put("dial-timeout-us", 1000 * dialMillis)
+        json.putObject("limits")
+                .put("send-cap", 5)
+                .put("cancel", true)
+                .put("retry-after", true)
+                .put("max-retry-after-us", 2_000_000)
+                .put("may-tell", true)
+                .put("dial-timeout-us", 1000 * dialMillis)
                 .put("conn-idle-us", 1000 * idleMillis);
         ArrayNode classes = json.putArray("request-classes");
         for (RequestClass c : RequestClass.values()) {
-            classes.addObject().put("name", c.label()).put("aim-us", 1_500_000).put("semantics", c.semantics)
-                    .put("worth", 1).put("key-scope", "all").put("repeat-window-us", 1000 * repeatWindowMillis);
+            classes.addObject()
+                    .put("name", c.label())
+                    .put("aim-us", 1_500_000)
+                    .put("semantics", c.semantics)
+                    .put("worth", 1)
+                    .put("key-scope", "all")
+                    .put("repeat-window-us", 1000 * repeatWindowMillis);
         }
-        json.putObject("rules").put("fall-us", 1000 * fallMillis).put("fall-multiple", fallMultiple)
-                .put("cold-us", 1000 * coldMillis).put("cold-from", coldFrom);
+        json.putObject("rules")
+                .put("fall-us", 1000 * fallMillis)
+                .put("fall-multiple", fallMultiple)
+                .put("cold-us", 1000 * coldMillis)
+                .put("cold-from", coldFrom);
         json.putObject("deductions").put("probe", 0.003).put("peer", 0.003);
         ObjectNode specifics = json.putObject("specifics");
         specifics.putArray("memory-tokens").add(200_000).add(200_000);
--- a/lab/src/main/java/sorrelhoist/lab/soak/FleetTimeline.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/FleetTimeline.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the harness did to processes and when, as far as the oracle has to know it. Times are monotonic nanoseconds. */
+/**
+ * What the harness did to processes and when, as far as the oracle has to know it. Times are
+ * monotonic nanoseconds.
+ */
 final class FleetTimeline {
     final long startedAt = System.nanoTime();
     private final Map<String, List<Told>> told = new HashMap<>();
@@ -24,8 +27,7 @@
     }
 
     /** A router was told that a worker takes nothing new, or that it does again. */
-    record Told(int router, int life, long at, boolean takes) {
-    }
+    record Told(int router, int life, long at, boolean takes) {}
 
     /** A worker's process began, and which routers had been told of it by when. */
     static final class WorkerStart {
@@ -58,14 +60,20 @@
     }
 
     RouterLife life(int router, int life) {
-        return lives.stream().filter(l -> l.router == router && l.life == life).findFirst().orElseThrow();
+        return lives.stream()
+                .filter(l -> l.router == router && l.life == life)
+                .findFirst()
+                .orElseThrow();
     }
 
     void told(String worker, int router, int life, long at, boolean takes) {
         told.computeIfAbsent(worker, w -> new ArrayList<>()).add(new Told(router, life, at, takes));
     }
 
-    /** {@return since when that router knew that the worker takes nothing new, at that moment; NEVER where it does not} */
+    /**
+     * {@return since when that router knew that the worker takes nothing new, at that moment; NEVER
+     * where it does not}
+     */
     long refusedSince(String worker, int router, int life, long at) {
         long since = RequestTrace.NEVER;
         for (Told t : told.getOrDefault(worker, List.of())) {
@@ -80,7 +88,10 @@
         harnessLate.add(new Span(from, to));
     }
 
-    /** {@return whether the harness itself was late around that time, so that its stamps prove nothing} */
+    /**
+     * {@return whether the harness itself was late around that time, so that its stamps prove
+     * nothing}
+     */
     boolean wasHarnessLate(long from, long to) {
         return harnessLate.stream().anyMatch(span -> span.touches(from, to));
     }
@@ -95,11 +106,13 @@
 
     /** Bytes between a router and a worker were lost, or came late. */
     void linkCut(int router, String worker, long from, long to) {
-        cutLinks.computeIfAbsent(router + "/" + worker, l -> new ArrayList<>()).add(new Span(from, to));
+        cutLinks.computeIfAbsent(router + "/" + worker, l -> new ArrayList<>())
+                .add(new Span(from, to));
     }
 
     boolean wasLinkCut(int router, String worker, long from, long to) {
-        return cutLinks.getOrDefault(router + "/" + worker, List.of()).stream().anyMatch(span -> span.touches(from, to));
+        return cutLinks.getOrDefault(router + "/" + worker, List.of()).stream()
+                .anyMatch(span -> span.touches(from, to));
     }
 
     boolean wasCrowded(long from, long to) {
--- a/lab/src/main/java/sorrelhoist/lab/soak/Invariant.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/Invariant.java
@@ -22,7 +22,9 @@
     DEADLINE_TOLD,
     /** Events are passed on as they come. */
     EVENTS_IN_TIME,
-    /** A stream that is ended as whole is whole, and one that its worker finished reaches its end. */
+    /**
+     * A stream that is ended as whole is whole, and one that its worker finished reaches its end.
+     */
     WHOLE_STREAMS,
     /** A router is ready in time after its start. */
     READY,
--- a/lab/src/main/java/sorrelhoist/lab/soak/RequestTrace.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/RequestTrace.java
@@ -5,35 +5,52 @@
 import sorrelhoist.lab.soak.FleetRules.RequestClass;
 
 /**
- * What clients and workers saw of one request. Times are nanoseconds of the harness's monotonic clock; {@link #NEVER}
- * where something did not happen.
+ * What clients and workers saw of one request. Times are nanoseconds of the harness's monotonic
+ * clock; {@link #NEVER} where something did not happen.
  */
 final class RequestTrace {
     static final long NEVER = Long.MAX_VALUE;
     final String id;
     final RequestClass requestClass;
     final int router;
+
     /** Which life of that router: restarts count up. */
     final int routerLife;
+
     final long budgetNanos;
+
     /** Whether it is the first request of its connection. */
     final boolean fresh;
+
     long sentAt = NEVER;
+
     /** When the client closed its connection before its answer was whole. */
     long leftAt = NEVER;
+
     long answeredAt = NEVER;
     int status;
+
     /** Whether the answer came to its proper end. */
     boolean whole;
+
     /** When the router ended the connection without a whole answer. */
     long brokenAt = NEVER;
+
     long longestEventDelay;
+
     /** Whether the client reads slowly: its events may be late by its own doing. */
     boolean slowReader;
+
     final List<AttemptTrace> attempts = new ArrayList<>();
     final List<HoldTrace> holds = new ArrayList<>();
 
-    RequestTrace(String id, RequestClass requestClass, int router, int routerLife, long budgetNanos, boolean fresh) {
+    RequestTrace(
+            String id,
+            RequestClass requestClass,
+            int router,
+            int routerLife,
+            long budgetNanos,
+            boolean fresh) {
         this.id = id;
         this.requestClass = requestClass;
         this.router = router;
@@ -54,10 +71,13 @@
         final long firstByteAt;
         long arrivedAt = NEVER;
         long toldMillis = -1;
+
         /** Whether the worker turned it away: it has not run. */
         boolean rejected;
+
         /** When the worker's answer ended, or the connection did. */
         long endedAt = NEVER;
+
         /** Whether the worker wrote its stream to the last chunk. */
         boolean streamFinished;
 
--- a/lab/src/main/java/sorrelhoist/lab/soak/RouterConfig.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/RouterConfig.java
@@ -22,8 +22,16 @@
  * @param known the list that it had before its start; null for none
  * @param rules limits that every router of the fleet is told
  */
-public record RouterConfig(int self, int routers, String listen, String discovery, List<String> peers, int memoryMb,
-        int sockets, List<WorkerEntry> known, FleetRules rules) {
+public record RouterConfig(
+        int self,
+        int routers,
+        String listen,
+        String discovery,
+        List<String> peers,
+        int memoryMb,
+        int sockets,
+        List<WorkerEntry> known,
+        FleetRules rules) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** Replaces the file at once, so that a reader never sees half of it. */
@@ -34,15 +42,23 @@
     }
 
     private ObjectNode json() {
-        ObjectNode json = JSON.createObjectNode().put("name", "n" + self).put("listen", listen)
-                .put("discovery", discovery).put("seed", Integer.toHexString(self + 1));
-        json.putObject("limits").put("cores", 1.0).put("memory_mb", memoryMb).put("sockets", sockets);
+        ObjectNode json =
+                JSON.createObjectNode()
+                        .put("name", "n" + self)
+                        .put("listen", listen)
+                        .put("discovery", discovery)
+                        .put("seed", Integer.toHexString(self + 1));
+        json.putObject("limits")
+                .put("cores", 1.0)
+                .put("memory_mb", memoryMb)
+                .put("sockets", sockets);
         if (!peers.isEmpty()) {
             json.put("peer_listen", peers.get(self));
             peers.forEach(json.putArray("peers")::add);
         }
         if (known != null) {
-            ArrayNode targets = json.putObject("known").put("rev", 1).put("all", true).putArray("targets");
+            ArrayNode targets =
+                    json.putObject("known").put("rev", 1).put("all", true).putArray("targets");
             known.forEach(entry -> targets.add(entry.json()));
         }
         json.set("settings", rules.json(self, routers));
--- a/lab/src/main/java/sorrelhoist/lab/soak/RouterProcess.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/RouterProcess.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One router process as the platform starts it, with its log and, where wanted, its system-call faults. */
+/**
+ * One router process as the platform starts it, with its log and, where wanted, its system-call
+ * faults.
+ */
 public final class RouterProcess implements AutoCloseable {
     private static final int PROBE_MILLIS = 300;
     private static final long POLL_MILLIS = 20;
@@ -32,7 +35,12 @@
      * @param command starts it in the foreground
      * @param faults of its system calls, or null
      */
-    public RouterProcess(String name, InetSocketAddress listen, Path config, Path log, List<String> command,
+    public RouterProcess(
+            String name,
+            InetSocketAddress listen,
+            Path config,
+            Path log,
+            List<String> command,
             SystemCallFaults faults) {
         this.name = name;
         this.listen = listen;
@@ -42,15 +50,20 @@
         this.faults = faults;
     }
 
-    /** {@return the command of the platform's deploy file, for a checkout of the project that was built} */
+    /**
+     * {@return the command of the platform's deploy file, for a checkout of the project that was
+     * built}
+     */
     public static List<String> deployed(Path root) {
         return List.of(root.resolve("deploy/platform").toString());
     }
 
     /** Starts it; an earlier one has to have ended. */
     public void start() throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+        ProcessBuilder builder =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().put("LB_CONFIG", config.toString());
         if (faults != null) {
             faults.addTo(builder.environment());
@@ -75,8 +88,10 @@
         try (Socket socket = new Socket()) {
             socket.connect(listen, PROBE_MILLIS);
             socket.setSoTimeout(PROBE_MILLIS);
-            socket.getOutputStream().write("GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-                    .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            "GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+                                    .getBytes(StandardCharsets.US_ASCII));
             InputStream in = socket.getInputStream();
             return new String(in.readNBytes(12), StandardCharsets.US_ASCII).equals("HTTP/1.1 200");
         } catch (IOException e) {
--- a/lab/src/main/java/sorrelhoist/lab/soak/Soak.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/Soak.java
@@ -45,15 +45,18 @@
         }
         for (RouterUnit router : fleet.routers) {
             if (!router.process.awaitReady(START_MILLIS)) {
-                throw new IOException(router.process.name() + " did not become ready: " + router.process.log());
+                throw new IOException(
+                        router.process.name() + " did not become ready: " + router.process.log());
             }
             router.look();
         }
-        fleet.run(() -> {
-            fleet.watchLag();
-            fleet.clients.start();
-        });
-        new TroubleMaker(fleet, plan.troubles()).play(System.nanoTime() + TimeUnit.SECONDS.toNanos(plan.seconds()));
+        fleet.run(
+                () -> {
+                    fleet.watchLag();
+                    fleet.clients.start();
+                });
+        new TroubleMaker(fleet, plan.troubles())
+                .play(System.nanoTime() + TimeUnit.SECONDS.toNanos(plan.seconds()));
         fleet.run(fleet.clients::stop);
         end(fleet);
         fleet.run(() -> fleet.time.observedUntil(System.nanoTime()));
@@ -82,16 +85,27 @@
     private SoakResult result(SoakPlan plan, SoakFleet fleet) throws Exception {
         SoakOracle oracle = new SoakOracle(fleet.rules, fleet.log, fleet.time);
         double reads = 2 * plan.requestsPerSecond() / Math.max(1, plan.workers() / 2);
-        List<Violation> violations = fleet.call(() -> oracle.judge(fleet.clients.badClients(), reads));
-        int crashed = (int) violations.stream().filter(v -> v.invariant() == Invariant.ALIVE).count();
+        List<Violation> violations =
+                fleet.call(() -> oracle.judge(fleet.clients.badClients(), reads));
+        int crashed =
+                (int) violations.stream().filter(v -> v.invariant() == Invariant.ALIVE).count();
         List<String> reported = new ArrayList<>();
         for (RouterUnit router : fleet.routers) {
-            router.process.log().lines().filter(line -> line.contains(GUARD_LINE))
+            router.process
+                    .log()
+                    .lines()
+                    .filter(line -> line.contains(GUARD_LINE))
                     .forEach(line -> reported.add(router.process.name() + ": " + line));
         }
         long served = fleet.log.requests().stream().filter(r -> r.status == 200 && r.whole).count();
-        return new SoakResult(fleet.log.requests().size(), plan.troubles().size(), violations, crashed,
-                oracle.excused(), reported, served);
+        return new SoakResult(
+                fleet.log.requests().size(),
+                plan.troubles().size(),
+                violations,
+                crashed,
+                oracle.excused(),
+                reported,
+                served);
     }
 
     /**
--- a/lab/src/main/java/sorrelhoist/lab/soak/SoakFleet.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/SoakFleet.java
@@ -18,8 +18,8 @@
 import sorrelhoist.protocol.net.Net;
 
 /**
- * Routers as processes, and everything around them as stand-ins on one event loop. Methods are called on the harness's
- * main thread; what belongs to the loop is carried out there.
+ * Routers as processes, and everything around them as stand-ins on one event loop. Methods are
+ * called on the harness's main thread; what belongs to the loop is carried out there.
  */
 final class SoakFleet implements AutoCloseable {
     private static final int MEMORY_MB = 160;
@@ -43,7 +43,9 @@
     /** One router's process, its agent of discovery and its links. */
     final class RouterUnit implements ClientTraffic.RouterTarget {
         private final int number;
-        final DiscoveryStandIn[] discoveries = {new DiscoveryStandIn(loop), new DiscoveryStandIn(loop)};
+        final DiscoveryStandIn[] discoveries = {
+            new DiscoveryStandIn(loop), new DiscoveryStandIn(loop)
+        };
         final List<FaultProxy> links = new ArrayList<>();
         final RouterProcess process;
         private final Path config;
@@ -55,10 +57,20 @@
         RouterUnit(int number) throws IOException {
             this.number = number;
             this.config = plan.folder().resolve("n" + number + ".json");
-            SystemCallFaults faults = plan.library() == null ? null
-                    : SystemCallFaults.prepare(plan.library(), plan.folder().resolve("n" + number + ".faults"));
-            this.process = new RouterProcess("n" + number, new InetSocketAddress(host(), ROUTER_PORT), config,
-                    plan.folder().resolve("n" + number + ".log"), plan.command(), faults);
+            SystemCallFaults faults =
+                    plan.library() == null
+                            ? null
+                            : SystemCallFaults.prepare(
+                                    plan.library(),
+                                    plan.folder().resolve("n" + number + ".faults"));
+            this.process =
+                    new RouterProcess(
+                            "n" + number,
+                            new InetSocketAddress(host(), ROUTER_PORT),
+                            config,
+                            plan.folder().resolve("n" + number + ".log"),
+                            plan.command(),
+                            faults);
             for (DiscoveryStandIn d : discoveries) {
                 d.start();
             }
@@ -99,8 +111,17 @@
         /** Writes its configuration, with the list that its agent holds. */
         void configure() throws Exception {
             List<WorkerEntry> known = call(() -> agent().list());
-            new RouterConfig(number, plan.routers(), address(), agent().address(), peers(), MEMORY_MB, SOCKETS, known,
-                    rules).write(config);
+            new RouterConfig(
+                            number,
+                            plan.routers(),
+                            address(),
+                            agent().address(),
+                            peers(),
+                            MEMORY_MB,
+                            SOCKETS,
+                            known,
+                            rules)
+                    .write(config);
         }
 
         /** Moves its discovery to the other address. */
@@ -111,18 +132,25 @@
 
         void start() throws Exception {
             configure();
-            RouterLife next = new RouterLife(number, life == null ? 0 : life.life + 1, System.nanoTime());
-            call(() -> {
-                life = next;
-                time.lives.add(next);
-                // What the agent has counts as told from the first moment of a process.
-                for (WorkerUnit worker : workers) {
-                    if (worker.state != State.ACTIVE) {
-                        time.told(worker.standIn.uid, number, next.life, next.startedAt, false);
-                    }
-                }
-                return null;
-            });
+            RouterLife next =
+                    new RouterLife(number, life == null ? 0 : life.life + 1, System.nanoTime());
+            call(
+                    () -> {
+                        life = next;
+                        time.lives.add(next);
+                        // What the agent has counts as told from the first moment of a process.
+                        for (WorkerUnit worker : workers) {
+                            if (worker.state != State.ACTIVE) {
+                                time.told(
+                                        worker.standIn.uid,
+                                        number,
+                                        next.life,
+                                        next.startedAt,
+                                        false);
+                            }
+                        }
+                        return null;
+                    });
             process.start();
         }
 
@@ -151,39 +179,54 @@
         WorkerUnit(int index) throws IOException {
             this.index = index;
             Role role = index % 2 == 0 ? Role.READ : Role.WRITE;
-            this.standIn = new WorkerStandIn("w" + index, role, loop, log, plan.seed() * 31 + index, rules.idleMillis());
+            this.standIn =
+                    new WorkerStandIn(
+                            "w" + index,
+                            role,
+                            loop,
+                            log,
+                            plan.seed() * 31 + index,
+                            rules.idleMillis());
             standIn.start();
         }
 
         private WorkerEntry entryFor(RouterUnit router) {
-            return new WorkerEntry(standIn.uid, router.links.get(index).endpoint(), standIn.role, index / 4, state,
+            return new WorkerEntry(
+                    standIn.uid,
+                    router.links.get(index).endpoint(),
+                    standIn.role,
+                    index / 4,
+                    state,
                     bootMillis);
         }
 
         /** Tells every router of its state, as far as its agent can. */
         void tell() throws Exception {
-            call(() -> {
-                long now = System.nanoTime();
-                for (RouterUnit router : routers) {
-                    DiscoveryStandIn agent = router.agent();
-                    boolean heard = agent.isHeard();
-                    for (DiscoveryStandIn d : router.discoveries) {
-                        d.change(entryFor(router));
-                    }
-                    if (router.life != null && (heard || state == State.ACTIVE)) {
-                        told(router, now);
-                    } else if (router.life != null) {
-                        awaitTold(router, router.life, now);
-                    }
-                }
-                return null;
-            });
+            call(
+                    () -> {
+                        long now = System.nanoTime();
+                        for (RouterUnit router : routers) {
+                            DiscoveryStandIn agent = router.agent();
+                            boolean heard = agent.isHeard();
+                            for (DiscoveryStandIn d : router.discoveries) {
+                                d.change(entryFor(router));
+                            }
+                            if (router.life != null && (heard || state == State.ACTIVE)) {
+                                told(router, now);
+                            } else if (router.life != null) {
+                                awaitTold(router, router.life, now);
+                            }
+                        }
+                        return null;
+                    });
         }
 
         private void told(RouterUnit router, long at) {
             time.told(standIn.uid, router.number, router.life.life, at, state == State.ACTIVE);
             if (state == State.ACTIVE) {
-                time.starts.stream().filter(s -> s.worker.equals(standIn.uid)).reduce((a, b) -> b)
+                time.starts.stream()
+                        .filter(s -> s.worker.equals(standIn.uid))
+                        .reduce((a, b) -> b)
                         .ifPresent(s -> s.toldAt.put(router.number, at));
             }
         }
@@ -191,16 +234,23 @@
         /** What cannot be told now counts as told 6 s after the agent can be reached. */
         private void awaitTold(RouterUnit router, RouterLife life, long now) {
             State then = state;
-            loop.schedule(() -> {
-                if (router.life == life && state == then) {
-                    if (router.agent().isHeard()) {
-                        time.told(standIn.uid, router.number, life.life, now
-                                + TimeUnit.MILLISECONDS.toNanos(TOLD_MILLIS), false);
-                    } else {
-                        awaitTold(router, life, System.nanoTime());
-                    }
-                }
-            }, TOLD_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (router.life == life && state == then) {
+                            if (router.agent().isHeard()) {
+                                time.told(
+                                        standIn.uid,
+                                        router.number,
+                                        life.life,
+                                        now + TimeUnit.MILLISECONDS.toNanos(TOLD_MILLIS),
+                                        false);
+                            } else {
+                                awaitTold(router, life, System.nanoTime());
+                            }
+                        }
+                    },
+                    TOLD_MILLIS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -219,7 +269,9 @@
                 router.links.add(link);
             }
         }
-        clients = new ClientTraffic(loop, log, plan.seed(), List.copyOf(routers), plan.requestsPerSecond());
+        clients =
+                new ClientTraffic(
+                        loop, log, plan.seed(), List.copyOf(routers), plan.requestsPerSecond());
         for (WorkerUnit worker : workers) {
             worker.tell();
         }
@@ -250,25 +302,31 @@
 
     /** Carries something out on the loop and waits for it. */
     void run(Runnable what) throws Exception {
-        call(() -> {
-            what.run();
-            return null;
-        });
+        call(
+                () -> {
+                    what.run();
+                    return null;
+                });
     }
 
     /** Notes that bytes on a link are lost, or late, from now on for so long. */
     void linkCut(RouterUnit router, WorkerUnit worker, long millis) {
         long now = System.nanoTime();
-        time.linkCut(router.number, worker.standIn.uid, now, now + TimeUnit.MILLISECONDS.toNanos(millis));
+        time.linkCut(
+                router.number,
+                worker.standIn.uid,
+                now,
+                now + TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
     /** Kills a worker's process: its connections are reset, and new ones refused. */
     void killWorker(WorkerUnit worker) throws Exception {
-        run(() -> {
-            worker.standIn.kill();
-            routers.forEach(r -> r.links.get(worker.index).close());
-            routers.forEach(r -> linkCut(r, worker, 0));
-        });
+        run(
+                () -> {
+                    worker.standIn.kill();
+                    routers.forEach(r -> r.links.get(worker.index).close());
+                    routers.forEach(r -> linkCut(r, worker, 0));
+                });
     }
 
     /** Starts a worker's process anew: it is cold. */
@@ -278,21 +336,27 @@
         for (RouterUnit router : routers) {
             router.links.get(worker.index).open();
         }
-        run(() -> {
-            worker.standIn.drain(false);
-            time.starts.add(new WorkerStart(worker.standIn.uid, System.nanoTime()));
-        });
+        run(
+                () -> {
+                    worker.standIn.drain(false);
+                    time.starts.add(new WorkerStart(worker.standIn.uid, System.nanoTime()));
+                });
     }
 
     /** Watches whether the harness's own loop is late: its stamps prove nothing then. */
     void watchLag() {
-        loop.scheduleWithFixedDelay(() -> {
-            long now = System.nanoTime();
-            if (now - lagLookedAt > TimeUnit.MILLISECONDS.toNanos(LAG_LOOK_MILLIS + LAG_LIMIT_MILLIS)) {
-                time.harnessLate(lagLookedAt, now);
-            }
-            lagLookedAt = now;
-        }, LAG_LOOK_MILLIS, LAG_LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> {
+                    long now = System.nanoTime();
+                    if (now - lagLookedAt
+                            > TimeUnit.MILLISECONDS.toNanos(LAG_LOOK_MILLIS + LAG_LIMIT_MILLIS)) {
+                        time.harnessLate(lagLookedAt, now);
+                    }
+                    lagLookedAt = now;
+                },
+                LAG_LOOK_MILLIS,
+                LAG_LOOK_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/lab/src/main/java/sorrelhoist/lab/soak/SoakPlan.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/SoakPlan.java
@@ -16,10 +16,27 @@
  * @param library of system-call faults, or null
  * @param requestsPerSecond of all clients
  */
-public record SoakPlan(long seed, int seconds, int routers, int workers, List<Trouble> troubles, List<String> command,
-        Path folder, Path library, double requestsPerSecond) {
+public record SoakPlan(
+        long seed,
+        int seconds,
+        int routers,
+        int workers,
+        List<Trouble> troubles,
+        List<String> command,
+        Path folder,
+        Path library,
+        double requestsPerSecond) {
     /** {@return the same run with other troubles, its files in another folder} */
     public SoakPlan with(List<Trouble> others, Path otherFolder) {
-        return new SoakPlan(seed, seconds, routers, workers, others, command, otherFolder, library, requestsPerSecond);
+        return new SoakPlan(
+                seed,
+                seconds,
+                routers,
+                workers,
+                others,
+                command,
+                otherFolder,
+                library,
+                requestsPerSecond);
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/soak/SoakResult.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/SoakResult.java
@@ -13,8 +13,14 @@
  * @param guardViolations lines in which routers reported a violated invariant of their own
  * @param served requests answered with a whole stream
  */
-public record SoakResult(long requests, int troubles, List<Violation> violations, int crashed, int excused,
-        List<String> guardViolations, long served) {
+public record SoakResult(
+        long requests,
+        int troubles,
+        List<Violation> violations,
+        int crashed,
+        int excused,
+        List<String> guardViolations,
+        long served) {
     /** {@return whether nothing was broken, by the oracle's word or the routers' own} */
     public boolean passed() {
         return violations.isEmpty() && crashed == 0 && guardViolations.isEmpty();
@@ -22,7 +28,14 @@
 
     /** {@return the last line of a run} */
     public String summary() {
-        return "soak: " + requests + " requests, " + troubles + " faults, "
-                + (violations.size() + guardViolations.size()) + " violations, " + crashed + " processes crashed";
+        return "soak: "
+                + requests
+                + " requests, "
+                + troubles
+                + " faults, "
+                + (violations.size() + guardViolations.size())
+                + " violations, "
+                + crashed
+                + " processes crashed";
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/soak/SystemCallFaults.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/SystemCallFaults.java
@@ -13,9 +13,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes chosen system calls of one process fail and steps its wall clock. A small library of our own
- * ({@code system_call_faults.c}), built with the system's compiler, is loaded into the process; both sides map one file.
- * The library counts calls: a fault that a process never met proves nothing.
+ * Makes chosen system calls of one process fail and steps its wall clock. A small library of our
+ * own ({@code system_call_faults.c}), built with the system's compiler, is loaded into the process;
+ * both sides map one file. The library counts calls: a fault that a process never met proves
+ * nothing.
  */
 public final class SystemCallFaults {
     private static final String SOURCE = "system_call_faults.c";
@@ -33,13 +34,31 @@
 
     /** A system call that can be made to fail. The order is the library's. */
     public enum SystemCall {
-        ACCEPT, SOCKET, CONNECT, READ, WRITE, EPOLL_WAIT, FSYNC, OPEN
+        ACCEPT,
+        SOCKET,
+        CONNECT,
+        READ,
+        WRITE,
+        EPOLL_WAIT,
+        FSYNC,
+        OPEN
     }
 
     /** Error numbers of Linux. */
     public enum Errno {
-        EINTR(4), EIO(5), EMFILE(24), ENFILE(23), ENOSPC(28), ENOMEM(12), ECONNABORTED(103), ECONNRESET(104),
-        ENOBUFS(105), EADDRNOTAVAIL(99), ENETUNREACH(101), ETIMEDOUT(110), EHOSTUNREACH(113);
+        EINTR(4),
+        EIO(5),
+        EMFILE(24),
+        ENFILE(23),
+        ENOSPC(28),
+        ENOMEM(12),
+        ECONNABORTED(103),
+        ECONNRESET(104),
+        ENOBUFS(105),
+        EADDRNOTAVAIL(99),
+        ENETUNREACH(101),
+        ETIMEDOUT(110),
+        EHOSTUNREACH(113);
 
         private final int number;
 
@@ -53,7 +72,8 @@
         this.controlFile = controlFile;
         int size = HEADER_BYTES + RULE_BYTES * SystemCall.values().length;
         Files.write(controlFile, new byte[size]);
-        try (FileChannel channel = FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             control = channel.map(FileChannel.MapMode.READ_WRITE, 0, size);
             control.order(ByteOrder.nativeOrder());
         }
@@ -74,8 +94,18 @@
         }
         Process compiler;
         try {
-            compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O2", "-o", library.toString(), source.toString(),
-                    "-ldl").redirectErrorStream(true).start();
+            compiler =
+                    new ProcessBuilder(
+                                    "cc",
+                                    "-shared",
+                                    "-fPIC",
+                                    "-O2",
+                                    "-o",
+                                    library.toString(),
+                                    source.toString(),
+                                    "-ldl")
+                            .redirectErrorStream(true)
+                            .start();
         } catch (IOException e) {
             return null;
         }
--- a/lab/src/main/java/sorrelhoist/lab/soak/Trouble.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/Trouble.java
@@ -25,10 +25,28 @@
 
     /** What can happen. */
     public enum Kind {
-        ROUTER_TERM, ROUTER_KILL, ROUTER_PAUSE, ROUTER_RELOAD, ROUTER_RELOAD_TWICE, DISCOVERY_SILENT, DISCOVERY_DOWN,
-        DISCOVERY_RENUMBERED, DISCOVERY_SLOW, WATCHES_MUTED, WORKER_KILLED, WORKER_HANGS, WORKER_DRAINS,
-        WORKER_MISBEHAVES, LINK_SILENT, LINK_RESET, CLIENTS_IDLE_CROWD, CLIENTS_BAD_CROWD, CLIENTS_BURST,
-        CLIENTS_LARGE, SYSTEM_CALLS_FAIL, WALL_CLOCK_STEPS;
+        ROUTER_TERM,
+        ROUTER_KILL,
+        ROUTER_PAUSE,
+        ROUTER_RELOAD,
+        ROUTER_RELOAD_TWICE,
+        DISCOVERY_SILENT,
+        DISCOVERY_DOWN,
+        DISCOVERY_RENUMBERED,
+        DISCOVERY_SLOW,
+        WATCHES_MUTED,
+        WORKER_KILLED,
+        WORKER_HANGS,
+        WORKER_DRAINS,
+        WORKER_MISBEHAVES,
+        LINK_SILENT,
+        LINK_RESET,
+        CLIENTS_IDLE_CROWD,
+        CLIENTS_BAD_CROWD,
+        CLIENTS_BURST,
+        CLIENTS_LARGE,
+        SYSTEM_CALLS_FAIL,
+        WALL_CLOCK_STEPS;
 
         /** {@return whether it needs the library of system-call faults} */
         public boolean needsLibrary() {
@@ -56,7 +74,12 @@
         long end = 1000 * seconds - QUIET_END_MILLIS;
         for (long at = FIRST_MILLIS; at < end; at += random.nextInt(2 * MEAN_GAP_MILLIS)) {
             Kind kind = from.get(random.nextInt(from.size()));
-            troubles.add(new Trouble(kind, at, 300 + random.nextInt((int) LONGEST_MILLIS), random.nextLong()));
+            troubles.add(
+                    new Trouble(
+                            kind,
+                            at,
+                            300 + random.nextInt((int) LONGEST_MILLIS),
+                            random.nextLong()));
         }
         troubles.sort(Comparator.comparingLong(Trouble::atMillis));
         return troubles;
@@ -64,6 +87,12 @@
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%s at %.1f s for %.1f s (%x)", kind, atMillis / 1e3, lastsMillis / 1e3, seed);
+        return String.format(
+                Locale.ROOT,
+                "%s at %.1f s for %.1f s (%x)",
+                kind,
+                atMillis / 1e3,
+                lastsMillis / 1e3,
+                seed);
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/soak/Violation.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/Violation.java
@@ -13,6 +13,7 @@
 public record Violation(Invariant invariant, String subject, double atSeconds, String detail) {
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%s %s at %.3f s: %s", invariant, subject, atSeconds, detail);
+        return String.format(
+                Locale.ROOT, "%s %s at %.3f s: %s", invariant, subject, atSeconds, detail);
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/soak/WorkerEntry.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/WorkerEntry.java
@@ -13,10 +13,12 @@
  * @param state whether it takes new work
  * @param bootMillis when it started, by its own wall clock; 0 for long ago
  */
-public record WorkerEntry(String uid, String endpoint, Role role, int cell, State state, long bootMillis) {
+public record WorkerEntry(
+        String uid, String endpoint, Role role, int cell, State state, long bootMillis) {
     /** What a worker does. */
     public enum Role {
-        READ, WRITE;
+        READ,
+        WRITE;
 
         String model() {
             return name().toLowerCase(java.util.Locale.ROOT);
@@ -25,7 +27,9 @@
 
     /** A worker's state in discovery's words. */
     public enum State {
-        ACTIVE("active"), LEAVING("leaving"), LEFT("left");
+        ACTIVE("active"),
+        LEAVING("leaving"),
+        LEFT("left");
 
         private final String word;
 
@@ -35,8 +39,15 @@
     }
 
     ObjectNode json() {
-        return JsonNodeFactory.instance.objectNode().put("uid", uid).put("endpoint", endpoint).put("az", "z")
-                .put("model", role.model()).put("pod_group", cell).put("state", state.word).put("capacity_hint", 1.0)
+        return JsonNodeFactory.instance
+                .objectNode()
+                .put("uid", uid)
+                .put("endpoint", endpoint)
+                .put("az", "z")
+                .put("model", role.model())
+                .put("pod_group", cell)
+                .put("state", state.word)
+                .put("capacity_hint", 1.0)
                 .put("boot_ms", bootMillis);
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/soak/WorkerStandIn.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/WorkerStandIn.java
@@ -25,8 +25,8 @@
 import sorrelhoist.protocol.net.Net;
 
 /**
- * A worker of the platform: reads prompts or streams answers, and records what reaches it. It can hang, die, come back
- * and misbehave on a part of its answers.
+ * A worker of the platform: reads prompts or streams answers, and records what reaches it. It can
+ * hang, die, come back and misbehave on a part of its answers.
  */
 final class WorkerStandIn {
     private static final int MAX_HEAD = 64 << 10;
@@ -36,9 +36,12 @@
     private static final int MOST_EVENTS = 25;
     private static final long STALE_STREAM_MILLIS = 60_000;
     private static final String STREAM_HEAD =
-            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String LAST_EVENTS = "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":"
-            + "{\"cached_tokens\":4}}}\n\ndata: [DONE]\n\n";
+            "HTTP/1.1 200 OK\r\n"
+                    + "Content-Type: text/event-stream\r\n"
+                    + "Transfer-Encoding: chunked\r\n\r\n";
+    private static final String LAST_EVENTS =
+            "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":"
+                    + "{\"cached_tokens\":4}}}\n\ndata: [DONE]\n\n";
     final String uid;
     final Role role;
     private final EventLoop loop;
@@ -55,10 +58,18 @@
 
     /** What a worker does wrong to a part of its answers. */
     enum Misbehaviour {
-        NONE, RESET_AFTER_REQUEST, NOISE, SECOND_ANSWER, SILENT_IN_STREAM, RESET_IN_STREAM, FULL, BYTE_BY_BYTE
+        NONE,
+        RESET_AFTER_REQUEST,
+        NOISE,
+        SECOND_ANSWER,
+        SILENT_IN_STREAM,
+        RESET_IN_STREAM,
+        FULL,
+        BYTE_BY_BYTE
     }
 
-    WorkerStandIn(String uid, Role role, EventLoop loop, TrafficLog log, long seed, long idleMillis) {
+    WorkerStandIn(
+            String uid, Role role, EventLoop loop, TrafficLog log, long seed, long idleMillis) {
         this.uid = uid;
         this.role = role;
         this.loop = loop;
@@ -67,7 +78,10 @@
         this.idleMillis = idleMillis;
     }
 
-    /** Begins to listen, at its former port after the first time. Not to be called on the loop, as it waits. */
+    /**
+     * Begins to listen, at its former port after the first time. Not to be called on the loop, as
+     * it waits.
+     */
     void start() throws IOException {
         listener = Net.listen(loop, port, Connection::new);
         port = Net.port(listener);
@@ -91,9 +105,16 @@
         hanging = false;
         List.copyOf(connections).forEach(Connection::reset);
         long now = System.nanoTime();
-        log.requests().forEach(request -> request.holds.stream()
-                .filter(hold -> hold.worker.equals(uid) && hold.goneAt == RequestTrace.NEVER)
-                .forEach(hold -> hold.goneAt = now));
+        log.requests()
+                .forEach(
+                        request ->
+                                request.holds.stream()
+                                        .filter(
+                                                hold ->
+                                                        hold.worker.equals(uid)
+                                                                && hold.goneAt
+                                                                        == RequestTrace.NEVER)
+                                        .forEach(hold -> hold.goneAt = now));
     }
 
     /** Stops or goes on doing anything at all; its connections stay open. */
@@ -123,7 +144,8 @@
         RequestTrace request = log.find(id);
         long now = System.nanoTime();
         if (request != null) {
-            request.holds.stream().filter(hold -> hold.goneAt == RequestTrace.NEVER)
+            request.holds.stream()
+                    .filter(hold -> hold.goneAt == RequestTrace.NEVER)
                     .forEach(hold -> hold.goneAt = now);
         }
     }
@@ -139,8 +161,10 @@
         private AttemptTrace attempt;
         private long firstByteAt;
         private long idleSince;
+
         /** What is to be done when the worker hangs no more. */
         private Runnable waiting;
+
         private boolean closed;
 
         @Override
@@ -152,14 +176,20 @@
         }
 
         private void lookAtIdle() {
-            loop.schedule(() -> {
-                boolean idle = head == null && attempt == null && !held.isReadable();
-                if (!closed && idle && System.nanoTime() - idleSince >= TimeUnit.MILLISECONDS.toNanos(idleMillis)) {
-                    ctx.close();
-                } else if (!closed) {
-                    lookAtIdle();
-                }
-            }, idleMillis / 4, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        boolean idle = head == null && attempt == null && !held.isReadable();
+                        if (!closed
+                                && idle
+                                && System.nanoTime() - idleSince
+                                        >= TimeUnit.MILLISECONDS.toNanos(idleMillis)) {
+                            ctx.close();
+                        } else if (!closed) {
+                            lookAtIdle();
+                        }
+                    },
+                    idleMillis / 4,
+                    TimeUnit.MILLISECONDS);
         }
 
         void reset() {
@@ -254,15 +284,21 @@
             }
         }
 
-        /** Runs something a little later; what a hanging worker was at goes on only where its router still waits. */
+        /**
+         * Runs something a little later; what a hanging worker was at goes on only where its router
+         * still waits.
+         */
         private void later(long millis, Runnable what) {
-            loop.schedule(() -> {
-                if (hanging && isAlive() && !closed) {
-                    later(EVENT_MILLIS, what);
-                } else if (!hanging && isAlive()) {
-                    what.run();
-                }
-            }, millis, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (hanging && isAlive() && !closed) {
+                            later(EVENT_MILLIS, what);
+                        } else if (!hanging && isAlive()) {
+                            what.run();
+                        }
+                    },
+                    millis,
+                    TimeUnit.MILLISECONDS);
         }
 
         /** The prompt was read; the state stays also where nobody waits for it any more. */
@@ -274,7 +310,8 @@
             if (how == Misbehaviour.NOISE) {
                 say("\u0001\u0002 noise \r\n\r\n");
             } else {
-                String answer = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":7}";
+                String answer =
+                        "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":7}";
                 sayAs(how, how == Misbehaviour.SECOND_ANSWER ? answer + answer : answer);
             }
             ended();
@@ -282,21 +319,27 @@
 
         private void reject(int status) {
             attempt.rejected = true;
-            say("HTTP/1.1 " + status + " Turned Away\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
+            say(
+                    "HTTP/1.1 "
+                            + status
+                            + " Turned Away\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
             ended();
         }
 
         private void write(Misbehaviour how) {
             long now = System.nanoTime();
-            List<HoldTrace> states = request.holds.stream().filter(h -> h.goneAt == RequestTrace.NEVER).toList();
+            List<HoldTrace> states =
+                    request.holds.stream().filter(h -> h.goneAt == RequestTrace.NEVER).toList();
             if (states.isEmpty()) {
                 reject(410);
                 return;
             }
             states.forEach(state -> state.goneAt = now);
             int events = 1 + random.nextInt(MOST_EVENTS);
-            int breaksAt = how == Misbehaviour.SILENT_IN_STREAM || how == Misbehaviour.RESET_IN_STREAM
-                    ? random.nextInt(events) : -1;
+            int breaksAt =
+                    how == Misbehaviour.SILENT_IN_STREAM || how == Misbehaviour.RESET_IN_STREAM
+                            ? random.nextInt(events)
+                            : -1;
             if (how == Misbehaviour.NOISE) {
                 later(FIRST_EVENT_MILLIS, () -> say("HTP/9 what\u0000\r\n\r\n"));
                 return;
@@ -318,15 +361,26 @@
             }
             String start = index == 0 ? STREAM_HEAD : "";
             if (index < events) {
-                sayAs(how, start + chunk("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t="
-                        + System.nanoTime() + ";\"},\"finish_reason\":null}]}\n\n"));
-                later(EVENT_MILLIS / 2 + random.nextInt((int) EVENT_MILLIS),
+                sayAs(
+                        how,
+                        start
+                                + chunk(
+                                        "data:"
+                                            + " {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t="
+                                                + System.nanoTime()
+                                                + ";\"},\"finish_reason\":null}]}\n\n"));
+                later(
+                        EVENT_MILLIS / 2 + random.nextInt((int) EVENT_MILLIS),
                         () -> event(how, index + 1, events, breaksAt));
                 return;
             }
             attempt.streamFinished = true;
             String last = chunk(LAST_EVENTS) + "0\r\n\r\n";
-            sayAs(how, how == Misbehaviour.SECOND_ANSWER ? last + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" : last);
+            sayAs(
+                    how,
+                    how == Misbehaviour.SECOND_ANSWER
+                            ? last + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+                            : last);
             ended();
         }
 
--- a/lab/src/test/java/sorrelhoist/lab/day/DayFileTest.java
+++ b/lab/src/test/java/sorrelhoist/lab/day/DayFileTest.java
@@ -10,21 +10,30 @@
 
 /** Day files are read, and what is wrong with them is told with line and column. */
 class DayFileTest {
-    private static final String FLEET = "fleet { zone a { edges 1 rack r { readers 2 writers 1 } } }\n";
+    private static final String FLEET =
+            "fleet { zone a { edges 1 rack r { readers 2 writers 1 } } }\n";
 
     private static List<String> faults(String body) {
-        return assertThrows(DayFile.Faulty.class, () -> DayFile.parse("day \"x\" {\n" + body + "}")).faults();
+        return assertThrows(DayFile.Faulty.class, () -> DayFile.parse("day \"x\" {\n" + body + "}"))
+                .faults();
     }
 
     @Test
     void aDayIsReadWithItsEventsByTime() throws DayFile.Faulty {
-        Day d = DayFile.parse("# comment\nday \"two words\" { seed 7 length 10s " + FLEET
-                + "load chat { rate 2.5 prompt 10..20 answer 3..4 sessions 5 prefixes 2 of 100 timeout 500ms }\n"
-                + "at 4s crash writer any for 1.5s at 250ms slow reader 2 by 3 for 2s at 1s cut rack r for 1s\n"
-                + "at 2s registry lag 500ms for 1s }");
+        Day d =
+                DayFile.parse(
+                        "# comment\nday \"two words\" { seed 7 length 10s "
+                                + FLEET
+                                + "load chat { rate 2.5 prompt 10..20 answer 3..4 sessions 5"
+                                + " prefixes 2 of 100 timeout 500ms }\n"
+                                + "at 4s crash writer any for 1.5s at 250ms slow reader 2 by 3 for"
+                                + " 2s at 1s cut rack r for 1s\n"
+                                + "at 2s registry lag 500ms for 1s }");
         assertEquals("two words", d.name());
         assertEquals(7, d.seed());
-        assertEquals(List.of("slow", "cut", "lag", "crash"), d.events().stream().map(Day.Event::deed).toList());
+        assertEquals(
+                List.of("slow", "cut", "lag", "crash"),
+                d.events().stream().map(Day.Event::deed).toList());
         assertEquals(250_000, d.events().get(0).at());
         assertEquals(3.0, d.events().get(0).amount());
         assertEquals(500.0, d.events().get(2).amount());
@@ -35,15 +44,23 @@
     @Test
     void faultsHaveLineAndColumn() {
         assertTrue(faults("seed x\n").get(0).startsWith("2:6: "));
-        assertEquals("3:24: the range ends before it begins",
+        assertEquals(
+                "3:24: the range ends before it begins",
                 faults(FLEET + "load c { rate 1 prompt 9..3 }\n").get(0));
-        assertEquals("4:16: 3 is out of range: give 1 to 2",
+        assertEquals(
+                "4:16: 3 is out of range: give 1 to 2",
                 faults(FLEET + "load c { rate 1 }\nat 1s crash    reader 3\n").get(0));
-        assertEquals("4:7: no rack is called \"z\"",
+        assertEquals(
+                "4:7: no rack is called \"z\"",
                 faults(FLEET + "load c { rate 1 }\nat 1s cut rack z for 1s\n").get(0));
-        assertTrue(faults(FLEET + "load c { rate 1 }\nat 1s lose writer any share 1.5 for 1s\n").get(0)
-                .contains("from 0 to 1"));
-        assertTrue(faults(FLEET + "load c { rate 1 }\nat 99s kill planner for 1s\n").get(0).contains("length"));
+        assertTrue(
+                faults(FLEET + "load c { rate 1 }\nat 1s lose writer any share 1.5 for 1s\n")
+                        .get(0)
+                        .contains("from 0 to 1"));
+        assertTrue(
+                faults(FLEET + "load c { rate 1 }\nat 99s kill planner for 1s\n")
+                        .get(0)
+                        .contains("length"));
     }
 
     @Test
@@ -54,8 +71,11 @@
 
     @Test
     void theLoadFollowsFromTheSeedAlone() throws DayFile.Faulty {
-        String text = "day \"x\" { seed 3 length 20s " + FLEET + "load c { rate 20 cancels 0.5 }\n"
-                + "at 5s burst by 2 for 5s }";
+        String text =
+                "day \"x\" { seed 3 length 20s "
+                        + FLEET
+                        + "load c { rate 20 cancels 0.5 }\n"
+                        + "at 5s burst by 2 for 5s }";
         Day d = DayFile.parse(text);
         List<DayLoad.Planned> plan = DayLoad.plan(d, 2);
         assertEquals(plan, DayLoad.plan(DayFile.parse(text), 2));
--- a/lab/src/test/java/sorrelhoist/lab/judge/JudgeTest.java
+++ b/lab/src/test/java/sorrelhoist/lab/judge/JudgeTest.java
@@ -12,15 +12,24 @@
 
 /** The judge is proved: a clean trace passes, and for each rule a doctored one is caught. */
 class JudgeTest {
-    private static final Judge.Figures FIGURES = new Judge.Figures(0, 1_000_000, 500_000, 250_000, Set.of(1));
+    private static final Judge.Figures FIGURES =
+            new Judge.Figures(0, 1_000_000, 500_000, 250_000, Set.of(1));
     private final List<Line> lines = new ArrayList<>();
 
     private void line(long ms, String who, String event, String... pairs) {
-        StringBuilder text = new StringBuilder("{\"t\":" + (1_000_000_000L + ms * 1000) + ",\"who\":\"" + who
-                + "\",\"ev\":\"" + event + "\"");
+        StringBuilder text =
+                new StringBuilder(
+                        "{\"t\":"
+                                + (1_000_000_000L + ms * 1000)
+                                + ",\"who\":\""
+                                + who
+                                + "\",\"ev\":\""
+                                + event
+                                + "\"");
         for (int i = 0; i < pairs.length; i += 2) {
             boolean bare = pairs[i + 1].matches("-?[0-9]+|true|false");
-            text.append(",\"" + pairs[i] + "\":" + (bare ? pairs[i + 1] : "\"" + pairs[i + 1] + "\""));
+            text.append(
+                    ",\"" + pairs[i] + "\":" + (bare ? pairs[i + 1] : "\"" + pairs[i + 1] + "\""));
         }
         try {
             lines.add(Line.parse(text.append('}').toString()));
@@ -36,29 +45,65 @@
 
     private void caught(int rule, String what) {
         Verdict v = judge();
-        assertTrue(v.broken().stream().anyMatch(b -> b.startsWith("rule " + rule) && b.contains(what)),
+        assertTrue(
+                v.broken().stream().anyMatch(b -> b.startsWith("rule " + rule) && b.contains(what)),
                 v.broken().toString());
     }
 
     private void sent(long ms, String id, int cls) {
-        line(ms, "clients", "sent", "req", id, "cls", "" + cls, "edge", "edge-1", "timeout", "4000000");
+        line(
+                ms, "clients", "sent", "req", id, "cls", "" + cls, "edge", "edge-1", "timeout",
+                "4000000");
     }
 
     private void end(long ms, String id, String status, String text, int tokens) {
-        line(ms, "clients", "final", "req", id, "status", status, "cancelled", "false", "tokens", "" + tokens, "pieces",
-                "" + tokens, "text", text, "first", "50000", "took", "100000");
+        line(
+                ms,
+                "clients",
+                "final",
+                "req",
+                id,
+                "status",
+                status,
+                "cancelled",
+                "false",
+                "tokens",
+                "" + tokens,
+                "pieces",
+                "" + tokens,
+                "text",
+                text,
+                "first",
+                "50000",
+                "took",
+                "100000");
     }
 
     /** One request as it should be: read at r1, held, fetched by w1, run, answered. */
     private void good(long at, String id, int cls) {
         sent(at, id, cls);
-        line(at + 5, "r1", "prefill", "req", "q" + id, "client", id, "edge", "edge-1", "attempt", "0");
+        line(
+                at + 5, "r1", "prefill", "req", "q" + id, "client", id, "edge", "edge-1", "attempt",
+                "0");
         line(at + 20, "r1", "prefill_end", "req", "q" + id, "attempt", "0", "how", "read");
         line(at + 20, "r1", "held", "req", "q" + id, "client", id, "state", "s" + id);
-        line(at + 25, "w1", "decode", "req", "q" + id, "client", id, "edge", "edge-1", "attempt", "1");
+        line(
+                at + 25, "w1", "decode", "req", "q" + id, "client", id, "edge", "edge-1", "attempt",
+                "1");
         line(at + 30, "r1", "freed", "req", "q" + id, "state", "s" + id, "how", "fetched");
         line(at + 40, "w1", "run", "req", "q" + id, "client", id, "attempt", "1");
-        line(at + 80, "w1", "decode_end", "req", "q" + id, "attempt", "1", "how", "done", "tokens", "3");
+        line(
+                at + 80,
+                "w1",
+                "decode_end",
+                "req",
+                "q" + id,
+                "attempt",
+                "1",
+                "how",
+                "done",
+                "tokens",
+                "3");
         end(at + 85, id, "OK", "oak0 elm1 ash2 ", 3);
     }
 
--- a/lab/src/test/java/sorrelhoist/lab/sim/DoorStudyTest.java
+++ b/lab/src/test/java/sorrelhoist/lab/sim/DoorStudyTest.java
@@ -7,21 +7,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Bursts in virtual time: what the engines have room for is let in, and every request ends once. */
+/**
+ * Bursts in virtual time: what the engines have room for is let in, and every request ends once.
+ */
 class DoorStudyTest {
     @ParameterizedTest
-    @EnumSource(value = DoorStudy.Case.class, names = {"QUIET", "THIRD_IN_A_ROW", "DEAD_WRITER", "UNSAFE_QUARTER"})
+    @EnumSource(
+            value = DoorStudy.Case.class,
+            names = {"QUIET", "THIRD_IN_A_ROW", "DEAD_WRITER", "UNSAFE_QUARTER"})
     void whatEnginesHaveRoomForIsLetIn(DoorStudy.Case how) {
         DoorStudy.Burst b = DoorStudy.play(2, how, 5);
         assertEquals(300, b.asked());
-        assertEquals(300, b.inTime() + b.late() + b.lost().values().stream().mapToInt(n -> n).sum());
+        assertEquals(
+                300, b.inTime() + b.late() + b.lost().values().stream().mapToInt(n -> n).sum());
         assertTrue(b.inTime() >= 285, how + ": " + b);
     }
 
     @Test
     void beyondWhatTheyHaveRoomForItIsRefusedNotLate() {
         DoorStudy.Burst b = DoorStudy.play(2, DoorStudy.Case.AFTER_OVERLOAD, 5);
-        assertEquals(300, b.inTime() + b.late() + b.lost().values().stream().mapToInt(n -> n).sum());
+        assertEquals(
+                300, b.inTime() + b.late() + b.lost().values().stream().mapToInt(n -> n).sum());
         assertTrue(b.inTime() >= 150 && b.late() <= 15, b.toString());
     }
 }
--- a/lab/src/test/java/sorrelhoist/lab/sim/SimFleetTest.java
+++ b/lab/src/test/java/sorrelhoist/lab/sim/SimFleetTest.java
@@ -6,7 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The fleet in virtual time: the same from the same seed, and its readers do keep what they have read. */
+/**
+ * The fleet in virtual time: the same from the same seed, and its readers do keep what they have
+ * read.
+ */
 class SimFleetTest {
     private static final long SECOND = 1_000_000;
 
--- a/planner/src/main/java/sorrelhoist/planner/EdgeSession.java
+++ b/planner/src/main/java/sorrelhoist/planner/EdgeSession.java
@@ -57,7 +57,10 @@
                     planner.attached(this);
                 }
             } else if (edge == null) {
-                close(new Status(Code.INVALID_ARGUMENT, "the first message has to be a hello with the edge's name"));
+                close(
+                        new Status(
+                                Code.INVALID_ARGUMENT,
+                                "the first message has to be a hello with the edge's name"));
             } else if (message instanceof EdgeMessage.ProbeAsk p) {
                 planner.probe(this, p.engine());
             } else if (message instanceof EdgeMessage.Tell t) {
--- a/planner/src/main/java/sorrelhoist/planner/Planner.java
+++ b/planner/src/main/java/sorrelhoist/planner/Planner.java
@@ -30,8 +30,9 @@
 import sorrelhoist.protocol.plan.Seat;
 
 /**
- * A planner: reads the registry, numbers the edges, keeps each told, probes for them and passes on what they tell
- * each other. Everything runs on one event loop; what it decides stands in {@code core.members}.
+ * A planner: reads the registry, numbers the edges, keeps each told, probes for them and passes on
+ * what they tell each other. Everything runs on one event loop; what it decides stands in {@code
+ * core.members}.
  */
 public final class Planner {
     private static final Logger LOG = LoggerFactory.getLogger(Planner.class);
@@ -60,19 +61,36 @@
         this.settings = settings;
         this.book = new RosterBook(settings.doubtMs() * 1000);
         this.seats = new Seats(settings.edges(), settings.seatMs() * 1000);
-        this.registry = new RegistryClient(loop, settings.registry(), settings.app(),
-                settings.registryTimeoutMs() * 1000);
-        this.prober = new Prober(loop, book, settings.probeTimeoutMs() * 1000, settings.probesAtOnce());
+        this.registry =
+                new RegistryClient(
+                        loop,
+                        settings.registry(),
+                        settings.app(),
+                        settings.registryTimeoutMs() * 1000);
+        this.prober =
+                new Prober(loop, book, settings.probeTimeoutMs() * 1000, settings.probesAtOnce());
     }
 
     /** Listens and reads. {@return this} */
     public Planner start() throws IOException {
-        GrpcServer server = new GrpcServer(1 << 20).on(PlanEvent.ATTACH, call -> new EdgeSession(this, call));
-        listener = Net.listen(loops, settings.port(),
-                () -> Http2Connection.server(Http2Limits.SERVER, server, new Http2Connection.Watcher() { }));
+        GrpcServer server =
+                new GrpcServer(1 << 20).on(PlanEvent.ATTACH, call -> new EdgeSession(this, call));
+        listener =
+                Net.listen(
+                        loops,
+                        settings.port(),
+                        () ->
+                                Http2Connection.server(
+                                        Http2Limits.SERVER,
+                                        server,
+                                        new Http2Connection.Watcher() {}));
         loop.execute(this::poll);
-        loop.scheduleAtFixedRate(this::lookAtSeats, SEAT_LOOK_MILLIS, SEAT_LOOK_MILLIS, TimeUnit.MILLISECONDS);
-        LOG.atInfo().addKeyValue("event", "started").addKeyValue("port", port()).log("planner listens");
+        loop.scheduleAtFixedRate(
+                this::lookAtSeats, SEAT_LOOK_MILLIS, SEAT_LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        LOG.atInfo()
+                .addKeyValue("event", "started")
+                .addKeyValue("port", port())
+                .log("planner listens");
         return this;
     }
 
@@ -83,36 +101,41 @@
 
     /** Stops; edges go on with what they were told. */
     public void stop() {
-        loop.execute(() -> {
-            stopped = true;
-            prober.stop();
-            listener.close();
-            each(s -> s.close(new Status(Code.UNAVAILABLE, "the planner stops")));
-            loops.shutdownGracefully(100, 500, TimeUnit.MILLISECONDS);
-        });
+        loop.execute(
+                () -> {
+                    stopped = true;
+                    prober.stop();
+                    listener.close();
+                    each(s -> s.close(new Status(Code.UNAVAILABLE, "the planner stops")));
+                    loops.shutdownGracefully(100, 500, TimeUnit.MILLISECONDS);
+                });
     }
 
     private static long now() {
         return System.currentTimeMillis() * 1000;
     }
 
-    // ---- The registry -------------------------------------------------------------------------------------
+    // ---- The registry
+    // -------------------------------------------------------------------------------------
 
     private void poll() {
         if (stopped) {
             return;
         }
-        registry.fetch().whenComplete((list, trouble) -> {
-            if (trouble == null) {
-                take(list);
-            } else {
-                Throwable cause = trouble.getCause() == null ? trouble : trouble.getCause();
-                say("registry_away", String.valueOf(cause.getMessage()));
-            }
-            if (!stopped) {
-                loop.schedule(this::poll, settings.pollMs(), TimeUnit.MILLISECONDS);
-            }
-        });
+        registry.fetch()
+                .whenComplete(
+                        (list, trouble) -> {
+                            if (trouble == null) {
+                                take(list);
+                            } else {
+                                Throwable cause =
+                                        trouble.getCause() == null ? trouble : trouble.getCause();
+                                say("registry_away", String.valueOf(cause.getMessage()));
+                            }
+                            if (!stopped) {
+                                loop.schedule(this::poll, settings.pollMs(), TimeUnit.MILLISECONDS);
+                            }
+                        });
     }
 
     /** Says a lasting trouble once. */
@@ -137,25 +160,42 @@
             PlanEvent update = PlanEvent.of(roster(Roster.UPDATE, changed));
             each(s -> s.send(update));
         }
-        changed.forEach(l -> LOG.atInfo().addKeyValue("event", "engine").addKeyValue("engine", l.entry().id())
-                .addKeyValue("state", l.entry().state()).log("roster changed"));
+        changed.forEach(
+                l ->
+                        LOG.atInfo()
+                                .addKeyValue("event", "engine")
+                                .addKeyValue("engine", l.entry().id())
+                                .addKeyValue("state", l.entry().state())
+                                .log("roster changed"));
     }
 
     private Roster roster(int form, List<RosterBook.Line> lines) {
         long now = now();
         long learned = lines.stream().mapToLong(RosterBook.Line::learnedAt).max().orElse(now);
-        return new Roster(form, lines.stream().map(l -> line(l, now)).toList(), book.epoch(),
+        return new Roster(
+                form,
+                lines.stream().map(l -> line(l, now)).toList(),
+                book.epoch(),
                 form == Roster.UPDATE ? Math.max(0, now - learned) : 0);
     }
 
     private static Line line(RosterBook.Line l, long now) {
         EngineTable.Entry e = l.entry();
         long up = e.incarnation() > 0 ? Math.max(0, now - e.incarnation() * 1000) : e.upForMicros();
-        return new Line(e.id(), e.zone(), e.rack(), e.kind(), e.state().ordinal(), e.size(), e.incarnation(), up,
+        return new Line(
+                e.id(),
+                e.zone(),
+                e.rack(),
+                e.kind(),
+                e.state().ordinal(),
+                e.size(),
+                e.incarnation(),
+                up,
                 e.address());
     }
 
-    // ---- The edges ----------------------------------------------------------------------------------------
+    // ---- The edges
+    // ----------------------------------------------------------------------------------------
 
     /** Sending may cut a session off, so the list is a copy. */
     private void each(Consumer<EdgeSession> what) {
@@ -169,7 +209,10 @@
             sessions.put(session.edge(), session);
         }
         seats.attached(session.edge());
-        LOG.atInfo().addKeyValue("event", "edge_attached").addKeyValue("edge", session.edge()).log("edge attached");
+        LOG.atInfo()
+                .addKeyValue("event", "edge_attached")
+                .addKeyValue("edge", session.edge())
+                .log("edge attached");
         tellSeats();
         // Before the registry was read there is no roster: a list of none would stop every edge.
         if (known) {
@@ -199,12 +242,19 @@
 
     private void tellSeats() {
         epoch++;
-        each(s -> {
-            s.send(PlanEvent.of(new Peers(sessions.values().stream().filter(o -> o != s).map(EdgeSession::peer)
-                    .filter(p -> !p.address().isEmpty()).toList())));
-            Seats.Seat seat = seats.of(s.edge());
-            s.send(PlanEvent.of(new Seat(seat.routers(), seat.self(), epoch)));
-        });
+        each(
+                s -> {
+                    s.send(
+                            PlanEvent.of(
+                                    new Peers(
+                                            sessions.values().stream()
+                                                    .filter(o -> o != s)
+                                                    .map(EdgeSession::peer)
+                                                    .filter(p -> !p.address().isEmpty())
+                                                    .toList())));
+                    Seats.Seat seat = seats.of(s.edge());
+                    s.send(PlanEvent.of(new Seat(seat.routers(), seat.self(), epoch)));
+                });
     }
 
     void probe(EdgeSession asker, String engine) {
@@ -222,11 +272,12 @@
                 to.send(news);
             }
         } else {
-            each(s -> {
-                if (s != from) {
-                    s.send(news);
-                }
-            });
+            each(
+                    s -> {
+                        if (s != from) {
+                            s.send(news);
+                        }
+                    });
         }
     }
 }
--- a/planner/src/main/java/sorrelhoist/planner/PlannerSettings.java
+++ b/planner/src/main/java/sorrelhoist/planner/PlannerSettings.java
@@ -14,6 +14,14 @@
  * @param probeTimeoutMs until a probe has failed
  * @param probesAtOnce probes that may be out
  */
-public record PlannerSettings(int port, String registry, String app, int edges, long pollMs, long registryTimeoutMs,
-        long seatMs, long doubtMs, long probeTimeoutMs, int probesAtOnce) {
-}
+public record PlannerSettings(
+        int port,
+        String registry,
+        String app,
+        int edges,
+        long pollMs,
+        long registryTimeoutMs,
+        long seatMs,
+        long doubtMs,
+        long probeTimeoutMs,
+        int probesAtOnce) {}
--- a/planner/src/main/java/sorrelhoist/planner/Prober.java
+++ b/planner/src/main/java/sorrelhoist/planner/Prober.java
@@ -46,21 +46,38 @@
         }
         out++;
         long start = System.nanoTime();
-        ClientCall call = channel.call(EngineApi.PROBE, null, new ClientCall.Listener() {
-            @Override
-            public void message(ClientCall c, byte[] message, int wireBytes) {
-                c.credit(wireBytes);
-            }
+        ClientCall call =
+                channel.call(
+                        EngineApi.PROBE,
+                        null,
+                        new ClientCall.Listener() {
+                            @Override
+                            public void message(ClientCall c, byte[] message, int wireBytes) {
+                                c.credit(wireBytes);
+                            }
 
-            @Override
-            public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End end) {
-                out--;
-                long took = (System.nanoTime() - start) / 1000;
-                LoadReport load = status.isOk() ? EngineApi.load(trailers) : null;
-                answer.accept(load == null ? unanswered(engine, took) : new ProbeAnswer(engine, true, took,
-                        load.memoryShare(), load.waitingTokens(), load.held(), load.queued()));
-            }
-        });
+                            @Override
+                            public void closed(
+                                    ClientCall c,
+                                    Status status,
+                                    Headers trailers,
+                                    ClientCall.End end) {
+                                out--;
+                                long took = (System.nanoTime() - start) / 1000;
+                                LoadReport load = status.isOk() ? EngineApi.load(trailers) : null;
+                                answer.accept(
+                                        load == null
+                                                ? unanswered(engine, took)
+                                                : new ProbeAnswer(
+                                                        engine,
+                                                        true,
+                                                        took,
+                                                        load.memoryShare(),
+                                                        load.waitingTokens(),
+                                                        load.held(),
+                                                        load.queued()));
+                            }
+                        });
         call.sendLast(new byte[0]);
         channel.start(call);
         loop.schedule(call::cancel, timeoutMicros, TimeUnit.MICROSECONDS);
--- a/planner/src/main/java/sorrelhoist/planner/RegistryClient.java
+++ b/planner/src/main/java/sorrelhoist/planner/RegistryClient.java
@@ -14,8 +14,8 @@
 import sorrelhoist.protocol.http1.HttpMessage;
 
 /**
- * Reads a Eureka registry's list over its REST API: all of it at first, then deltas, and all of it again wherever a
- * delta's hash code shows that something was missed.
+ * Reads a Eureka registry's list over its REST API: all of it at first, then deltas, and all of it
+ * again wherever a delta's hash code shows that something was missed.
  */
 final class RegistryClient {
     private static final Map<String, String> ACCEPT = Map.of("accept", "application/json");
@@ -33,44 +33,68 @@
 
     /** {@return the engines' instances as listed now, or why they can't be told} */
     CompletableFuture<List<RegistryView.Instance>> fetch() {
-        return (view.isComplete() ? delta() : full()).thenApply(v -> v.instances().stream()
-                .filter(i -> i.app().equalsIgnoreCase(app)).toList());
+        return (view.isComplete() ? delta() : full())
+                .thenApply(
+                        v ->
+                                v.instances().stream()
+                                        .filter(i -> i.app().equalsIgnoreCase(app))
+                                        .toList());
     }
 
     private CompletableFuture<RegistryView> full() {
-        return get("/eureka/apps").thenApply(root -> {
-            List<RegistryView.Instance> all = new ArrayList<>();
-            instances(root).forEach(i -> all.add(instance(i)));
-            view.full(all);
-            return view;
-        });
+        return get("/eureka/apps")
+                .thenApply(
+                        root -> {
+                            List<RegistryView.Instance> all = new ArrayList<>();
+                            instances(root).forEach(i -> all.add(instance(i)));
+                            view.full(all);
+                            return view;
+                        });
     }
 
     private CompletableFuture<RegistryView> delta() {
-        return get("/eureka/apps/delta").thenCompose(root -> {
-            List<RegistryView.Change> changes = new ArrayList<>();
-            instances(root).forEach(i -> changes.add(new RegistryView.Change(i.path("actionType").asText("MODIFIED"),
-                    instance(i))));
-            String hash = root.path("applications").path("apps__hashcode").asText("");
-            return view.delta(changes, hash) ? CompletableFuture.completedFuture(view) : full();
-        });
+        return get("/eureka/apps/delta")
+                .thenCompose(
+                        root -> {
+                            List<RegistryView.Change> changes = new ArrayList<>();
+                            instances(root)
+                                    .forEach(
+                                            i ->
+                                                    changes.add(
+                                                            new RegistryView.Change(
+                                                                    i.path("actionType")
+                                                                            .asText("MODIFIED"),
+                                                                    instance(i))));
+                            String hash =
+                                    root.path("applications").path("apps__hashcode").asText("");
+                            return view.delta(changes, hash)
+                                    ? CompletableFuture.completedFuture(view)
+                                    : full();
+                        });
     }
 
     private CompletableFuture<JsonNode> get(String path) {
-        return http.send(HttpMessage.request("GET", path, ACCEPT, new byte[0]), timeout).thenApply(r -> {
-            if (r.status() != 200) {
-                throw new IllegalStateException("the registry answered " + r.status() + " to GET " + path);
-            }
-            try {
-                JsonNode root = json.readTree(r.body());
-                if (!root.path("applications").isObject()) {
-                    throw new IllegalStateException("the registry's answer to GET " + path + " holds no applications");
-                }
-                return root;
-            } catch (IOException e) {
-                throw new IllegalStateException("the registry's answer to GET " + path + " is no JSON", e);
-            }
-        });
+        return http.send(HttpMessage.request("GET", path, ACCEPT, new byte[0]), timeout)
+                .thenApply(
+                        r -> {
+                            if (r.status() != 200) {
+                                throw new IllegalStateException(
+                                        "the registry answered " + r.status() + " to GET " + path);
+                            }
+                            try {
+                                JsonNode root = json.readTree(r.body());
+                                if (!root.path("applications").isObject()) {
+                                    throw new IllegalStateException(
+                                            "the registry's answer to GET "
+                                                    + path
+                                                    + " holds no applications");
+                                }
+                                return root;
+                            } catch (IOException e) {
+                                throw new IllegalStateException(
+                                        "the registry's answer to GET " + path + " is no JSON", e);
+                            }
+                        });
     }
 
     /** A list of one may come as the one itself: the published JSON is made from XML. */
@@ -99,7 +123,11 @@
             metadata.put(e.getKey(), e.getValue().asText());
         }
         String id = i.path("instanceId").asText(i.path("hostName").asText(""));
-        return new RegistryView.Instance(i.path("app").asText(""), id, i.path("status").asText("UNKNOWN"),
-                i.path("ipAddr").asText("") + ":" + i.path("port").path("$").asText("0"), metadata);
+        return new RegistryView.Instance(
+                i.path("app").asText(""),
+                id,
+                i.path("status").asText("UNKNOWN"),
+                i.path("ipAddr").asText("") + ":" + i.path("port").path("$").asText("0"),
+                metadata);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/DecodeEvent.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/DecodeEvent.java
@@ -31,7 +31,8 @@
 
     /** {@return its bytes} */
     public byte[] bytes() {
-        return token != null ? new ProtoWriter(48).message(1, token.write()).done()
+        return token != null
+                ? new ProtoWriter(48).message(1, token.write()).done()
                 : new ProtoWriter(16).message(2, finish.write()).done();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/DecodeRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/DecodeRequest.java
@@ -20,8 +20,18 @@
  * @param placeId a place held ahead; may be empty
  * @param requestClass index of its class
  */
-public record DecodeRequest(String requestId, String clientId, String edge, int attempt, String stateId,
-        String stateAt, String prompt, int promptTokens, int maxTokens, int fromToken, String placeId,
+public record DecodeRequest(
+        String requestId,
+        String clientId,
+        String edge,
+        int attempt,
+        String stateId,
+        String stateAt,
+        String prompt,
+        int promptTokens,
+        int maxTokens,
+        int fromToken,
+        String placeId,
         int requestClass) {
     /** {@return the message in these bytes} */
     public static DecodeRequest parse(byte[] bytes) throws ProtoException {
@@ -58,14 +68,35 @@
                 default -> in.skip();
             }
         }
-        return new DecodeRequest(requestId, clientId, edge, attempt, stateId, stateAt,
-                prompt, promptTokens, maxTokens, fromToken, placeId, requestClass);
+        return new DecodeRequest(
+                requestId,
+                clientId,
+                edge,
+                attempt,
+                stateId,
+                stateAt,
+                prompt,
+                promptTokens,
+                maxTokens,
+                fromToken,
+                placeId,
+                requestClass);
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().text(1, requestId).text(2, clientId).text(3, edge).integer(4, attempt)
-                .text(5, stateId).text(6, stateAt).text(7, prompt).integer(8, promptTokens)
-                .integer(9, maxTokens).integer(10, fromToken).text(11, placeId).integer(12, requestClass);
+        return new ProtoWriter()
+                .text(1, requestId)
+                .text(2, clientId)
+                .text(3, edge)
+                .integer(4, attempt)
+                .text(5, stateId)
+                .text(6, stateAt)
+                .text(7, prompt)
+                .integer(8, promptTokens)
+                .integer(9, maxTokens)
+                .integer(10, fromToken)
+                .text(11, placeId)
+                .integer(12, requestClass);
     }
 
     /** {@return its bytes} */
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/EngineApi.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/EngineApi.java
@@ -7,26 +7,33 @@
 /** Names of the engine's service, and the load report that its trailers carry. */
 public final class EngineApi {
     private static final String SERVICE = "/sorrelhoist.engine.v1.Engine/";
+
     /** Reads a prompt. */
     public static final String PREFILL = SERVICE + "Prefill";
+
     /** Writes an answer. */
     public static final String DECODE = SERVICE + "Decode";
+
     /** Holds a place ahead. */
     public static final String RESERVE = SERVICE + "Reserve";
+
     /** Lets go of what is held. */
     public static final String RELEASE = SERVICE + "Release";
+
     /** Asks for the load. */
     public static final String PROBE = SERVICE + "Probe";
+
     /** Hands a state to another engine. */
     public static final String FETCH = SERVICE + "Fetch";
+
     private static final String LOAD = "sorrelhoist-load-bin";
 
-    private EngineApi() {
-    }
+    private EngineApi() {}
 
     /** {@return trailers that carry a load report} */
     public static Headers loadTrailer(LoadReport load) {
-        return new Headers().add(LOAD, Base64.getEncoder().withoutPadding().encodeToString(load.bytes()));
+        return new Headers()
+                .add(LOAD, Base64.getEncoder().withoutPadding().encodeToString(load.bytes()));
     }
 
     /** {@return the load report in these trailers, or null where there is none that can be read} */
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/LoadReport.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/LoadReport.java
@@ -36,7 +36,11 @@
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().real(1, memoryShare).real(2, waitingTokens).real(3, held).real(4, queued);
+        return new ProtoWriter()
+                .real(1, memoryShare)
+                .real(2, waitingTokens)
+                .real(3, held)
+                .real(4, queued);
     }
 
     /** {@return its bytes} */
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/PrefillRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/PrefillRequest.java
@@ -16,8 +16,15 @@
  * @param maxTokens the most that may be answered
  * @param requestClass index of its class
  */
-public record PrefillRequest(String requestId, String clientId, String edge, int attempt, String prompt,
-        int promptTokens, int maxTokens, int requestClass) {
+public record PrefillRequest(
+        String requestId,
+        String clientId,
+        String edge,
+        int attempt,
+        String prompt,
+        int promptTokens,
+        int maxTokens,
+        int requestClass) {
     /** {@return the message in these bytes} */
     public static PrefillRequest parse(byte[] bytes) throws ProtoException {
         return read(new ProtoReader(bytes));
@@ -45,13 +52,20 @@
                 default -> in.skip();
             }
         }
-        return new PrefillRequest(requestId, clientId, edge, attempt,
-                prompt, promptTokens, maxTokens, requestClass);
+        return new PrefillRequest(
+                requestId, clientId, edge, attempt, prompt, promptTokens, maxTokens, requestClass);
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().text(1, requestId).text(2, clientId).text(3, edge).integer(4, attempt)
-                .text(5, prompt).integer(6, promptTokens).integer(7, maxTokens).integer(8, requestClass);
+        return new ProtoWriter()
+                .text(1, requestId)
+                .text(2, clientId)
+                .text(3, edge)
+                .integer(4, attempt)
+                .text(5, prompt)
+                .integer(6, promptTokens)
+                .integer(7, maxTokens)
+                .integer(8, requestClass);
     }
 
     /** {@return its bytes} */
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/ReleaseRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/ReleaseRequest.java
@@ -36,7 +36,11 @@
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().text(1, requestId).text(2, stateId).text(3, placeId).integer(4, upTo);
+        return new ProtoWriter()
+                .text(1, requestId)
+                .text(2, stateId)
+                .text(3, placeId)
+                .integer(4, upTo);
     }
 
     /** {@return its bytes} */
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/ClientCall.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/ClientCall.java
@@ -16,7 +16,10 @@
         STATUS,
         /** The stream or its connection broke; the server may have worked on it. */
         BROKEN,
-        /** The server said that it never looked at it (REFUSED_STREAM, or beyond GOAWAY's last stream). */
+        /**
+         * The server said that it never looked at it (REFUSED_STREAM, or beyond GOAWAY's last
+         * stream).
+         */
         UNPROCESSED,
         /** No connection could be had; nothing was sent. */
         NOT_SENT,
@@ -32,8 +35,7 @@
          * @param call the call
          * @param headers the fields
          */
-        default void headers(ClientCall call, Headers headers) {
-        }
+        default void headers(ClientCall call, Headers headers) {}
 
         /**
          * A message came. {@link ClientCall#credit} gives the server leave to send as much again.
@@ -140,8 +142,14 @@
     }
 
     boolean open(Http2Connection connection, String authority) {
-        Headers headers = new Headers().add(":method", "POST").add(":scheme", "http").add(":path", path)
-                .add(":authority", authority).add("content-type", "application/grpc").add("te", "trailers");
+        Headers headers =
+                new Headers()
+                        .add(":method", "POST")
+                        .add(":scheme", "http")
+                        .add(":path", path)
+                        .add(":authority", authority)
+                        .add("content-type", "application/grpc")
+                        .add("te", "trailers");
         if (metadata != null) {
             headers.addAll(metadata);
         }
@@ -194,10 +202,14 @@
         } else if (reader.isPartial()) {
             breakOff(Code.INTERNAL, "the call ended in the middle of a message");
         } else {
-            close(new Status(Code.parse(status), Status.decodeMessage(headers.get("grpc-message"))), headers,
+            close(
+                    new Status(
+                            Code.parse(status), Status.decodeMessage(headers.get("grpc-message"))),
+                    headers,
                     End.STATUS);
             if (!stream.isHalfClosed()) {
-                // The answer came before all was sent: what is left has no reader. A stream that has ended on both
+                // The answer came before all was sent: what is left has no reader. A stream that
+                // has ended on both
                 // sides needs no reset, and servers count resets.
                 stream.reset(ErrorCode.CANCEL);
             }
@@ -206,13 +218,16 @@
 
     @Override
     public void data(ByteBuf data, boolean end) {
-        Status bad = reader.read(data, (message, wireBytes) -> {
-            int owed = wireBytes - early;
-            early = 0;
-            if (!closed) {
-                listener.message(this, message, owed);
-            }
-        });
+        Status bad =
+                reader.read(
+                        data,
+                        (message, wireBytes) -> {
+                            int owed = wireBytes - early;
+                            early = 0;
+                            if (!closed) {
+                                listener.message(this, message, owed);
+                            }
+                        });
         if (closed) {
             return;
         }
@@ -221,7 +236,8 @@
         } else if (end) {
             breakOff(Code.UNKNOWN, "the call ended without trailers");
         } else if (reader.partialBytes() > early) {
-            // A message may be longer than the window: its beginning is credited before it is whole.
+            // A message may be longer than the window: its beginning is credited before it is
+            // whole.
             stream.consumed(reader.partialBytes() - early);
             early = reader.partialBytes();
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcChannel.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcChannel.java
@@ -12,9 +12,9 @@
 import sorrelhoist.protocol.net.Net;
 
 /**
- * Connections to one address, opened as calls need them. All of it runs on one event loop; {@link #loop} tells which.
- * A connection counts as open when the peer's HTTP/2 settings have come: a socket that a hanging process still
- * accepts is no connection.
+ * Connections to one address, opened as calls need them. All of it runs on one event loop; {@link
+ * #loop} tells which. A connection counts as open when the peer's HTTP/2 settings have come: a
+ * socket that a hanging process still accepts is no connection.
  */
 public final class GrpcChannel implements Http2Connection.Watcher {
     /**
@@ -26,9 +26,15 @@
      * @param maxMessage bytes that one message of the server's may have
      * @param limits what the server may cost
      */
-    public record Options(int maxConnections, long dialMicros, long idleMicros, int maxMessage, Http2Limits limits) {
+    public record Options(
+            int maxConnections,
+            long dialMicros,
+            long idleMicros,
+            int maxMessage,
+            Http2Limits limits) {
         /** One connection, for background traffic. */
-        public static final Options PLAIN = new Options(1, 1_000_000, 60_000_000, 4 << 20, Http2Limits.CLIENT);
+        public static final Options PLAIN =
+                new Options(1, 1_000_000, 60_000_000, 4 << 20, Http2Limits.CLIENT);
     }
 
     private final EventLoop loop;
@@ -84,7 +90,10 @@
     }
 
     /** {@return a new call with this channel's limit on messages} */
-    public ClientCall call(String path, sorrelhoist.protocol.hpack.Headers metadata, ClientCall.Listener listener) {
+    public ClientCall call(
+            String path,
+            sorrelhoist.protocol.hpack.Headers metadata,
+            ClientCall.Listener listener) {
         return new ClientCall(path, metadata, options.maxMessage(), listener);
     }
 
@@ -100,19 +109,33 @@
 
     /** One connection is dialled at a time, and only while calls wait for it. */
     private void dialMore() {
-        if (shut || queued.isEmpty() || !dialing.isEmpty() || open.size() >= options.maxConnections()) {
+        if (shut
+                || queued.isEmpty()
+                || !dialing.isEmpty()
+                || open.size() >= options.maxConnections()) {
             return;
         }
         Http2Connection connection = Http2Connection.client(options.limits(), this);
         dialing.add(connection);
-        Connecting attempt = Net.connect(loop, address, options.dialMicros(), connection)
-                .onFailure(why -> dialFailed(connection, "cannot connect to " + address + ": " + why.getMessage()));
-        loop.schedule(() -> {
-            if (dialing.contains(connection)) {
-                dialFailed(connection, address + " accepted no HTTP/2 connection in time");
-                attempt.close();
-            }
-        }, options.dialMicros(), TimeUnit.MICROSECONDS);
+        Connecting attempt =
+                Net.connect(loop, address, options.dialMicros(), connection)
+                        .onFailure(
+                                why ->
+                                        dialFailed(
+                                                connection,
+                                                "cannot connect to "
+                                                        + address
+                                                        + ": "
+                                                        + why.getMessage()));
+        loop.schedule(
+                () -> {
+                    if (dialing.contains(connection)) {
+                        dialFailed(connection, address + " accepted no HTTP/2 connection in time");
+                        attempt.close();
+                    }
+                },
+                options.dialMicros(),
+                TimeUnit.MICROSECONDS);
     }
 
     private void dialFailed(Http2Connection connection, String why) {
@@ -171,15 +194,19 @@
     private void watchIdle() {
         if (!idleWatched && options.idleMicros() > 0) {
             idleWatched = true;
-            loop.schedule(() -> {
-                idleWatched = false;
-                if (System.nanoTime() - lastCall >= TimeUnit.MICROSECONDS.toNanos(options.idleMicros())) {
-                    closeIdle();
-                }
-                if (!open.isEmpty()) {
-                    watchIdle();
-                }
-            }, options.idleMicros(), TimeUnit.MICROSECONDS);
+            loop.schedule(
+                    () -> {
+                        idleWatched = false;
+                        if (System.nanoTime() - lastCall
+                                >= TimeUnit.MICROSECONDS.toNanos(options.idleMicros())) {
+                            closeIdle();
+                        }
+                        if (!open.isEmpty()) {
+                            watchIdle();
+                        }
+                    },
+                    options.idleMicros(),
+                    TimeUnit.MICROSECONDS);
         }
     }
 
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcServer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcServer.java
@@ -63,26 +63,35 @@
      * @return this
      */
     public GrpcServer unary(String path, Unary method) {
-        return on(path, call -> new ServerCall.Listener() {
-            private byte[] request;
+        return on(
+                path,
+                call ->
+                        new ServerCall.Listener() {
+                            private byte[] request;
 
-            @Override
-            public void message(byte[] message) {
-                if (request != null) {
-                    call.close(new Status(Code.INVALID_ARGUMENT, "send one message"), null);
-                }
-                request = message;
-            }
+                            @Override
+                            public void message(byte[] message) {
+                                if (request != null) {
+                                    call.close(
+                                            new Status(Code.INVALID_ARGUMENT, "send one message"),
+                                            null);
+                                }
+                                request = message;
+                            }
 
-            @Override
-            public void halfClosed() {
-                if (request == null) {
-                    call.close(new Status(Code.INVALID_ARGUMENT, "the request's message is missing"), null);
-                } else {
-                    method.call(call, request);
-                }
-            }
-        });
+                            @Override
+                            public void halfClosed() {
+                                if (request == null) {
+                                    call.close(
+                                            new Status(
+                                                    Code.INVALID_ARGUMENT,
+                                                    "the request's message is missing"),
+                                            null);
+                                } else {
+                                    method.call(call, request);
+                                }
+                            }
+                        });
     }
 
     @Override
@@ -103,8 +112,12 @@
         if (bad == null && !"POST".equals(headers.get(":method"))) {
             bad = new Status(Code.INTERNAL, "gRPC calls are POST requests");
         } else if (bad == null && !"identity".equals(headers.get("grpc-encoding", "identity"))) {
-            bad = new Status(Code.UNIMPLEMENTED, "grpc-encoding \"" + headers.get("grpc-encoding")
-                    + "\" is not taken: send identity");
+            bad =
+                    new Status(
+                            Code.UNIMPLEMENTED,
+                            "grpc-encoding \""
+                                    + headers.get("grpc-encoding")
+                                    + "\" is not taken: send identity");
         } else if (bad == null && method == null) {
             bad = new Status(Code.UNIMPLEMENTED, "no method " + call.path());
         }
@@ -120,7 +133,10 @@
     }
 
     static ByteBuf framed(byte[] message) {
-        return ALLOC.buffer(5 + message.length).writeByte(0).writeInt(message.length).writeBytes(message);
+        return ALLOC.buffer(5 + message.length)
+                .writeByte(0)
+                .writeInt(message.length)
+                .writeBytes(message);
     }
 
     /** For streams that were answered before they were read. */
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/MessageReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/MessageReader.java
@@ -31,13 +31,19 @@
                     return null;
                 }
                 if (prefix[0] != 0) {
-                    return new Status(Code.UNIMPLEMENTED, "compressed messages are not taken: send identity encoding");
+                    return new Status(
+                            Code.UNIMPLEMENTED,
+                            "compressed messages are not taken: send identity encoding");
                 }
-                long length = (prefix[1] & 0xFFL) << 24 | (prefix[2] & 0xFF) << 16 | (prefix[3] & 0xFF) << 8
-                        | prefix[4] & 0xFF;
+                long length =
+                        (prefix[1] & 0xFFL) << 24
+                                | (prefix[2] & 0xFF) << 16
+                                | (prefix[3] & 0xFF) << 8
+                                | prefix[4] & 0xFF;
                 if (length > maxMessage) {
-                    return new Status(Code.RESOURCE_EXHAUSTED, "a message of " + length + " bytes: send at most "
-                            + maxMessage);
+                    return new Status(
+                            Code.RESOURCE_EXHAUSTED,
+                            "a message of " + length + " bytes: send at most " + maxMessage);
                 }
                 body = new byte[(int) length];
                 bodySize = 0;
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/ServerCall.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/ServerCall.java
@@ -15,16 +15,13 @@
         void message(byte[] message);
 
         /** The client sends no more. */
-        default void halfClosed() {
-        }
+        default void halfClosed() {}
 
         /** The call is over before it was closed here: the client left, or its connection broke. */
-        default void cancelled(String why) {
-        }
+        default void cancelled(String why) {}
 
         /** What waits for the client has fallen to a low mark. */
-        default void writable() {
-        }
+        default void writable() {}
     }
 
     private final Http2Stream stream;
@@ -83,7 +80,9 @@
         }
         if (!answered) {
             answered = true;
-            stream.headers(new Headers().add(":status", "200").add("content-type", "application/grpc"), false);
+            stream.headers(
+                    new Headers().add(":status", "200").add("content-type", "application/grpc"),
+                    false);
         }
         stream.data(GrpcServer.framed(message), false);
     }
@@ -113,7 +112,10 @@
         stream.headers(last, true);
     }
 
-    /** Ends the call without a status: for a client that takes nothing, so that no status could reach it. */
+    /**
+     * Ends the call without a status: for a client that takes nothing, so that no status could
+     * reach it.
+     */
     public void abort() {
         closed = true;
         stream.reset(ErrorCode.CANCEL);
@@ -130,11 +132,14 @@
         if (closed) {
             return;
         }
-        Status bad = reader.read(data, (message, size) -> {
-            if (!closed) {
-                listener.message(message);
-            }
-        });
+        Status bad =
+                reader.read(
+                        data,
+                        (message, size) -> {
+                            if (!closed) {
+                                listener.message(message);
+                            }
+                        });
         if (bad == null && end && reader.isPartial()) {
             bad = new Status(Code.INVALID_ARGUMENT, "the last message is cut short");
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/Status.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/Status.java
@@ -24,7 +24,8 @@
             if (b >= ' ' && b <= '~' && b != '%') {
                 out.append((char) b);
             } else {
-                out.append('%').append(Character.toUpperCase(Character.forDigit(b >> 4 & 0xF, 16)))
+                out.append('%')
+                        .append(Character.toUpperCase(Character.forDigit(b >> 4 & 0xF, 16)))
                         .append(Character.toUpperCase(Character.forDigit(b & 0xF, 16)));
             }
         }
@@ -40,7 +41,10 @@
         int size = 0;
         for (int i = 0; i < encoded.length(); i++) {
             char c = encoded.charAt(i);
-            int high = c == '%' && i + 2 < encoded.length() ? Character.digit(encoded.charAt(i + 1), 16) : -1;
+            int high =
+                    c == '%' && i + 2 < encoded.length()
+                            ? Character.digit(encoded.charAt(i + 1), 16)
+                            : -1;
             int low = high >= 0 ? Character.digit(encoded.charAt(i + 2), 16) : -1;
             out[size++] = (byte) (low >= 0 ? high << 4 | low : c);
             i += low >= 0 ? 2 : 0;
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/Timeouts.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/Timeouts.java
@@ -6,10 +6,10 @@
 public final class Timeouts {
     /** No time-out was given. */
     public static final long NONE = -1;
+
     private static final int DIGITS = 8;
 
-    private Timeouts() {
-    }
+    private Timeouts() {}
 
     /**
      * Reads the header.
@@ -46,14 +46,20 @@
     }
 
     private static IllegalArgumentException bad(String value) {
-        return new IllegalArgumentException("grpc-timeout \"" + value + "\": give one to eight digits and H, M, S, m,"
-                + " u or n");
+        return new IllegalArgumentException(
+                "grpc-timeout \""
+                        + value
+                        + "\": give one to eight digits and H, M, S, m,"
+                        + " u or n");
     }
 
     /** {@return the header's value for so many microseconds; never longer than they are} */
     public static String format(long micros) {
         long most = 99_999_999;
-        return micros <= most ? Math.max(1, micros) + "u"
-                : micros / 1000 <= most ? micros / 1000 + "m" : Math.min(most, micros / 1_000_000) + "S";
+        return micros <= most
+                ? Math.max(1, micros) + "u"
+                : micros / 1000 <= most
+                        ? micros / 1000 + "m"
+                        : Math.min(most, micros / 1_000_000) + "S";
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/DynamicTable.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/DynamicTable.java
@@ -1,6 +1,9 @@
 package sorrelhoist.protocol.hpack;
 
-/** The dynamic table of RFC 7541 section 2.3.2: first in, first out, bounded by octets. Index 0 is the newest. */
+/**
+ * The dynamic table of RFC 7541 section 2.3.2: first in, first out, bounded by octets. Index 0 is
+ * the newest.
+ */
 final class DynamicTable {
     private HeaderField[] ring = new HeaderField[16];
     private int newest;
