--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/Headers.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/Headers.java
@@ -9,8 +9,7 @@
     private final List<HeaderField> fields = new ArrayList<>();
 
     /** Makes an empty list. */
-    public Headers() {
-    }
+    public Headers() {}
 
     /**
      * Adds a field at the end.
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackDecoder.java
@@ -3,10 +3,14 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** Decodes header blocks (RFC 7541); one instance for one direction of one connection, one thread at a time. */
+/**
+ * Decodes header blocks (RFC 7541); one instance for one direction of one connection, one thread at
+ * a time.
+ */
 public final class HpackDecoder {
     /** The table's limit before any setting is exchanged, in octets. */
     public static final int DEFAULT_TABLE = 4096;
+
     private final DynamicTable table;
     private final int maxListOctets;
     private int allowedTable;
@@ -50,11 +54,13 @@
                 field = literal(block, integer(block, first, 4));
             }
             if (mustResize) {
-                throw new HpackException("the block should begin with a table size update (section 4.2)");
+                throw new HpackException(
+                        "the block should begin with a table size update (section 4.2)");
             }
             octets += field.size();
             if (octets > maxListOctets) {
-                throw new HpackException("header list of more than " + maxListOctets + " octets", true);
+                throw new HpackException(
+                        "header list of more than " + maxListOctets + " octets", true);
             }
             headers.add(field);
         }
@@ -71,7 +77,8 @@
             throw new HpackException("a table size update after a field");
         }
         if (octets > allowedTable) {
-            throw new HpackException("table size " + octets + " is above the limit " + allowedTable);
+            throw new HpackException(
+                    "table size " + octets + " is above the limit " + allowedTable);
         }
         mustResize = false;
         table.limit(octets);
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackEncoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackEncoder.java
@@ -4,20 +4,36 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 
-/** Encodes header blocks (RFC 7541); one instance for one direction of one connection, one thread at a time. */
+/**
+ * Encodes header blocks (RFC 7541); one instance for one direction of one connection, one thread at
+ * a time.
+ */
 public final class HpackEncoder {
-    /** Fields that differ with every request: kept in the table they would push out those that recur. */
-    private static final Set<String> FLEETING = Set.of(":path", "grpc-timeout", "grpc-message", "traceparent",
-            "grpc-retry-pushback-ms", "content-length", "sorrelhoist-load-bin", "sorrelhoist-request");
+    /**
+     * Fields that differ with every request: kept in the table they would push out those that
+     * recur.
+     */
+    private static final Set<String> FLEETING =
+            Set.of(
+                    ":path",
+                    "grpc-timeout",
+                    "grpc-message",
+                    "traceparent",
+                    "grpc-retry-pushback-ms",
+                    "content-length",
+                    "sorrelhoist-load-bin",
+                    "sorrelhoist-request");
+
     /** Never put in any table, here or by an intermediary (section 7.1.3). */
-    private static final Set<String> SECRET = Set.of("authorization", "cookie", "proxy-authorization", "set-cookie");
+    private static final Set<String> SECRET =
+            Set.of("authorization", "cookie", "proxy-authorization", "set-cookie");
+
     private static final int MAX_TABLE = 4096;
     private final DynamicTable table = new DynamicTable(HpackDecoder.DEFAULT_TABLE);
     private int announce = -1;
 
     /** Makes an encoder with an empty table. */
-    public HpackEncoder() {
-    }
+    public HpackEncoder() {}
 
     /**
      * Takes the peer's SETTINGS_HEADER_TABLE_SIZE; the next block announces the new size.
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackException.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackException.java
@@ -1,6 +1,8 @@
 package sorrelhoist.protocol.hpack;
 
-/** A header block that RFC 7541 does not allow; the connection's compression state is lost with it. */
+/**
+ * A header block that RFC 7541 does not allow; the connection's compression state is lost with it.
+ */
 public final class HpackException extends Exception {
     private static final long serialVersionUID = 1;
     private final boolean tooLarge;
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/Huffman.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/Huffman.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * The Huffman code of RFC 7541, Appendix B. It is canonical (codes of one length ascend with their symbols), so
- * the lengths alone define it.
+ * The Huffman code of RFC 7541, Appendix B. It is canonical (codes of one length ascend with their
+ * symbols), so the lengths alone define it.
  */
 final class Huffman {
     private static final int SYMBOLS = 257;
@@ -29,13 +29,25 @@
         19, 21, 26, 27, 27, 26, 27, 24, 21, 21, 26, 26, 28, 27, 27, 27,
         20, 24, 20, 21, 22, 21, 21, 23, 22, 22, 25, 25, 24, 24, 26, 23,
         26, 27, 26, 26, 27, 27, 27, 27, 27, 28, 27, 27, 27, 27, 27, 26,
-        30};
+        30
+    };
     private static final int[] CODES = codes();
-    /** Per node and next four bits: the node after them. -1 where EOS or no code lies on the way. */
+
+    /**
+     * Per node and next four bits: the node after them. -1 where EOS or no code lies on the way.
+     */
     private static final short[] NEXT = new short[SYMBOLS * NIBBLE];
-    /** Per node and next four bits: the symbol that ends within them, or -1; codes have five bits or more. */
+
+    /**
+     * Per node and next four bits: the symbol that ends within them, or -1; codes have five bits or
+     * more.
+     */
     private static final short[] SYMBOL = new short[SYMBOLS * NIBBLE];
-    /** Per node: whether the bits since the last symbol are all ones and fewer than eight, so may be padding. */
+
+    /**
+     * Per node: whether the bits since the last symbol are all ones and fewer than eight, so may be
+     * padding.
+     */
     private static final boolean[] MAY_END = new boolean[SYMBOLS];
 
     static {
@@ -52,8 +64,7 @@
         }
     }
 
-    private Huffman() {
-    }
+    private Huffman() {}
 
     private static int[] codes() {
         int[] codes = new int[SYMBOLS];
@@ -138,7 +149,8 @@
     /**
      * Decodes {@code length} bytes.
      *
-     * @throws HpackException where EOS stands in the text, or the padding is longer than seven bits or not all ones
+     * @throws HpackException where EOS stands in the text, or the padding is longer than seven bits
+     *     or not all ones
      */
     static String decode(ByteBuf in, int length) throws HpackException {
         byte[] text = new byte[length * 8 / 5 + 1];
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/StaticTable.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/StaticTable.java
@@ -6,20 +6,68 @@
 /** The static table of RFC 7541, Appendix A; indices from 1. */
 final class StaticTable {
     private static final String[][] ROWS = {
-        {":authority", ""}, {":method", "GET"}, {":method", "POST"}, {":path", "/"}, {":path", "/index.html"},
-        {":scheme", "http"}, {":scheme", "https"}, {":status", "200"}, {":status", "204"}, {":status", "206"},
-        {":status", "304"}, {":status", "400"}, {":status", "404"}, {":status", "500"}, {"accept-charset", ""},
-        {"accept-encoding", "gzip, deflate"}, {"accept-language", ""}, {"accept-ranges", ""}, {"accept", ""},
-        {"access-control-allow-origin", ""}, {"age", ""}, {"allow", ""}, {"authorization", ""},
-        {"cache-control", ""}, {"content-disposition", ""}, {"content-encoding", ""}, {"content-language", ""},
-        {"content-length", ""}, {"content-location", ""}, {"content-range", ""}, {"content-type", ""},
-        {"cookie", ""}, {"date", ""}, {"etag", ""}, {"expect", ""}, {"expires", ""}, {"from", ""}, {"host", ""},
-        {"if-match", ""}, {"if-modified-since", ""}, {"if-none-match", ""}, {"if-range", ""},
-        {"if-unmodified-since", ""}, {"last-modified", ""}, {"link", ""}, {"location", ""},
-        {"max-forwards", ""}, {"proxy-authenticate", ""}, {"proxy-authorization", ""}, {"range", ""},
-        {"referer", ""}, {"refresh", ""}, {"retry-after", ""}, {"server", ""}, {"set-cookie", ""},
-        {"strict-transport-security", ""}, {"transfer-encoding", ""}, {"user-agent", ""}, {"vary", ""},
-        {"via", ""}, {"www-authenticate", ""}};
+        {":authority", ""},
+        {":method", "GET"},
+        {":method", "POST"},
+        {":path", "/"},
+        {":path", "/index.html"},
+        {":scheme", "http"},
+        {":scheme", "https"},
+        {":status", "200"},
+        {":status", "204"},
+        {":status", "206"},
+        {":status", "304"},
+        {":status", "400"},
+        {":status", "404"},
+        {":status", "500"},
+        {"accept-charset", ""},
+        {"accept-encoding", "gzip, deflate"},
+        {"accept-language", ""},
+        {"accept-ranges", ""},
+        {"accept", ""},
+        {"access-control-allow-origin", ""},
+        {"age", ""},
+        {"allow", ""},
+        {"authorization", ""},
+        {"cache-control", ""},
+        {"content-disposition", ""},
+        {"content-encoding", ""},
+        {"content-language", ""},
+        {"content-length", ""},
+        {"content-location", ""},
+        {"content-range", ""},
+        {"content-type", ""},
+        {"cookie", ""},
+        {"date", ""},
+        {"etag", ""},
+        {"expect", ""},
+        {"expires", ""},
+        {"from", ""},
+        {"host", ""},
+        {"if-match", ""},
+        {"if-modified-since", ""},
+        {"if-none-match", ""},
+        {"if-range", ""},
+        {"if-unmodified-since", ""},
+        {"last-modified", ""},
+        {"link", ""},
+        {"location", ""},
+        {"max-forwards", ""},
+        {"proxy-authenticate", ""},
+        {"proxy-authorization", ""},
+        {"range", ""},
+        {"referer", ""},
+        {"refresh", ""},
+        {"retry-after", ""},
+        {"server", ""},
+        {"set-cookie", ""},
+        {"strict-transport-security", ""},
+        {"transfer-encoding", ""},
+        {"user-agent", ""},
+        {"vary", ""},
+        {"via", ""},
+        {"www-authenticate", ""}
+    };
     static final int SIZE = ROWS.length;
     private static final HeaderField[] FIELDS = new HeaderField[SIZE + 1];
     private static final Map<String, Integer> NAMES = new HashMap<>();
@@ -33,8 +81,7 @@
         }
     }
 
-    private StaticTable() {
-    }
+    private StaticTable() {}
 
     static HeaderField at(int index) {
         return FIELDS[index];
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpBody.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpBody.java
@@ -3,15 +3,27 @@
 import io.netty.buffer.ByteBuf;
 import sorrelhoist.protocol.http1.HttpParser.BadMessage;
 
-/** Reads one message's content part by part as its bytes come (RFC 9112, sections 6 and 7); keeps none of it. */
+/**
+ * Reads one message's content part by part as its bytes come (RFC 9112, sections 6 and 7); keeps
+ * none of it.
+ */
 public final class HttpBody {
-    private enum At { LENGTH, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, TO_CLOSE, ENDED }
+    private enum At {
+        LENGTH,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILERS,
+        TO_CLOSE,
+        ENDED
+    }
 
     private static final int MAX_LINES = 16 << 10;
     private static final int MAX_DIGITS = 7; // of a chunk's size: 256 MiB
     private final long length;
-    private final LineReader lines = new LineReader(MAX_LINES,
-            "more than " + MAX_LINES + " bytes in place of a chunk", this::look);
+    private final LineReader lines =
+            new LineReader(
+                    MAX_LINES, "more than " + MAX_LINES + " bytes in place of a chunk", this::look);
     private At at;
     private long left;
 
@@ -32,7 +44,8 @@
         String coding = head.header("transfer-encoding");
         if (coding != null) {
             if (length != null || !coding.equalsIgnoreCase("chunked")) {
-                throw new BadMessage(400, "transfer-encoding has to be chunked, without content-length");
+                throw new BadMessage(
+                        400, "transfer-encoding has to be chunked, without content-length");
             }
             return new HttpBody(At.CHUNK_SIZE, -1);
         }
@@ -67,12 +80,17 @@
      * Reads on.
      *
      * @param in bytes as they came
-     * @return the next part, as a slice that lives as long as {@code in}; null where more bytes are needed or all ended
+     * @return the next part, as a slice that lives as long as {@code in}; null where more bytes are
+     *     needed or all ended
      */
     public ByteBuf next(ByteBuf in) throws BadMessage {
         while (at != At.ENDED && in.isReadable()) {
             if (at == At.LENGTH || at == At.CHUNK || at == At.TO_CLOSE) {
-                int part = (int) Math.min(at == At.TO_CLOSE ? Integer.MAX_VALUE : left, in.readableBytes());
+                int part =
+                        (int)
+                                Math.min(
+                                        at == At.TO_CLOSE ? Integer.MAX_VALUE : left,
+                                        in.readableBytes());
                 left -= part;
                 if (left == 0 && at != At.TO_CLOSE) {
                     at = at == At.CHUNK ? At.CHUNK_END : At.ENDED;
@@ -94,13 +112,17 @@
         }
     }
 
-    /** {@return whether the part of a size that has come can become one: digits, then white space or an extension} */
+    /**
+     * {@return whether the part of a size that has come can become one: digits, then white space or
+     * an extension}
+     */
     private static boolean maySize(StringBuilder line) {
         int digits = 0;
         while (digits < line.length() && hex(line.charAt(digits))) {
             digits++;
         }
-        return digits > 0 && digits <= MAX_DIGITS
+        return digits > 0
+                && digits <= MAX_DIGITS
                 && (digits == line.length() || " \t;\r".indexOf(line.charAt(digits)) >= 0);
     }
 
@@ -126,7 +148,9 @@
     private static long size(String whole) throws BadMessage {
         int semicolon = whole.indexOf(';');
         String size = (semicolon < 0 ? whole : whole.substring(0, semicolon)).strip();
-        if (size.isEmpty() || size.length() > MAX_DIGITS || !size.chars().allMatch(c -> hex((char) c))) {
+        if (size.isEmpty()
+                || size.length() > MAX_DIGITS
+                || !size.chars().allMatch(c -> hex((char) c))) {
             throw new BadMessage(400, "a chunk's size is no number");
         }
         return Long.parseLong(size, 16);
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpClient.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpClient.java
@@ -10,7 +10,10 @@
 import java.util.concurrent.TimeoutException;
 import sorrelhoist.protocol.net.Net;
 
-/** Calls an HTTP/1.1 server: one connection a request, which is enough for a registry asked once a second. */
+/**
+ * Calls an HTTP/1.1 server: one connection a request, which is enough for a registry asked once a
+ * second.
+ */
 public final class HttpClient {
     private static final int MAX_BODY = 16 << 20;
     private final EventLoop loop;
@@ -39,12 +42,20 @@
         CompletableFuture<HttpMessage> result = new CompletableFuture<>();
         var attempt = Net.connect(loop, address, timeoutMicros, new Handler(request, result));
         attempt.onFailure(result::completeExceptionally);
-        loop.schedule(() -> {
-            if (result.completeExceptionally(new TimeoutException("no answer from " + address + " in "
-                    + timeoutMicros / 1000 + " ms"))) {
-                attempt.close();
-            }
-        }, timeoutMicros, TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    if (result.completeExceptionally(
+                            new TimeoutException(
+                                    "no answer from "
+                                            + address
+                                            + " in "
+                                            + timeoutMicros / 1000
+                                            + " ms"))) {
+                        attempt.close();
+                    }
+                },
+                timeoutMicros,
+                TimeUnit.MICROSECONDS);
         return result;
     }
 
@@ -86,7 +97,8 @@
             if (last != null) {
                 result.complete(last);
             }
-            result.completeExceptionally(new IOException("the connection to " + address + " ended early"));
+            result.completeExceptionally(
+                    new IOException("the connection to " + address + " ended early"));
         }
 
         @Override
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadParser.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadParser.java
@@ -7,12 +7,14 @@
 import sorrelhoist.protocol.http1.HttpParser.BadMessage;
 
 /**
- * Parses heads of HTTP/1.1 messages (RFC 9112, sections 2 to 5) however their bytes are cut. What two readers could
- * take for two different things is refused: bare line feeds, white space before a colon, content-length twice.
+ * Parses heads of HTTP/1.1 messages (RFC 9112, sections 2 to 5) however their bytes are cut. What
+ * two readers could take for two different things is refused: bare line feeds, white space before a
+ * colon, content-length twice.
  */
 public final class HttpHeadParser {
     private static final String RESPONSE = "HTTP/1.";
-    private static final int MAX_START_LINES = 4; // empty lines before a message (RFC 9112, section 2.2)
+    private static final int MAX_START_LINES =
+            4; // empty lines before a message (RFC 9112, section 2.2)
     private final boolean requests;
     private final LineReader lines;
     private int empty;
@@ -30,7 +32,8 @@
      */
     public HttpHeadParser(boolean requests, int maxHead) {
         this.requests = requests;
-        this.lines = new LineReader(maxHead, "a head of more than " + maxHead + " bytes", this::look);
+        this.lines =
+                new LineReader(maxHead, "a head of more than " + maxHead + " bytes", this::look);
     }
 
     /** {@return whether bytes of a head have come that is not whole yet} */
@@ -74,14 +77,22 @@
         if (line.charAt(0) == '\r') {
             return last == 0;
         }
-        return requests ? last > 0 || isToken(line.toString())
+        return requests
+                ? last > 0 || isToken(line.toString())
                 : last >= RESPONSE.length() || line.charAt(last) == RESPONSE.charAt(last);
     }
 
     private void startLine(String whole) throws BadMessage {
         String[] parts = whole.split(" ", 3);
-        boolean fits = requests ? parts.length == 3 && version(parts[2]) && !parts[1].isEmpty() && !parts[0].isEmpty()
-                : parts.length >= 2 && version(parts[0]) && parts[1].matches("[1-5][0-9][0-9]");
+        boolean fits =
+                requests
+                        ? parts.length == 3
+                                && version(parts[2])
+                                && !parts[1].isEmpty()
+                                && !parts[0].isEmpty()
+                        : parts.length >= 2
+                                && version(parts[0])
+                                && parts[1].matches("[1-5][0-9][0-9]");
         if (!fits) {
             throw new BadMessage(400, "the first line is no HTTP/1.1");
         }
@@ -101,7 +112,9 @@
             throw new BadMessage(400, "a field name with a forbidden character");
         }
         String value = whole.substring(colon + 1).strip();
-        if (name.equals("content-length") && headers.containsKey(name) && !headers.get(name).equals(value)) {
+        if (name.equals("content-length")
+                && headers.containsKey(name)
+                && !headers.get(name).equals(value)) {
             throw new BadMessage(400, "two values of content-length");
         }
         headers.merge(name, value, (a, b) -> name.equals("content-length") ? a : a + ", " + b);
@@ -111,8 +124,12 @@
     static boolean isToken(String name) {
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
-            boolean fits = c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-' || c >= 'A' && c <= 'Z'
-                    || "!#$%&'*+.^_`|~".indexOf(c) >= 0;
+            boolean fits =
+                    c >= 'a' && c <= 'z'
+                            || c >= '0' && c <= '9'
+                            || c == '-'
+                            || c >= 'A' && c <= 'Z'
+                            || "!#$%&'*+.^_`|~".indexOf(c) >= 0;
             if (!fits) {
                 return false;
             }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessage.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessage.java
@@ -13,15 +13,21 @@
  * @param headers fields by lower-case name; the values of repeated ones are joined with commas
  * @param body the content
  */
-public record HttpMessage(String method, String target, int status, Map<String, String> headers, byte[] body) {
+public record HttpMessage(
+        String method, String target, int status, Map<String, String> headers, byte[] body) {
     /** {@return a request} */
-    public static HttpMessage request(String method, String target, Map<String, String> headers, byte[] body) {
+    public static HttpMessage request(
+            String method, String target, Map<String, String> headers, byte[] body) {
         return new HttpMessage(method, target, 0, headers, body);
     }
 
     /** {@return a response} */
     public static HttpMessage response(int status, String contentType, String body) {
-        return new HttpMessage("", "", status, contentType.isEmpty() ? Map.of() : Map.of("content-type", contentType),
+        return new HttpMessage(
+                "",
+                "",
+                status,
+                contentType.isEmpty() ? Map.of() : Map.of("content-type", contentType),
                 body.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -45,7 +51,8 @@
         for (String pair : target.substring(query + 1).split("&")) {
             int equals = pair.indexOf('=');
             if (equals > 0 && pair.substring(0, equals).equals(name)) {
-                return java.net.URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8);
+                return java.net.URLDecoder.decode(
+                        pair.substring(equals + 1), StandardCharsets.UTF_8);
             }
         }
         return null;
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpParser.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpParser.java
@@ -4,8 +4,9 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Parses HTTP/1.1 messages (RFC 9112) however their bytes are cut. What two readers could take for two different
- * things is refused: bare line feeds in the head, white space before a colon, content-length beside chunked.
+ * Parses HTTP/1.1 messages (RFC 9112) however their bytes are cut. What two readers could take for
+ * two different things is refused: bare line feeds in the head, white space before a colon,
+ * content-length beside chunked.
  */
 public final class HttpParser {
     /** What was wrong with a message, and the status that says so. */
@@ -73,8 +74,13 @@
     }
 
     private HttpMessage done() {
-        HttpMessage message = new HttpMessage(head.method(), head.target(), head.status(), head.headers(),
-                content.toByteArray());
+        HttpMessage message =
+                new HttpMessage(
+                        head.method(),
+                        head.target(),
+                        head.status(),
+                        head.headers(),
+                        content.toByteArray());
         head = null;
         body = null;
         content.reset();
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpServer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpServer.java
@@ -34,14 +34,19 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf in = (ByteBuf) message;
         try {
-            for (HttpMessage m = over ? null : parser.next(in); m != null; m = over ? null : parser.next(in)) {
+            for (HttpMessage m = over ? null : parser.next(in);
+                    m != null;
+                    m = over ? null : parser.next(in)) {
                 HttpMessage request = m;
                 over |= !request.keepsAlive();
-                service.take(request, response -> ctx.executor().execute(() -> answer(ctx, request, response)));
+                service.take(
+                        request,
+                        response -> ctx.executor().execute(() -> answer(ctx, request, response)));
             }
         } catch (HttpParser.BadMessage e) {
             over = true;
-            HttpMessage refusal = HttpMessage.response(e.status(), "text/plain", e.getMessage() + "\n");
+            HttpMessage refusal =
+                    HttpMessage.response(e.status(), "text/plain", e.getMessage() + "\n");
             ctx.writeAndFlush(HttpWriter.write(ctx.alloc(), refusal, "", true))
                     .addListener(ChannelFutureListener.CLOSE);
         } finally {
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/LineReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/LineReader.java
@@ -3,7 +3,10 @@
 import io.netty.buffer.ByteBuf;
 import sorrelhoist.protocol.http1.HttpParser.BadMessage;
 
-/** Reads lines that end with CR LF however their bytes are cut, within a bound that several lines may share. */
+/**
+ * Reads lines that end with CR LF however their bytes are cut, within a bound that several lines
+ * may share.
+ */
 final class LineReader {
     private final int most;
     private final String over;
@@ -11,7 +14,10 @@
     private final StringBuilder line = new StringBuilder();
     private int bytes;
 
-    /** Looks at the part of a line that has come: noise need not hold a line feed, and nothing may follow it. */
+    /**
+     * Looks at the part of a line that has come: noise need not hold a line feed, and nothing may
+     * follow it.
+     */
     interface Look {
         void at(StringBuilder line) throws BadMessage;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FlowControl.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FlowControl.java
@@ -1,6 +1,9 @@
 package sorrelhoist.protocol.http2;
 
-/** One connection's own flow-control windows, beside those of its streams (RFC 9113 section 5.2 and 6.9). */
+/**
+ * One connection's own flow-control windows, beside those of its streams (RFC 9113 section 5.2 and
+ * 6.9).
+ */
 final class FlowControl {
     private final int credit;
     private long sendWindow = Frames.DEFAULT_WINDOW;
@@ -26,7 +29,8 @@
     int received(int flow) throws Http2Exception {
         receiveWindow -= flow;
         if (receiveWindow < 0) {
-            throw Http2Exception.connection(ErrorCode.FLOW_CONTROL_ERROR, "more data than the connection's window");
+            throw Http2Exception.connection(
+                    ErrorCode.FLOW_CONTROL_ERROR, "more data than the connection's window");
         }
         receivedSinceCredit += flow;
         if (receivedSinceCredit < credit) {
@@ -47,7 +51,8 @@
     void granted(int bytes) throws Http2Exception {
         sendWindow += bytes;
         if (sendWindow > Integer.MAX_VALUE) {
-            throw Http2Exception.connection(ErrorCode.FLOW_CONTROL_ERROR, "the connection's window over 2^31 - 1");
+            throw Http2Exception.connection(
+                    ErrorCode.FLOW_CONTROL_ERROR, "the connection's window over 2^31 - 1");
         }
     }
 
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameReader.java
@@ -4,13 +4,16 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Cuts frames out of bytes and checks what a frame alone can be checked for (RFC 9113 section 6). */
+/**
+ * Cuts frames out of bytes and checks what a frame alone can be checked for (RFC 9113 section 6).
+ */
 final class FrameReader {
     /** What becomes of frames, in their order. Payloads are valid during the call only. */
     interface Sink {
         void data(int stream, ByteBuf payload, int flowBytes, boolean end) throws Http2Exception;
 
-        void headers(int stream, ByteBuf fragment, boolean end, boolean whole) throws Http2Exception;
+        void headers(int stream, ByteBuf fragment, boolean end, boolean whole)
+                throws Http2Exception;
 
         void continuation(int stream, ByteBuf fragment, boolean whole) throws Http2Exception;
 
@@ -52,7 +55,9 @@
         int length = in.getUnsignedMedium(start);
         int type = in.getUnsignedByte(start + 3);
         if (length > maxFrame) {
-            throw connection(ErrorCode.FRAME_SIZE_ERROR, "frame of " + length + " bytes, " + maxFrame + " at most");
+            throw connection(
+                    ErrorCode.FRAME_SIZE_ERROR,
+                    "frame of " + length + " bytes, " + maxFrame + " at most");
         }
         if (in.readableBytes() < Frames.HEADER + length) {
             return false;
@@ -62,13 +67,15 @@
         in.skipBytes(Frames.HEADER);
         ByteBuf payload = in.readSlice(length);
         if (headersOf != 0 && (type != Frames.CONTINUATION || stream != headersOf)) {
-            throw connection(ErrorCode.PROTOCOL_ERROR, "a header block was left open by another frame");
+            throw connection(
+                    ErrorCode.PROTOCOL_ERROR, "a header block was left open by another frame");
         }
         take(type, flags, stream, payload, sink);
         return true;
     }
 
-    private void take(int type, int flags, int stream, ByteBuf in, Sink sink) throws Http2Exception {
+    private void take(int type, int flags, int stream, ByteBuf in, Sink sink)
+            throws Http2Exception {
         switch (type) {
             case Frames.DATA -> {
                 needStream(stream, "DATA");
@@ -87,7 +94,8 @@
             }
             case Frames.CONTINUATION -> {
                 if (headersOf == 0) {
-                    throw connection(ErrorCode.PROTOCOL_ERROR, "CONTINUATION without an open header block");
+                    throw connection(
+                            ErrorCode.PROTOCOL_ERROR, "CONTINUATION without an open header block");
                 }
                 boolean whole = (flags & Frames.END_HEADERS) != 0;
                 headersOf = whole ? 0 : stream;
@@ -104,7 +112,8 @@
                 sink.reset(stream, ErrorCode.of(in.readUnsignedInt()));
             }
             case Frames.SETTINGS -> settings(flags, stream, in, sink);
-            case Frames.PUSH_PROMISE -> throw connection(ErrorCode.PROTOCOL_ERROR, "PUSH_PROMISE was never enabled");
+            case Frames.PUSH_PROMISE ->
+                    throw connection(ErrorCode.PROTOCOL_ERROR, "PUSH_PROMISE was never enabled");
             case Frames.PING -> {
                 needNoStream(stream, "PING");
                 needLength(in, 8, "PING");
@@ -113,7 +122,9 @@
             case Frames.GOAWAY -> {
                 needNoStream(stream, "GOAWAY");
                 if (in.readableBytes() < 8) {
-                    throw connection(ErrorCode.FRAME_SIZE_ERROR, "GOAWAY of " + in.readableBytes() + " bytes");
+                    throw connection(
+                            ErrorCode.FRAME_SIZE_ERROR,
+                            "GOAWAY of " + in.readableBytes() + " bytes");
                 }
                 sink.goAway(in.readInt() & Integer.MAX_VALUE, ErrorCode.of(in.readUnsignedInt()));
             }
@@ -125,13 +136,15 @@
         }
     }
 
-    private static void settings(int flags, int stream, ByteBuf in, Sink sink) throws Http2Exception {
+    private static void settings(int flags, int stream, ByteBuf in, Sink sink)
+            throws Http2Exception {
         needNoStream(stream, "SETTINGS");
         if ((flags & Frames.ACK) != 0) {
             needLength(in, 0, "SETTINGS with ACK");
             sink.settingsAck();
         } else if (in.readableBytes() % 6 != 0) {
-            throw connection(ErrorCode.FRAME_SIZE_ERROR, "SETTINGS of " + in.readableBytes() + " bytes");
+            throw connection(
+                    ErrorCode.FRAME_SIZE_ERROR, "SETTINGS of " + in.readableBytes() + " bytes");
         } else {
             sink.settings(in);
         }
@@ -146,7 +159,8 @@
         }
         int pad = in.readUnsignedByte();
         if (pad > in.readableBytes()) {
-            throw connection(ErrorCode.PROTOCOL_ERROR, "padding of " + pad + " is longer than the frame");
+            throw connection(
+                    ErrorCode.PROTOCOL_ERROR, "padding of " + pad + " is longer than the frame");
         }
         return in.readSlice(in.readableBytes() - pad);
     }
@@ -175,7 +189,8 @@
 
     private static void needLength(ByteBuf in, int length, String what) throws Http2Exception {
         if (in.readableBytes() != length) {
-            throw connection(ErrorCode.FRAME_SIZE_ERROR, what + " of " + in.readableBytes() + " bytes");
+            throw connection(
+                    ErrorCode.FRAME_SIZE_ERROR, what + " of " + in.readableBytes() + " bytes");
         }
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Frames.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Frames.java
@@ -34,11 +34,15 @@
     static final int DEFAULT_WINDOW = 65_535;
     static final String PREFACE = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-    private Frames() {
-    }
+    private Frames() {}
 
-    static ByteBuf header(ByteBufAllocator alloc, int length, int type, int flags, int stream, int room) {
-        return alloc.buffer(HEADER + room).writeMedium(length).writeByte(type).writeByte(flags).writeInt(stream);
+    static ByteBuf header(
+            ByteBufAllocator alloc, int length, int type, int flags, int stream, int room) {
+        return alloc.buffer(HEADER + room)
+                .writeMedium(length)
+                .writeByte(type)
+                .writeByte(flags)
+                .writeInt(stream);
     }
 
     static ByteBuf rst(ByteBufAllocator alloc, int stream, ErrorCode code) {
@@ -69,7 +73,9 @@
     static ByteBuf goAway(ByteBufAllocator alloc, int lastStream, ErrorCode code, String why) {
         byte[] text = why.getBytes(java.nio.charset.StandardCharsets.UTF_8);
         int length = Math.min(text.length, 256);
-        return header(alloc, 8 + length, GOAWAY, 0, 0, 8 + length).writeInt(lastStream).writeInt(code.ordinal())
+        return header(alloc, 8 + length, GOAWAY, 0, 0, 8 + length)
+                .writeInt(lastStream)
+                .writeInt(code.ordinal())
                 .writeBytes(text, 0, length);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/HeaderRules.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/HeaderRules.java
@@ -5,8 +5,7 @@
 
 /** What makes a header list malformed (RFC 9113 sections 8.1.1, 8.2 and 8.3). */
 final class HeaderRules {
-    private HeaderRules() {
-    }
+    private HeaderRules() {}
 
     /** {@return what is wrong with a request's list, or null} */
     static String request(Headers headers) {
@@ -23,7 +22,7 @@
                     case ":method" -> method++;
                     case ":scheme" -> scheme++;
                     case ":path" -> path += f.value().isEmpty() ? 2 : 1;
-                    case ":authority" -> { }
+                    case ":authority" -> {}
                     default -> {
                         return "unknown pseudo-header";
                     }
@@ -32,13 +31,15 @@
                 regular = true;
             }
         }
-        return method != 1 || scheme != 1 || path != 1 ? "needs one each of :method, :scheme and :path"
+        return method != 1 || scheme != 1 || path != 1
+                ? "needs one each of :method, :scheme and :path"
                 : regular(headers);
     }
 
     /** {@return what is wrong with a response's list, or null} */
     static String response(Headers headers) {
-        return headers.size() == 0 || !headers.fields().get(0).name().equals(":status") ? "needs :status first"
+        return headers.size() == 0 || !headers.fields().get(0).name().equals(":status")
+                ? "needs :status first"
                 : regular(headers);
     }
 
@@ -67,8 +68,12 @@
                     return "a field value with a forbidden character";
                 }
             }
-            if (name.isEmpty() || name.equals("connection") || name.equals("transfer-encoding")
-                    || name.equals("upgrade") || name.equals("keep-alive") || name.equals("proxy-connection")
+            if (name.isEmpty()
+                    || name.equals("connection")
+                    || name.equals("transfer-encoding")
+                    || name.equals("upgrade")
+                    || name.equals("keep-alive")
+                    || name.equals("proxy-connection")
                     || name.equals("te") && !f.value().equals("trailers")) {
                 return "a field that HTTP/2 has no use for: " + name;
             }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
@@ -19,12 +19,13 @@
 import sorrelhoist.protocol.hpack.HpackException;
 
 /**
- * One HTTP/2 connection (RFC 9113) in cleartext with prior knowledge, either side. All of it runs on the channel's
- * event loop; what other threads want goes through {@link #executor}.
+ * One HTTP/2 connection (RFC 9113) in cleartext with prior knowledge, either side. All of it runs
+ * on the channel's event loop; what other threads want goes through {@link #executor}.
  *
- * <p>Credit of the connection's window is given back as bytes arrive, that of a stream's window as its user takes
- * them: a user that is slow holds back its own stream and no other, and the bytes held for it stay under the
- * stream's window. What waits to be sent takes turns by bytes, so that no stream starves another.
+ * <p>Credit of the connection's window is given back as bytes arrive, that of a stream's window as
+ * its user takes them: a user that is slow holds back its own stream and no other, and the bytes
+ * held for it stay under the stream's window. What waits to be sent takes turns by bytes, so that
+ * no stream starves another.
  */
 public final class Http2Connection extends ChannelInboundHandlerAdapter {
     /** Makes listeners for the streams that a client opens. */
@@ -43,20 +44,16 @@
     /** Follows a connection's life, on its event loop. */
     public interface Watcher {
         /** The peer's settings came: it speaks HTTP/2. */
-        default void ready(Http2Connection connection) {
-        }
+        default void ready(Http2Connection connection) {}
 
         /** The peer takes no new streams; those open go on. */
-        default void draining(Http2Connection connection) {
-        }
+        default void draining(Http2Connection connection) {}
 
         /** A stream ended: there is room for another. */
-        default void streamEnded(Http2Connection connection) {
-        }
+        default void streamEnded(Http2Connection connection) {}
 
         /** The connection is gone, all its streams were told. */
-        default void closed(Http2Connection connection, String why) {
-        }
+        default void closed(Http2Connection connection, String why) {}
     }
 
     private static final int TURN = 4 << 10;
@@ -96,7 +93,8 @@
     private RuntimeException internalError;
     private String why = "the peer closed the connection";
 
-    private Http2Connection(boolean server, Http2Limits limits, Acceptor acceptor, Watcher watcher) {
+    private Http2Connection(
+            boolean server, Http2Limits limits, Acceptor acceptor, Watcher watcher) {
         this.server = server;
         this.limits = limits;
         this.acceptor = acceptor;
@@ -157,8 +155,14 @@
 
     /** {@return whether {@link #open} would give a stream now} */
     public boolean canOpen() {
-        return ctx != null && !failed && !draining && !peerDrains && settingsSeen && streams.size() < peer.streams()
-                && streams.hasNext() && ctx.channel().isActive();
+        return ctx != null
+                && !failed
+                && !draining
+                && !peerDrains
+                && settingsSeen
+                && streams.size() < peer.streams()
+                && streams.hasNext()
+                && ctx.channel().isActive();
     }
 
     /**
@@ -181,8 +185,9 @@
     }
 
     /**
-     * Ends the connection in good order: the peer is told to open no more streams, those open go on, and the
-     * connection closes with the last. Streams already on their way are still taken (RFC 9113 section 6.8).
+     * Ends the connection in good order: the peer is told to open no more streams, those open go
+     * on, and the connection closes with the last. Streams already on their way are still taken
+     * (RFC 9113 section 6.8).
      */
     public void drain() {
         if (draining || failed || ctx == null) {
@@ -210,12 +215,14 @@
         why = reason;
         ctx.writeAndFlush(Frames.goAway(ctx.alloc(), streams.lastPeerStream(), code, reason))
                 .addListener(ChannelFutureListener.CLOSE);
-        // A peer that reads nothing must not keep the socket: the close does not wait for the last frame.
+        // A peer that reads nothing must not keep the socket: the close does not wait for the last
+        // frame.
         ctx.executor().schedule(() -> ctx.close(), 1, TimeUnit.SECONDS);
         endStreams(code);
     }
 
-    // ---- Channel ------------------------------------------------------------------------------------------
+    // ---- Channel
+    // ------------------------------------------------------------------------------------------
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
@@ -238,15 +245,29 @@
         }
         greeted = true;
         if (!server) {
-            write(ctx.alloc().buffer().writeBytes(Frames.PREFACE.getBytes(StandardCharsets.US_ASCII)));
-        }
-        write(server
-                ? Frames.settings(ctx.alloc(), Frames.MAX_CONCURRENT_STREAMS, limits.maxStreams(),
-                        Frames.INITIAL_WINDOW_SIZE, limits.streamWindow(),
-                        Frames.MAX_HEADER_LIST_SIZE, limits.maxHeaderOctets())
-                : Frames.settings(ctx.alloc(), Frames.ENABLE_PUSH, 0,
-                        Frames.INITIAL_WINDOW_SIZE, limits.streamWindow(),
-                        Frames.MAX_HEADER_LIST_SIZE, limits.maxHeaderOctets()));
+            write(
+                    ctx.alloc()
+                            .buffer()
+                            .writeBytes(Frames.PREFACE.getBytes(StandardCharsets.US_ASCII)));
+        }
+        write(
+                server
+                        ? Frames.settings(
+                                ctx.alloc(),
+                                Frames.MAX_CONCURRENT_STREAMS,
+                                limits.maxStreams(),
+                                Frames.INITIAL_WINDOW_SIZE,
+                                limits.streamWindow(),
+                                Frames.MAX_HEADER_LIST_SIZE,
+                                limits.maxHeaderOctets())
+                        : Frames.settings(
+                                ctx.alloc(),
+                                Frames.ENABLE_PUSH,
+                                0,
+                                Frames.INITIAL_WINDOW_SIZE,
+                                limits.streamWindow(),
+                                Frames.MAX_HEADER_LIST_SIZE,
+                                limits.maxHeaderOctets()));
         int more = flow.firstGrant();
         if (more > 0) {
             write(Frames.windowUpdate(ctx.alloc(), 0, more));
@@ -329,7 +350,9 @@
         int have = Math.min(in.readableBytes(), Frames.PREFACE.length());
         for (int i = 0; i < have; i++) {
             if (in.getByte(in.readerIndex() + i) != Frames.PREFACE.charAt(i)) {
-                throw connection(ErrorCode.PROTOCOL_ERROR, "no HTTP/2 preface: speak HTTP/2 with prior knowledge");
+                throw connection(
+                        ErrorCode.PROTOCOL_ERROR,
+                        "no HTTP/2 preface: speak HTTP/2 with prior knowledge");
             }
         }
         if (have < Frames.PREFACE.length()) {
@@ -339,11 +362,15 @@
         return true;
     }
 
-    /** What comes too slowly costs its sender the connection; one look a stall, none while all is whole. */
+    /**
+     * What comes too slowly costs its sender the connection; one look a stall, none while all is
+     * whole.
+     */
     private void watchStall() {
         if (!watching) {
             watching = true;
-            ctx.executor().schedule(this::lookForStall, limits.stallMicros(), TimeUnit.MICROSECONDS);
+            ctx.executor()
+                    .schedule(this::lookForStall, limits.stallMicros(), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -352,8 +379,10 @@
         if (partialSince == 0 || failed || !ctx.channel().isActive()) {
             return;
         }
-        if (System.nanoTime() - partialSince >= TimeUnit.MICROSECONDS.toNanos(limits.stallMicros())) {
-            close(settingsSeen ? ErrorCode.ENHANCE_YOUR_CALM : ErrorCode.SETTINGS_TIMEOUT,
+        if (System.nanoTime() - partialSince
+                >= TimeUnit.MICROSECONDS.toNanos(limits.stallMicros())) {
+            close(
+                    settingsSeen ? ErrorCode.ENHANCE_YOUR_CALM : ErrorCode.SETTINGS_TIMEOUT,
                     "a preface, header block or frame took too long to come whole");
         } else {
             watchStall();
@@ -398,7 +427,8 @@
         turns.clear();
     }
 
-    // ---- Sending ------------------------------------------------------------------------------------------
+    // ---- Sending
+    // ------------------------------------------------------------------------------------------
 
     ByteBuf allocate(int bytes) {
         return ctx.alloc().buffer(bytes);
@@ -412,15 +442,20 @@
         ctx.write(frame);
         if (!flushDue) {
             flushDue = true;
-            ctx.executor().execute(() -> {
-                flushDue = false;
-                ctx.flush();
-                checkBacklog();
-            });
+            ctx.executor()
+                    .execute(
+                            () -> {
+                                flushDue = false;
+                                ctx.flush();
+                                checkBacklog();
+                            });
         }
     }
 
-    /** Answers to PING and SETTINGS ask for no window: a peer that reads none of them must not fill memory. */
+    /**
+     * Answers to PING and SETTINGS ask for no window: a peer that reads none of them must not fill
+     * memory.
+     */
     private void checkBacklog() {
         var out = ctx.channel().unsafe().outboundBuffer();
         if (!failed && out != null && out.totalPendingWriteBytes() > limits.maxOutboundBytes()) {
@@ -435,12 +470,21 @@
         int first = Math.min(fields.readableBytes(), peer.frame());
         boolean whole = first == fields.readableBytes();
         int flags = (end ? Frames.END_STREAM : 0) | (whole ? Frames.END_HEADERS : 0);
-        write(Frames.header(ctx.alloc(), first, Frames.HEADERS, flags, s.id, first).writeBytes(fields, first));
+        write(
+                Frames.header(ctx.alloc(), first, Frames.HEADERS, flags, s.id, first)
+                        .writeBytes(fields, first));
         while (fields.isReadable()) {
             int part = Math.min(fields.readableBytes(), peer.frame());
             boolean last = part == fields.readableBytes();
-            write(Frames.header(ctx.alloc(), part, Frames.CONTINUATION, last ? Frames.END_HEADERS : 0, s.id, part)
-                    .writeBytes(fields, part));
+            write(
+                    Frames.header(
+                                    ctx.alloc(),
+                                    part,
+                                    Frames.CONTINUATION,
+                                    last ? Frames.END_HEADERS : 0,
+                                    s.id,
+                                    part)
+                            .writeBytes(fields, part));
         }
         fields.release();
         if (end) {
@@ -459,14 +503,15 @@
     }
 
     /**
-     * An answer that is whole here and that its peer does not take, for zero windows or a socket it does not read,
-     * would be held for as long as the peer likes. It is given up after the same time that a frame may take to come;
-     * a stream that still runs is its user's to judge.
+     * An answer that is whole here and that its peer does not take, for zero windows or a socket it
+     * does not read, would be held for as long as the peer likes. It is given up after the same
+     * time that a frame may take to come; a stream that still runs is its user's to judge.
      */
     private void watchStuck() {
         if (!watchingStuck && !failed) {
             watchingStuck = true;
-            ctx.executor().schedule(this::lookForStuck, limits.stallMicros(), TimeUnit.MICROSECONDS);
+            ctx.executor()
+                    .schedule(this::lookForStuck, limits.stallMicros(), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -477,7 +522,8 @@
             if (!s.closed && s.isEnding() && s.movedAt <= before) {
                 StreamListener listener = s.listener;
                 resetStream(s, ErrorCode.CANCEL);
-                listener.reset(ErrorCode.CANCEL, false, "the peer did not take the end of its answer");
+                listener.reset(
+                        ErrorCode.CANCEL, false, "the peer did not take the end of its answer");
             }
         }
         if (!turns.isEmpty()) {
@@ -485,7 +531,10 @@
         }
     }
 
-    /** Each stream in turn sends up to one turn's bytes, as long as windows and the socket take them. */
+    /**
+     * Each stream in turn sends up to one turn's bytes, as long as windows and the socket take
+     * them.
+     */
     private void sendWaiting() {
         int idle = 0;
         while (!turns.isEmpty() && idle < turns.size() && ctx.channel().isWritable()) {
@@ -494,7 +543,11 @@
                 s.queued = false;
                 continue;
             }
-            int most = (int) Math.min(Math.min(flow.sendWindow(), s.sendWindow), Math.min(TURN, peer.frame()));
+            int most =
+                    (int)
+                            Math.min(
+                                    Math.min(flow.sendWindow(), s.sendWindow),
+                                    Math.min(TURN, peer.frame()));
             if (most <= 0 && s.pendingBytes() > 0) {
                 turns.add(s);
                 idle++;
@@ -522,8 +575,14 @@
         guard.earn(RateGuard.UPDATE);
         boolean end = s.endsNow();
         boolean copied = size <= COPY;
-        ByteBuf header = Frames.header(ctx.alloc(), size, Frames.DATA, end ? Frames.END_STREAM : 0, s.id,
-                copied ? size : 0);
+        ByteBuf header =
+                Frames.header(
+                        ctx.alloc(),
+                        size,
+                        Frames.DATA,
+                        end ? Frames.END_STREAM : 0,
+                        s.id,
+                        copied ? size : 0);
         if (copied) {
             header.writeBytes(payload);
             payload.release();
@@ -572,8 +631,11 @@
             failed = true;
             why = "drained";
             ctx.flush();
-            ctx.executor().execute(() -> ctx.writeAndFlush(Unpooled.EMPTY_BUFFER)
-                    .addListener(ChannelFutureListener.CLOSE));
+            ctx.executor()
+                    .execute(
+                            () ->
+                                    ctx.writeAndFlush(Unpooled.EMPTY_BUFFER)
+                                            .addListener(ChannelFutureListener.CLOSE));
         }
     }
 
@@ -585,7 +647,8 @@
         }
     }
 
-    // ---- Receiving ----------------------------------------------------------------------------------------
+    // ---- Receiving
+    // ----------------------------------------------------------------------------------------
 
     /** Frames as they come; what they mean for streams and windows. */
     private final class Inbound implements FrameReader.Sink {
@@ -607,11 +670,13 @@
                 throw stream(ErrorCode.STREAM_CLOSED, id, "DATA after the end of the stream");
             }
             if (!server && !s.headersSeen) {
-                throw stream(ErrorCode.PROTOCOL_ERROR, id, "DATA before the response's header list");
+                throw stream(
+                        ErrorCode.PROTOCOL_ERROR, id, "DATA before the response's header list");
             }
             s.receiveWindow -= bytes;
             if (s.receiveWindow < 0) {
-                throw stream(ErrorCode.FLOW_CONTROL_ERROR, id, "more data than the stream's window");
+                throw stream(
+                        ErrorCode.FLOW_CONTROL_ERROR, id, "more data than the stream's window");
             }
             s.remoteEnded = end;
             s.owed += bytes - payload.readableBytes();
@@ -620,7 +685,8 @@
         }
 
         @Override
-        public void headers(int id, ByteBuf fragment, boolean end, boolean whole) throws Http2Exception {
+        public void headers(int id, ByteBuf fragment, boolean end, boolean whole)
+                throws Http2Exception {
             needSettings();
             if (whole) {
                 list(id, fragment, end);
@@ -634,8 +700,9 @@
         public void continuation(int id, ByteBuf fragment, boolean whole) throws Http2Exception {
             spend(RateGuard.CONTINUATION, "CONTINUATION");
             if (block.readableBytes() + fragment.readableBytes() > limits.maxHeaderOctets()) {
-                throw connection(ErrorCode.ENHANCE_YOUR_CALM, "a header block of more than "
-                        + limits.maxHeaderOctets() + " bytes");
+                throw connection(
+                        ErrorCode.ENHANCE_YOUR_CALM,
+                        "a header block of more than " + limits.maxHeaderOctets() + " bytes");
             }
             block.writeBytes(fragment);
             if (whole) {
@@ -649,13 +716,16 @@
             }
         }
 
-        /** Every block is decoded, whatever becomes of it: the table is shared with all later ones. */
+        /**
+         * Every block is decoded, whatever becomes of it: the table is shared with all later ones.
+         */
         private void list(int id, ByteBuf fields, boolean end) throws Http2Exception {
             Headers headers;
             try {
                 headers = decoder.decode(fields);
             } catch (HpackException e) {
-                throw connection(e.tooLarge() ? ErrorCode.ENHANCE_YOUR_CALM : ErrorCode.COMPRESSION_ERROR,
+                throw connection(
+                        e.tooLarge() ? ErrorCode.ENHANCE_YOUR_CALM : ErrorCode.COMPRESSION_ERROR,
                         e.getMessage());
             }
             if (streams.opens(id)) {
@@ -673,7 +743,10 @@
             boolean trailers = s.headersSeen || server;
             String bad = trailers ? HeaderRules.trailers(headers) : HeaderRules.response(headers);
             if (bad == null && (trailers ? !end : informational && end)) {
-                bad = trailers ? "trailers that do not end the stream" : "an interim response that ends the stream";
+                bad =
+                        trailers
+                                ? "trailers that do not end the stream"
+                                : "an interim response that ends the stream";
             }
             if (bad != null) {
                 throw stream(ErrorCode.PROTOCOL_ERROR, id, bad);
@@ -696,7 +769,8 @@
             if (bad != null) {
                 throw stream(ErrorCode.PROTOCOL_ERROR, id, bad);
             }
-            Http2Stream s = new Http2Stream(Http2Connection.this, id, peer.window(), limits.streamWindow());
+            Http2Stream s =
+                    new Http2Stream(Http2Connection.this, id, peer.window(), limits.streamWindow());
             s.remoteEnded = end;
             s.headersSeen = true;
             streams.put(s);
@@ -720,18 +794,23 @@
         public void reset(int id, ErrorCode code) throws Http2Exception {
             needSettings();
             if (streams.isIdle(id)) {
-                throw connection(ErrorCode.PROTOCOL_ERROR, "RST_STREAM on a stream that was never opened");
+                throw connection(
+                        ErrorCode.PROTOCOL_ERROR, "RST_STREAM on a stream that was never opened");
             }
             Http2Stream s = streams.get(id);
             if (s == null) {
-                // It has ended already and costs nothing to end again (section 5.1): as cheap as late credit.
+                // It has ended already and costs nothing to end again (section 5.1): as cheap as
+                // late credit.
                 spend(RateGuard.UPDATE, "RST_STREAM");
             } else if (server) {
                 spend(RateGuard.RESET, "RST_STREAM");
             }
             if (s != null) {
                 drop(s);
-                s.listener.reset(code, code == ErrorCode.REFUSED_STREAM, "the peer reset the stream: " + code);
+                s.listener.reset(
+                        code,
+                        code == ErrorCode.REFUSED_STREAM,
+                        "the peer reset the stream: " + code);
             }
         }
 
@@ -778,7 +857,12 @@
                 write(Frames.ping(ctx.alloc(), true, content));
             } else if (content == SHUTDOWN_PING && draining && !drainAnnounced) {
                 drainAnnounced = true;
-                write(Frames.goAway(ctx.alloc(), streams.lastPeerStream(), ErrorCode.NO_ERROR, "draining"));
+                write(
+                        Frames.goAway(
+                                ctx.alloc(),
+                                streams.lastPeerStream(),
+                                ErrorCode.NO_ERROR,
+                                "draining"));
                 closeIfDrained();
             }
         }
@@ -793,7 +877,10 @@
                 for (Http2Stream s : streams.all()) {
                     if (s.id > lastStream) {
                         drop(s);
-                        s.listener.reset(ErrorCode.REFUSED_STREAM, true, "the peer took no more streams: " + code);
+                        s.listener.reset(
+                                ErrorCode.REFUSED_STREAM,
+                                true,
+                                "the peer took no more streams: " + code);
                     }
                 }
             }
@@ -807,19 +894,25 @@
         public void windowUpdate(int id, int bytes) throws Http2Exception {
             needSettings();
             if (bytes == 0) {
-                throw id == 0 ? connection(ErrorCode.PROTOCOL_ERROR, "WINDOW_UPDATE of 0")
+                throw id == 0
+                        ? connection(ErrorCode.PROTOCOL_ERROR, "WINDOW_UPDATE of 0")
                         : stream(ErrorCode.PROTOCOL_ERROR, id, "WINDOW_UPDATE of 0");
             }
             if (id == 0) {
                 flow.granted(bytes);
             } else if (streams.isIdle(id)) {
-                throw connection(ErrorCode.PROTOCOL_ERROR, "WINDOW_UPDATE on a stream that was never opened");
+                throw connection(
+                        ErrorCode.PROTOCOL_ERROR,
+                        "WINDOW_UPDATE on a stream that was never opened");
             } else {
                 Http2Stream s = streams.get(id);
                 if (s != null) {
                     s.sendWindow += bytes;
                     if (s.sendWindow > Integer.MAX_VALUE) {
-                        throw stream(ErrorCode.FLOW_CONTROL_ERROR, id, "the stream's window over 2^31 - 1");
+                        throw stream(
+                                ErrorCode.FLOW_CONTROL_ERROR,
+                                id,
+                                "the stream's window over 2^31 - 1");
                     }
                 } else {
                     spend(RateGuard.UPDATE, "WINDOW_UPDATE");
@@ -844,14 +937,17 @@
             guard.spend(points, System.nanoTime(), what);
         }
 
-        /** The open stream, or null where its frames are to be passed over: it ended a moment ago. */
+        /**
+         * The open stream, or null where its frames are to be passed over: it ended a moment ago.
+         */
         private Http2Stream known(int id, String what) throws Http2Exception {
             Http2Stream s = streams.get(id);
             if (s != null) {
                 return s;
             }
             if (streams.isIdle(id)) {
-                throw connection(ErrorCode.PROTOCOL_ERROR, what + " on a stream that was never opened");
+                throw connection(
+                        ErrorCode.PROTOCOL_ERROR, what + " on a stream that was never opened");
             }
             spend(RateGuard.TINY_DATA, what + " on a stream that has ended");
             if (!streams.wasResetHere(id)) {
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
@@ -1,10 +1,12 @@
 package sorrelhoist.protocol.http2;
 
 /**
- * What one connection may cost. Past a limit its peer loses the connection, and nobody else anything.
+ * What one connection may cost. Past a limit its peer loses the connection, and nobody else
+ * anything.
  *
  * @param maxStreams streams that the peer may have open at once; more are refused
- * @param maxHeaderOctets what one header list may decode to (RFC 9113 section 6.5.2), and its block take
+ * @param maxHeaderOctets what one header list may decode to (RFC 9113 section 6.5.2), and its block
+ *     take
  * @param streamWindow bytes that a stream may send before it is given credit, 1 to 2^31 - 1
  * @param connectionWindow the same for all streams together, 65,535 to 2^31 - 1
  * @param abusePerSecond points that frames without use may cost a second; see {@link RateGuard}
@@ -12,36 +14,75 @@
  * @param stallMicros how long a preface, a header block or one frame may take to come whole
  * @param maxOutboundBytes bytes that may wait for a peer that does not read
  */
-public record Http2Limits(int maxStreams, int maxHeaderOctets, int streamWindow, int connectionWindow,
-        int abusePerSecond, int abuseBurst, long stallMicros, int maxOutboundBytes) {
+public record Http2Limits(
+        int maxStreams,
+        int maxHeaderOctets,
+        int streamWindow,
+        int connectionWindow,
+        int abusePerSecond,
+        int abuseBurst,
+        long stallMicros,
+        int maxOutboundBytes) {
     /** For connections that clients open. */
     public static final Http2Limits SERVER =
             new Http2Limits(1000, 16 << 10, 64 << 10, 4 << 20, 5000, 10_000, 10_000_000, 4 << 20);
-    /** For connections that this program opens to engines and planners, whose streams answer in small frames. */
+
+    /**
+     * For connections that this program opens to engines and planners, whose streams answer in
+     * small frames.
+     */
     public static final Http2Limits CLIENT =
             new Http2Limits(0, 16 << 10, 64 << 10, 16 << 20, 50_000, 100_000, 10_000_000, 16 << 20);
 
     /** {@return the same with another number of streams} */
     public Http2Limits withMaxStreams(int streams) {
-        return new Http2Limits(streams, maxHeaderOctets, streamWindow, connectionWindow, abusePerSecond, abuseBurst,
-                stallMicros, maxOutboundBytes);
+        return new Http2Limits(
+                streams,
+                maxHeaderOctets,
+                streamWindow,
+                connectionWindow,
+                abusePerSecond,
+                abuseBurst,
+                stallMicros,
+                maxOutboundBytes);
     }
 
     /** {@return the same with another window for each stream} */
     public Http2Limits withStreamWindow(int bytes) {
-        return new Http2Limits(maxStreams, maxHeaderOctets, bytes, connectionWindow, abusePerSecond, abuseBurst,
-                stallMicros, maxOutboundBytes);
+        return new Http2Limits(
+                maxStreams,
+                maxHeaderOctets,
+                bytes,
+                connectionWindow,
+                abusePerSecond,
+                abuseBurst,
+                stallMicros,
+                maxOutboundBytes);
     }
 
     /** {@return the same with other points for abuse} */
     public Http2Limits withAbuse(int perSecond, int burst) {
-        return new Http2Limits(maxStreams, maxHeaderOctets, streamWindow, connectionWindow, perSecond, burst,
-                stallMicros, maxOutboundBytes);
+        return new Http2Limits(
+                maxStreams,
+                maxHeaderOctets,
+                streamWindow,
+                connectionWindow,
+                perSecond,
+                burst,
+                stallMicros,
+                maxOutboundBytes);
     }
 
     /** {@return the same with another time for a frame to come whole} */
     public Http2Limits withStall(long micros) {
-        return new Http2Limits(maxStreams, maxHeaderOctets, streamWindow, connectionWindow, abusePerSecond,
-                abuseBurst, micros, maxOutboundBytes);
+        return new Http2Limits(
+                maxStreams,
+                maxHeaderOctets,
+                streamWindow,
+                connectionWindow,
+                abusePerSecond,
+                abuseBurst,
+                micros,
+                maxOutboundBytes);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
@@ -158,7 +158,9 @@
         return taken;
     }
 
-    /** Whether the frame being taken ends this side; trailers follow instead where there are any. */
+    /**
+     * Whether the frame being taken ends this side; trailers follow instead where there are any.
+     */
     boolean endsNow() {
         return endAsked && waiting.isEmpty() && trailers == null;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/PeerSettings.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/PeerSettings.java
@@ -43,13 +43,15 @@
             case Frames.HEADER_TABLE_SIZE -> encoder.peerTableLimit(value);
             case Frames.ENABLE_PUSH -> {
                 if (value > 1 || !server && value != 0) {
-                    throw Http2Exception.connection(ErrorCode.PROTOCOL_ERROR, "ENABLE_PUSH of " + value);
+                    throw Http2Exception.connection(
+                            ErrorCode.PROTOCOL_ERROR, "ENABLE_PUSH of " + value);
                 }
             }
             case Frames.MAX_CONCURRENT_STREAMS -> streams = value;
             case Frames.INITIAL_WINDOW_SIZE -> {
                 if (value > Integer.MAX_VALUE) {
-                    throw Http2Exception.connection(ErrorCode.FLOW_CONTROL_ERROR, "INITIAL_WINDOW_SIZE of " + value);
+                    throw Http2Exception.connection(
+                            ErrorCode.FLOW_CONTROL_ERROR, "INITIAL_WINDOW_SIZE of " + value);
                 }
                 long more = value - window;
                 window = value;
@@ -57,11 +59,12 @@
             }
             case Frames.MAX_FRAME_SIZE -> {
                 if (value < Frames.DEFAULT_FRAME || value > MOST_FRAME) {
-                    throw Http2Exception.connection(ErrorCode.PROTOCOL_ERROR, "MAX_FRAME_SIZE of " + value);
+                    throw Http2Exception.connection(
+                            ErrorCode.PROTOCOL_ERROR, "MAX_FRAME_SIZE of " + value);
                 }
                 frame = (int) Math.min(value, Frames.DEFAULT_FRAME);
             }
-            default -> { }
+            default -> {}
         }
         return 0;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/RateGuard.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/RateGuard.java
@@ -1,9 +1,10 @@
 package sorrelhoist.protocol.http2;
 
 /**
- * Points for frames that make work and carry nothing, in a bucket that refills with time. Such floods (rapid
- * reset, SETTINGS, PING, CONTINUATION, empty or tiny DATA) differ in their frames but not in this: many frames,
- * little content. One bucket answers them all, also those not yet thought of.
+ * Points for frames that make work and carry nothing, in a bucket that refills with time. Such
+ * floods (rapid reset, SETTINGS, PING, CONTINUATION, empty or tiny DATA) differ in their frames but
+ * not in this: many frames, little content. One bucket answers them all, also those not yet thought
+ * of.
  */
 final class RateGuard {
     static final int RESET = 10;
@@ -16,6 +17,7 @@
     static final int TINY_DATA = 2;
     static final int UNKNOWN = 5;
     static final int UPDATE = 1;
+
     /** Data frames of fewer bytes than this count as tiny; the smallest gRPC answer is longer. */
     static final int TINY = 8;
 
@@ -32,9 +34,10 @@
     }
 
     /**
-     * The peer was given something that it may well answer with a frame: a WINDOW_UPDATE for each DATA frame may come
-     * after the stream has ended (RFC 9113 section 5.1). Without this a client that is served fast enough pays for its
-     * own success: at 9,000 requests a second on one connection the refill was spent, and the connection ended.
+     * The peer was given something that it may well answer with a frame: a WINDOW_UPDATE for each
+     * DATA frame may come after the stream has ended (RFC 9113 section 5.1). Without this a client
+     * that is served fast enough pays for its own success: at 9,000 requests a second on one
+     * connection the refill was spent, and the connection ended.
      */
     void earn(int gain) {
         points = Math.min(burst, points + gain);
@@ -44,7 +47,8 @@
         points = Math.min(burst, points + (nanos - at) * perNano) - cost;
         at = nanos;
         if (points < 0) {
-            throw Http2Exception.connection(ErrorCode.ENHANCE_YOUR_CALM, "too many frames without use, last " + what);
+            throw Http2Exception.connection(
+                    ErrorCode.ENHANCE_YOUR_CALM, "too many frames without use, last " + what);
         }
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamListener.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamListener.java
@@ -22,15 +22,16 @@
     void data(ByteBuf data, boolean end);
 
     /**
-     * The stream ended before both sides had finished; nothing follows. Not called for what this side reset.
+     * The stream ended before both sides had finished; nothing follows. Not called for what this
+     * side reset.
      *
      * @param code the peer's code, or why the connection ended
-     * @param unprocessed whether the peer says that it never looked at this stream (RFC 9113 section 8.7)
+     * @param unprocessed whether the peer says that it never looked at this stream (RFC 9113
+     *     section 8.7)
      * @param why for logs
      */
     void reset(ErrorCode code, boolean unprocessed, String why);
 
     /** What waited to be sent has fallen to the stream's low mark. */
-    default void writable() {
-    }
+    default void writable() {}
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamTable.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamTable.java
@@ -7,8 +7,9 @@
 import java.util.Set;
 
 /**
- * A connection's open streams, and what is remembered of the others: the last of each side, below which none is idle, and
- * the last ones that were reset here, whose frames may still be on their way (RFC 9113 section 5.1).
+ * A connection's open streams, and what is remembered of the others: the last of each side, below
+ * which none is idle, and the last ones that were reset here, whose frames may still be on their
+ * way (RFC 9113 section 5.1).
  */
 final class StreamTable {
     private static final int RESETS_KEPT = 1024;
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/InferRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/InferRequest.java
@@ -17,8 +17,13 @@
  * @param inputs input tensors
  * @param raw raw contents, one for each input, or none at all
  */
-public record InferRequest(String modelName, String modelVersion, String id, Map<String, Parameter> parameters,
-        List<Tensor> inputs, List<byte[]> raw) {
+public record InferRequest(
+        String modelName,
+        String modelVersion,
+        String id,
+        Map<String, Parameter> parameters,
+        List<Tensor> inputs,
+        List<byte[]> raw) {
     /** Name of the input tensor that holds the prompt. */
     public static final String TEXT_INPUT = "text_input";
 
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/InferResponse.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/InferResponse.java
@@ -16,11 +16,14 @@
  * @param parameters further facts
  * @param outputs output tensors
  */
-public record InferResponse(String modelName, String id, Map<String, Parameter> parameters, List<Tensor> outputs) {
+public record InferResponse(
+        String modelName, String id, Map<String, Parameter> parameters, List<Tensor> outputs) {
     /** Name of the output tensor that holds the answer. */
     public static final String TEXT_OUTPUT = "text_output";
+
     /** Name of the parameter that marks a stream's last response, as Triton has it. */
     public static final String FINAL = "triton_final_response";
+
     /** Name of the parameter that holds how many tokens the answer has. */
     public static final String TOKENS = "output_tokens";
 
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/ModelMessages.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/ModelMessages.java
@@ -9,15 +9,17 @@
 public final class ModelMessages {
     /** The inference service's path, to which a method's name is added. */
     public static final String SERVICE = "/inference.GRPCInferenceService/";
+
     /** The health service's path, to which a method's name is added. */
     public static final String HEALTH = "/grpc.health.v1.Health/";
+
     /** HealthCheckResponse.ServingStatus. */
     public static final int SERVING = 1;
+
     /** HealthCheckResponse.ServingStatus. */
     public static final int NOT_SERVING = 2;
 
-    private ModelMessages() {
-    }
+    private ModelMessages() {}
 
     /** {@return the bytes of ServerLiveResponse, ServerReadyResponse or ModelReadyResponse} */
     public static byte[] yes(boolean value) {
@@ -29,7 +31,10 @@
         return new ProtoWriter(2).integer(1, status).done();
     }
 
-    /** {@return field 1: the name in ModelReadyRequest and ModelMetadataRequest, the service in a health check} */
+    /**
+     * {@return field 1: the name in ModelReadyRequest and ModelMetadataRequest, the service in a
+     * health check}
+     */
     public static String name(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         String name = "";
@@ -50,8 +55,13 @@
 
     /** {@return the bytes of a ModelMetadataResponse: text in, text out} */
     public static byte[] model(String name) {
-        return new ProtoWriter().text(1, name).text(2, "1").text(3, "sorrelhoist")
-                .message(4, tensor(InferRequest.TEXT_INPUT)).message(5, tensor(InferResponse.TEXT_OUTPUT)).done();
+        return new ProtoWriter()
+                .text(1, name)
+                .text(2, "1")
+                .text(3, "sorrelhoist")
+                .message(4, tensor(InferRequest.TEXT_INPUT))
+                .message(5, tensor(InferResponse.TEXT_OUTPUT))
+                .done();
     }
 
     private static ProtoWriter tensor(String name) {
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/Parameter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/Parameter.java
@@ -40,20 +40,22 @@
     }
 
     static void write(Map<String, Parameter> parameters, int field, ProtoWriter out) {
-        parameters.forEach((key, p) -> {
-            // A oneof's member is written also where it holds its default: it tells which one was chosen.
-            ProtoWriter value = new ProtoWriter(16);
-            if (p.value instanceof Boolean b) {
-                value.chosen(1, b ? 1 : 0);
-            } else if (p.value instanceof Long l) {
-                value.chosen(2, l);
-            } else if (p.value instanceof String s) {
-                value.always(3, s.getBytes(java.nio.charset.StandardCharsets.UTF_8));
-            } else if (p.value instanceof Double d) {
-                value.real(4, d);
-            }
-            out.message(field, new ProtoWriter().text(1, key).message(2, value));
-        });
+        parameters.forEach(
+                (key, p) -> {
+                    // A oneof's member is written also where it holds its default: it tells which
+                    // one was chosen.
+                    ProtoWriter value = new ProtoWriter(16);
+                    if (p.value instanceof Boolean b) {
+                        value.chosen(1, b ? 1 : 0);
+                    } else if (p.value instanceof Long l) {
+                        value.chosen(2, l);
+                    } else if (p.value instanceof String s) {
+                        value.always(3, s.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+                    } else if (p.value instanceof Double d) {
+                        value.real(4, d);
+                    }
+                    out.message(field, new ProtoWriter().text(1, key).message(2, value));
+                });
     }
 
     static Map<String, Parameter> none() {
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/Tensor.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/Tensor.java
@@ -8,7 +8,8 @@
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
 /**
- * InferInputTensor or InferOutputTensor, which have the same fields; of the contents those of datatype BYTES.
+ * InferInputTensor or InferOutputTensor, which have the same fields; of the contents those of
+ * datatype BYTES.
  *
  * @param name its name
  * @param datatype BYTES for text
@@ -94,11 +95,15 @@
             if (raw.length - at < 4) {
                 throw new ProtoException("raw contents of \"" + name + "\" are cut short");
             }
-            long size = raw[at] & 0xFFL | (raw[at + 1] & 0xFFL) << 8 | (raw[at + 2] & 0xFFL) << 16
-                    | (raw[at + 3] & 0xFFL) << 24;
+            long size =
+                    raw[at] & 0xFFL
+                            | (raw[at + 1] & 0xFFL) << 8
+                            | (raw[at + 2] & 0xFFL) << 16
+                            | (raw[at + 3] & 0xFFL) << 24;
             at += 4;
             if (size > raw.length - at) {
-                throw new ProtoException("raw contents of \"" + name + "\" are shorter than they say");
+                throw new ProtoException(
+                        "raw contents of \"" + name + "\" are shorter than they say");
             }
             elements.add(java.util.Arrays.copyOfRange(raw, at, at + (int) size));
             at += (int) size;
@@ -109,12 +114,12 @@
     /** Whether two tensors say the same; arrays are compared by content. */
     @Override
     public boolean equals(Object other) {
-        return other instanceof Tensor t && java.util.Arrays.equals(t.write().done(), write().done());
+        return other instanceof Tensor t
+                && java.util.Arrays.equals(t.write().done(), write().done());
     }
 
     @Override
     public int hashCode() {
         return java.util.Arrays.hashCode(write().done());
     }
-
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/know/LearnRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/know/LearnRequest.java
@@ -14,8 +14,8 @@
  * @param keyId the key that signed
  * @param tag HMAC-SHA256
  */
-public record LearnRequest(String learner, String teacher, long exchange, byte[] digest, String keyId,
-        byte[] tag) {
+public record LearnRequest(
+        String learner, String teacher, long exchange, byte[] digest, String keyId, byte[] tag) {
     /** {@return the message in these bytes} */
     public static LearnRequest parse(byte[] bytes) throws ProtoException {
         return read(new ProtoReader(bytes));
@@ -43,8 +43,13 @@
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().text(1, learner).text(2, teacher).integer(3, exchange).bytes(4, digest)
-                .text(5, keyId).bytes(6, tag);
+        return new ProtoWriter()
+                .text(1, learner)
+                .text(2, teacher)
+                .integer(3, exchange)
+                .bytes(4, digest)
+                .text(5, keyId)
+                .bytes(6, tag);
     }
 
     /** {@return its bytes} */
--- a/protocol/src/main/java/sorrelhoist/protocol/know/LessonChunk.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/know/LessonChunk.java
@@ -39,7 +39,12 @@
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().integer(1, index).bytes(2, payload).flag(3, last).text(4, keyId).bytes(5, tag);
+        return new ProtoWriter()
+                .integer(1, index)
+                .bytes(2, payload)
+                .flag(3, last)
+                .text(4, keyId)
+                .bytes(5, tag);
     }
 
     /** {@return its bytes} */
--- a/protocol/src/main/java/sorrelhoist/protocol/net/BlockingWaits.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/BlockingWaits.java
@@ -11,16 +11,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An I/O handler that sleeps until the next timer is due instead of polling for the last part of a millisecond.
+ * An I/O handler that sleeps until the next timer is due instead of polling for the last part of a
+ * millisecond.
  *
- * <p>Netty's NIO handler waits in whole milliseconds, rounded to the nearest one. With less than half a millisecond left
- * it polls without waiting, again and again, until the timer is due. On a machine with part of a processor that loop
- * spends the time that the router needs for its work. Here the time that is left is rounded up before the handler sees
- * it, so a timer rings up to one millisecond late and nothing polls.
+ * <p>Netty's NIO handler waits in whole milliseconds, rounded to the nearest one. With less than
+ * half a millisecond left it polls without waiting, again and again, until the timer is due. On a
+ * machine with part of a processor that loop spends the time that the router needs for its work.
+ * Here the time that is left is rounded up before the handler sees it, so a timer rings up to one
+ * millisecond late and nothing polls.
  */
 final class BlockingWaits implements IoHandler {
     private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
-    private static final InternalLogger LOGGER = InternalLoggerFactory.getInstance(BlockingWaits.class);
+    private static final InternalLogger LOGGER =
+            InternalLoggerFactory.getInstance(BlockingWaits.class);
     private final IoHandler handler;
     private final ReadDelay readDelay;
 
@@ -67,7 +70,10 @@
         return (nanos + MILLISECOND - 1) / MILLISECOND * MILLISECOND;
     }
 
-    /** An error that a handler lets through, such as memory that is used up, would end the thread of the loop. */
+    /**
+     * An error that a handler lets through, such as memory that is used up, would end the thread of
+     * the loop.
+     */
     @Override
     public int run(IoHandlerContext context) {
         if (readDelay != null) {
@@ -112,7 +118,8 @@
     }
 
     /** The event loop's view of its next timer, rounded up. */
-    private record RoundedContext(IoHandlerContext context, ReadDelay readDelay) implements IoHandlerContext {
+    private record RoundedContext(IoHandlerContext context, ReadDelay readDelay)
+            implements IoHandlerContext {
         @Override
         public boolean canBlock() {
             return context.canBlock();
@@ -133,7 +140,9 @@
             context.reportActiveIoTime(activeNanos);
         }
 
-        /** A handler asks this when it has found which sockets are ready, before it handles them. */
+        /**
+         * A handler asks this when it has found which sockets are ready, before it handles them.
+         */
         @Override
         public boolean shouldReportActiveIoTime() {
             if (readDelay != null) {
--- a/protocol/src/main/java/sorrelhoist/protocol/net/Connecting.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/Connecting.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * An attempt to connect. Its failure is told once, on the event loop and never within the call that made the attempt,
- * also where the system had no socket for it. (Netty's own future tells of that on another thread, and its channel throws
- * when it is closed.)
+ * An attempt to connect. Its failure is told once, on the event loop and never within the call that
+ * made the attempt, also where the system had no socket for it. (Netty's own future tells of that
+ * on another thread, and its channel throws when it is closed.)
  */
 public final class Connecting {
     private final EventLoop loop;
@@ -39,11 +39,12 @@
         if (attempt == null) {
             loop.execute(() -> failed.accept(noSocket));
         } else {
-            attempt.addListener(f -> {
-                if (!f.isSuccess()) {
-                    loop.execute(() -> failed.accept(f.cause()));
-                }
-            });
+            attempt.addListener(
+                    f -> {
+                        if (!f.isSuccess()) {
+                            loop.execute(() -> failed.accept(f.cause()));
+                        }
+                    });
         }
         return this;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/net/Net.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/Net.java
@@ -24,12 +24,13 @@
     /** The address that is listened on where none is given. */
     public static final String LOOPBACK = "127.0.0.1";
 
-    private Net() {
-    }
+    private Net() {}
 
     /** {@return event loops of daemon threads} */
     public static EventLoopGroup loops(int threads, String name) {
-        return new MultiThreadIoEventLoopGroup(threads, new DefaultThreadFactory(name, true),
+        return new MultiThreadIoEventLoopGroup(
+                threads,
+                new DefaultThreadFactory(name, true),
                 BlockingWaits.around(NioIoHandler.newFactory()));
     }
 
@@ -41,7 +42,9 @@
      * @return a group of that loop alone
      */
     public static EventLoopGroup loop(String name, ReadDelay readDelay) {
-        return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(name, true),
+        return new MultiThreadIoEventLoopGroup(
+                1,
+                new DefaultThreadFactory(name, true),
                 BlockingWaits.around(NioIoHandler.newFactory(), readDelay));
     }
 
@@ -68,27 +71,43 @@
      * @return the listener
      * @throws IOException where the address cannot be had
      */
-    public static Channel listen(EventLoopGroup loops, InetSocketAddress address, Supplier<ChannelHandler> handler)
+    public static Channel listen(
+            EventLoopGroup loops, InetSocketAddress address, Supplier<ChannelHandler> handler)
             throws IOException {
-        ChannelFuture bound = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 1024).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .handler(new AcceptErrors())
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(handler.get());
-                    }
-                }).bind(address).awaitUninterruptibly();
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loops)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, 1024)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .handler(new AcceptErrors())
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline().addLast(handler.get());
+                                    }
+                                })
+                        .bind(address)
+                        .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException("cannot listen on " + address.getHostString() + ":" + address.getPort() + ": "
-                    + bound.cause().getMessage(),
+            throw new IOException(
+                    "cannot listen on "
+                            + address.getHostString()
+                            + ":"
+                            + address.getPort()
+                            + ": "
+                            + bound.cause().getMessage(),
                     bound.cause());
         }
         return bound.channel();
     }
 
-    /** {@return for how many nanoseconds a connection may have waited because accepting failed; 0 for not at all} */
+    /**
+     * {@return for how many nanoseconds a connection may have waited because accepting failed; 0
+     * for not at all}
+     */
     public static long waitedForAccept(Channel accepted) {
         return AcceptErrors.waitedNanos(accepted);
     }
@@ -107,7 +126,8 @@
      * @param handler the connection's handler
      * @return the attempt
      */
-    public static Connecting connect(EventLoop loop, String address, long timeoutMicros, ChannelHandler handler) {
+    public static Connecting connect(
+            EventLoop loop, String address, long timeoutMicros, ChannelHandler handler) {
         InetSocketAddress to = parse(address);
         NioSocketChannel channel;
         try {
@@ -115,10 +135,17 @@
         } catch (ChannelException e) {
             return Connecting.withoutSocket(loop, e);
         }
-        return Connecting.on(loop, new Bootstrap().group(loop).channelFactory(() -> channel)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeoutMicros / 1000))
-                .handler(handler).connect(to));
+        return Connecting.on(
+                loop,
+                new Bootstrap()
+                        .group(loop)
+                        .channelFactory(() -> channel)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(
+                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                (int) Math.max(1, timeoutMicros / 1000))
+                        .handler(handler)
+                        .connect(to));
     }
 
     /**
@@ -143,6 +170,7 @@
         } catch (NumberFormatException e) {
             // Said below, as for a port out of range.
         }
-        throw new IllegalArgumentException("address \"" + address + "\": the port has to be from 1 to 65535");
+        throw new IllegalArgumentException(
+                "address \"" + address + "\": the port has to be from 1 to 65535");
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/net/ReadDelay.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/ReadDelay.java
@@ -3,9 +3,10 @@
 /**
  * How long bytes that an event loop reads now may have lain in their socket.
  *
- * <p>A loop looks for ready sockets, handles them, runs tasks, and looks again. Bytes that it finds came after it looked the
- * time before, or it would have found them then. Where it had to wait for them, they have just come. Time in which the
- * whole process was not run is not seen. Used on the loop's thread alone.
+ * <p>A loop looks for ready sockets, handles them, runs tasks, and looks again. Bytes that it finds
+ * came after it looked the time before, or it would have found them then. Where it had to wait for
+ * them, they have just come. Time in which the whole process was not run is not seen. Used on the
+ * loop's thread alone.
  */
 public final class ReadDelay {
     private static final long WAITED_NANOS = 500_000;
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/EdgeMessage.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/EdgeMessage.java
@@ -11,16 +11,14 @@
      *
      * @param hello who it is
      */
-    record Greeting(Hello hello) implements EdgeMessage {
-    }
+    record Greeting(Hello hello) implements EdgeMessage {}
 
     /**
      * Asks for a probe.
      *
      * @param engine of which engine
      */
-    record ProbeAsk(String engine) implements EdgeMessage {
-    }
+    record ProbeAsk(String engine) implements EdgeMessage {}
 
     /**
      * A message to other routers.
@@ -28,12 +26,10 @@
      * @param to a router's number; -1 for all
      * @param body the message
      */
-    record Tell(int to, String body) implements EdgeMessage {
-    }
+    record Tell(int to, String body) implements EdgeMessage {}
 
     /** Asks for the whole roster. */
-    record FetchAsk() implements EdgeMessage {
-    }
+    record FetchAsk() implements EdgeMessage {}
 
     /** {@return the message in these bytes, or null where it is of a kind not known yet} */
     static EdgeMessage parse(byte[] bytes) throws ProtoException {
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/Hello.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/Hello.java
@@ -36,7 +36,11 @@
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().text(1, edge).text(2, zone).integer(3, incarnation).text(4, address);
+        return new ProtoWriter()
+                .text(1, edge)
+                .text(2, zone)
+                .integer(3, incarnation)
+                .text(4, address);
     }
 
     /** {@return its bytes} */
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/Line.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/Line.java
@@ -17,8 +17,16 @@
  * @param upForMicros since its start
  * @param address host:port
  */
-public record Line(String id, String zone, String rack, String kind, int state, double size, long incarnation,
-        long upForMicros, String address) {
+public record Line(
+        String id,
+        String zone,
+        String rack,
+        String kind,
+        int state,
+        double size,
+        long incarnation,
+        long upForMicros,
+        String address) {
     /** {@return the message in these bytes} */
     public static Line parse(byte[] bytes) throws ProtoException {
         return read(new ProtoReader(bytes));
@@ -52,8 +60,16 @@
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().text(1, id).text(2, zone).text(3, rack).text(4, kind).integer(5, state)
-                .real(6, size).integer(7, incarnation).integer(8, upForMicros).text(9, address);
+        return new ProtoWriter()
+                .text(1, id)
+                .text(2, zone)
+                .text(3, rack)
+                .text(4, kind)
+                .integer(5, state)
+                .real(6, size)
+                .integer(7, incarnation)
+                .integer(8, upForMicros)
+                .text(9, address);
     }
 
     /** {@return its bytes} */
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/PlanEvent.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/PlanEvent.java
@@ -42,7 +42,9 @@
         return new PlanEvent(null, null, null, null, peers);
     }
 
-    /** {@return the message in these bytes; all parts are null where it is of a kind not known yet} */
+    /**
+     * {@return the message in these bytes; all parts are null where it is of a kind not known yet}
+     */
     public static PlanEvent parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         PlanEvent event = new PlanEvent(null, null, null, null, null);
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/ProbeAnswer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/ProbeAnswer.java
@@ -15,8 +15,14 @@
  * @param held requests it holds, those waiting too
  * @param queued requests that wait
  */
-public record ProbeAnswer(String engine, boolean answered, long tookMicros, double memoryShare,
-        double waitingTokens, double held, double queued) {
+public record ProbeAnswer(
+        String engine,
+        boolean answered,
+        long tookMicros,
+        double memoryShare,
+        double waitingTokens,
+        double held,
+        double queued) {
     /** {@return the message in these bytes} */
     public static ProbeAnswer parse(byte[] bytes) throws ProtoException {
         return read(new ProtoReader(bytes));
@@ -42,12 +48,19 @@
                 default -> in.skip();
             }
         }
-        return new ProbeAnswer(engine, answered, tookMicros, memoryShare, waitingTokens, held, queued);
+        return new ProbeAnswer(
+                engine, answered, tookMicros, memoryShare, waitingTokens, held, queued);
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().text(1, engine).flag(2, answered).integer(3, tookMicros).real(4, memoryShare)
-                .real(5, waitingTokens).real(6, held).real(7, queued);
+        return new ProtoWriter()
+                .text(1, engine)
+                .flag(2, answered)
+                .integer(3, tookMicros)
+                .real(4, memoryShare)
+                .real(5, waitingTokens)
+                .real(6, held)
+                .real(7, queued);
     }
 
     /** {@return its bytes} */
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/Roster.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/Roster.java
@@ -17,8 +17,10 @@
 public record Roster(int form, List<Line> lines, long epoch, long knownForMicros) {
     /** Lines that changed. */
     public static final int UPDATE = 0;
+
     /** All lines; what is not among them is gone. */
     public static final int COMPLETE = 1;
+
     /** The registry could not be read. */
     public static final int UNAVAILABLE = 2;
 
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoReader.java
@@ -6,12 +6,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads one message of the protobuf wire format, field by field: call {@link #next}, then the reading method of the
- * field's type, or {@link #skip}. Nested messages are read by a reader of their own over the same bytes.
+ * Reads one message of the protobuf wire format, field by field: call {@link #next}, then the
+ * reading method of the field's type, or {@link #skip}. Nested messages are read by a reader of
+ * their own over the same bytes.
  */
 public final class ProtoReader {
     /** Messages within messages, at most. */
     private static final int MAX_DEPTH = 32;
+
     private static final int VARINT = 0;
     private static final int FIXED64 = 1;
     private static final int BYTES = 2;
@@ -95,7 +97,8 @@
             return new String(data, from, size, StandardCharsets.ISO_8859_1);
         }
         try {
-            CharBuffer text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(data, from, size));
+            CharBuffer text =
+                    StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(data, from, size));
             return text.toString();
         } catch (CharacterCodingException e) {
             throw new ProtoException("field " + field + " is not UTF-8");
@@ -143,13 +146,16 @@
             case FIXED64 -> fixed(8);
             case FIXED32 -> fixed(4);
             case BYTES -> at += size();
-            default -> throw new ProtoException("wire type " + type + " of field " + field + " is not taken");
+            default ->
+                    throw new ProtoException(
+                            "wire type " + type + " of field " + field + " is not taken");
         }
     }
 
     private void need(int wanted) throws ProtoException {
         if (type != wanted) {
-            throw new ProtoException("field " + field + " has wire type " + type + ", expected " + wanted);
+            throw new ProtoException(
+                    "field " + field + " has wire type " + type + ", expected " + wanted);
         }
     }
 
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
@@ -3,7 +3,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Writes one message of the protobuf wire format. Default values (0, false, empty) are left out, as proto3 has it. */
+/**
+ * Writes one message of the protobuf wire format. Default values (0, false, empty) are left out, as
+ * proto3 has it.
+ */
 public final class ProtoWriter {
     private byte[] data;
     private int size;
@@ -59,7 +62,9 @@
 
     /** Writes a field of type string. */
     public ProtoWriter text(int field, String value) {
-        return value == null || value.isEmpty() ? this : always(field, value.getBytes(StandardCharsets.UTF_8));
+        return value == null || value.isEmpty()
+                ? this
+                : always(field, value.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Writes a field of type bytes. */
@@ -67,7 +72,10 @@
         return value.length == 0 ? this : always(field, value);
     }
 
-    /** Writes a field of type bytes or string, or a nested message, also where it is empty: in lists and oneofs. */
+    /**
+     * Writes a field of type bytes or string, or a nested message, also where it is empty: in lists
+     * and oneofs.
+     */
     public ProtoWriter always(int field, byte[] value) {
         tag(field, 2);
         varint(value.length);
--- a/protocol/src/test/java/sorrelhoist/protocol/bench/CodecBench.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/bench/CodecBench.java
@@ -39,14 +39,32 @@
     private final HpackEncoder encoder = new HpackEncoder();
     private final HpackDecoder decoder = new HpackDecoder(4096, 1 << 16);
     private final ByteBuf out = PooledByteBufAllocator.DEFAULT.buffer(1024);
-    private final Headers call = new Headers().add(":method", "POST").add(":scheme", "http")
-            .add(":path", "/inference.GRPCInferenceService/ModelStreamInfer").add(":authority", "127.0.0.1:4000")
-            .add("content-type", "application/grpc").add("te", "trailers").add("user-agent", "bench/1.0")
-            .add("grpc-timeout", "3980000u");
-    private final byte[] request = new InferRequest("sorrel", "", "request-1",
-            Map.of("max_tokens", new Parameter(64L), "session", new Parameter("session-17")),
-            List.of(Tensor.text(InferRequest.TEXT_INPUT, "where is the pallet for dock seven? ".repeat(40))),
-            List.of()).bytes();
+    private final Headers call =
+            new Headers()
+                    .add(":method", "POST")
+                    .add(":scheme", "http")
+                    .add(":path", "/inference.GRPCInferenceService/ModelStreamInfer")
+                    .add(":authority", "127.0.0.1:4000")
+                    .add("content-type", "application/grpc")
+                    .add("te", "trailers")
+                    .add("user-agent", "bench/1.0")
+                    .add("grpc-timeout", "3980000u");
+    private final byte[] request =
+            new InferRequest(
+                            "sorrel",
+                            "",
+                            "request-1",
+                            Map.of(
+                                    "max_tokens",
+                                    new Parameter(64L),
+                                    "session",
+                                    new Parameter("session-17")),
+                            List.of(
+                                    Tensor.text(
+                                            InferRequest.TEXT_INPUT,
+                                            "where is the pallet for dock seven? ".repeat(40))),
+                            List.of())
+                    .bytes();
     private final byte[] token = new DecodeEvent(new Token(17, "willow17 "), null).bytes();
     private ByteBuf block;
 
@@ -61,8 +79,14 @@
         out.clear();
         encoder.encode(call, out);
         block = out.copy();
-        System.out.println("block " + block.readableBytes() + " bytes, request " + request.length + " bytes, token "
-                + token.length + " bytes");
+        System.out.println(
+                "block "
+                        + block.readableBytes()
+                        + " bytes, request "
+                        + request.length
+                        + " bytes, token "
+                        + token.length
+                        + " bytes");
     }
 
     /** A call's header list into its block. */
@@ -99,6 +123,7 @@
 
     /** Runs them. */
     public static void main(String[] args) throws RunnerException, java.io.IOException {
-        org.openjdk.jmh.Main.main(args.length > 0 ? args : new String[] {"CodecBench|FrameBench", "-prof", "gc"});
+        org.openjdk.jmh.Main.main(
+                args.length > 0 ? args : new String[] {"CodecBench|FrameBench", "-prof", "gc"});
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
@@ -18,14 +18,14 @@
 import sorrelhoist.protocol.protobuf.ProtoException;
 
 /**
- * Generative fuzz of every decoder: inputs follow from their seeds, and a seed that fails is all that is needed to see
- * it again. Anything but the decoder's own refusal is a failure, as is an input that takes a second.
+ * Generative fuzz of every decoder: inputs follow from their seeds, and a seed that fails is all
+ * that is needed to see it again. Anything but the decoder's own refusal is a failure, as is an
+ * input that takes a second.
  */
 public final class DecoderFuzz {
     private static final long SLOW_NANOS = 1_000_000_000L;
 
-    private DecoderFuzz() {
-    }
+    private DecoderFuzz() {}
 
     /** One input. {@return its bytes} */
     static int input(long seed) {
@@ -33,7 +33,10 @@
         long start = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
         int size;
         try {
-            size = seed % 3 == 0 ? new Fuzzed(seed).feed() : small(new SplittableRandom(seed), (int) (seed % 7));
+            size =
+                    seed % 3 == 0
+                            ? new Fuzzed(seed).feed()
+                            : small(new SplittableRandom(seed), (int) (seed % 7));
         } catch (RuntimeException | AssertionError e) {
             throw new AssertionError("seed " + seed, e);
         }
@@ -74,8 +77,11 @@
     }
 
     private static void http(byte[] noise, SplittableRandom random) throws HttpParser.BadMessage {
-        String text = "POST /a HTTP/1.1\r\nhost: h\r\n" + (random.nextBoolean() ? "content-length: 9\r\n\r\n123456789"
-                : "transfer-encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n");
+        String text =
+                "POST /a HTTP/1.1\r\nhost: h\r\n"
+                        + (random.nextBoolean()
+                                ? "content-length: 9\r\n\r\n123456789"
+                                : "transfer-encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n");
         byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
         for (int i = random.nextInt(4); i > 0 && noise.length > 0; i--) {
             bytes[random.nextInt(bytes.length)] = noise[random.nextInt(noise.length)];
@@ -103,24 +109,36 @@
         long first = seeds.get();
         Thread[] all = new Thread[threads];
         for (int i = 0; i < threads; i++) {
-            all[i] = new Thread(() -> {
-                while (System.nanoTime() < end) {
-                    for (int n = 0; n < 1000; n++) {
-                        bytes.addAndGet(input(seeds.getAndIncrement()));
-                    }
-                }
-            });
-            all[i].setUncaughtExceptionHandler((t, e) -> {
-                e.printStackTrace();
-                Runtime.getRuntime().halt(1);
-            });
+            all[i] =
+                    new Thread(
+                            () -> {
+                                while (System.nanoTime() < end) {
+                                    for (int n = 0; n < 1000; n++) {
+                                        bytes.addAndGet(input(seeds.getAndIncrement()));
+                                    }
+                                }
+                            });
+            all[i].setUncaughtExceptionHandler(
+                    (t, e) -> {
+                        e.printStackTrace();
+                        Runtime.getRuntime().halt(1);
+                    });
             all[i].start();
         }
         for (Thread t : all) {
             t.join();
         }
-        System.out.println((seeds.get() - first) + " inputs, " + bytes.get() / 1_000_000 + " MB, " + threads
-                + " threads for " + args[0] + " s, no failure; heap in use "
-                + (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) / 1_000_000 + " MB");
+        System.out.println(
+                (seeds.get() - first)
+                        + " inputs, "
+                        + bytes.get() / 1_000_000
+                        + " MB, "
+                        + threads
+                        + " threads for "
+                        + args[0]
+                        + " s, no failure; heap in use "
+                        + (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory())
+                                / 1_000_000
+                        + " MB");
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcChannelTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcChannelTest.java
@@ -21,7 +21,10 @@
 import sorrelhoist.protocol.http2.Http2Limits;
 import sorrelhoist.protocol.net.Net;
 
-/** Connections of a channel over real sockets: opened as needed, capped, closed when idle, and what their ends prove. */
+/**
+ * Connections of a channel over real sockets: opened as needed, capped, closed when idle, and what
+ * their ends prove.
+ */
 class GrpcChannelTest {
     private static final String PATH = "/s/m";
     private final EventLoopGroup loops = Net.loops(1, "channel-test");
@@ -31,28 +34,42 @@
     private Http2Limits limits = Http2Limits.SERVER;
 
     private GrpcChannel channel(int streams, int connections, long idleMicros) throws Exception {
-        GrpcServer server = new GrpcServer(1000).unary(PATH, (call, message) -> {
-            if (message.length > 0) {
-                held.add(call);
-            } else {
-                call.send(message);
-                call.close(Status.OK, null);
-            }
-        });
-        listener = Net.listen(loops, 0, () -> Http2Connection.server(limits.withMaxStreams(streams), server,
-                new Http2Connection.Watcher() {
-                    @Override
-                    public void ready(Http2Connection c) {
-                        accepted.add(c);
-                    }
-
-                    @Override
-                    public void closed(Http2Connection c, String why) {
-                        accepted.remove(c);
-                    }
-                }));
-        return new GrpcChannel(loops.next(), Net.LOOPBACK + ":" + Net.port(listener),
-                new GrpcChannel.Options(connections, 200_000, idleMicros, 1000, Http2Limits.CLIENT));
+        GrpcServer server =
+                new GrpcServer(1000)
+                        .unary(
+                                PATH,
+                                (call, message) -> {
+                                    if (message.length > 0) {
+                                        held.add(call);
+                                    } else {
+                                        call.send(message);
+                                        call.close(Status.OK, null);
+                                    }
+                                });
+        listener =
+                Net.listen(
+                        loops,
+                        0,
+                        () ->
+                                Http2Connection.server(
+                                        limits.withMaxStreams(streams),
+                                        server,
+                                        new Http2Connection.Watcher() {
+                                            @Override
+                                            public void ready(Http2Connection c) {
+                                                accepted.add(c);
+                                            }
+
+                                            @Override
+                                            public void closed(Http2Connection c, String why) {
+                                                accepted.remove(c);
+                                            }
+                                        }));
+        return new GrpcChannel(
+                loops.next(),
+                Net.LOOPBACK + ":" + Net.port(listener),
+                new GrpcChannel.Options(
+                        connections, 200_000, idleMicros, 1000, Http2Limits.CLIENT));
     }
 
     @AfterEach
@@ -66,24 +83,33 @@
         limits = limits.withAbuse(1, 60);
         GrpcChannel channel = channel(100, 1, 0);
         for (int i = 0; i < 400; i++) {
-            assertEquals(ClientCall.End.STATUS, start(channel, 0).get(5, TimeUnit.SECONDS), "call " + i);
+            assertEquals(
+                    ClientCall.End.STATUS, start(channel, 0).get(5, TimeUnit.SECONDS), "call " + i);
         }
         assertEquals(1, accepted.size());
     }
 
     private CompletableFuture<ClientCall.End> start(GrpcChannel channel, int size) {
         CompletableFuture<ClientCall.End> end = new CompletableFuture<>();
-        ClientCall call = channel.call(PATH, null, new ClientCall.Listener() {
-            @Override
-            public void message(ClientCall c, byte[] message, int wireBytes) {
-                c.credit(wireBytes);
-            }
-
-            @Override
-            public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End how) {
-                end.complete(how);
-            }
-        });
+        ClientCall call =
+                channel.call(
+                        PATH,
+                        null,
+                        new ClientCall.Listener() {
+                            @Override
+                            public void message(ClientCall c, byte[] message, int wireBytes) {
+                                c.credit(wireBytes);
+                            }
+
+                            @Override
+                            public void closed(
+                                    ClientCall c,
+                                    Status status,
+                                    Headers trailers,
+                                    ClientCall.End how) {
+                                end.complete(how);
+                            }
+                        });
         call.sendLast(new byte[size]);
         channel.loop().execute(() -> channel.start(call));
         return end;
@@ -145,15 +171,19 @@
         GrpcChannel channel = channel(10, 2, 0);
         var running = start(channel, 1);
         await(() -> heldCalls() == 1);
-        loops.next().execute(() -> accepted.iterator().next().close(ErrorCode.INTERNAL_ERROR, "test"));
+        loops.next()
+                .execute(() -> accepted.iterator().next().close(ErrorCode.INTERNAL_ERROR, "test"));
         assertEquals(ClientCall.End.BROKEN, running.get(5, TimeUnit.SECONDS));
     }
 
     @Test
     void aSocketThatSpeaksNoHttp2IsNoConnection() throws Exception {
         listener = Net.listen(loops, 0, ChannelInboundHandlerAdapter::new);
-        GrpcChannel channel = new GrpcChannel(loops.next(), Net.LOOPBACK + ":" + Net.port(listener),
-                new GrpcChannel.Options(2, 100_000, 0, 1000, Http2Limits.CLIENT));
+        GrpcChannel channel =
+                new GrpcChannel(
+                        loops.next(),
+                        Net.LOOPBACK + ":" + Net.port(listener),
+                        new GrpcChannel.Options(2, 100_000, 0, 1000, Http2Limits.CLIENT));
         assertEquals(ClientCall.End.NOT_SENT, start(channel, 1).get(5, TimeUnit.SECONDS));
         listener.close().sync();
         assertEquals(ClientCall.End.NOT_SENT, start(channel, 1).get(5, TimeUnit.SECONDS));
--- a/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcPartsTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcPartsTest.java
@@ -55,7 +55,10 @@
             List<byte[]> got = new ArrayList<>();
             ByteBuf in = wire.duplicate();
             while (in.isReadable()) {
-                assertNull(reader.read(in.readSlice(Math.min(piece, in.readableBytes())), (m, size) -> got.add(m)));
+                assertNull(
+                        reader.read(
+                                in.readSlice(Math.min(piece, in.readableBytes())),
+                                (m, size) -> got.add(m)));
             }
             assertEquals(4, got.size());
             assertArrayEquals(messages[2], got.get(2));
@@ -66,10 +69,16 @@
     @Test
     void tooLongAndCompressedMessagesAreRefused() {
         MessageReader reader = new MessageReader(1000);
-        assertNotNull(reader.read(Unpooled.buffer().writeByte(0).writeInt(1001), (m, s) -> { }));
-        assertEquals(Code.UNIMPLEMENTED, new MessageReader(1000)
-                .read(Unpooled.buffer().writeByte(1).writeInt(1), (m, s) -> { }).code());
-        assertEquals(Code.RESOURCE_EXHAUSTED, new MessageReader(1000)
-                .read(Unpooled.buffer().writeByte(0).writeInt(-1), (m, s) -> { }).code());
+        assertNotNull(reader.read(Unpooled.buffer().writeByte(0).writeInt(1001), (m, s) -> {}));
+        assertEquals(
+                Code.UNIMPLEMENTED,
+                new MessageReader(1000)
+                        .read(Unpooled.buffer().writeByte(1).writeInt(1), (m, s) -> {})
+                        .code());
+        assertEquals(
+                Code.RESOURCE_EXHAUSTED,
+                new MessageReader(1000)
+                        .read(Unpooled.buffer().writeByte(0).writeInt(-1), (m, s) -> {})
+                        .code());
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/hpack/HpackTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/hpack/HpackTest.java
@@ -30,13 +30,15 @@
     }
 
     private static Headers request(String... more) {
-        return of(":method", "GET", ":scheme", "http", ":path", "/", ":authority", AGENT).addAll(of(more));
+        return of(":method", "GET", ":scheme", "http", ":path", "/", ":authority", AGENT)
+                .addAll(of(more));
     }
 
     @Test
     void literalsOfAppendixC2() throws HpackException {
         HpackDecoder d = new HpackDecoder(4096, 1 << 16);
-        assertEquals(of("custom-key", "custom-header"),
+        assertEquals(
+                of("custom-key", "custom-header"),
                 d.decode(hex("400a637573746f6d2d6b65790d637573746f6d2d686561646572")));
         assertEquals(55, d.tableOctets());
         assertEquals(of(":path", "/sample/path"), d.decode(hex("040c2f73616d706c652f70617468")));
@@ -49,38 +51,90 @@
     void requestsOfAppendicesC3AndC4() throws HpackException {
         HpackDecoder plain = new HpackDecoder(4096, 1 << 16);
         assertEquals(request(), plain.decode(hex("828684410f7777772e6578616d706c652e636f6d")));
-        assertEquals(request("cache-control", "no-cache"), plain.decode(hex("828684be58086e6f2d6361636865")));
-        Headers third = of(":method", "GET", ":scheme", "https", ":path", "/index.html", ":authority", AGENT,
-                "custom-key", "custom-value");
-        assertEquals(third, plain.decode(hex("828785bf400a637573746f6d2d6b65790c637573746f6d2d76616c7565")));
+        assertEquals(
+                request("cache-control", "no-cache"),
+                plain.decode(hex("828684be58086e6f2d6361636865")));
+        Headers third =
+                of(
+                        ":method",
+                        "GET",
+                        ":scheme",
+                        "https",
+                        ":path",
+                        "/index.html",
+                        ":authority",
+                        AGENT,
+                        "custom-key",
+                        "custom-value");
+        assertEquals(
+                third,
+                plain.decode(hex("828785bf400a637573746f6d2d6b65790c637573746f6d2d76616c7565")));
         assertEquals(164, plain.tableOctets());
         HpackDecoder coded = new HpackDecoder(4096, 1 << 16);
         assertEquals(request(), coded.decode(hex("828684418cf1e3c2e5f23a6ba0ab90f4ff")));
-        assertEquals(request("cache-control", "no-cache"), coded.decode(hex("828684be5886a8eb10649cbf")));
+        assertEquals(
+                request("cache-control", "no-cache"),
+                coded.decode(hex("828684be5886a8eb10649cbf")));
         assertEquals(third, coded.decode(hex("828785bf408825a849e95ba97d7f8925a849e95bb8e8b4bf")));
         assertEquals(164, coded.tableOctets());
     }
 
     @Test
     void responsesOfAppendicesC5AndC6EvictFromATableOf256() throws HpackException {
-        Headers first = of(":status", "302", "cache-control", "private", "date", "Mon, 21 Oct 2013 20:13:21 GMT",
-                "location", "https://www.example.com");
-        Headers second = of(":status", "307", "cache-control", "private", "date", "Mon, 21 Oct 2013 20:13:21 GMT",
-                "location", "https://www.example.com");
-        Headers third = of(":status", "200", "cache-control", "private", "date", "Mon, 21 Oct 2013 20:13:22 GMT",
-                "location", "https://www.example.com", "content-encoding", "gzip", "set-cookie",
-                "foo=ASDJKHQKBZXOQWEOPIUAXQWEOIU; max-age=3600; version=1");
+        Headers first =
+                of(
+                        ":status",
+                        "302",
+                        "cache-control",
+                        "private",
+                        "date",
+                        "Mon, 21 Oct 2013 20:13:21 GMT",
+                        "location",
+                        "https://www.example.com");
+        Headers second =
+                of(
+                        ":status",
+                        "307",
+                        "cache-control",
+                        "private",
+                        "date",
+                        "Mon, 21 Oct 2013 20:13:21 GMT",
+                        "location",
+                        "https://www.example.com");
+        Headers third =
+                of(
+                        ":status",
+                        "200",
+                        "cache-control",
+                        "private",
+                        "date",
+                        "Mon, 21 Oct 2013 20:13:22 GMT",
+                        "location",
+                        "https://www.example.com",
+                        "content-encoding",
+                        "gzip",
+                        "set-cookie",
+                        "foo=ASDJKHQKBZXOQWEOPIUAXQWEOIU; max-age=3600; version=1");
         String resize = "3fe101";
         String[][] both = {
-            {resize + "4803333032580770726976617465611d4d6f6e2c203231204f637420323031332032303a31333a323120474d54"
-                + "6e1768747470733a2f2f7777772e6578616d706c652e636f6d", "4803333037c1c0bf",
+            {
+                resize
+                        + "4803333032580770726976617465611d4d6f6e2c203231204f637420323031332032303a31333a323120474d54"
+                        + "6e1768747470733a2f2f7777772e6578616d706c652e636f6d",
+                "4803333037c1c0bf",
                 "88c1611d4d6f6e2c203231204f637420323031332032303a31333a323220474d54c05a04677a69707738666f6f3d41"
-                + "53444a4b48514b425a584f5157454f50495541585157454f49553b206d61782d6167653d333630303b20766572736"
-                + "96f6e3d31"},
-            {resize + "488264025885aec3771a4b6196d07abe941054d444a8200595040b8166e082a62d1bff6e919d29ad171863c78f0b97"
-                + "c8e9ae82ae43d3", "4883640effc1c0bf",
+                    + "53444a4b48514b425a584f5157454f50495541585157454f49553b206d61782d6167653d333630303b20766572736"
+                    + "96f6e3d31"
+            },
+            {
+                resize
+                        + "488264025885aec3771a4b6196d07abe941054d444a8200595040b8166e082a62d1bff6e919d29ad171863c78f0b97"
+                        + "c8e9ae82ae43d3",
+                "4883640effc1c0bf",
                 "88c16196d07abe941054d444a8200595040b8166e084a62d1bffc05a839bd9ab77ad94e7821dd7f2e6c7b335dfdfcd"
-                + "5b3960d5af27087f3672c1ab270fb5291f9587316065c003ed4ee5b1063d5007"}};
+                    + "5b3960d5af27087f3672c1ab270fb5291f9587316065c003ed4ee5b1063d5007"
+            }
+        };
         for (String[] blocks : both) {
             HpackDecoder d = new HpackDecoder(256, 1 << 16);
             assertEquals(first, d.decode(hex(blocks[0])));
@@ -119,20 +173,39 @@
 
     @Test
     void malformedBlocksAreRefused() {
-        String[] bad = {"80", "ff80808080", "be", "3fffffff7f", "400a6375", "0085f2b24a84ff", "82ffff",
-            "8220", "418cf1e3c2e5f23a6ba0ab90", "0081ff00", "0082ffff00", "0084fffffffc00"};
+        String[] bad = {
+            "80",
+            "ff80808080",
+            "be",
+            "3fffffff7f",
+            "400a6375",
+            "0085f2b24a84ff",
+            "82ffff",
+            "8220",
+            "418cf1e3c2e5f23a6ba0ab90",
+            "0081ff00",
+            "0082ffff00",
+            "0084fffffffc00"
+        };
         for (String block : bad) {
-            assertThrows(HpackException.class, () -> new HpackDecoder(4096, 1 << 16).decode(hex(block)), block);
+            assertThrows(
+                    HpackException.class,
+                    () -> new HpackDecoder(4096, 1 << 16).decode(hex(block)),
+                    block);
         }
-        HpackException bomb = assertThrows(HpackException.class, () -> {
-            HpackDecoder d = new HpackDecoder(4096, 1000);
-            d.decode(hex("40016101" + "62" + "be".repeat(40)));
-        });
+        HpackException bomb =
+                assertThrows(
+                        HpackException.class,
+                        () -> {
+                            HpackDecoder d = new HpackDecoder(4096, 1000);
+                            d.decode(hex("40016101" + "62" + "be".repeat(40)));
+                        });
         assertTrue(bomb.tooLarge());
     }
 
     @Property(tries = 300, seed = "42")
-    void whatIsEncodedIsDecoded(@ForAll @Size(max = 20) java.util.List<@CharRange(from = 0, to = 255) String> values)
+    void whatIsEncodedIsDecoded(
+            @ForAll @Size(max = 20) java.util.List<@CharRange(from = 0, to = 255) String> values)
             throws HpackException {
         HpackEncoder e = new HpackEncoder();
         HpackDecoder d = new HpackDecoder(4096, 1 << 20);
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 class HttpBodyTest {
-    private static HttpBody body(int status, Map<String, String> headers) throws HttpParser.BadMessage {
+    private static HttpBody body(int status, Map<String, String> headers)
+            throws HttpParser.BadMessage {
         return HttpBody.of(new HttpHead("", "", status, headers));
     }
 
@@ -42,7 +43,9 @@
             got += read(body, second);
             assertEquals("abcdefg", got);
             assertTrue(body.ended());
-            assertTrue(cut > wire.length() - 4 || second.toString(StandardCharsets.US_ASCII).equals("HTTP"));
+            assertTrue(
+                    cut > wire.length() - 4
+                            || second.toString(StandardCharsets.US_ASCII).equals("HTTP"));
         }
     }
 
@@ -58,18 +61,24 @@
 
     @Test
     void spoiltFramingIsSaidAndNeverHeld() throws Exception {
-        for (String bad : new String[] {"xyz\r\n", "-1\r\n", "\r\n", "c0000000\r\n", "2\r\nabc\r\n", "4\n"}) {
+        for (String bad :
+                new String[] {"xyz\r\n", "-1\r\n", "\r\n", "c0000000\r\n", "2\r\nabc\r\n", "4\n"}) {
             HttpBody body = chunked();
             assertThrows(HttpParser.BadMessage.class, () -> read(body, bytes(bad)), bad);
         }
         HttpBody endless = chunked();
-        assertThrows(HttpParser.BadMessage.class, () -> {
-            for (int i = 0; i < 100; i++) {
-                read(endless, bytes(i == 0 ? "1;" : "x".repeat(1000)));
-            }
-        });
+        assertThrows(
+                HttpParser.BadMessage.class,
+                () -> {
+                    for (int i = 0; i < 100; i++) {
+                        read(endless, bytes(i == 0 ? "1;" : "x".repeat(1000)));
+                    }
+                });
         for (String length : new String[] {"-1", "+1", "1x", "", "9999999999", "5, 5"}) {
-            assertThrows(HttpParser.BadMessage.class, () -> body(200, Map.of("content-length", length)), length);
+            assertThrows(
+                    HttpParser.BadMessage.class,
+                    () -> body(200, Map.of("content-length", length)),
+                    length);
         }
     }
 
@@ -84,16 +93,28 @@
             HttpBody body = chunked();
             assertThrows(HttpParser.BadMessage.class, () -> read(body, bytes(noise)), noise);
         }
-        assertEquals(200, new HttpHeadParser(false, 1000).next(bytes("\r\nHTTP/1.1 200 OK\r\n\r\n")).status());
+        assertEquals(
+                200,
+                new HttpHeadParser(false, 1000)
+                        .next(bytes("\r\nHTTP/1.1 200 OK\r\n\r\n"))
+                        .status());
     }
 
     @Test
     void aHeadThatDoesNotEndIsBounded() {
         HttpHeadParser heads = new HttpHeadParser(false, 1000);
-        assertThrows(HttpParser.BadMessage.class, () -> {
-            for (int i = 0; i < 100; i++) {
-                assertFalse(heads.next(bytes(i == 0 ? "HTTP/1.1 200 OK\r\n" : "a: " + "x".repeat(97))) != null);
-            }
-        });
+        assertThrows(
+                HttpParser.BadMessage.class,
+                () -> {
+                    for (int i = 0; i < 100; i++) {
+                        assertFalse(
+                                heads.next(
+                                                bytes(
+                                                        i == 0
+                                                                ? "HTTP/1.1 200 OK\r\n"
+                                                                : "a: " + "x".repeat(97)))
+                                        != null);
+                    }
+                });
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpParserTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpParserTest.java
@@ -15,8 +15,19 @@
 
 /** HTTP/1.1 messages however they are cut, and what two readers could take for two things. */
 class HttpParserTest {
-    private static final String TWO = "POST /a?x=1%202 HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello"
-            + "PUT /b HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nt: v\r\n\r\n";
+    private static final String TWO =
+            "POST /a?x=1%202 HTTP/1.1\r\n"
+                    + "Host: h\r\n"
+                    + "Content-Length: 5\r\n\r\n"
+                    + "helloPUT /b HTTP/1.1\r\n"
+                    + "host: h\r\n"
+                    + "transfer-encoding: chunked\r\n\r\n"
+                    + "3\r\n"
+                    + "abc\r\n"
+                    + "2;x=y\r\n"
+                    + "de\r\n"
+                    + "0\r\n"
+                    + "t: v\r\n\r\n";
 
     private static ByteBuf bytes(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
@@ -50,19 +61,32 @@
     @Test
     void ambiguousAndHostileMessagesAreRefused() {
         String head = "GET / HTTP/1.1\r\n";
-        String[] bad = {"GET /\r\n\r\n", "GET  HTTP/1.1\r\n\r\n", head + "a b: c\r\n\r\n", head + "name : v\r\n\r\n",
-            head + ": v\r\n\r\n", head + "content-length: 5\r\ntransfer-encoding: chunked\r\n\r\n",
-            head + "content-length: 5\r\ncontent-length: 6\r\n\r\n", head + "content-length: -1\r\n\r\n",
-            head + "content-length: 99999999\r\n\r\n", head + "transfer-encoding: gzip\r\n\r\n",
-            head + "transfer-encoding: chunked\r\n\r\nxyz\r\n", "GET / HTTP/1.1\n\n",
-            head + "transfer-encoding: chunked\r\n\r\n1\r\nab\r\n", head + "a: " + "b".repeat(20_000)};
+        String[] bad = {
+            "GET /\r\n\r\n",
+            "GET  HTTP/1.1\r\n\r\n",
+            head + "a b: c\r\n\r\n",
+            head + "name : v\r\n\r\n",
+            head + ": v\r\n\r\n",
+            head + "content-length: 5\r\ntransfer-encoding: chunked\r\n\r\n",
+            head + "content-length: 5\r\ncontent-length: 6\r\n\r\n",
+            head + "content-length: -1\r\n\r\n",
+            head + "content-length: 99999999\r\n\r\n",
+            head + "transfer-encoding: gzip\r\n\r\n",
+            head + "transfer-encoding: chunked\r\n\r\nxyz\r\n",
+            "GET / HTTP/1.1\n\n",
+            head + "transfer-encoding: chunked\r\n\r\n1\r\nab\r\n",
+            head + "a: " + "b".repeat(20_000)
+        };
         for (String text : bad) {
-            assertThrows(HttpParser.BadMessage.class, () -> {
-                HttpParser p = new HttpParser(true, 1000);
-                ByteBuf in = bytes(text);
-                p.next(in);
-                p.next(in);
-            }, text.substring(0, Math.min(60, text.length())));
+            assertThrows(
+                    HttpParser.BadMessage.class,
+                    () -> {
+                        HttpParser p = new HttpParser(true, 1000);
+                        ByteBuf in = bytes(text);
+                        p.next(in);
+                        p.next(in);
+                    },
+                    text.substring(0, Math.min(60, text.length())));
         }
     }
 
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/FrameBench.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/FrameBench.java
@@ -14,7 +14,10 @@
 import org.openjdk.jmh.annotations.Warmup;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** What it costs to carry a token's frame between two connections in memory, windows and turns included. */
+/**
+ * What it costs to carry a token's frame between two connections in memory, windows and turns
+ * included.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -28,62 +31,63 @@
     private final Pair pair = new Pair();
     private final Http2Stream client = pair.open(true);
     private long seen;
-    private final FrameReader.Sink sink = new FrameReader.Sink() {
-        @Override
-        public void data(int stream, ByteBuf payload, int flowBytes, boolean end) {
-            seen += payload.readableBytes();
-        }
+    private final FrameReader.Sink sink =
+            new FrameReader.Sink() {
+                @Override
+                public void data(int stream, ByteBuf payload, int flowBytes, boolean end) {
+                    seen += payload.readableBytes();
+                }
 
-        @Override
-        public void headers(int stream, ByteBuf fragment, boolean end, boolean whole) {
-            seen++;
-        }
+                @Override
+                public void headers(int stream, ByteBuf fragment, boolean end, boolean whole) {
+                    seen++;
+                }
 
-        @Override
-        public void continuation(int stream, ByteBuf fragment, boolean whole) {
-            seen++;
-        }
+                @Override
+                public void continuation(int stream, ByteBuf fragment, boolean whole) {
+                    seen++;
+                }
 
-        @Override
-        public void priority(int stream) {
-            seen++;
-        }
+                @Override
+                public void priority(int stream) {
+                    seen++;
+                }
 
-        @Override
-        public void reset(int stream, ErrorCode code) {
-            seen++;
-        }
+                @Override
+                public void reset(int stream, ErrorCode code) {
+                    seen++;
+                }
 
-        @Override
-        public void settings(ByteBuf pairs) {
-            seen++;
-        }
+                @Override
+                public void settings(ByteBuf pairs) {
+                    seen++;
+                }
 
-        @Override
-        public void settingsAck() {
-            seen++;
-        }
+                @Override
+                public void settingsAck() {
+                    seen++;
+                }
 
-        @Override
-        public void ping(boolean ack, long content) {
-            seen++;
-        }
+                @Override
+                public void ping(boolean ack, long content) {
+                    seen++;
+                }
 
-        @Override
-        public void goAway(int lastStream, ErrorCode code) {
-            seen++;
-        }
+                @Override
+                public void goAway(int lastStream, ErrorCode code) {
+                    seen++;
+                }
 
-        @Override
-        public void windowUpdate(int stream, int bytes) {
-            seen++;
-        }
+                @Override
+                public void windowUpdate(int stream, int bytes) {
+                    seen++;
+                }
 
-        @Override
-        public void unknown(int type) {
-            seen++;
-        }
-    };
+                @Override
+                public void unknown(int type) {
+                    seen++;
+                }
+            };
 
     /** Opens the stream that the tokens use. */
     public FrameBench() {
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
@@ -26,7 +26,11 @@
     }
 
     private static ByteBuf frame(int type, int flags, int stream, ByteBuf body) {
-        return Unpooled.buffer().writeMedium(body.readableBytes()).writeByte(type).writeByte(flags).writeInt(stream)
+        return Unpooled.buffer()
+                .writeMedium(body.readableBytes())
+                .writeByte(type)
+                .writeByte(flags)
+                .writeInt(stream)
                 .writeBytes(body);
     }
 
@@ -34,32 +38,83 @@
         HpackEncoder encoder = new HpackEncoder();
         List<ByteBuf> frames = new ArrayList<>();
         frames.add(Unpooled.copiedBuffer(Frames.PREFACE, StandardCharsets.US_ASCII));
-        frames.add(frame(Frames.SETTINGS, 0, 0, Unpooled.buffer().writeShort(1 + random.nextInt(6))
-                .writeInt(random.nextInt(4) == 0 ? random.nextInt() : 1 << random.nextInt(24))));
+        frames.add(
+                frame(
+                        Frames.SETTINGS,
+                        0,
+                        0,
+                        Unpooled.buffer()
+                                .writeShort(1 + random.nextInt(6))
+                                .writeInt(
+                                        random.nextInt(4) == 0
+                                                ? random.nextInt()
+                                                : 1 << random.nextInt(24))));
         int calls = 1 + random.nextInt(6);
         for (int i = 0; i < calls; i++) {
             int id = 1 + 2 * i;
             ByteBuf block = Unpooled.buffer();
-            encoder.encode(new Headers().add(":method", "POST").add(":scheme", "http").add(":path", "/s/m")
-                    .add("content-type", "application/grpc").add("x-" + random.nextInt(5), "v".repeat(
-                            random.nextInt(200))), block);
+            encoder.encode(
+                    new Headers()
+                            .add(":method", "POST")
+                            .add(":scheme", "http")
+                            .add(":path", "/s/m")
+                            .add("content-type", "application/grpc")
+                            .add("x-" + random.nextInt(5), "v".repeat(random.nextInt(200))),
+                    block);
             boolean split = random.nextInt(4) == 0;
             int cut = split ? random.nextInt(block.readableBytes()) : block.readableBytes();
-            frames.add(frame(Frames.HEADERS, split ? 0 : Frames.END_HEADERS, id, block.readSlice(cut)));
+            frames.add(
+                    frame(
+                            Frames.HEADERS,
+                            split ? 0 : Frames.END_HEADERS,
+                            id,
+                            block.readSlice(cut)));
             if (split) {
                 frames.add(frame(Frames.CONTINUATION, Frames.END_HEADERS, id, block));
             }
-            byte[] message = new InferRequest("m", "", "id", java.util.Map.of(), List.of(), List.of()).bytes();
-            frames.add(frame(Frames.DATA, Frames.END_STREAM, id, Unpooled.buffer().writeByte(0)
-                    .writeInt(message.length).writeBytes(message)));
+            byte[] message =
+                    new InferRequest("m", "", "id", java.util.Map.of(), List.of(), List.of())
+                            .bytes();
+            frames.add(
+                    frame(
+                            Frames.DATA,
+                            Frames.END_STREAM,
+                            id,
+                            Unpooled.buffer()
+                                    .writeByte(0)
+                                    .writeInt(message.length)
+                                    .writeBytes(message)));
             switch (random.nextInt(5)) {
-                case 0 -> frames.add(frame(Frames.RST_STREAM, 0, id, Unpooled.buffer().writeInt(8)));
-                case 1 -> frames.add(frame(Frames.PING, random.nextInt(2), 0, Unpooled.buffer().writeLong(7)));
-                case 2 -> frames.add(frame(Frames.WINDOW_UPDATE, 0, random.nextInt(2) * id,
-                        Unpooled.buffer().writeInt(random.nextInt())));
-                case 3 -> frames.add(frame(Frames.GOAWAY, 0, 0, Unpooled.buffer().writeInt(0).writeInt(0)));
-                default -> frames.add(frame(random.nextInt(256), random.nextInt(256), random.nextInt(8),
-                        Unpooled.buffer().writeZero(random.nextInt(40))));
+                case 0 ->
+                        frames.add(frame(Frames.RST_STREAM, 0, id, Unpooled.buffer().writeInt(8)));
+                case 1 ->
+                        frames.add(
+                                frame(
+                                        Frames.PING,
+                                        random.nextInt(2),
+                                        0,
+                                        Unpooled.buffer().writeLong(7)));
+                case 2 ->
+                        frames.add(
+                                frame(
+                                        Frames.WINDOW_UPDATE,
+                                        0,
+                                        random.nextInt(2) * id,
+                                        Unpooled.buffer().writeInt(random.nextInt())));
+                case 3 ->
+                        frames.add(
+                                frame(
+                                        Frames.GOAWAY,
+                                        0,
+                                        0,
+                                        Unpooled.buffer().writeInt(0).writeInt(0)));
+                default ->
+                        frames.add(
+                                frame(
+                                        random.nextInt(256),
+                                        random.nextInt(256),
+                                        random.nextInt(8),
+                                        Unpooled.buffer().writeZero(random.nextInt(40))));
             }
         }
         return frames;
@@ -80,38 +135,60 @@
         int hits = random.nextInt(6);
         for (int i = 0; i < hits; i++) {
             int at = random.nextInt(all.readableBytes());
-            all.setByte(at, random.nextBoolean() ? random.nextInt(256) : all.getByte(at) ^ 1 << random.nextInt(8));
+            all.setByte(
+                    at,
+                    random.nextBoolean()
+                            ? random.nextInt(256)
+                            : all.getByte(at) ^ 1 << random.nextInt(8));
         }
-        byte[] bytes = new byte[random.nextInt(8) == 0 ? random.nextInt(all.readableBytes()) : all.readableBytes()];
+        byte[] bytes =
+                new byte
+                        [random.nextInt(8) == 0
+                                ? random.nextInt(all.readableBytes())
+                                : all.readableBytes()];
         all.getBytes(0, bytes);
         return bytes;
     }
 
     /** Feeds one damaged conversation. {@return bytes fed} */
     public int feed() {
-        GrpcServer server = new GrpcServer(10_000).on("/s/m", call -> new ServerCall.Listener() {
-            @Override
-            public void message(byte[] message) {
-                try {
-                    InferRequest.parse(message);
-                    call.send(message);
-                } catch (ProtoException e) {
-                    call.close(new Status(sorrelhoist.protocol.grpc.Code.INVALID_ARGUMENT, e.getMessage()), null);
-                }
-            }
+        GrpcServer server =
+                new GrpcServer(10_000)
+                        .on(
+                                "/s/m",
+                                call ->
+                                        new ServerCall.Listener() {
+                                            @Override
+                                            public void message(byte[] message) {
+                                                try {
+                                                    InferRequest.parse(message);
+                                                    call.send(message);
+                                                } catch (ProtoException e) {
+                                                    call.close(
+                                                            new Status(
+                                                                    sorrelhoist.protocol.grpc.Code
+                                                                            .INVALID_ARGUMENT,
+                                                                    e.getMessage()),
+                                                            null);
+                                                }
+                                            }
 
-            @Override
-            public void halfClosed() {
-                call.close(Status.OK, null);
-            }
-        });
-        Http2Connection connection = Http2Connection.server(Http2Limits.SERVER, server,
-                new Http2Connection.Watcher() { });
+                                            @Override
+                                            public void halfClosed() {
+                                                call.close(Status.OK, null);
+                                            }
+                                        });
+        Http2Connection connection =
+                Http2Connection.server(
+                        Http2Limits.SERVER, server, new Http2Connection.Watcher() {});
         EmbeddedChannel channel = new EmbeddedChannel(connection);
         byte[] bytes = damaged();
         int at = 0;
         while (at < bytes.length && channel.isOpen()) {
-            int part = Math.min(bytes.length - at, 1 + random.nextInt(random.nextBoolean() ? 20 : 5000));
+            int part =
+                    Math.min(
+                            bytes.length - at,
+                            1 + random.nextInt(random.nextBoolean() ? 20 : 5000));
             channel.writeInbound(Unpooled.copiedBuffer(bytes, at, part));
             channel.runPendingTasks();
             at += part;
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Http2ConnectionTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Http2ConnectionTest.java
@@ -24,7 +24,10 @@
     }
 
     private static int sum(List<String> events, String prefix) {
-        return events.stream().filter(e -> e.startsWith(prefix)).mapToInt(e -> Integer.parseInt(e.split(" ")[2])).sum();
+        return events.stream()
+                .filter(e -> e.startsWith(prefix))
+                .mapToInt(e -> Integer.parseInt(e.split(" ")[2]))
+                .sum();
     }
 
     @Test
@@ -38,9 +41,14 @@
         served.data(bytes(20), false);
         served.headers(new Headers().add("grpc-status", "0"), true);
         p.pump();
-        assertEquals(List.of("server opened 1 " + Pair.REQUEST + " false", "server data 10 true",
-                "client headers " + OK + " false", "client data 20 false",
-                "client headers [HeaderField[name=grpc-status, value=0]] true"), p.events);
+        assertEquals(
+                List.of(
+                        "server opened 1 " + Pair.REQUEST + " false",
+                        "server data 10 true",
+                        "client headers " + OK + " false",
+                        "client data 20 false",
+                        "client headers [HeaderField[name=grpc-status, value=0]] true"),
+                p.events);
         assertEquals(0, p.client.openStreams());
         assertEquals(0, p.server.openStreams());
     }
@@ -61,7 +69,8 @@
         a.data(bytes(5), true);
         p.pump();
         for (Http2Stream s : List.copyOf(p.opened)) {
-            s.headers(new Headers().add(":status", "200").add("some-field", "v".repeat(200)), false);
+            s.headers(
+                    new Headers().add(":status", "200").add("some-field", "v".repeat(200)), false);
             s.data(bytes(2000), false);
             s.headers(new Headers().add("t", "1"), true);
         }
@@ -97,8 +106,19 @@
 
     @Test
     void streamsThatWaitTakeTurnsByBytes() {
-        Pair p = new Pair(Http2Limits.SERVER.withStreamWindow(1 << 20),
-                new Http2Limits(0, 16 << 10, 1 << 20, Frames.DEFAULT_WINDOW, 50_000, 100_000, 10_000_000, 16 << 20), 0);
+        Pair p =
+                new Pair(
+                        Http2Limits.SERVER.withStreamWindow(1 << 20),
+                        new Http2Limits(
+                                0,
+                                16 << 10,
+                                1 << 20,
+                                Frames.DEFAULT_WINDOW,
+                                50_000,
+                                100_000,
+                                10_000_000,
+                                16 << 20),
+                        0);
         p.open(true);
         p.open(true);
         p.pump();
@@ -121,8 +141,10 @@
             smallBytes += piece[0] == small.id() ? piece[1] : 0;
         }
         assertEquals(20_000, smallBytes);
-        // The first window went to the only stream that had work then; from there on they took turns.
-        assertTrue(bulkBytes <= Frames.DEFAULT_WINDOW + 20_000 + 2 * 4096, "bulk sent " + bulkBytes);
+        // The first window went to the only stream that had work then; from there on they took
+        // turns.
+        assertTrue(
+                bulkBytes <= Frames.DEFAULT_WINDOW + 20_000 + 2 * 4096, "bulk sent " + bulkBytes);
     }
 
     @Test
@@ -139,7 +161,11 @@
         p.pump();
         assertTrue(p.events.contains("client reset REFUSED_STREAM true"), p.events.toString());
         // Two streams were open: the server had seen the first only, which may have run.
-        assertEquals(1, p.events.stream().filter(e -> e.equals("client reset REFUSED_STREAM true")).count());
+        assertEquals(
+                1,
+                p.events.stream()
+                        .filter(e -> e.equals("client reset REFUSED_STREAM true"))
+                        .count());
         assertNull(p.open(true));
     }
 
@@ -180,8 +206,11 @@
 
         Raw(Http2Limits limits) {
             Pair p = new Pair();
-            Http2Connection c = Http2Connection.server(limits, (stream, headers, end) -> p.new Log("server", stream),
-                    new Http2Connection.Watcher() { });
+            Http2Connection c =
+                    Http2Connection.server(
+                            limits,
+                            (stream, headers, end) -> p.new Log("server", stream),
+                            new Http2Connection.Watcher() {});
             channel = new EmbeddedChannel(c);
             send(Unpooled.copiedBuffer(Frames.PREFACE, StandardCharsets.US_ASCII));
             frame(Frames.SETTINGS, 0, 0);
@@ -211,7 +240,12 @@
         }
 
         void frame(int type, int flags, int stream, int... body) {
-            ByteBuf out = Unpooled.buffer().writeMedium(body.length).writeByte(type).writeByte(flags).writeInt(stream);
+            ByteBuf out =
+                    Unpooled.buffer()
+                            .writeMedium(body.length)
+                            .writeByte(type)
+                            .writeByte(flags)
+                            .writeInt(stream);
             for (int b : body) {
                 out.writeByte(b);
             }
@@ -221,8 +255,13 @@
         void headers(int stream, Headers headers, boolean end) {
             ByteBuf block = Unpooled.buffer();
             encoder.encode(headers, block);
-            ByteBuf out = Unpooled.buffer().writeMedium(block.readableBytes()).writeByte(Frames.HEADERS)
-                    .writeByte(Frames.END_HEADERS | (end ? Frames.END_STREAM : 0)).writeInt(stream).writeBytes(block);
+            ByteBuf out =
+                    Unpooled.buffer()
+                            .writeMedium(block.readableBytes())
+                            .writeByte(Frames.HEADERS)
+                            .writeByte(Frames.END_HEADERS | (end ? Frames.END_STREAM : 0))
+                            .writeInt(stream)
+                            .writeBytes(block);
             send(out);
         }
 
@@ -242,74 +281,112 @@
     void malformedFramesCostTheConnectionWithTheCodeOfTheRfc() {
         costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, 0, 0, 1));
         costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, 0, 1, 1));
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, Frames.PADDED, 1, 9, 1));
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.RST_STREAM, 0, 1, 0, 0, 0, 0));
-        costsTheConnection(ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.RST_STREAM, 0, 1, 0, 0, 0));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, Frames.PADDED, 1, 9, 1));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.RST_STREAM, 0, 1, 0, 0, 0, 0));
+        costsTheConnection(
+                ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.RST_STREAM, 0, 1, 0, 0, 0));
         costsTheConnection(ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.PING, 0, 0, 1));
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.PING, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.PING, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
         costsTheConnection(ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 1));
-        costsTheConnection(ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.SETTINGS, Frames.ACK, 0, 1));
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 0, 2, 0, 0, 0, 7));
-        costsTheConnection(ErrorCode.FLOW_CONTROL_ERROR,
+        costsTheConnection(
+                ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.SETTINGS, Frames.ACK, 0, 1));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 0, 2, 0, 0, 0, 7));
+        costsTheConnection(
+                ErrorCode.FLOW_CONTROL_ERROR,
                 r -> r.frame(Frames.SETTINGS, 0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff));
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 0, 5, 0, 0, 0, 1));
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.WINDOW_UPDATE, 0, 0, 0, 0, 0, 0));
-        costsTheConnection(ErrorCode.FLOW_CONTROL_ERROR,
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 0, 5, 0, 0, 0, 1));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.WINDOW_UPDATE, 0, 0, 0, 0, 0, 0));
+        costsTheConnection(
+                ErrorCode.FLOW_CONTROL_ERROR,
                 r -> r.frame(Frames.WINDOW_UPDATE, 0, 0, 0x7f, 0xff, 0xff, 0xff));
         costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.CONTINUATION, 4, 1, 0));
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.PUSH_PROMISE, 4, 1, 0, 0, 0, 2));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.PUSH_PROMISE, 4, 1, 0, 0, 0, 2));
         costsTheConnection(ErrorCode.COMPRESSION_ERROR, r -> r.frame(Frames.HEADERS, 5, 1, 0x80));
-        costsTheConnection(ErrorCode.FRAME_SIZE_ERROR, r -> r.send(Unpooled.buffer().writeMedium(1 << 20)
-                .writeByte(0).writeByte(0).writeInt(1)));
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> {
-            r.frame(Frames.HEADERS, 0, 1, 0x82);
-            r.frame(Frames.PING, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
-        });
+        costsTheConnection(
+                ErrorCode.FRAME_SIZE_ERROR,
+                r ->
+                        r.send(
+                                Unpooled.buffer()
+                                        .writeMedium(1 << 20)
+                                        .writeByte(0)
+                                        .writeByte(0)
+                                        .writeInt(1)));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR,
+                r -> {
+                    r.frame(Frames.HEADERS, 0, 1, 0x82);
+                    r.frame(Frames.PING, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+                });
     }
 
     @Test
     void floodsCostTheConnection() {
-        costsTheConnection(ErrorCode.ENHANCE_YOUR_CALM, r -> {
-            for (int i = 1; i < 4000; i += 2) {
-                r.headers(i, Pair.REQUEST, true);
-                r.frame(Frames.RST_STREAM, 0, i, 0, 0, 0, 8);
-            }
-        });
-        costsTheConnection(ErrorCode.ENHANCE_YOUR_CALM, r -> {
-            for (int i = 0; i < 4000; i++) {
-                r.frame(Frames.PING, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
-            }
-        });
-        costsTheConnection(ErrorCode.ENHANCE_YOUR_CALM, r -> {
-            for (int i = 0; i < 2000; i++) {
-                r.frame(Frames.SETTINGS, 0, 0);
-            }
-        });
-        costsTheConnection(ErrorCode.ENHANCE_YOUR_CALM, r -> {
-            r.frame(Frames.HEADERS, 0, 1, 0x82);
-            for (int i = 0; i < 2000; i++) {
-                r.frame(Frames.CONTINUATION, 0, 1);
-            }
-        });
-        costsTheConnection(ErrorCode.ENHANCE_YOUR_CALM, r -> {
-            r.headers(1, Pair.REQUEST, false);
-            for (int i = 0; i < 2000; i++) {
-                r.frame(Frames.DATA, 0, 1);
-            }
-        });
-        costsTheConnection(ErrorCode.ENHANCE_YOUR_CALM, r -> {
-            r.headers(1, Pair.REQUEST, false);
-            for (int i = 0; i < 20_000; i++) {
-                r.frame(Frames.DATA, 0, 1, 7);
-            }
-        });
-        costsTheConnection(ErrorCode.ENHANCE_YOUR_CALM, r -> {
-            Headers bomb = new Headers().add(":method", "POST").add(":scheme", "http").add(":path", "/");
-            for (int i = 0; i < 500; i++) {
-                bomb.add("a", "b".repeat(60));
-            }
-            r.headers(1, bomb, true);
-        });
+        costsTheConnection(
+                ErrorCode.ENHANCE_YOUR_CALM,
+                r -> {
+                    for (int i = 1; i < 4000; i += 2) {
+                        r.headers(i, Pair.REQUEST, true);
+                        r.frame(Frames.RST_STREAM, 0, i, 0, 0, 0, 8);
+                    }
+                });
+        costsTheConnection(
+                ErrorCode.ENHANCE_YOUR_CALM,
+                r -> {
+                    for (int i = 0; i < 4000; i++) {
+                        r.frame(Frames.PING, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+                    }
+                });
+        costsTheConnection(
+                ErrorCode.ENHANCE_YOUR_CALM,
+                r -> {
+                    for (int i = 0; i < 2000; i++) {
+                        r.frame(Frames.SETTINGS, 0, 0);
+                    }
+                });
+        costsTheConnection(
+                ErrorCode.ENHANCE_YOUR_CALM,
+                r -> {
+                    r.frame(Frames.HEADERS, 0, 1, 0x82);
+                    for (int i = 0; i < 2000; i++) {
+                        r.frame(Frames.CONTINUATION, 0, 1);
+                    }
+                });
+        costsTheConnection(
+                ErrorCode.ENHANCE_YOUR_CALM,
+                r -> {
+                    r.headers(1, Pair.REQUEST, false);
+                    for (int i = 0; i < 2000; i++) {
+                        r.frame(Frames.DATA, 0, 1);
+                    }
+                });
+        costsTheConnection(
+                ErrorCode.ENHANCE_YOUR_CALM,
+                r -> {
+                    r.headers(1, Pair.REQUEST, false);
+                    for (int i = 0; i < 20_000; i++) {
+                        r.frame(Frames.DATA, 0, 1, 7);
+                    }
+                });
+        costsTheConnection(
+                ErrorCode.ENHANCE_YOUR_CALM,
+                r -> {
+                    Headers bomb =
+                            new Headers()
+                                    .add(":method", "POST")
+                                    .add(":scheme", "http")
+                                    .add(":path", "/");
+                    for (int i = 0; i < 500; i++) {
+                        bomb.add("a", "b".repeat(60));
+                    }
+                    r.headers(1, bomb, true);
+                });
     }
 
     @Test
@@ -327,13 +404,16 @@
             p.pump();
             // Some clients end a stream once more instead of crediting the last frame.
             for (int k = 0; k < 7; k++) {
-                p.serverChannel.writeInbound(Frames.windowUpdate(p.serverChannel.alloc(), s.id(), 20));
+                p.serverChannel.writeInbound(
+                        Frames.windowUpdate(p.serverChannel.alloc(), s.id(), 20));
             }
-            p.serverChannel.writeInbound(Frames.rst(p.serverChannel.alloc(), s.id(), ErrorCode.CANCEL));
+            p.serverChannel.writeInbound(
+                    Frames.rst(p.serverChannel.alloc(), s.id(), ErrorCode.CANCEL));
             assertTrue(p.serverChannel.isOpen(), "after " + i + " requests");
         }
         for (int k = 0; k < 100 && p.serverChannel.isOpen(); k++) {
-            p.serverChannel.writeInbound(Frames.windowUpdate(p.serverChannel.alloc(), p.opened.get(0).id(), 20));
+            p.serverChannel.writeInbound(
+                    Frames.windowUpdate(p.serverChannel.alloc(), p.opened.get(0).id(), 20));
         }
         assertFalse(p.serverChannel.isOpen(), "credit for nothing is still a flood");
     }
@@ -350,7 +430,13 @@
         assertEquals("RST_STREAM STREAM_CLOSED", raw.last(Frames.RST_STREAM));
         raw.headers(7, Pair.REQUEST, false);
         for (int i = 0; i < 5; i++) {
-            raw.send(Unpooled.buffer().writeMedium(16384).writeByte(0).writeByte(0).writeInt(7).writeZero(16384));
+            raw.send(
+                    Unpooled.buffer()
+                            .writeMedium(16384)
+                            .writeByte(0)
+                            .writeByte(0)
+                            .writeInt(7)
+                            .writeZero(16384));
         }
         raw.headers(9, Pair.REQUEST, false);
         raw.frame(Frames.WINDOW_UPDATE, 0, 9, 0x7f, 0xff, 0xff, 0xff);
@@ -360,9 +446,14 @@
 
     @Test
     void aClientThatSpeaksNoHttp2IsToldSo() {
-        EmbeddedChannel channel = new EmbeddedChannel(Http2Connection.server(Http2Limits.SERVER,
-                (stream, headers, end) -> null, new Http2Connection.Watcher() { }));
-        channel.writeInbound(Unpooled.copiedBuffer("GET / HTTP/1.1\r\n\r\n", StandardCharsets.US_ASCII));
+        EmbeddedChannel channel =
+                new EmbeddedChannel(
+                        Http2Connection.server(
+                                Http2Limits.SERVER,
+                                (stream, headers, end) -> null,
+                                new Http2Connection.Watcher() {}));
+        channel.writeInbound(
+                Unpooled.copiedBuffer("GET / HTTP/1.1\r\n\r\n", StandardCharsets.US_ASCII));
         channel.runPendingTasks();
         assertFalse(channel.isOpen());
     }
@@ -382,7 +473,11 @@
 
     @Test
     void anAnswerThatItsClientNeverTakesIsGivenUpInTimeAndOthersAreNot() {
-        Pair p = new Pair(Http2Limits.SERVER.withStall(20_000), Http2Limits.CLIENT.withStreamWindow(100), 0);
+        Pair p =
+                new Pair(
+                        Http2Limits.SERVER.withStall(20_000),
+                        Http2Limits.CLIENT.withStreamWindow(100),
+                        0);
         p.autoCredit = false;
         p.open(true);
         p.open(true);
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
@@ -9,12 +9,18 @@
 
 /** Two connections that hand each other their bytes in memory, in pieces of a chosen size. */
 final class Pair {
-    static final Headers REQUEST = new Headers().add(":method", "POST").add(":scheme", "http").add(":path", "/a")
-            .add(":authority", "x");
+    static final Headers REQUEST =
+            new Headers()
+                    .add(":method", "POST")
+                    .add(":scheme", "http")
+                    .add(":path", "/a")
+                    .add(":authority", "x");
     final List<String> events = new ArrayList<>();
     final List<Http2Stream> opened = new ArrayList<>();
+
     /** Stream and bytes of each piece of data that the client got. */
     final List<int[]> order = new ArrayList<>();
+
     boolean autoCredit = true;
     final Http2Connection server;
     final Http2Connection client;
@@ -24,12 +30,16 @@
 
     Pair(Http2Limits serverLimits, Http2Limits clientLimits, int piece) {
         this.piece = piece;
-        server = Http2Connection.server(serverLimits, (stream, headers, end) -> {
-            opened.add(stream);
-            events.add("server opened " + stream.id() + " " + headers + " " + end);
-            return new Log("server", stream);
-        }, new Http2Connection.Watcher() { });
-        client = Http2Connection.client(clientLimits, new Http2Connection.Watcher() { });
+        server =
+                Http2Connection.server(
+                        serverLimits,
+                        (stream, headers, end) -> {
+                            opened.add(stream);
+                            events.add("server opened " + stream.id() + " " + headers + " " + end);
+                            return new Log("server", stream);
+                        },
+                        new Http2Connection.Watcher() {});
+        client = Http2Connection.client(clientLimits, new Http2Connection.Watcher() {});
         serverChannel = new EmbeddedChannel(server);
         clientChannel = new EmbeddedChannel(client);
         pump();
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/StreamAccountingTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/StreamAccountingTest.java
@@ -18,8 +18,11 @@
     @Property(tries = 300, seed = "42")
     void bytesAndStreamsAddUp(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Pair p = new Pair(Http2Limits.SERVER.withMaxStreams(20), Http2Limits.CLIENT.withStreamWindow(WINDOW),
-                random.nextInt(3) * 50);
+        Pair p =
+                new Pair(
+                        Http2Limits.SERVER.withMaxStreams(20),
+                        Http2Limits.CLIENT.withStreamWindow(WINDOW),
+                        random.nextInt(3) * 50);
         p.autoCredit = false;
         Map<Integer, Integer> sent = new HashMap<>();
         Map<Integer, Integer> credited = new HashMap<>();
@@ -57,20 +60,26 @@
             }
             p.pump();
             Map<Integer, Integer> got = got(p);
-            got.forEach((id, bytes) -> {
-                assertTrue(bytes <= sent.get(id), "more came than was sent");
-                assertTrue(bytes - credited.getOrDefault(id, 0) <= WINDOW, "more came than the window");
-            });
+            got.forEach(
+                    (id, bytes) -> {
+                        assertTrue(bytes <= sent.get(id), "more came than was sent");
+                        assertTrue(
+                                bytes - credited.getOrDefault(id, 0) <= WINDOW,
+                                "more came than the window");
+                    });
         }
         for (int round = 0; round < 200; round++) {
             clients.keySet().forEach(id -> creditAll(p, clients, credited, id));
             p.pump();
         }
         Map<Integer, Integer> got = got(p);
-        p.opened.stream().filter(s -> !s.isClosed()).forEach(s -> {
-            assertEquals(0, s.pendingBytes(), "bytes left behind");
-            assertEquals(sent.getOrDefault(s.id(), 0), got.getOrDefault(s.id(), 0));
-        });
+        p.opened.stream()
+                .filter(s -> !s.isClosed())
+                .forEach(
+                        s -> {
+                            assertEquals(0, s.pendingBytes(), "bytes left behind");
+                            assertEquals(sent.getOrDefault(s.id(), 0), got.getOrDefault(s.id(), 0));
+                        });
         p.opened.forEach(s -> s.reset(ErrorCode.CANCEL));
         p.pump();
         assertEquals(0, p.client.openStreams());
@@ -83,7 +92,10 @@
         return got;
     }
 
-    private static void credit(Pair p, Map<Integer, Http2Stream> clients, Map<Integer, Integer> credited,
+    private static void credit(
+            Pair p,
+            Map<Integer, Http2Stream> clients,
+            Map<Integer, Integer> credited,
             SplittableRandom random) {
         if (!clients.isEmpty()) {
             Integer[] ids = clients.keySet().toArray(new Integer[0]);
@@ -91,7 +103,8 @@
         }
     }
 
-    private static void creditAll(Pair p, Map<Integer, Http2Stream> clients, Map<Integer, Integer> credited, int id) {
+    private static void creditAll(
+            Pair p, Map<Integer, Http2Stream> clients, Map<Integer, Integer> credited, int id) {
         int owed = got(p).getOrDefault(id, 0) - credited.getOrDefault(id, 0);
         if (owed > 0 && !clients.get(id).isClosed()) {
             clients.get(id).consumed(owed);
--- a/protocol/src/test/java/sorrelhoist/protocol/net/BlockingWaitsTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/net/BlockingWaitsTest.java
@@ -18,8 +18,10 @@
 
 class BlockingWaitsTest {
     private static final int TIMERS = 200;
-    private static final long DELAY_MICROS = 1_300; // 0.3 ms beyond a whole millisecond: rounding to the nearest is too early
-    private static final long MOST_POLLS = 4; // a timer: one wait, and those that its task and the next timer take
+    private static final long DELAY_MICROS =
+            1_300; // 0.3 ms beyond a whole millisecond: rounding to the nearest is too early
+    private static final long MOST_POLLS =
+            4; // a timer: one wait, and those that its task and the next timer take
 
     @Test
     void aDelayIsRoundedUpToTheNextMillisecond() {
@@ -35,18 +37,24 @@
     @Test
     void anEventLoopDoesNotPollWhileItsNextTimerIsNearlyDue() throws Exception {
         AtomicLong polls = new AtomicLong();
-        IoHandlerFactory counting = NioIoHandler.newFactory(SelectorProvider.provider(), () -> (supplier, hasTasks) -> {
-            polls.incrementAndGet();
-            return hasTasks ? supplier.get() : SelectStrategy.SELECT;
-        });
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("polls", true),
-                BlockingWaits.around(counting));
+        IoHandlerFactory counting =
+                NioIoHandler.newFactory(
+                        SelectorProvider.provider(),
+                        () ->
+                                (supplier, hasTasks) -> {
+                                    polls.incrementAndGet();
+                                    return hasTasks ? supplier.get() : SelectStrategy.SELECT;
+                                });
+        EventLoopGroup group =
+                new MultiThreadIoEventLoopGroup(
+                        1, new DefaultThreadFactory("polls", true), BlockingWaits.around(counting));
         try {
             EventLoop loop = group.next();
             CountDownLatch rung = new CountDownLatch(TIMERS);
             loop.execute(() -> ring(loop, rung));
             assertTrue(rung.await(1, TimeUnit.MINUTES));
-            assertTrue(polls.get() <= MOST_POLLS * TIMERS, polls + " polls for " + TIMERS + " timers");
+            assertTrue(
+                    polls.get() <= MOST_POLLS * TIMERS, polls + " polls for " + TIMERS + " timers");
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         }
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/ProtoTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/ProtoTest.java
@@ -23,10 +23,22 @@
 
 /** Messages come back as they went; what is no message is refused and nothing worse. */
 class ProtoTest {
-    private static final InferRequest REQUEST = new InferRequest("m", "", "id-1",
-            Map.of("max_tokens", new Parameter(20L), "zero", new Parameter(0L), "on", new Parameter(false),
-                    "s", new Parameter("é")),
-            List.of(Tensor.text(InferRequest.TEXT_INPUT, "ask €")), List.of());
+    private static final InferRequest REQUEST =
+            new InferRequest(
+                    "m",
+                    "",
+                    "id-1",
+                    Map.of(
+                            "max_tokens",
+                            new Parameter(20L),
+                            "zero",
+                            new Parameter(0L),
+                            "on",
+                            new Parameter(false),
+                            "s",
+                            new Parameter("é")),
+                    List.of(Tensor.text(InferRequest.TEXT_INPUT, "ask €")),
+                    List.of());
 
     @Test
     void aRequestComesBackWithDefaultsOfItsOneofs() throws ProtoException {
@@ -44,16 +56,20 @@
     }
 
     @Property(tries = 200, seed = "42")
-    void engineAndPlanMessagesComeBack(@ForAll String text, @ForAll int a, @ForAll long b, @ForAll double d)
+    void engineAndPlanMessagesComeBack(
+            @ForAll String text, @ForAll int a, @ForAll long b, @ForAll double d)
             throws ProtoException {
         int n = a & Integer.MAX_VALUE;
-        String s = new String(text.getBytes(java.nio.charset.StandardCharsets.UTF_8),
-                java.nio.charset.StandardCharsets.UTF_8);
+        String s =
+                new String(
+                        text.getBytes(java.nio.charset.StandardCharsets.UTF_8),
+                        java.nio.charset.StandardCharsets.UTF_8);
         DecodeRequest r = new DecodeRequest(s, s, "e", n, s, s, s, n, n, n, s, n);
         assertEquals(r, DecodeRequest.parse(r.bytes()));
         DecodeEvent e = new DecodeEvent(new Token(n, s), null);
         assertEquals(e, DecodeEvent.parse(e.bytes()));
-        PlanEvent p = PlanEvent.of(new Roster(1, List.of(new Line(s, s, s, s, 2, d, b, b, s)), b, b));
+        PlanEvent p =
+                PlanEvent.of(new Roster(1, List.of(new Line(s, s, s, s, 2, d, b, b, s)), b, b));
         assertEquals(p, PlanEvent.parse(p.bytes()));
         EdgeMessage t = new EdgeMessage.Tell(a, s);
         assertEquals(t, EdgeMessage.parse(t.bytes()));
@@ -82,11 +98,16 @@
                 refused++;
             }
         }
-        assertTrue(refused > whole.length * 3 / 4, refused + " of " + whole.length + " cuts were refused");
+        assertTrue(
+                refused > whole.length * 3 / 4,
+                refused + " of " + whole.length + " cuts were refused");
         assertThrows(ProtoException.class, () -> InferRequest.parse(new byte[] {10, 127, 1}));
         assertThrows(ProtoException.class, () -> InferRequest.parse(new byte[] {10, 1, -1}));
         assertThrows(ProtoException.class, () -> InferRequest.parse(new byte[] {0}));
-        assertThrows(ProtoException.class, () -> InferRequest.parse(
-                new byte[] {8, -1, -1, -1, -1, -1, -1, -1, -1, -1, -1, 1}));
+        assertThrows(
+                ProtoException.class,
+                () ->
+                        InferRequest.parse(
+                                new byte[] {8, -1, -1, -1, -1, -1, -1, -1, -1, -1, -1, 1}));
     }
 }
--- a/standin/src/main/java/sorrelhoist/standin/Trace.java
+++ b/standin/src/main/java/sorrelhoist/standin/Trace.java
@@ -11,7 +11,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a stand-in saw on the wire, as JSON lines for the judge; each is on disk before the next is begun. */
+/**
+ * What a stand-in saw on the wire, as JSON lines for the judge; each is on disk before the next is
+ * begun.
+ */
 public final class Trace {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final BufferedWriter out;
@@ -25,8 +28,14 @@
      */
     public Trace(Path file, String who) throws IOException {
         this.who = who;
-        this.out = file == null ? null : Files.newBufferedWriter(file, StandardCharsets.UTF_8,
-                StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        this.out =
+                file == null
+                        ? null
+                        : Files.newBufferedWriter(
+                                file,
+                                StandardCharsets.UTF_8,
+                                StandardOpenOption.CREATE,
+                                StandardOpenOption.APPEND);
     }
 
     /** {@return microseconds since 1970} */
--- a/standin/src/main/java/sorrelhoist/standin/engine/ColdGuard.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/ColdGuard.java
@@ -15,7 +15,8 @@
 
     /** {@return the share of its speed that it has now} */
     double speed(long now) {
-        double age = s.coldMicros() == 0 ? 1 : Math.min(1, (now - startedAt) / (double) s.coldMicros());
+        double age =
+                s.coldMicros() == 0 ? 1 : Math.min(1, (now - startedAt) / (double) s.coldMicros());
         return s.coldFrom() + (1 - s.coldFrom()) * age;
     }
 
@@ -28,7 +29,8 @@
         while (sends.peek() < now - s.fallMicros()) {
             sends.poll();
         }
-        double budget = s.fallMultiple() * speed(now) * s.warmSendsPerSecond() * s.fallMicros() / 1e6;
+        double budget =
+                s.fallMultiple() * speed(now) * s.warmSendsPerSecond() * s.fallMicros() / 1e6;
         // A little slack for chance, as arrivals come unevenly.
         return sends.size() > budget + 2 * Math.sqrt(budget) + 2;
     }
--- a/standin/src/main/java/sorrelhoist/standin/engine/Control.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/Control.java
@@ -4,13 +4,14 @@
 import sorrelhoist.protocol.protobuf.ProtoReader;
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
-/** The one method by which a stand-in engine is told what to suffer: a line of text in, a line out. */
+/**
+ * The one method by which a stand-in engine is told what to suffer: a line of text in, a line out.
+ */
 public final class Control {
     /** Its path. */
     public static final String PATH = "/sorrelhoist.standin.v1.Control/Do";
 
-    private Control() {
-    }
+    private Control() {}
 
     /** {@return the bytes of a line} */
     public static byte[] bytes(String line) {
