--- a/standin/src/main/java/sorrelhoist/standin/engine/Engine.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/Engine.java
@@ -27,8 +27,8 @@
 import sorrelhoist.standin.Trace;
 
 /**
- * A stand-in for an engine: reads prompts and writes answers in steps, a step taking longer the more it reads and
- * writes; slots, queue and memory are bounded. Everything runs on one event loop.
+ * A stand-in for an engine: reads prompts and writes answers in steps, a step taking longer the
+ * more it reads and writes; slots, queue and memory are bounded. Everything runs on one event loop.
  */
 public final class Engine {
     private static final long SWEEP = 500_000;
@@ -64,14 +64,20 @@
         this.s = settings;
         this.loops = loops;
         this.loop = loops.next();
-        this.trace = new Trace(settings.trace().isEmpty() ? null : Path.of(settings.trace()), settings.id());
+        this.trace =
+                new Trace(
+                        settings.trace().isEmpty() ? null : Path.of(settings.trace()),
+                        settings.id());
         this.faults = new Faults(settings.seed());
         this.kept = new KeptBlocks(settings.keptTokens());
         this.startedAt = Trace.now() - (settings.warm() ? TimeUnit.HOURS.toMicros(1) : 0);
         this.cold = new ColdGuard(settings, startedAt);
     }
 
-    /** What happens instead of ending the process where it is told to die; for engines inside a test. */
+    /**
+     * What happens instead of ending the process where it is told to die; for engines inside a
+     * test.
+     */
     public Engine dies(Runnable how) {
         death = how;
         return this;
@@ -79,22 +85,57 @@
 
     /** Listens and registers. {@return this} */
     public Engine start() throws IOException {
-        GrpcServer server = new GrpcServer(4 << 20)
-                .on(EngineApi.PREFILL, this::prefill).on(EngineApi.DECODE, this::decode)
-                .unary(EngineApi.RESERVE, this::reserve).unary(EngineApi.RELEASE, this::release)
-                .unary(EngineApi.PROBE, (call, m) -> reply(call, report().bytes()))
-                .unary(EngineApi.FETCH, this::fetch).unary(Control.PATH, this::control);
+        GrpcServer server =
+                new GrpcServer(4 << 20)
+                        .on(EngineApi.PREFILL, this::prefill)
+                        .on(EngineApi.DECODE, this::decode)
+                        .unary(EngineApi.RESERVE, this::reserve)
+                        .unary(EngineApi.RELEASE, this::release)
+                        .unary(EngineApi.PROBE, (call, m) -> reply(call, report().bytes()))
+                        .unary(EngineApi.FETCH, this::fetch)
+                        .unary(Control.PATH, this::control);
         Http2Limits limits = Http2Limits.SERVER.withAbuse(50_000, 100_000);
-        listener = Net.listen(loops, s.port(), () -> new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(valve.new Gate(),
-                        Http2Connection.server(limits, server, new Http2Connection.Watcher() { }));
-            }
-        });
-        trace.line("start", "engine", s.id(), "role", s.role(), "zone", s.zone(), "rack", s.rack(), "port", port(),
-                "warm", s.warm(), "coldFrom", s.coldFrom(), "coldMicros", s.coldMicros(), "fallMultiple", s.fallMultiple(),
-                "fallMicros", s.fallMicros(), "warmSends", s.warmSendsPerSecond());
+        listener =
+                Net.listen(
+                        loops,
+                        s.port(),
+                        () ->
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        valve.new Gate(),
+                                                        Http2Connection.server(
+                                                                limits,
+                                                                server,
+                                                                new Http2Connection.Watcher() {}));
+                                    }
+                                });
+        trace.line(
+                "start",
+                "engine",
+                s.id(),
+                "role",
+                s.role(),
+                "zone",
+                s.zone(),
+                "rack",
+                s.rack(),
+                "port",
+                port(),
+                "warm",
+                s.warm(),
+                "coldFrom",
+                s.coldFrom(),
+                "coldMicros",
+                s.coldMicros(),
+                "fallMultiple",
+                s.fallMultiple(),
+                "fallMicros",
+                s.fallMicros(),
+                "warmSends",
+                s.warmSendsPerSecond());
         if (!s.registry().isEmpty()) {
             registration = new Registration(s, loop, Net.LOOPBACK, port(), startedAt / 1000, valve);
             registration.start();
@@ -110,18 +151,20 @@
 
     /** Stops listening and forgets everything, as a process that dies does. */
     public void kill() {
-        loop.execute(() -> {
-            dead = true;
-            if (registration != null) {
-                registration.stop();
-            }
-            listener.close();
-            valve.open();
-            others.values().forEach(GrpcChannel::shut);
-        });
+        loop.execute(
+                () -> {
+                    dead = true;
+                    if (registration != null) {
+                        registration.stop();
+                    }
+                    listener.close();
+                    valve.open();
+                    others.values().forEach(GrpcChannel::shut);
+                });
     }
 
-    // ---- Calls --------------------------------------------------------------------------------------------
+    // ---- Calls
+    // --------------------------------------------------------------------------------------------
 
     private void reply(ServerCall call, byte[] message) {
         call.send(message);
@@ -134,10 +177,14 @@
 
     private LoadReport report() {
         long queued = waiting.size() + Math.max(0, reads.size() - s.slots());
-        double tokens = reads.stream().mapToLong(r -> r.left).sum()
-                + waiting.stream().mapToLong(w -> w.request.promptTokens()).sum();
-        return new LoadReport(Math.min(1, memory() / (double) s.memoryTokens()), tokens,
-                reads.size() + writes.size() + waiting.size() + states.size(), queued);
+        double tokens =
+                reads.stream().mapToLong(r -> r.left).sum()
+                        + waiting.stream().mapToLong(w -> w.request.promptTokens()).sum();
+        return new LoadReport(
+                Math.min(1, memory() / (double) s.memoryTokens()),
+                tokens,
+                reads.size() + writes.size() + waiting.size() + states.size(),
+                queued);
     }
 
     private long memory() {
@@ -154,8 +201,13 @@
             trace.line("fell");
             death.run();
         }
-        return faults.draining ? "draining" : inside >= s.slots() + s.queue() ? "slots and queue are full"
-                : memory() + tokens > s.memoryTokens() + (long) s.queue() * tokens ? "memory is full" : null;
+        return faults.draining
+                ? "draining"
+                : inside >= s.slots() + s.queue()
+                        ? "slots and queue are full"
+                        : memory() + tokens > s.memoryTokens() + (long) s.queue() * tokens
+                                ? "memory is full"
+                                : null;
     }
 
     private interface Take<T> {
@@ -188,28 +240,50 @@
 
     private ServerCall.Listener prefill(ServerCall call) {
         Jobs.Read[] job = new Jobs.Read[1];
-        return one(call, (message, c) -> {
-            PrefillRequest r = PrefillRequest.parse(message);
-            trace.line("prefill", "req", r.requestId(), "client", r.clientId(), "edge", r.edge(), "attempt",
-                    r.attempt(), "cls", r.requestClass(), "tokens", r.promptTokens());
-            String full = s.reads() ? full(reads.size(), r.promptTokens()) : "this engine reads no prompts";
-            if (full != null) {
-                endRead(r, "full");
-                refuse(c, Code.RESOURCE_EXHAUSTED, full);
-            } else if (faults.errorNow(Trace.now())) {
-                endRead(r, "error");
-                refuse(c, Code.INTERNAL, "told to fail");
-            } else {
-                job[0] = new Jobs.Read(c, r, Math.min(kept.match(r.prompt()), r.promptTokens()),
-                        faults.loseNow(Trace.now()));
-                reads.add(job[0]);
-                kick();
-            }
-        }, () -> {
-            if (job[0] != null && reads.remove(job[0])) {
-                endRead(job[0].request, "cancelled");
-            }
-        });
+        return one(
+                call,
+                (message, c) -> {
+                    PrefillRequest r = PrefillRequest.parse(message);
+                    trace.line(
+                            "prefill",
+                            "req",
+                            r.requestId(),
+                            "client",
+                            r.clientId(),
+                            "edge",
+                            r.edge(),
+                            "attempt",
+                            r.attempt(),
+                            "cls",
+                            r.requestClass(),
+                            "tokens",
+                            r.promptTokens());
+                    String full =
+                            s.reads()
+                                    ? full(reads.size(), r.promptTokens())
+                                    : "this engine reads no prompts";
+                    if (full != null) {
+                        endRead(r, "full");
+                        refuse(c, Code.RESOURCE_EXHAUSTED, full);
+                    } else if (faults.errorNow(Trace.now())) {
+                        endRead(r, "error");
+                        refuse(c, Code.INTERNAL, "told to fail");
+                    } else {
+                        job[0] =
+                                new Jobs.Read(
+                                        c,
+                                        r,
+                                        Math.min(kept.match(r.prompt()), r.promptTokens()),
+                                        faults.loseNow(Trace.now()));
+                        reads.add(job[0]);
+                        kick();
+                    }
+                },
+                () -> {
+                    if (job[0] != null && reads.remove(job[0])) {
+                        endRead(job[0].request, "cancelled");
+                    }
+                });
     }
 
     private void endRead(PrefillRequest r, String how) {
@@ -218,49 +292,86 @@
 
     private ServerCall.Listener decode(ServerCall call) {
         Jobs.Write[] job = new Jobs.Write[1];
-        return one(call, (message, c) -> {
-            DecodeRequest r = DecodeRequest.parse(message);
-            trace.line("decode", "req", r.requestId(), "client", r.clientId(), "edge", r.edge(), "attempt",
-                    r.attempt(), "cls", r.requestClass(), "from", r.fromToken(), "state", r.stateId());
-            String full = !s.writes() ? "this engine writes no answers" : full(writes.size() + waiting.size(),
-                    r.promptTokens());
-            boolean alone = r.stateId().isEmpty();
-            Jobs.Place place = places.remove(r.placeId());
-            if (full != null && place == null) {
-                endWrite(r, "full", 0);
-                refuse(c, Code.RESOURCE_EXHAUSTED, full);
-            } else if (alone && !s.readsItself() && !s.reads()) {
-                endWrite(r, "no state", 0);
-                refuse(c, Code.FAILED_PRECONDITION, "no state to fetch, and this engine reads no prompts");
-            } else if (faults.errorNow(Trace.now())) {
-                endWrite(r, "error", 0);
-                refuse(c, Code.INTERNAL, "told to fail");
-            } else {
-                job[0] = new Jobs.Write(c, r, faults.loseNow(Trace.now()));
-                waiting.add(job[0]);
-                kick();
-            }
-        }, () -> {
-            if (job[0] != null && (waiting.remove(job[0]) | writes.remove(job[0]))) {
-                endWrite(job[0].request, "cancelled", job[0].next);
-                kick();
-            }
-        });
+        return one(
+                call,
+                (message, c) -> {
+                    DecodeRequest r = DecodeRequest.parse(message);
+                    trace.line(
+                            "decode",
+                            "req",
+                            r.requestId(),
+                            "client",
+                            r.clientId(),
+                            "edge",
+                            r.edge(),
+                            "attempt",
+                            r.attempt(),
+                            "cls",
+                            r.requestClass(),
+                            "from",
+                            r.fromToken(),
+                            "state",
+                            r.stateId());
+                    String full =
+                            !s.writes()
+                                    ? "this engine writes no answers"
+                                    : full(writes.size() + waiting.size(), r.promptTokens());
+                    boolean alone = r.stateId().isEmpty();
+                    Jobs.Place place = places.remove(r.placeId());
+                    if (full != null && place == null) {
+                        endWrite(r, "full", 0);
+                        refuse(c, Code.RESOURCE_EXHAUSTED, full);
+                    } else if (alone && !s.readsItself() && !s.reads()) {
+                        endWrite(r, "no state", 0);
+                        refuse(
+                                c,
+                                Code.FAILED_PRECONDITION,
+                                "no state to fetch, and this engine reads no prompts");
+                    } else if (faults.errorNow(Trace.now())) {
+                        endWrite(r, "error", 0);
+                        refuse(c, Code.INTERNAL, "told to fail");
+                    } else {
+                        job[0] = new Jobs.Write(c, r, faults.loseNow(Trace.now()));
+                        waiting.add(job[0]);
+                        kick();
+                    }
+                },
+                () -> {
+                    if (job[0] != null && (waiting.remove(job[0]) | writes.remove(job[0]))) {
+                        endWrite(job[0].request, "cancelled", job[0].next);
+                        kick();
+                    }
+                });
     }
 
     private void endWrite(DecodeRequest r, String how, int tokens) {
-        trace.line("decode_end", "req", r.requestId(), "attempt", r.attempt(), "how", how, "tokens", tokens);
+        trace.line(
+                "decode_end",
+                "req",
+                r.requestId(),
+                "attempt",
+                r.attempt(),
+                "how",
+                how,
+                "tokens",
+                tokens);
     }
 
     private void reserve(ServerCall call, byte[] message) {
         try {
             ReserveRequest r = ReserveRequest.parse(message);
-            boolean free = s.writes() && !faults.draining && waiting.isEmpty()
-                    && writes.size() + places.size() < s.slots()
-                    && memory() + r.promptTokens() + r.maxTokens() <= s.memoryTokens();
+            boolean free =
+                    s.writes()
+                            && !faults.draining
+                            && waiting.isEmpty()
+                            && writes.size() + places.size() < s.slots()
+                            && memory() + r.promptTokens() + r.maxTokens() <= s.memoryTokens();
             String id = free ? s.id() + "-p" + ++names : "";
             if (free) {
-                places.put(id, new Jobs.Place(id, r.requestId(), r.promptTokens() + r.maxTokens(), Trace.now()));
+                places.put(
+                        id,
+                        new Jobs.Place(
+                                id, r.requestId(), r.promptTokens() + r.maxTokens(), Trace.now()));
             }
             reply(call, new ReserveReply(free, id).bytes());
         } catch (ProtoException e) {
@@ -273,9 +384,11 @@
             ReleaseRequest r = ReleaseRequest.parse(message);
             boolean any = places.remove(r.placeId()) != null;
             for (Jobs.State state : List.copyOf(states.values())) {
-                boolean meant = r.stateId().isEmpty() && r.placeId().isEmpty()
-                        ? state.request().equals(r.requestId()) && state.attempt() <= r.upTo()
-                        : state.id().equals(r.stateId());
+                boolean meant =
+                        r.stateId().isEmpty() && r.placeId().isEmpty()
+                                ? state.request().equals(r.requestId())
+                                        && state.attempt() <= r.upTo()
+                                : state.id().equals(r.stateId());
                 any |= meant && free(state.id(), "released") != null;
             }
             reply(call, new ReleaseReply(any).bytes());
@@ -298,14 +411,18 @@
             if (state == null) {
                 refuse(call, Code.NOT_FOUND, "no such state");
             } else {
-                reply(call, new FetchReply(state.tokens(), state.digest(), s.zone() + "/" + s.rack()).bytes());
+                reply(
+                        call,
+                        new FetchReply(state.tokens(), state.digest(), s.zone() + "/" + s.rack())
+                                .bytes());
             }
         } catch (ProtoException e) {
             refuse(call, Code.INVALID_ARGUMENT, e.getMessage());
         }
     }
 
-    // ---- Steps --------------------------------------------------------------------------------------------
+    // ---- Steps
+    // --------------------------------------------------------------------------------------------
 
     private void kick() {
         if (!stepping && !dead && !(reads.isEmpty() && writes.isEmpty() && waiting.isEmpty())) {
@@ -321,7 +438,10 @@
                 planned += Math.min(Math.max(0, budget - planned), w.left);
             }
             long answers = writes.stream().filter(w -> w.ready && w.left == 0).count();
-            double micros = s.stepMicros() + planned / s.readPerSecond() * 1e6 + answers * s.perAnswerMicros();
+            double micros =
+                    s.stepMicros()
+                            + planned / s.readPerSecond() * 1e6
+                            + answers * s.perAnswerMicros();
             long now = Trace.now();
             long took = (long) (micros * faults.slowness(now) / cold.speed(now));
             boolean idle = planned == 0 && answers == 0;
@@ -364,15 +484,29 @@
         if (r.lost) {
             return;
         }
-        Jobs.State state = new Jobs.State(s.id() + "-s" + ++names, r.request.requestId(), r.request.attempt(),
-                r.request.promptTokens(), Words.digest(r.request.clientId(), r.request.prompt()), Trace.now());
+        Jobs.State state =
+                new Jobs.State(
+                        s.id() + "-s" + ++names,
+                        r.request.requestId(),
+                        r.request.attempt(),
+                        r.request.promptTokens(),
+                        Words.digest(r.request.clientId(), r.request.prompt()),
+                        Trace.now());
         states.put(state.id(), state);
-        trace.line("held", "req", state.request(), "client", r.request.clientId(), "state", state.id());
+        trace.line(
+                "held",
+                "req",
+                state.request(),
+                "client",
+                r.request.clientId(),
+                "state",
+                state.id());
         reply(r.call, new PrefillReply(state.id(), r.kept).bytes());
     }
 
     private void admit() {
-        while (!waiting.isEmpty() && writes.size() < s.slots()
+        while (!waiting.isEmpty()
+                && writes.size() < s.slots()
                 && memory() + waiting.get(0).tokens() <= s.memoryTokens()) {
             Jobs.Write w = waiting.remove(0);
             writes.add(w);
@@ -388,41 +522,58 @@
     }
 
     private void fetch(Jobs.Write w) {
-        GrpcChannel reader = others.computeIfAbsent(w.request.stateAt(),
-                a -> new GrpcChannel(loop, a, GrpcChannel.Options.PLAIN));
-        ClientCall call = reader.call(EngineApi.FETCH, null, new ClientCall.Listener() {
-            private FetchReply reply;
-
-            @Override
-            public void message(ClientCall c, byte[] message, int wireBytes) {
-                c.credit(wireBytes);
-                try {
-                    reply = FetchReply.parse(message);
-                } catch (ProtoException e) {
-                    c.cancel();
-                }
-            }
-
-            @Override
-            public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End end) {
-                if (!writes.contains(w)) {
-                    return;
-                }
-                if (!status.isOk() || reply == null) {
-                    writes.remove(w);
-                    endWrite(w.request, "no state", 0);
-                    refuse(w.call, Code.FAILED_PRECONDITION, "the state cannot be fetched: " + status.message());
-                    return;
-                }
-                boolean near = reply.rack().equals(s.zone() + "/" + s.rack());
-                double rate = near ? s.moveTokensPerSecond() : s.farTokensPerSecond();
-                long took = (long) (reply.promptTokens() / rate * 1e6);
-                loop.schedule(() -> {
-                    w.begin(reply.digest());
-                    kick();
-                }, took, TimeUnit.MICROSECONDS);
-            }
-        });
+        GrpcChannel reader =
+                others.computeIfAbsent(
+                        w.request.stateAt(),
+                        a -> new GrpcChannel(loop, a, GrpcChannel.Options.PLAIN));
+        ClientCall call =
+                reader.call(
+                        EngineApi.FETCH,
+                        null,
+                        new ClientCall.Listener() {
+                            private FetchReply reply;
+
+                            @Override
+                            public void message(ClientCall c, byte[] message, int wireBytes) {
+                                c.credit(wireBytes);
+                                try {
+                                    reply = FetchReply.parse(message);
+                                } catch (ProtoException e) {
+                                    c.cancel();
+                                }
+                            }
+
+                            @Override
+                            public void closed(
+                                    ClientCall c,
+                                    Status status,
+                                    Headers trailers,
+                                    ClientCall.End end) {
+                                if (!writes.contains(w)) {
+                                    return;
+                                }
+                                if (!status.isOk() || reply == null) {
+                                    writes.remove(w);
+                                    endWrite(w.request, "no state", 0);
+                                    refuse(
+                                            w.call,
+                                            Code.FAILED_PRECONDITION,
+                                            "the state cannot be fetched: " + status.message());
+                                    return;
+                                }
+                                boolean near = reply.rack().equals(s.zone() + "/" + s.rack());
+                                double rate =
+                                        near ? s.moveTokensPerSecond() : s.farTokensPerSecond();
+                                long took = (long) (reply.promptTokens() / rate * 1e6);
+                                loop.schedule(
+                                        () -> {
+                                            w.begin(reply.digest());
+                                            kick();
+                                        },
+                                        took,
+                                        TimeUnit.MICROSECONDS);
+                            }
+                        });
         call.sendLast(new FetchRequest(w.request.stateId(), s.id()).bytes());
         reader.start(call);
     }
@@ -430,8 +581,18 @@
     private void emit(Jobs.Write w) {
         if (!w.ran) {
             w.ran = true;
-            trace.line("run", "req", w.request.requestId(), "client", w.request.clientId(), "attempt",
-                    w.request.attempt(), "cls", w.request.requestClass(), "from", w.request.fromToken());
+            trace.line(
+                    "run",
+                    "req",
+                    w.request.requestId(),
+                    "client",
+                    w.request.clientId(),
+                    "attempt",
+                    w.request.attempt(),
+                    "cls",
+                    w.request.requestClass(),
+                    "from",
+                    w.request.fromToken());
         }
         if (w.lost) {
             writes.remove(w);
@@ -442,7 +603,9 @@
             return; // its reader is slow: this answer rests, the others go on
         }
         if (w.next < w.total) {
-            w.call.send(new DecodeEvent(new Token(w.next, Words.token(w.digest, w.next)), null).bytes());
+            w.call.send(
+                    new DecodeEvent(new Token(w.next, Words.token(w.digest, w.next)), null)
+                            .bytes());
             w.next++;
         }
         if (w.next >= w.total) {
@@ -455,14 +618,17 @@
     /** Frees what a router left that no longer lives. */
     private void sweep() {
         long before = Trace.now() - s.stateLimitMicros();
-        List.copyOf(states.values()).stream().filter(st -> st.at() < before).forEach(st -> free(st.id(), "expired"));
+        List.copyOf(states.values()).stream()
+                .filter(st -> st.at() < before)
+                .forEach(st -> free(st.id(), "expired"));
         places.values().removeIf(p -> p.at() < before);
         if (!dead) {
             loop.schedule(this::sweep, SWEEP, TimeUnit.MICROSECONDS);
         }
     }
 
-    // ---- What it is told to suffer -------------------------------------------------------------------------
+    // ---- What it is told to suffer
+    // -------------------------------------------------------------------------
 
     private void control(ServerCall call, byte[] message) {
         String result;
@@ -493,8 +659,12 @@
                 valve.shut();
                 loop.schedule(valve::open, millis(w, 1), TimeUnit.MICROSECONDS);
             }
-            default -> throw new IllegalArgumentException("unknown: " + w[0] + "; known are die, hang MS, slow FACTOR"
-                    + " MS, errors SHARE MS, lose SHARE MS, flush SHARE, drain, undrain, cut MS");
+            default ->
+                    throw new IllegalArgumentException(
+                            "unknown: "
+                                    + w[0]
+                                    + "; known are die, hang MS, slow FACTOR MS, errors SHARE MS,"
+                                    + " lose SHARE MS, flush SHARE, drain, undrain, cut MS");
         }
         return "done";
     }
--- a/standin/src/main/java/sorrelhoist/standin/engine/EngineSettings.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/EngineSettings.java
@@ -23,7 +23,8 @@
  * @param moveTokensPerSecond rate at which a state comes from the same rack
  * @param farTokensPerSecond rate at which it comes from another
  * @param readsItself whether a writer without a state reads the prompt
- * @param warm whether it has been warmed up before it serves: it then says that it started an hour ago
+ * @param warm whether it has been warmed up before it serves: it then says that it started an hour
+ *     ago
  * @param coldFrom share of its speed with which it starts otherwise
  * @param coldMicros until it is warm
  * @param fallMultiple sent more than this multiple of what it can do
@@ -33,11 +34,35 @@
  * @param trace file for what it sees; empty for none
  * @param seed of its randomness
  */
-public record EngineSettings(String id, String kind, String role, String zone, String rack, int port, String registry,
-        long renewMicros, long leaseMicros, int slots, int queue, long memoryTokens, long keptTokens,
-        double readPerSecond, long stepMicros, long perAnswerMicros, int chunkTokens, double moveTokensPerSecond,
-        double farTokensPerSecond, boolean readsItself, boolean warm, double coldFrom, long coldMicros,
-        double fallMultiple, long fallMicros, double warmSendsPerSecond, long stateLimitMicros, String trace,
+public record EngineSettings(
+        String id,
+        String kind,
+        String role,
+        String zone,
+        String rack,
+        int port,
+        String registry,
+        long renewMicros,
+        long leaseMicros,
+        int slots,
+        int queue,
+        long memoryTokens,
+        long keptTokens,
+        double readPerSecond,
+        long stepMicros,
+        long perAnswerMicros,
+        int chunkTokens,
+        double moveTokensPerSecond,
+        double farTokensPerSecond,
+        boolean readsItself,
+        boolean warm,
+        double coldFrom,
+        long coldMicros,
+        double fallMultiple,
+        long fallMicros,
+        double warmSendsPerSecond,
+        long stateLimitMicros,
+        String trace,
         long seed) {
     boolean reads() {
         return !role.equals("write");
--- a/standin/src/main/java/sorrelhoist/standin/engine/Jobs.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/Jobs.java
@@ -6,8 +6,7 @@
 
 /** What an engine works on and holds. */
 final class Jobs {
-    private Jobs() {
-    }
+    private Jobs() {}
 
     /** A prompt being read. */
     static final class Read {
@@ -27,12 +26,10 @@
     }
 
     /** A read state that waits. */
-    record State(String id, String request, int attempt, int tokens, long digest, long at) {
-    }
+    record State(String id, String request, int attempt, int tokens, long digest, long at) {}
 
     /** A place held ahead. */
-    record Place(String id, String request, int tokens, long at) {
-    }
+    record Place(String id, String request, int tokens, long at) {}
 
     /** An answer, from its wait for a slot to its last token. */
     static final class Write {
@@ -61,7 +58,12 @@
         void begin(long promptDigest) {
             digest = promptDigest;
             double part = 0.4 + 0.6 * (digest >>> 11) / (double) (1L << 53);
-            total = Math.max(1, Math.min(request.maxTokens(), (int) Math.ceil(part * request.maxTokens())));
+            total =
+                    Math.max(
+                            1,
+                            Math.min(
+                                    request.maxTokens(),
+                                    (int) Math.ceil(part * request.maxTokens())));
             total = Math.max(total, next);
             ready = true;
         }
--- a/standin/src/main/java/sorrelhoist/standin/engine/KeptBlocks.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/KeptBlocks.java
@@ -4,8 +4,9 @@
 import java.util.LinkedHashMap;
 
 /**
- * Beginnings of prompts that an engine keeps: blocks of sixteen tokens, each named by all that comes before it, the
- * least recently used dropped first. A prompt is read from where its kept blocks end.
+ * Beginnings of prompts that an engine keeps: blocks of sixteen tokens, each named by all that
+ * comes before it, the least recently used dropped first. A prompt is read from where its kept
+ * blocks end.
  */
 final class KeptBlocks {
     static final int BYTES_PER_TOKEN = 4;
--- a/standin/src/main/java/sorrelhoist/standin/engine/Valve.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/Valve.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Cuts an engine off as a network would: nothing is read, nothing gets out, and nobody is told. Connections that
- * lived through it lost bytes, so they are closed when it ends.
+ * Cuts an engine off as a network would: nothing is read, nothing gets out, and nobody is told.
+ * Connections that lived through it lost bytes, so they are closed when it ends.
  */
 final class Valve {
     private final Set<Channel> channels = new HashSet<>();
--- a/standin/src/main/java/sorrelhoist/standin/registry/Lease.java
+++ b/standin/src/main/java/sorrelhoist/standin/registry/Lease.java
@@ -14,8 +14,15 @@
  * @param durationMicros after which it expires without one
  * @param changedAt last change, microseconds
  */
-record Lease(String app, String id, ObjectNode info, String status, String override, long renewedAt,
-        long durationMicros, long changedAt) {
+record Lease(
+        String app,
+        String id,
+        ObjectNode info,
+        String status,
+        String override,
+        long renewedAt,
+        long durationMicros,
+        long changedAt) {
     String effective() {
         return override != null ? override : status;
     }
--- a/standin/src/main/java/sorrelhoist/standin/registry/Listing.java
+++ b/standin/src/main/java/sorrelhoist/standin/registry/Listing.java
@@ -16,8 +16,7 @@
 final class Listing {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Listing() {
-    }
+    private Listing() {}
 
     /** Counts by status: the hash code by which a client finds that its list differs. */
     static String hashCode(List<Lease> leases) {
@@ -41,7 +40,10 @@
         return node;
     }
 
-    /** {@return applications with their instances; whether whole or a delta is in the instances' actions} */
+    /**
+     * {@return applications with their instances; whether whole or a delta is in the instances'
+     * actions}
+     */
     static ObjectNode applications(List<ObjectNode> instances, String hashCode) {
         ObjectNode root = JSON.createObjectNode();
         ObjectNode apps = root.putObject("applications");
@@ -49,7 +51,8 @@
         apps.put("apps__hashcode", hashCode);
         ArrayNode list = apps.putArray("application");
         TreeMap<String, List<ObjectNode>> byApp = new TreeMap<>();
-        instances.forEach(i -> byApp.computeIfAbsent(i.get("app").asText(), a -> new ArrayList<>()).add(i));
+        instances.forEach(
+                i -> byApp.computeIfAbsent(i.get("app").asText(), a -> new ArrayList<>()).add(i));
         byApp.forEach((app, of) -> list.add(application(app, of)));
         return root;
     }
@@ -61,7 +64,10 @@
         return node;
     }
 
-    /** XML of the same tree: arrays repeat their element, keys that begin with @ are attributes, $ is the text. */
+    /**
+     * XML of the same tree: arrays repeat their element, keys that begin with @ are attributes, $
+     * is the text.
+     */
     static String xml(ObjectNode root) {
         StringWriter text = new StringWriter();
         try {
@@ -75,7 +81,8 @@
         return text.toString();
     }
 
-    private static void element(XMLStreamWriter out, String name, JsonNode value) throws XMLStreamException {
+    private static void element(XMLStreamWriter out, String name, JsonNode value)
+            throws XMLStreamException {
         if (value.isArray()) {
             for (JsonNode each : value) {
                 element(out, name, each);
--- a/standin/src/main/java/sorrelhoist/standin/registry/Registry.java
+++ b/standin/src/main/java/sorrelhoist/standin/registry/Registry.java
@@ -24,8 +24,9 @@
 import sorrelhoist.standin.Trace;
 
 /**
- * A stand-in for a Eureka registry: the REST operations as Netflix publishes them, in JSON and XML, with leases that
- * expire and deltas with their hash code; and a control path by which it is told to lag, hang, err or list nothing.
+ * A stand-in for a Eureka registry: the REST operations as Netflix publishes them, in JSON and XML,
+ * with leases that expire and deltas with their hash code; and a control path by which it is told
+ * to lag, hang, err or list nothing.
  */
 public final class Registry {
     /**
@@ -36,14 +37,11 @@
      * @param deltaMicros for how long a change stays in deltas
      * @param trace file for what it sees; empty for none
      */
-    public record Settings(int port, long evictMicros, long deltaMicros, String trace) {
-    }
+    public record Settings(int port, long evictMicros, long deltaMicros, String trace) {}
 
-    private record Change(long at, String action, Lease lease) {
-    }
+    private record Change(long at, String action, Lease lease) {}
 
-    private record Snapshot(long at, List<Lease> leases, List<Change> changes) {
-    }
+    private record Snapshot(long at, List<Lease> leases, List<Change> changes) {}
 
     private static final String ROOT = "/eureka/apps";
     private static final int HISTORY = 500;
@@ -69,14 +67,23 @@
         this.settings = settings;
         this.loops = loops;
         this.loop = loops.next();
-        this.trace = new Trace(settings.trace().isEmpty() ? null : Path.of(settings.trace()), "registry");
+        this.trace =
+                new Trace(
+                        settings.trace().isEmpty() ? null : Path.of(settings.trace()), "registry");
     }
 
     /** Listens. {@return this} */
     public Registry start() throws IOException {
-        listener = Net.listen(loops, settings.port(),
-                () -> new HttpServer((request, answer) -> loop.execute(() -> take(request, answer))));
-        loop.scheduleAtFixedRate(this::evict, settings.evictMicros(), settings.evictMicros(), TimeUnit.MICROSECONDS);
+        listener =
+                Net.listen(
+                        loops,
+                        settings.port(),
+                        () ->
+                                new HttpServer(
+                                        (request, answer) ->
+                                                loop.execute(() -> take(request, answer))));
+        loop.scheduleAtFixedRate(
+                this::evict, settings.evictMicros(), settings.evictMicros(), TimeUnit.MICROSECONDS);
         changed(null, null);
         return this;
     }
@@ -103,20 +110,27 @@
             try {
                 answer.accept(route(request, now));
             } catch (JsonProcessingException | XMLStreamException | IllegalArgumentException e) {
-                answer.accept(HttpMessage.response(400, "text/plain", "cannot be read: " + e.getMessage() + "\n"));
+                answer.accept(
+                        HttpMessage.response(
+                                400, "text/plain", "cannot be read: " + e.getMessage() + "\n"));
             }
         }
     }
 
-    private HttpMessage route(HttpMessage request, long now) throws JsonProcessingException, XMLStreamException {
+    private HttpMessage route(HttpMessage request, long now)
+            throws JsonProcessingException, XMLStreamException {
         String path = request.path().replaceAll("/+$", "");
-        String[] parts = path.startsWith(ROOT) ? path.substring(ROOT.length()).split("/") : new String[0];
+        String[] parts =
+                path.startsWith(ROOT) ? path.substring(ROOT.length()).split("/") : new String[0];
         String way = request.method() + " " + parts.length;
         boolean instances = path.startsWith("/eureka/instances/");
         if (instances && request.method().equals("GET")) {
             String id = path.substring("/eureka/instances/".length());
-            return leases.values().stream().filter(l -> l.id().equals(id)).findFirst()
-                    .map(l -> one(request, l)).orElse(notFound());
+            return leases.values().stream()
+                    .filter(l -> l.id().equals(id))
+                    .findFirst()
+                    .map(l -> one(request, l))
+                    .orElse(notFound());
         }
         if (!path.startsWith(ROOT)) {
             return notFound();
@@ -163,12 +177,20 @@
                 if (!status || value == null) {
                     return HttpMessage.response(400, "text/plain", "give status?value=STATUS\n");
                 }
-                changed("MODIFIED", lease.with(lease.status(), value.equals("UP") ? null : value, now));
+                changed(
+                        "MODIFIED",
+                        lease.with(lease.status(), value.equals("UP") ? null : value, now));
                 return HttpMessage.response(200, "", "");
             }
             case "DELETE 4" -> {
-                changed("MODIFIED", lease.with(request.query("value") == null ? lease.status()
-                        : request.query("value"), null, now));
+                changed(
+                        "MODIFIED",
+                        lease.with(
+                                request.query("value") == null
+                                        ? lease.status()
+                                        : request.query("value"),
+                                null,
+                                now));
                 return HttpMessage.response(200, "", "");
             }
             default -> {
@@ -179,7 +201,9 @@
 
     private HttpMessage register(HttpMessage request, String app, long now)
             throws JsonProcessingException, XMLStreamException {
-        boolean isXml = request.header("content-type") != null && request.header("content-type").contains("xml");
+        boolean isXml =
+                request.header("content-type") != null
+                        && request.header("content-type").contains("xml");
         var root = isXml ? XmlInstance.parse(request.text()) : json.readTree(request.text());
         if (!(root.get("instance") instanceof ObjectNode info)) {
             throw new IllegalArgumentException("an object \"instance\" is missing");
@@ -191,9 +215,16 @@
         String name = app.toUpperCase(Locale.ROOT);
         Lease before = leases.get(key(name, id));
         long seconds = info.path("leaseInfo").path("durationInSecs").asLong(0);
-        Lease lease = new Lease(name, id, info, info.path("status").asText("UP"),
-                before == null ? null : before.override(), now, seconds > 0 ? seconds * 1_000_000 : DEFAULT_LEASE,
-                now);
+        Lease lease =
+                new Lease(
+                        name,
+                        id,
+                        info,
+                        info.path("status").asText("UP"),
+                        before == null ? null : before.override(),
+                        now,
+                        seconds > 0 ? seconds * 1_000_000 : DEFAULT_LEASE,
+                        now);
         changed(before == null ? "ADDED" : "MODIFIED", lease);
         return HttpMessage.response(204, "", "");
     }
@@ -205,7 +236,8 @@
                 leases.put(key(lease), lease);
             }
             changes.add(new Change(now, action, lease));
-            trace.line("change", "engine", lease.id(), "action", action, "status", lease.effective());
+            trace.line(
+                    "change", "engine", lease.id(), "action", action, "status", lease.effective());
         }
         changes.removeIf(c -> c.at() < now - settings.deltaMicros());
         history.add(new Snapshot(now, List.copyOf(leases.values()), List.copyOf(changes)));
@@ -227,7 +259,8 @@
         }
     }
 
-    // ---- Lists --------------------------------------------------------------------------------------------
+    // ---- Lists
+    // --------------------------------------------------------------------------------------------
 
     private Snapshot visible(long now) {
         long at = now < lagUntil ? now - lag : now;
@@ -248,17 +281,27 @@
             }
         }
         listed.forEach(this::say);
-        return body(request, Listing.applications(list.stream().map(l -> Listing.instance(l, "ADDED")).toList(),
-                Listing.hashCode(list)));
+        return body(
+                request,
+                Listing.applications(
+                        list.stream().map(l -> Listing.instance(l, "ADDED")).toList(),
+                        Listing.hashCode(list)));
     }
 
     private HttpMessage delta(HttpMessage request, long now) {
         Snapshot s = visible(now);
         boolean empty = now < emptyUntil;
         List<Change> list = empty ? List.of() : s.changes();
-        list.forEach(c -> say(c.lease().id(), c.action().equals("DELETED") ? "GONE" : c.lease().effective()));
-        return body(request, Listing.applications(list.stream().map(c -> Listing.instance(c.lease(), c.action()))
-                .toList(), empty ? "" : Listing.hashCode(s.leases())));
+        list.forEach(
+                c ->
+                        say(
+                                c.lease().id(),
+                                c.action().equals("DELETED") ? "GONE" : c.lease().effective()));
+        return body(
+                request,
+                Listing.applications(
+                        list.stream().map(c -> Listing.instance(c.lease(), c.action())).toList(),
+                        empty ? "" : Listing.hashCode(s.leases())));
     }
 
     /** Notes when a client was first given a status: from then on it was told. */
@@ -269,8 +312,11 @@
     }
 
     private HttpMessage app(HttpMessage request, String app) {
-        List<ObjectNode> of = leases.values().stream().filter(l -> l.app().equalsIgnoreCase(app))
-                .map(l -> Listing.instance(l, "ADDED")).toList();
+        List<ObjectNode> of =
+                leases.values().stream()
+                        .filter(l -> l.app().equalsIgnoreCase(app))
+                        .map(l -> Listing.instance(l, "ADDED"))
+                        .toList();
         ObjectNode root = json.createObjectNode();
         root.set("application", Listing.application(app.toUpperCase(Locale.ROOT), of));
         return of.isEmpty() ? notFound() : body(request, root);
@@ -284,8 +330,9 @@
 
     private static HttpMessage body(HttpMessage request, ObjectNode root) {
         String accept = request.header("accept");
-        return accept != null && accept.contains("json") ? HttpMessage.response(200, "application/json",
-                root.toString()) : HttpMessage.response(200, "application/xml", Listing.xml(root));
+        return accept != null && accept.contains("json")
+                ? HttpMessage.response(200, "application/json", root.toString())
+                : HttpMessage.response(200, "application/xml", Listing.xml(root));
     }
 
     private static HttpMessage notFound() {
@@ -300,7 +347,8 @@
         return app.toUpperCase(Locale.ROOT) + "/" + id;
     }
 
-    // ---- What it is told to suffer -------------------------------------------------------------------------
+    // ---- What it is told to suffer
+    // -------------------------------------------------------------------------
 
     private HttpMessage control(String command, long now) {
         String[] w = command == null ? new String[] {""} : command.trim().split("\\s+");
@@ -314,8 +362,9 @@
                 case "hang" -> hangUntil = now + millis(w, 1);
                 case "err" -> errUntil = now + millis(w, 1);
                 case "empty" -> emptyUntil = now + millis(w, 1);
-                default -> throw new IllegalArgumentException("unknown; known are lag MS FOR_MS, hang MS, err MS,"
-                        + " empty MS");
+                default ->
+                        throw new IllegalArgumentException(
+                                "unknown; known are lag MS FOR_MS, hang MS, err MS," + " empty MS");
             }
             return HttpMessage.response(200, "text/plain", "done\n");
         } catch (IllegalArgumentException e) {
--- a/standin/src/main/java/sorrelhoist/standin/registry/XmlInstance.java
+++ b/standin/src/main/java/sorrelhoist/standin/registry/XmlInstance.java
@@ -12,8 +12,7 @@
 final class XmlInstance {
     private static final int MAX_DEPTH = 16;
 
-    private XmlInstance() {
-    }
+    private XmlInstance() {}
 
     static ObjectNode parse(String xml) throws XMLStreamException {
         XMLInputFactory factory = XMLInputFactory.newInstance();
@@ -27,7 +26,8 @@
         return root;
     }
 
-    private static void read(XMLStreamReader in, ObjectNode into, int depth) throws XMLStreamException {
+    private static void read(XMLStreamReader in, ObjectNode into, int depth)
+            throws XMLStreamException {
         if (depth > MAX_DEPTH) {
             throw new XMLStreamException("elements nested more than " + MAX_DEPTH + " deep");
         }
@@ -40,7 +40,8 @@
         for (int event = in.next(); event != XMLStreamConstants.END_ELEMENT; event = in.next()) {
             if (event == XMLStreamConstants.START_ELEMENT) {
                 read(in, node, depth + 1);
-            } else if (event == XMLStreamConstants.CHARACTERS || event == XMLStreamConstants.CDATA) {
+            } else if (event == XMLStreamConstants.CHARACTERS
+                    || event == XMLStreamConstants.CDATA) {
                 text.append(in.getText());
             }
         }
--- a/standin/src/test/java/sorrelhoist/standin/RegistryTest.java
+++ b/standin/src/test/java/sorrelhoist/standin/RegistryTest.java
@@ -18,7 +18,10 @@
 import sorrelhoist.protocol.net.Net;
 import sorrelhoist.standin.registry.Registry;
 
-/** Eureka's REST operations as published, in JSON and XML, and what the stand-in can be told to suffer. */
+/**
+ * Eureka's REST operations as published, in JSON and XML, and what the stand-in can be told to
+ * suffer.
+ */
 class RegistryTest {
     private final EventLoopGroup loops = Net.loops(1, "registry-test");
     private Registry registry;
@@ -36,18 +39,31 @@
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    private HttpMessage call(String method, String target, String type, String body) throws Exception {
-        Map<String, String> headers = type.isEmpty() ? Map.of("accept", "application/json")
-                : Map.of("content-type", type, "accept", "application/json");
-        return http.send(HttpMessage.request(method, target, headers, body.getBytes(StandardCharsets.UTF_8)),
-                3_000_000).get(5, TimeUnit.SECONDS);
+    private HttpMessage call(String method, String target, String type, String body)
+            throws Exception {
+        Map<String, String> headers =
+                type.isEmpty()
+                        ? Map.of("accept", "application/json")
+                        : Map.of("content-type", type, "accept", "application/json");
+        return http.send(
+                        HttpMessage.request(
+                                method, target, headers, body.getBytes(StandardCharsets.UTF_8)),
+                        3_000_000)
+                .get(5, TimeUnit.SECONDS);
     }
 
     private int register(String id, int leaseSeconds) throws Exception {
-        return call("POST", "/eureka/apps/engines", "application/json", "{\"instance\":{\"instanceId\":\"" + id
-                + "\",\"hostName\":\"127.0.0.1\",\"app\":\"ENGINES\",\"status\":\"UP\",\"ipAddr\":\"127.0.0.1\",\"port\""
-                + ":{\"$\":99,\"@enabled\":\"true\"},\"leaseInfo\":{\"durationInSecs\":" + leaseSeconds
-                + "},\"metadata\":{\"zone\":\"a\"}}}").status();
+        return call(
+                        "POST",
+                        "/eureka/apps/engines",
+                        "application/json",
+                        "{\"instance\":{\"instanceId\":\""
+                                + id
+                                + "\",\"hostName\":\"127.0.0.1\",\"app\":\"ENGINES\",\"status\":\"UP\",\"ipAddr\":\"127.0.0.1\",\"port\""
+                                + ":{\"$\":99,\"@enabled\":\"true\"},\"leaseInfo\":{\"durationInSecs\":"
+                                + leaseSeconds
+                                + "},\"metadata\":{\"zone\":\"a\"}}}")
+                .status();
     }
 
     private JsonNode get(String target) throws Exception {
@@ -65,11 +81,18 @@
         assertEquals("a", apps.at("/application/0/instance/0/metadata/zone").asText());
         assertEquals(200, call("PUT", "/eureka/apps/ENGINES/e1", "", "").status());
         assertEquals(404, call("PUT", "/eureka/apps/ENGINES/nobody", "", "").status());
-        assertEquals(200, call("PUT", "/eureka/apps/ENGINES/e1/status?value=OUT_OF_SERVICE", "", "").status());
-        assertEquals("OUT_OF_SERVICE", get("/eureka/apps/ENGINES/e1").at("/instance/status").asText());
-        assertEquals("OUT_OF_SERVICE", get("/eureka/instances/e1").at("/instance/overriddenStatus").asText());
+        assertEquals(
+                200,
+                call("PUT", "/eureka/apps/ENGINES/e1/status?value=OUT_OF_SERVICE", "", "")
+                        .status());
+        assertEquals(
+                "OUT_OF_SERVICE", get("/eureka/apps/ENGINES/e1").at("/instance/status").asText());
+        assertEquals(
+                "OUT_OF_SERVICE",
+                get("/eureka/instances/e1").at("/instance/overriddenStatus").asText());
         assertEquals(200, call("DELETE", "/eureka/apps/ENGINES/e1/status", "", "").status());
-        assertEquals("UP", get("/eureka/apps/ENGINES").at("/application/instance/0/status").asText());
+        assertEquals(
+                "UP", get("/eureka/apps/ENGINES").at("/application/instance/0/status").asText());
         JsonNode delta = get("/eureka/apps/delta").get("applications");
         assertEquals(3, delta.at("/application/0/instance").size());
         assertEquals("ADDED", delta.at("/application/0/instance/0/actionType").asText());
@@ -81,18 +104,37 @@
 
     @Test
     void registrationAndListsInXml() throws Exception {
-        String xml = "<instance><instanceId>x1</instanceId><hostName>127.0.0.1</hostName><app>ENGINES</app>"
-                + "<status>UP</status><port enabled=\"true\">99</port><leaseInfo><durationInSecs>90</durationInSecs>"
-                + "</leaseInfo><metadata><zone>b</zone></metadata></instance>";
+        String xml =
+                "<instance><instanceId>x1</instanceId><hostName>127.0.0.1</hostName><app>ENGINES</app><status>UP</status><port"
+                    + " enabled=\"true\">99</port><leaseInfo><durationInSecs>90</durationInSecs>"
+                    + "</leaseInfo><metadata><zone>b</zone></metadata></instance>";
         assertEquals(204, call("POST", "/eureka/apps/ENGINES", "application/xml", xml).status());
         assertEquals("b", get("/eureka/apps/ENGINES/x1").at("/instance/metadata/zone").asText());
-        String listed = http.send(HttpMessage.request("GET", "/eureka/apps", Map.of("accept", "application/xml"),
-                new byte[0]), 3_000_000).get(5, TimeUnit.SECONDS).text();
+        String listed =
+                http.send(
+                                HttpMessage.request(
+                                        "GET",
+                                        "/eureka/apps",
+                                        Map.of("accept", "application/xml"),
+                                        new byte[0]),
+                                3_000_000)
+                        .get(5, TimeUnit.SECONDS)
+                        .text();
         assertTrue(listed.contains("<apps__hashcode>UP_1_</apps__hashcode>"), listed);
         assertTrue(listed.contains("<port enabled=\"true\">99</port>"), listed);
-        assertEquals(400, call("POST", "/eureka/apps/ENGINES", "application/xml",
-                "<!DOCTYPE i [<!ENTITY a \"b\">]><instance><hostName>&a;</hostName></instance>").status());
-        assertEquals(400, call("POST", "/eureka/apps/ENGINES", "application/json", "{\"instance\":{}}").status());
+        assertEquals(
+                400,
+                call(
+                                "POST",
+                                "/eureka/apps/ENGINES",
+                                "application/xml",
+                                "<!DOCTYPE i [<!ENTITY a"
+                                        + " \"b\">]><instance><hostName>&a;</hostName></instance>")
+                        .status());
+        assertEquals(
+                400,
+                call("POST", "/eureka/apps/ENGINES", "application/json", "{\"instance\":{}}")
+                        .status());
     }
 
     @Test
@@ -103,8 +145,11 @@
         while (call("GET", "/eureka/apps/ENGINES/short", "", "").status() == 200) {
             assertTrue(System.nanoTime() < end);
         }
-        assertEquals("DELETED", get("/eureka/apps/delta").at("/applications/application/0/instance/2/actionType")
-                .asText());
+        assertEquals(
+                "DELETED",
+                get("/eureka/apps/delta")
+                        .at("/applications/application/0/instance/2/actionType")
+                        .asText());
         assertEquals(200, call("GET", "/eureka/apps/ENGINES/long", "", "").status());
     }
 
@@ -128,8 +173,8 @@
     void itHangsWhenTold() throws Exception {
         call("POST", "/control?do=hang%2060000", "", "");
         try {
-            http.send(HttpMessage.request("GET", "/eureka/apps", Map.of(), new byte[0]), 100_000).get(5,
-                    TimeUnit.SECONDS);
+            http.send(HttpMessage.request("GET", "/eureka/apps", Map.of(), new byte[0]), 100_000)
+                    .get(5, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             assertTrue(e.getCause() instanceof java.util.concurrent.TimeoutException);
             return;
