--- a/core/src/main/java/sorrelhoist/core/life/Router.java
+++ b/core/src/main/java/sorrelhoist/core/request/Router.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import java.util.ArrayDeque;
 import java.util.Comparator;
@@ -6,23 +6,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import sorrelhoist.Decide;
-import sorrelhoist.Knowledge;
-import sorrelhoist.Reason;
-import sorrelhoist.Routing.*;
+import sorrelhoist.core.explain.ReasonFormatter;
 import sorrelhoist.core.guard.Invariant;
 import sorrelhoist.core.guard.InvariantMonitor;
 import sorrelhoist.core.guard.SendGuard;
-import sorrelhoist.core.record.Entry;
-import sorrelhoist.core.record.Tap;
+import sorrelhoist.core.record.DecisionListener;
+import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.core.reservation.Hold;
-import sorrelhoist.core.time.Alarms;
-import sorrelhoist.core.why.Words;
+import sorrelhoist.core.time.TimerQueue;
+import sorrelhoist.routing.Knowledge;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.RoutingPolicy;
 
 /**
- * The whole of one router but its sockets: requests' lives around {@link Decide}. It is told what
- * happens, asks {@code Decide}, and gives commands to a carrier. One thread at a time; time is the
- * caller's, in microseconds.
+ * The whole of one router but its sockets: requests' lives around {@link RoutingPolicy}. It is told
+ * what happens, asks {@code Decide}, and gives commands to a carrier. One thread at a time; time is
+ * the caller's, in microseconds.
  *
  * <p>What it owes, whatever the carrier reports and in whatever order: each client one final answer
  * and nothing after it; each {@code Send} of {@code Decide} exactly one {@code AttemptEnded}; each
@@ -63,16 +63,16 @@
     private record Blocked(Life life, long since) implements Alarm {}
 
     private final RouterSettings settings;
-    private final Decide decide;
+    private final RoutingPolicy decide;
     private final Consumer<Command> carrier;
-    private final Tap tap;
+    private final DecisionListener tap;
     private final StreamWatch watch;
     private final Reservations reservations;
-    private final InvariantMonitor monitor;
+    private final InvariantMonitor invariantMonitor;
     private final SendGuard sendGuard;
     private final Lives lives = new Lives();
     private final Map<String, Integer> kinds = new HashMap<>();
-    private final Alarms<Alarm> alarms = new Alarms<>();
+    private final TimerQueue<Alarm> alarms = new TimerQueue<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private long now = Long.MIN_VALUE;
     private long sends;
@@ -86,7 +86,7 @@
      * @param carrier takes commands, during the calls below
      */
     public Router(RouterSettings settings, Consumer<Command> carrier) {
-        this(settings, carrier, Tap.NONE);
+        this(settings, carrier, DecisionListener.NONE);
     }
 
     /**
@@ -96,60 +96,61 @@
      * @param carrier takes commands, during the calls below
      * @param tap hears what Decide is told and says
      */
-    public Router(RouterSettings settings, Consumer<Command> carrier, Tap tap) {
+    public Router(RouterSettings settings, Consumer<Command> carrier, DecisionListener tap) {
         this.tap = tap;
         this.settings = settings;
         this.carrier = carrier;
-        this.decide = new Decide(settings.decide(), settings.seed());
+        this.decide = new RoutingPolicy(settings.routing(), settings.seed());
         this.watch = new StreamWatch(settings);
         this.reservations = new Reservations(settings, carrier);
-        this.monitor = new InvariantMonitor(line -> carrier.accept(new Command.Violation(line)));
-        this.sendGuard = new SendGuard(settings.decide(), monitor);
+        this.invariantMonitor =
+                new InvariantMonitor(line -> carrier.accept(new Command.ReportViolation(line)));
+        this.sendGuard = new SendGuard(settings.routing(), invariantMonitor);
     }
 
     // ---- What the carrier tells
     // ---------------------------------------------------------------------------
 
     /** A client asks. {@return its number here} */
-    public long arrived(long time, Call call) {
+    public long requestArrived(long time, InferenceRequest call) {
         at(time);
         long timeout =
                 call.timeoutMicros() > 0
-                        ? Math.max(0, call.timeoutMicros() - settings.marginMicros())
+                        ? Math.max(0, call.timeoutMicros() - settings.deadlineMarginMicros())
                         : Long.MAX_VALUE;
         Life life = lives.open(call, now, timeout == Long.MAX_VALUE ? timeout : now + timeout);
-        if (draining || lives.open() > settings.maxOpen()) {
+        if (draining || lives.open() > settings.maxOpenRequests()) {
             life.step(Phase.Step.REFUSE);
             finish(
                     life,
-                    new Answer.Refused(
+                    new RequestResult.Refused(
                             REFUSED_AT_THE_TOP,
                             Reason.compared(
                                     Reason.Kind.ROUTER_FULL,
                                     lives.open() - 1,
-                                    draining ? 0 : settings.maxOpen())));
+                                    draining ? 0 : settings.maxOpenRequests())));
             return life.client;
         }
         if (life.endsBy < Long.MAX_VALUE) {
-            alarms.set(life.endsBy + OVERDUE, new Overdue(life.client));
+            alarms.schedule(life.endsBy + OVERDUE, new Overdue(life.client));
         }
         submit(life);
         drain();
-        if (life.endsBy < Long.MAX_VALUE && settings.streams().endWithClientsTime()) {
-            alarms.set(life.endsBy, new Expiry(life));
+        if (life.endsBy < Long.MAX_VALUE && settings.streams().endAtClientDeadline()) {
+            alarms.schedule(life.endsBy, new Expiry(life));
         }
         return life.client;
     }
 
     /** A client left; nothing is owed to it. Unknown ones were answered a moment ago. */
-    public void clientGone(long time, long client) {
+    public void clientDisconnected(long time, long client) {
         at(time);
         Life life = lives.ofClient(client);
         if (life == null) {
             return;
         }
         lives.finish(life);
-        answered(life, Entry.End.LEFT, Reason.UNKNOWN);
+        answered(life, RecordEntry.Completion.LEFT, Reason.UNKNOWN);
         abandon(life, Phase.Step.CLIENT_GONE);
     }
 
@@ -170,19 +171,20 @@
      * engine is held back, and is not to blame for its silence; a client that takes nothing for too
      * long is given up.
      */
-    public void clientBlocked(long time, long client, boolean blocked) {
+    public void clientBackpressureChanged(long time, long client, boolean blocked) {
         at(time);
         Life life = lives.ofClient(client);
         long givenUpAt = life == null ? 0 : watch.blocked(life, blocked, now);
         if (givenUpAt > 0) {
-            alarms.set(givenUpAt, new Blocked(life, life.blockedSince));
+            alarms.schedule(givenUpAt, new Blocked(life, life.blockedSince));
         }
     }
 
     /** A read ended well. */
-    public void readDone(long time, AttemptId id, String state, long kept, Load load) {
+    public void prefillCompleted(
+            long time, AttemptId id, String state, long kept, ServerLoad load) {
         at(time);
-        Life life = lives.ofDecide(id.request());
+        Life life = lives.ofDecide(id.requestId());
         Life.Attempt a = Lives.out(life, id);
         if (a == null || !a.read) {
             return;
@@ -200,11 +202,12 @@
      * @param id which
      * @param outcome how; neither DONE nor READ
      * @param note 1 with FULL where no state was there to fetch
-     * @param load the engine's report, or {@link Load#NONE}
+     * @param load the engine's report, or {@link ServerLoad#NONE}
      */
-    public void attemptLost(long time, AttemptId id, Outcome outcome, long note, Load load) {
+    public void attemptFailed(
+            long time, AttemptId id, Outcome outcome, long note, ServerLoad load) {
         at(time);
-        Life life = lives.ofDecide(id.request());
+        Life life = lives.ofDecide(id.requestId());
         Life.Attempt a = Lives.out(life, id);
         if (a != null) {
             lost(life, a, outcome, note, load);
@@ -221,32 +224,33 @@
      * @param text the token
      * @param ticket handed on with the token; dropped with a token that is not wanted
      */
-    public void token(long time, AttemptId id, int index, String text, Object ticket) {
+    public void tokenReceived(long time, AttemptId id, int index, String text, Object ticket) {
         at(time);
-        Life life = lives.ofDecide(id.request());
+        Life life = lives.ofDecide(id.requestId());
         Life.Attempt a = Lives.out(life, id);
         if (a == null || a.read) {
             return;
         }
-        if (index != life.tokens || index >= life.call.maxTokens()) {
+        if (index != life.tokens || index >= life.call.maxOutputTokens()) {
             log(life, "token " + index + " where " + life.tokens + " was due");
             drop(life, a, Outcome.ERROR);
         } else {
-            heard(life, a);
+            bytesReceived(life, a);
             life.answered.append(text);
             if (life.finished) {
                 drop(life, a, Outcome.CANCELLED);
             } else {
-                carrier.accept(new Command.Deliver(life.client, index, text, ticket));
+                carrier.accept(new Command.DeliverToken(life.client, index, text, ticket));
             }
         }
         drain();
     }
 
     /** A writer says that its answer is whole. */
-    public void streamDone(long time, AttemptId id, int tokens, long kept, Load load) {
+    public void tokenStreamCompleted(
+            long time, AttemptId id, int tokens, long kept, ServerLoad load) {
         at(time);
-        Life life = lives.ofDecide(id.request());
+        Life life = lives.ofDecide(id.requestId());
         Life.Attempt a = Lives.out(life, id);
         if (a == null || a.read) {
             return;
@@ -261,25 +265,25 @@
     }
 
     /**
-     * An event of an answer came that is passed on as it is ({@link Streams#opaque}); nothing of it
-     * is kept.
+     * An event of an answer came that is passed on as it is ({@link StreamSettings#opaqueEvents});
+     * nothing of it is kept.
      *
      * @param time now
      * @param id of which attempt
      * @param ticket the event, handed on in the order to deliver it
      * @return whether it was handed on; if not, it is still the caller's
      */
-    public boolean event(long time, AttemptId id, Object ticket) {
+    public boolean opaqueEventReceived(long time, AttemptId id, Object ticket) {
         at(time);
-        Life life = lives.ofDecide(id.request());
+        Life life = lives.ofDecide(id.requestId());
         Life.Attempt a = Lives.out(life, id);
         if (a == null || a.read) {
             return false;
         }
-        heard(life, a);
+        bytesReceived(life, a);
         boolean wanted = !life.finished;
         if (wanted) {
-            carrier.accept(new Command.Deliver(life.client, life.tokens - 1, "", ticket));
+            carrier.accept(new Command.DeliverToken(life.client, life.tokens - 1, "", ticket));
         } else {
             drop(life, a, Outcome.CANCELLED);
         }
@@ -288,9 +292,9 @@
     }
 
     /** A stream of opaque events came to its proper end. */
-    public void streamWhole(long time, AttemptId id, long kept, Load load) {
+    public void opaqueStreamCompleted(long time, AttemptId id, long kept, ServerLoad load) {
         at(time);
-        Life life = lives.ofDecide(id.request());
+        Life life = lives.ofDecide(id.requestId());
         Life.Attempt a = Lives.out(life, id);
         if (a != null && !a.read) {
             whole(life, a, kept, load);
@@ -298,7 +302,7 @@
         }
     }
 
-    private void heard(Life life, Life.Attempt a) {
+    private void bytesReceived(Life life, Life.Attempt a) {
         if (!a.started) {
             begin(life, a);
         } else {
@@ -309,15 +313,16 @@
         life.tokens++;
     }
 
-    private void whole(Life life, Life.Attempt a, long kept, Load load) {
+    private void whole(Life life, Life.Attempt a, long kept, ServerLoad load) {
         life.step(Phase.Step.LAST_TOKEN);
         reservations.taken(life, now);
         ended(life, a, Outcome.DONE, true, kept, load);
-        finish(life, new Answer.Served(life.tokens));
+        finish(life, new RequestResult.Served(life.tokens));
     }
 
     /** A place was held, or not. */
-    public void placeAnswered(long time, long request, String engine, boolean held, String place) {
+    public void decodeSlotAnswered(
+            long time, long request, String engine, boolean held, String place) {
         at(time);
         Life life = placeable(request);
         if (life == null) {
@@ -334,7 +339,7 @@
     }
 
     /** It is not known whether a place was held; it may be. */
-    public void placeUnknown(long time, long request, String engine, String place) {
+    public void decodeSlotUnknown(long time, long request, String engine, String place) {
         at(time);
         Life life = placeable(request);
         if (life == null) {
@@ -356,7 +361,7 @@
      */
     public void attemptConnecting(long time, AttemptId id) {
         at(time);
-        Life life = lives.ofDecide(id.request());
+        Life life = lives.ofDecide(id.requestId());
         Life.Attempt a = Lives.out(life, id);
         if (a != null) {
             a.written = false;
@@ -368,12 +373,12 @@
      * Whether an attempt's bytes may go to its engine now. To be asked when the connection stands,
      * right before they are made: much can have happened while it came up.
      */
-    public boolean mayWrite(long time, AttemptId id) {
+    public boolean maySend(long time, AttemptId id) {
         at(time);
-        Life life = lives.ofDecide(id.request());
+        Life life = lives.ofDecide(id.requestId());
         Life.Attempt a = Lives.out(life, id);
         if (a == null) {
-            return monitor.check(false, Invariant.SEND_FOR_OPEN_REQUEST, now, id);
+            return invariantMonitor.check(false, Invariant.SEND_FOR_OPEN_REQUEST, now, id);
         }
         return sendGuard.allows(
                 new SendGuard.Attempt(
@@ -383,7 +388,7 @@
                         life.history(),
                         !life.finished,
                         life.endsBy,
-                        settings.decide().classes().get(life.call.cls()).repeat(),
+                        settings.routing().classes().get(life.call.classIndex()).idempotency(),
                         life.mayHaveRunFrom != Life.NEVER,
                         a.read,
                         sendBy(life)),
@@ -391,14 +396,14 @@
     }
 
     /** {@return counts violations of what must always hold} */
-    public InvariantMonitor monitor() {
-        return monitor;
+    public InvariantMonitor invariantMonitor() {
+        return invariantMonitor;
     }
 
     /** The last byte of an attempt was written to a connection that stands. */
     public void attemptWritten(long time, AttemptId id) {
         at(time);
-        Life life = lives.ofDecide(id.request());
+        Life life = lives.ofDecide(id.requestId());
         Life.Attempt a = Lives.out(life, id);
         if (a != null) {
             a.written = true;
@@ -407,35 +412,36 @@
     }
 
     /** A release ended. {@code done} where the engine answered that nothing is held any more. */
-    public void releaseEnded(long time, long release, boolean done) {
+    public void releaseCompleted(long time, long release, boolean done) {
         at(time);
         reservations.releaseEnded(release, done, now);
     }
 
     /** Bytes came from an engine, whatever they belong to. */
-    public void heard(long time, String engine) {
+    public void bytesReceived(long time, String engine) {
         at(time);
         reservations.heard(engine, now);
     }
 
     /** A probe ended. */
-    public void probeAnswered(long time, String engine, Outcome outcome, long took, Load load) {
+    public void probeCompleted(
+            long time, String engine, Outcome outcome, long took, ServerLoad load) {
         tell(time, new ProbeAnswered(engine, outcome, took, load));
     }
 
     /** Another router's message came. */
-    public void peerMessage(long time, int from, String body) {
+    public void peerMessageReceived(long time, int from, String body) {
         tell(time, new PeerMessage(from, body));
     }
 
     /** The number of routers, or this one's, changed. */
-    public void seated(long time, int routers, int self) {
+    public void routerCountChanged(long time, int routers, int self) {
         tell(time, new Seated(routers, self));
     }
 
     /** The roster, or news of it. */
-    public void members(long time, ListForm form, List<Server> servers) {
-        if (form == ListForm.COMPLETE) {
+    public void endpointsUpdated(long time, ListUpdateKind form, List<Server> servers) {
+        if (form == ListUpdateKind.COMPLETE) {
             kinds.clear();
         }
         for (Server s : servers) {
@@ -453,32 +459,32 @@
     /** {@return what its own evidence has taught, with at most so many keys} */
     public Knowledge known(long time, int mostKeys) {
         at(time);
-        return decide.known(now, mostKeys);
+        return decide.exportKnowledge(now, mostKeys);
     }
 
     /** Takes what was taught, so much older now. */
-    public void learn(long time, Knowledge taught, long age) {
+    public void importKnowledge(long time, Knowledge taught, long age) {
         at(time);
-        decide.learn(now, taught, age);
-        tap.taught(now, age, taught);
+        decide.importKnowledge(now, taught, age);
+        tap.onKnowledgeAdopted(now, age, taught);
     }
 
     /** Takes no new requests from now on: they are refused with a hint. */
-    public void drainNow() {
+    public void startDraining() {
         draining = true;
     }
 
     /**
      * {@return streams that run, where their clients come again for the rest of one that is moved}
      */
-    public int movable() {
+    public int migratableStreams() {
         return settings.streams().clientsResume()
                 ? (int) lives.known().stream().filter(Router::running).count()
                 : 0;
     }
 
     /** Moves the streams that began last: each ends without its end, and its client comes again. */
-    public void moveYoungest(long time, int count) {
+    public void migrateYoungestStreams(long time, int count) {
         at(time);
         lives.known().stream()
                 .filter(Router::running)
@@ -494,11 +500,11 @@
     }
 
     /** Ends what is still open: each client is told, nothing is left held. */
-    public void endAll(long time, String why) {
+    public void failAllRequests(long time, String why) {
         at(time);
         draining = true;
         for (Life life : lives.owed()) {
-            finish(life, new Answer.Failed(why, false, Reason.UNKNOWN));
+            finish(life, new RequestResult.Failed(why, false, Reason.UNKNOWN));
             abandon(life, Phase.Step.FAIL);
         }
     }
@@ -508,24 +514,24 @@
         at(time);
         // First of all: what is held has the shortest time.
         reservations.advance(now);
-        for (Alarm due = alarms.due(now); due != null; due = alarms.due(now)) {
+        for (Alarm due = alarms.pollDue(now); due != null; due = alarms.pollDue(now)) {
             ring(due);
             drain();
         }
     }
 
     /** {@return when {@link #advance} is next needed; Long.MAX_VALUE for never} */
-    public long nextAlarm() {
-        return Math.min(alarms.next(), reservations.next());
+    public long nextTimerAt() {
+        return Math.min(alarms.nextDueMicros(), reservations.next());
     }
 
     /** {@return engines on the list held} */
-    public int engines() {
+    public int engineCount() {
         return kinds.size();
     }
 
     /** {@return requests whose clients have no final answer yet} */
-    public int open() {
+    public int openRequests() {
         return lives.open();
     }
 
@@ -535,7 +541,7 @@
     }
 
     /** {@return attempts that are out} */
-    public int attemptsOut() {
+    public int runningAttempts() {
         return (int) lives.known().stream().filter(l -> l.out != null).count();
     }
 
@@ -548,17 +554,17 @@
     }
 
     /** {@return what is held for requests that may still take it} */
-    public int held() {
+    public int wantedReservations() {
         return reservations.held();
     }
 
     /** {@return what is held, or may be, whether or not its release is under way} */
-    public int reserved() {
+    public int reservationCount() {
         return reservations.size();
     }
 
     /** {@return reservations that no engine has released in time, since the start} */
-    public long releasesExpired() {
+    public long expiredReleases() {
         return reservations.expired();
     }
 
@@ -592,9 +598,9 @@
         } else if (alarm instanceof Blocked b && StreamWatch.stalled(b.life(), b.since())) {
             finish(
                     b.life(),
-                    new Answer.Stalled(
+                    new RequestResult.Stalled(
                             "the client took nothing of its answer for "
-                                    + settings.stallMicros() / 1000
+                                    + settings.clientStallTimeoutMicros() / 1000
                                     + " ms"));
             abandon(b.life(), Phase.Step.CLIENT_GONE);
         }
@@ -606,7 +612,7 @@
         }
         long deadAt = watch.deadAt(s.life(), s.attempt());
         if (now < deadAt) {
-            alarms.set(StreamWatch.lookAt(deadAt, now), s);
+            alarms.schedule(StreamWatch.lookAt(deadAt, now), s);
             return;
         }
         log(
@@ -631,7 +637,7 @@
         life.step(Phase.Step.EXPIRE);
         finish(
                 life,
-                new Answer.Failed(
+                new RequestResult.Failed(
                         "the answer did not end within the client's time", true, Reason.UNKNOWN));
         drop(life, running, Outcome.TIMED_OUT);
         drain();
@@ -646,7 +652,8 @@
             log(life, "not answered by the end of its time");
             finish(
                     life,
-                    new Answer.Failed("no answer within the client's time", true, Reason.UNKNOWN));
+                    new RequestResult.Failed(
+                            "no answer within the client's time", true, Reason.UNKNOWN));
             abandon(life, Phase.Step.FAIL);
         }
     }
@@ -656,43 +663,45 @@
 
     /** Hands the request, or what is left of a broken one, to Decide under a number of its own. */
     private void submit(Life life) {
-        Call c = life.call;
+        InferenceRequest c = life.call;
         lives.submit(life);
         life.name =
-                settings.streams().opaque()
-                        ? c.clientId()
-                        : settings.name()
+                settings.streams().opaqueEvents()
+                        ? c.clientRequestId()
+                        : settings.routerName()
                                 + "."
                                 + Long.toString(settings.incarnation(), NAMES)
                                 + "."
                                 + Long.toString(life.decideId, NAMES);
-        if (tap != Tap.NONE) {
-            tap.asked(
-                    new Entry.Asked(
+        if (tap != DecisionListener.NONE) {
+            tap.onRequestSubmitted(
+                    new RecordEntry.RequestSubmitted(
                             now,
                             life.decideId,
                             life.client,
                             life.name,
-                            c.clientId(),
+                            c.clientRequestId(),
                             0,
                             c.timeoutMicros(),
                             life.tokens),
                     c.prompt());
         }
         long patience =
-                settings.deadlines().get(c.cls())
-                        + settings.deadlinesPer1000().get(c.cls()) * life.promptTokens() / 1000;
+                settings.firstTokenTimeoutsMicros().get(c.classIndex())
+                        + settings.firstTokenTimeoutsPer1000TokensMicros().get(c.classIndex())
+                                * life.promptTokens()
+                                / 1000;
         long budget = Math.max(0, Math.min(patience, life.endsBy - now));
         events.add(
                 new Arrived(
                         life.decideId,
-                        c.cls(),
-                        c.tenant(),
+                        c.classIndex(),
+                        c.tenantIndex(),
                         c.session(),
-                        c.prefix(),
+                        c.sharedPrefix(),
                         life.promptTokens(),
-                        c.prefixTokens(),
-                        c.maxTokens() - life.tokens,
+                        c.sharedPrefixTokens(),
+                        c.maxOutputTokens() - life.tokens,
                         budget,
                         c.resumed() || life.tokens > 0));
     }
@@ -703,19 +712,19 @@
         reservations.taken(life, now);
         events.add(new StreamStarted(life.decideId, a.id.number(), a.engine, now - a.sentAt));
         a.heardAt = now;
-        alarms.set(StreamWatch.lookAt(watch.deadAt(life, a), now), new Silence(life, a));
+        alarms.schedule(StreamWatch.lookAt(watch.deadAt(life, a), now), new Silence(life, a));
     }
 
     /** Stops waiting for an attempt; its outcome is known here and now. */
     private void drop(Life life, Life.Attempt a, Outcome outcome) {
-        carrier.accept(new Command.Drop(a.id));
+        carrier.accept(new Command.CancelAttempt(a.id));
         // Nothing can have run where the request was never written: its time was used up by
         // connecting.
         boolean unreached = !a.written && outcome == Outcome.TIMED_OUT;
-        lost(life, a, unreached ? Outcome.CONNECT_FAILED : outcome, 0, Load.NONE);
+        lost(life, a, unreached ? Outcome.CONNECT_FAILED : outcome, 0, ServerLoad.NONE);
     }
 
-    private void lost(Life life, Life.Attempt a, Outcome outcome, long note, Load load) {
+    private void lost(Life life, Life.Attempt a, Outcome outcome, long note, ServerLoad load) {
         if (a.started) {
             broke(life, a, outcome, load);
             return;
@@ -736,15 +745,15 @@
      * be repeated, it goes on from its last token as a request of its own, as a returning client's
      * would; the client's stream stays open meanwhile. Otherwise the client is told at once.
      */
-    private void broke(Life life, Life.Attempt a, Outcome outcome, Load load) {
+    private void broke(Life life, Life.Attempt a, Outcome outcome, ServerLoad load) {
         ended(life, a, outcome, true, 0, load);
         if (life.finished) {
             return;
         }
         lives.concluded(life);
-        if (!settings.streams().opaque() && life.tokens >= life.call.maxTokens()) {
+        if (!settings.streams().opaqueEvents() && life.tokens >= life.call.maxOutputTokens()) {
             life.step(Phase.Step.LAST_TOKEN);
-            finish(life, new Answer.Served(life.tokens));
+            finish(life, new RequestResult.Served(life.tokens));
         } else if (!draining && watch.goesOn(life, now)) {
             life.resumptions++;
             life.step(Phase.Step.BREAK);
@@ -753,12 +762,13 @@
             life.step(Phase.Step.FAIL);
             finish(
                     life,
-                    new Answer.Failed("the answer broke off: " + outcome, false, Reason.UNKNOWN));
+                    new RequestResult.Failed(
+                            "the answer broke off: " + outcome, false, Reason.UNKNOWN));
         }
     }
 
     private void ended(
-            Life life, Life.Attempt a, Outcome outcome, boolean over, long note, Load load) {
+            Life life, Life.Attempt a, Outcome outcome, boolean over, long note, ServerLoad load) {
         boolean neverRan =
                 a.read
                         || !a.written
@@ -773,7 +783,7 @@
         outcomes++;
         events.add(
                 new AttemptEnded(
-                        a.id.request(),
+                        a.id.requestId(),
                         a.id.number(),
                         a.engine,
                         outcome,
@@ -783,27 +793,29 @@
                         load));
     }
 
-    private void finish(Life life, Answer answer) {
+    private void finish(Life life, RequestResult answer) {
         if (!life.finished) {
             lives.finish(life);
             answered(
                     life,
-                    answer instanceof Answer.Served
-                            ? Entry.End.SERVED
-                            : answer instanceof Answer.Refused
-                                    ? Entry.End.REFUSED
-                                    : answer instanceof Answer.Stalled
-                                            ? Entry.End.STALLED
-                                            : Entry.End.FAILED,
+                    answer instanceof RequestResult.Served
+                            ? RecordEntry.Completion.SERVED
+                            : answer instanceof RequestResult.Refused
+                                    ? RecordEntry.Completion.REFUSED
+                                    : answer instanceof RequestResult.Stalled
+                                            ? RecordEntry.Completion.STALLED
+                                            : RecordEntry.Completion.FAILED,
                     answer.reason());
-            carrier.accept(new Command.Finish(life.client, answer));
+            carrier.accept(new Command.FinishRequest(life.client, answer));
         }
     }
 
-    private void answered(Life life, Entry.End how, Reason why) {
-        if (tap != Tap.NONE) {
+    private void answered(Life life, RecordEntry.Completion how, Reason why) {
+        if (tap != DecisionListener.NONE) {
             long left = life.endsBy == Long.MAX_VALUE ? life.endsBy : life.endsBy - now;
-            tap.answered(new Entry.Answered(now, life.client, how, life.tokens, left, why));
+            tap.onRequestCompleted(
+                    new RecordEntry.RequestCompleted(
+                            now, life.client, how, life.tokens, left, why));
         }
     }
 
@@ -819,8 +831,8 @@
         Throwable failure = null;
         for (Event event = events.poll(); event != null; event = events.poll()) {
             try {
-                List<Action> actions = decide.on(now, event);
-                tap.told(now, event, actions);
+                List<Action> actions = decide.onEvent(now, event);
+                tap.onDecision(now, event, actions);
                 for (Action action : actions) {
                     failure = performed(action, failure);
                 }
@@ -850,18 +862,21 @@
         if (action instanceof Send a) {
             send(a);
         } else if (action instanceof Refuse a) {
-            answer(a.id(), Phase.Step.REFUSE, new Answer.Refused(a.backoffMicros(), a.why()));
+            answer(
+                    a.id(),
+                    Phase.Step.REFUSE,
+                    new RequestResult.Refused(a.backoffMicros(), a.why()));
         } else if (action instanceof Fail a) {
             Life life = lives.ofDecide(a.id());
             boolean late = life != null && life.endsBy <= now;
             answer(
                     a.id(),
                     Phase.Step.FAIL,
-                    new Answer.Failed(
+                    new RequestResult.Failed(
                             late
                                     ? "no answer within the client's time"
                                     : "not answered, and a repeat may have an effect twice: "
-                                            + Words.lack(a.why()),
+                                            + ReasonFormatter.describeFailure(a.why()),
                             late,
                             a.why()));
         } else if (action instanceof Cancel a) {
@@ -871,22 +886,23 @@
         } else if (action instanceof Reserve a) {
             Life life = lives.ofDecide(a.id());
             if (life != null && !life.finished) {
-                carrier.accept(new Command.Reserve(a.id(), life.name, a.server(), life.call));
+                carrier.accept(
+                        new Command.ReserveDecodeSlot(a.id(), life.name, a.server(), life.call));
             }
         } else if (action instanceof Move a) {
             move(lives.ofDecide(a.id()));
         } else if (action instanceof Timer a) {
-            alarms.set(now + a.delayMicros(), new DecideTimer(a.token()));
+            alarms.schedule(now + a.delayMicros(), new DecideTimer(a.token()));
         } else if (action instanceof Probe a) {
-            carrier.accept(new Command.Probe(a.server()));
+            carrier.accept(new Command.ProbeEngine(a.server()));
         } else if (action instanceof Tell a) {
-            carrier.accept(new Command.Tell(a.to(), a.body()));
+            carrier.accept(new Command.SendPeerMessage(a.to(), a.body()));
         } else if (action instanceof Follow || action instanceof FetchList) {
-            carrier.accept(new Command.FetchRoster());
+            carrier.accept(new Command.FetchEndpointList());
         } else if (action instanceof CloseIdle a) {
-            carrier.accept(new Command.CloseIdle(a.server()));
+            carrier.accept(new Command.CloseIdleConnections(a.server()));
         } else if (action instanceof Log a) {
-            carrier.accept(new Command.Log(null, a.text()));
+            carrier.accept(new Command.WriteLog(null, a.text()));
         }
     }
 
@@ -912,22 +928,22 @@
                             0,
                             life == null || life.finished,
                             0,
-                            Load.NONE));
+                            ServerLoad.NONE));
             return;
         }
-        boolean read = settings.decide().kinds().get(kind).role() == Role.READ;
+        boolean read = settings.routing().serverKinds().get(kind).role() == Role.READ;
         AttemptId id = new AttemptId(s.id(), number);
         Life.Attempt a = new Life.Attempt(id, s.server(), kind, read, now, cut);
         life.out = a;
         life.step(read ? Phase.Step.SEND_READ : Phase.Step.SEND_WRITE);
         if (cut < Long.MAX_VALUE) {
-            alarms.set(cut, new Cut(life, a));
+            alarms.schedule(cut, new Cut(life, a));
         }
         String place = read ? "" : reservations.placeAt(life, s.server(), now);
         reservations.sending(life, a, now);
         if (read) {
             carrier.accept(
-                    new Command.Read(
+                    new Command.StartPrefill(
                             id,
                             life.name,
                             s.server(),
@@ -938,7 +954,7 @@
                             s.why()));
         } else {
             carrier.accept(
-                    new Command.Write(
+                    new Command.StartDecode(
                             id,
                             life.name,
                             s.server(),
@@ -959,13 +975,13 @@
      * come up.
      */
     private long sendBy(Life life) {
-        RequestClass cls = settings.decide().classes().get(life.call.cls());
-        return life.mayHaveRunFrom == Life.NEVER || cls.repeat() != Repeat.KEYED
+        RequestClass cls = settings.routing().classes().get(life.call.classIndex());
+        return life.mayHaveRunFrom == Life.NEVER || cls.idempotency() != Idempotency.KEYED
                 ? Long.MAX_VALUE
-                : life.mayHaveRunFrom + cls.repeatWindowMicros() - HOLD_UP_MICROS;
+                : life.mayHaveRunFrom + cls.idempotencyWindowMicros() - HOLD_UP_MICROS;
     }
 
-    private void answer(long id, Phase.Step step, Answer answer) {
+    private void answer(long id, Phase.Step step, RequestResult answer) {
         Life life = lives.ofDecide(id);
         // Decide's timer of the deadline may still ring for a stream that has begun; like a Cancel
         // then, it concerns
@@ -973,16 +989,17 @@
         if (life != null && !life.finished && life.phase != Phase.STREAMING) {
             // A stream that went on elsewhere has begun: what the client has can't be refused any
             // more.
-            boolean begun = life.tokens > 0 && answer instanceof Answer.Refused;
+            boolean begun = life.tokens > 0 && answer instanceof RequestResult.Refused;
             life.step(begun ? Phase.Step.FAIL : step);
             finish(
                     life,
                     begun
-                            ? new Answer.Failed(
+                            ? new RequestResult.Failed(
                                     "the answer broke off and could not go on: "
-                                            + Words.lack(((Answer.Refused) answer).why()),
+                                            + ReasonFormatter.describeFailure(
+                                                    ((RequestResult.Refused) answer).why()),
                                     false,
-                                    ((Answer.Refused) answer).why())
+                                    ((RequestResult.Refused) answer).why())
                             : answer);
         }
     }
@@ -999,12 +1016,12 @@
         if (life != null
                 && !life.finished
                 && life.phase == Phase.STREAMING
-                && (settings.resumes() || settings.streams().clientsResume())) {
+                && (settings.resumesBrokenStreams() || settings.streams().clientsResume())) {
             drop(life, life.out, Outcome.CANCELLED);
         }
     }
 
     private void log(Life life, String text) {
-        carrier.accept(new Command.Log(life.name, text));
+        carrier.accept(new Command.WriteLog(life.name, text));
     }
 }
--- a/core/src/main/java/sorrelhoist/core/life/StreamWatch.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamWatch.java
@@ -1,6 +1,6 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
-import sorrelhoist.Routing.Repeat;
+import sorrelhoist.routing.Routing.Idempotency;
 
 /**
  * What is judged of a stream after its first token, where Decide stops: how long it may be silent,
@@ -13,7 +13,7 @@
 
     StreamWatch(RouterSettings settings) {
         this.settings = settings;
-        this.liveness = new Liveness(settings.decide().kinds().size());
+        this.liveness = new Liveness(settings.routing().serverKinds().size());
     }
 
     /** A token came on a stream that had begun. */
@@ -26,7 +26,7 @@
      * it back}
      */
     long deadAt(Life life, Life.Attempt a) {
-        long silence = settings.streams().silenceMicros();
+        long silence = settings.streams().silenceTimeoutMicros();
         return life.blockedSince > 0
                 ? Long.MAX_VALUE
                 : a.heardAt + (silence > 0 ? silence : liveness.patience(a.kind));
@@ -52,7 +52,7 @@
         if (!blocked && life.out != null) {
             life.out.heardAt = now;
         }
-        return blocked ? now + settings.stallMicros() : 0;
+        return blocked ? now + settings.clientStallTimeoutMicros() : 0;
     }
 
     /** {@return whether a client that took nothing since then is given up now} */
@@ -73,10 +73,12 @@
      * is harmless}
      */
     boolean goesOn(Life life, long now) {
-        boolean safe = settings.decide().classes().get(life.call.cls()).repeat() == Repeat.SAFE;
-        return settings.resumes()
+        boolean safe =
+                settings.routing().classes().get(life.call.classIndex()).idempotency()
+                        == Idempotency.SAFE;
+        return settings.resumesBrokenStreams()
                 && safe
                 && now < life.endsBy
-                && life.resumptions < settings.decide().limits().maxAttempts();
+                && life.resumptions < settings.routing().capabilities().maxAttempts();
     }
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import sorrelhoist.core.time.Alarms;
+import sorrelhoist.core.time.TimerQueue;
 
 /**
  * What requests have reserved at engines, until it is known to be gone: the one place where that is
@@ -31,7 +31,7 @@
      * For each reservation an entry at the time at which it is due, or before; some are out of
      * date.
      */
-    private final Alarms<Reservation> alarms = new Alarms<>();
+    private final TimerQueue<Reservation> alarms = new TimerQueue<>();
 
     private long lastCall;
     private long expired;
@@ -175,7 +175,7 @@
 
     /** Makes the calls that are due. */
     public void advance(long now) {
-        for (Reservation due = alarms.due(now); due != null; due = alarms.due(now)) {
+        for (Reservation due = alarms.pollDue(now); due != null; due = alarms.pollDue(now)) {
             due.alarmAt = Long.MAX_VALUE;
             advance(due, now);
             setAlarm(due);
@@ -187,14 +187,14 @@
      * never}
      */
     public long next() {
-        return alarms.next();
+        return alarms.nextDueMicros();
     }
 
     private void setAlarm(Reservation reservation) {
         long due = reservation.due();
         if (due < reservation.alarmAt && reservations.get(reservation.key) == reservation) {
             reservation.alarmAt = due;
-            alarms.set(due, reservation);
+            alarms.schedule(due, reservation);
         }
     }
 
--- a/core/src/main/java/sorrelhoist/core/sched/Allowance.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/Allowance.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.sched;
+package sorrelhoist.core.scheduling;
 
 /**
  * A bucket of something that refills with time, up to a second's worth. What was overspent is paid
--- a/core/src/main/java/sorrelhoist/core/sched/Background.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.sched;
+package sorrelhoist.core.scheduling;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,20 +12,20 @@
  * <p>Time is the caller's, in microseconds. The caller runs the slice and reports what it cost; a
  * job that overspends pays it back before it runs again.
  */
-public final class Background {
+public final class BackgroundScheduler {
     /**
      * A kind of work.
      *
      * @param name for logs
      * @param priority higher goes first
-     * @param cpuPerSecond microseconds of CPU that it may use a second
+     * @param cpuMicrosPerSecond microseconds of CPU that it may use a second
      * @param bytesPerSecond bytes that it may read or write a second
      * @param maxWaitMicros after which it goes before all others, and before requests
      */
     public record Job(
             String name,
             int priority,
-            long cpuPerSecond,
+            long cpuMicrosPerSecond,
             long bytesPerSecond,
             long maxWaitMicros) {}
 
@@ -35,9 +35,9 @@
      * @param job which
      * @param cpuMicros for how long at most
      * @param bytes how much at most
-     * @param late whether it runs because its bound has passed
+     * @param overdue whether it runs because its bound has passed
      */
-    public record Slice(Job job, long cpuMicros, long bytes, boolean late) {}
+    public record Slice(Job job, long cpuMicros, long bytes, boolean overdue) {}
 
     private static final class Entry {
         final Job job;
@@ -48,7 +48,7 @@
 
         Entry(Job job, long now) {
             this.job = job;
-            this.cpu = new Allowance(job.cpuPerSecond(), now);
+            this.cpu = new Allowance(job.cpuMicrosPerSecond(), now);
             this.bytes = new Allowance(job.bytesPerSecond(), now);
         }
 
@@ -82,12 +82,12 @@
      * @param cpuPerSecond microseconds of CPU that all jobs together may use a second
      * @param now microseconds
      */
-    public Background(long cpuPerSecond, long now) {
+    public BackgroundScheduler(long cpuPerSecond, long now) {
         this.cpu = new Allowance(cpuPerSecond, now);
     }
 
     /** Adds a kind of work, with nothing to do yet. */
-    public void add(Job job, long now) {
+    public void register(Job job, long now) {
         entries.add(new Entry(job, now));
     }
 
@@ -98,7 +98,7 @@
      * @param at from when on
      * @param deadline by when it should have run; Long.MAX_VALUE for none
      */
-    public void due(Job job, long at, long deadline) {
+    public void schedule(Job job, long at, long deadline) {
         Entry e = entry(job);
         e.dueAt = Math.min(e.dueAt, at);
         e.deadline = Math.min(e.deadline, deadline);
@@ -109,9 +109,9 @@
      *
      * @param now microseconds
      * @param requestsWait whether requests wait for the thread
-     * @return a slice, to be followed by {@link #ran}; null where nothing may run now
+     * @return a slice, to be followed by {@link #sliceFinished}; null where nothing may run now
      */
-    public Slice next(long now, boolean requestsWait) {
+    public Slice nextSlice(long now, boolean requestsWait) {
         if (running != null) {
             throw new IllegalStateException(
                     running.job.name() + " has not reported what its slice cost");
@@ -160,7 +160,7 @@
      * @param again when the job has more to do; Long.MAX_VALUE for nothing
      * @param deadline by when that should have run; Long.MAX_VALUE for none
      */
-    public void ran(long now, long cpuMicros, long bytes, long again, long deadline) {
+    public void sliceFinished(long now, long cpuMicros, long bytes, long again, long deadline) {
         Entry e = running;
         running = null;
         e.cpu.spend(now, cpuMicros);
@@ -172,10 +172,10 @@
     }
 
     /**
-     * {@return when {@link #next} may first give something, as far as is known now; Long.MAX_VALUE
-     * for never}
+     * {@return when {@link #nextSlice} may first give something, as far as is known now;
+     * Long.MAX_VALUE for never}
      */
-    public long wakeAt(long now) {
+    public long nextWakeAt(long now) {
         long wake = Long.MAX_VALUE;
         for (Entry e : entries) {
             if (e.dueAt < Long.MAX_VALUE) {
--- a/core/src/main/java/sorrelhoist/core/know/LearnPlan.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/DonorSelection.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.know;
+package sorrelhoist.core.statetransfer;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,7 +11,7 @@
  * one that broke off once more, then others, and no more than a few exchanges in all. What it then
  * does not know it learns by itself.
  */
-public final class LearnPlan {
+public final class DonorSelection {
     /**
      * An edge that could teach.
      *
@@ -19,7 +19,7 @@
      * @param zone its zone
      * @param address where it is reached
      */
-    public record Peer(String edge, String zone, String address) {}
+    public record Donor(String edge, String zone, String address) {}
 
     private static final int TRIES_EACH = 2;
     private static final int EXCHANGES = 4;
@@ -27,27 +27,27 @@
     private final String zone;
     private final Map<String, Integer> tried = new HashMap<>();
     private int exchanges;
-    private int taught;
+    private int transferCompleted;
 
     /** Makes a plan for an edge of this zone. */
-    public LearnPlan(String zone) {
+    public DonorSelection(String zone) {
         this.zone = zone;
     }
 
     /** {@return whom to ask next, or null for nobody} */
-    public Peer next(List<Peer> peers) {
-        if (taught >= TEACHERS || exchanges >= EXCHANGES) {
+    public Donor nextDonor(List<Donor> peers) {
+        if (transferCompleted >= TEACHERS || exchanges >= EXCHANGES) {
             return null;
         }
-        List<Peer> left =
+        List<Donor> left =
                 new ArrayList<>(
                         peers.stream()
                                 .filter(p -> tried.getOrDefault(p.edge(), 0) < TRIES_EACH)
                                 .toList());
         left.sort(
-                Comparator.comparing((Peer p) -> !p.zone().equals(zone))
+                Comparator.comparing((Donor p) -> !p.zone().equals(zone))
                         .thenComparing(p -> tried.getOrDefault(p.edge(), 0))
-                        .thenComparing(Peer::edge));
+                        .thenComparing(Donor::edge));
         if (left.isEmpty()) {
             return null;
         }
@@ -57,8 +57,8 @@
     }
 
     /** An exchange came to its end in good order: this peer is not asked again. */
-    public void taught(Peer peer) {
+    public void transferCompleted(Donor peer) {
         tried.put(peer.edge(), TRIES_EACH);
-        taught++;
+        transferCompleted++;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/know/KnowledgeForm.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeCodec.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.know;
+package sorrelhoist.core.statetransfer;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import sorrelhoist.Knowledge;
+import sorrelhoist.routing.Knowledge;
 
 /**
  * Knowledge as bytes: a version, then sections with their lengths, so that a reader passes over
@@ -19,12 +19,12 @@
  * chosen here: keys by how recently and how often they were used, as long as the budget lasts;
  * health and lines always, as they are few.
  */
-public final class KnowledgeForm {
+public final class KnowledgeCodec {
     /** Bytes that are no knowledge. */
-    public static final class Unreadable extends Exception {
+    public static final class CorruptKnowledgeException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unreadable(String message) {
+        CorruptKnowledgeException(String message) {
             super(message, null, false, false);
         }
     }
@@ -39,7 +39,7 @@
     private static final int MAX_LINES = 1000;
     private static final double RECENT = 20_000_000; // a use so long ago is worth half a recent one
 
-    private KnowledgeForm() {}
+    private KnowledgeCodec() {}
 
     /**
      * Writes knowledge.
@@ -49,22 +49,22 @@
      *     first
      * @return its bytes
      */
-    public static byte[] write(Knowledge k, int maxBytes) {
+    public static byte[] encode(Knowledge k, int maxBytes) {
         try {
-            List<Knowledge.Key> ranked = new ArrayList<>(k.keys());
+            List<Knowledge.PrefixEntry> ranked = new ArrayList<>(k.keys());
             ranked.sort(Comparator.comparingDouble(key -> -worth(key)));
             List<byte[]> chosen = new ArrayList<>();
-            List<Knowledge.Key> in = new ArrayList<>();
+            List<Knowledge.PrefixEntry> in = new ArrayList<>();
             int size = 0;
-            for (Knowledge.Key key : ranked) {
+            for (Knowledge.PrefixEntry key : ranked) {
                 byte[] bytes = key(key);
                 if (key.name().length() <= MAX_NAME / 4 && size + bytes.length <= maxBytes) {
                     size += bytes.length;
                     in.add(key);
                 }
             }
-            in.sort(Comparator.comparingLong(key -> -key.age()));
-            for (Knowledge.Key key : in) {
+            in.sort(Comparator.comparingLong(key -> -key.ageMicros()));
+            for (Knowledge.PrefixEntry key : in) {
                 chosen.add(key(key));
             }
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -73,13 +73,13 @@
             out.writeByte(VERSION);
             section(out, KEYS, chosen);
             List<byte[]> health = new ArrayList<>();
-            for (Knowledge.Health h : k.servers()) {
+            for (Knowledge.ServerHealth h : k.servers()) {
                 health.add(health(h));
             }
             section(out, HEALTH, health);
             List<byte[]> lines = new ArrayList<>();
-            lines.add(sums(k.firstTokens()));
-            for (Knowledge.Sums s : k.reads()) {
+            lines.add(sums(k.firstTokenTimes()));
+            for (Knowledge.RegressionSums s : k.prefillTimes()) {
                 lines.add(sums(s));
             }
             section(out, LINES, lines);
@@ -89,8 +89,8 @@
         }
     }
 
-    private static double worth(Knowledge.Key key) {
-        return (1 + key.uses()) / (1 + key.age() / RECENT);
+    private static double worth(Knowledge.PrefixEntry key) {
+        return (1 + key.uses()) / (1 + key.ageMicros() / RECENT);
     }
 
     private static void section(DataOutputStream out, int tag, List<byte[]> items)
@@ -109,14 +109,14 @@
         out.write(bytes);
     }
 
-    private static byte[] key(Knowledge.Key k) throws IOException {
+    private static byte[] key(Knowledge.PrefixEntry k) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         text(out, k.name());
-        out.writeLong(k.age());
+        out.writeLong(k.ageMicros());
         out.writeInt(k.uses());
         out.writeShort(k.holders().size());
-        for (Knowledge.Holding h : k.holders()) {
+        for (Knowledge.PrefixHolder h : k.holders()) {
             text(out, h.server());
             out.writeLong(h.since());
             out.writeInt((int) Math.min(Integer.MAX_VALUE, h.tokens()));
@@ -124,21 +124,24 @@
         return bytes.toByteArray();
     }
 
-    private static byte[] health(Knowledge.Health h) throws IOException {
+    private static byte[] health(Knowledge.ServerHealth h) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         text(out, h.id());
         out.writeLong(h.since());
-        out.writeFloat((float) h.bad());
-        out.writeFloat((float) h.slow());
-        out.writeInt(h.heard());
+        out.writeFloat((float) h.failureRate());
+        out.writeFloat((float) h.latencyRatio());
+        out.writeInt(h.latencySamples());
         return bytes.toByteArray();
     }
 
-    private static byte[] sums(Knowledge.Sums s) throws IOException {
+    private static byte[] sums(Knowledge.RegressionSums s) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
-        for (double v : new double[] {s.n(), s.x(), s.y(), s.xx(), s.xy()}) {
+        for (double v :
+                new double[] {
+                    s.weight(), s.tokens(), s.micros(), s.squaredTokens(), s.tokensTimesMicros()
+                }) {
             out.writeDouble(v);
         }
         return bytes.toByteArray();
@@ -149,18 +152,18 @@
      *
      * @param bytes as written by this version or a neighbour
      * @return what they hold
-     * @throws Unreadable where they are foreign, cut short, or larger than anything this program
-     *     writes
+     * @throws CorruptKnowledgeException where they are foreign, cut short, or larger than anything
+     *     this program writes
      */
-    public static Knowledge read(byte[] bytes) throws Unreadable {
+    public static Knowledge decode(byte[] bytes) throws CorruptKnowledgeException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         try {
             if (in.readUnsignedByte() != MAGIC) {
-                throw new Unreadable("no knowledge of this program");
+                throw new CorruptKnowledgeException("no knowledge of this program");
             }
             int version = in.readUnsignedByte();
             if (version < VERSION || version > VERSION + 1) {
-                throw new Unreadable(
+                throw new CorruptKnowledgeException(
                         "version "
                                 + version
                                 + " of the form; this program reads "
@@ -168,20 +171,20 @@
                                 + " and "
                                 + (VERSION + 1));
             }
-            List<Knowledge.Key> keys = new ArrayList<>();
-            List<Knowledge.Health> health = new ArrayList<>();
-            List<Knowledge.Sums> lines = new ArrayList<>();
+            List<Knowledge.PrefixEntry> keys = new ArrayList<>();
+            List<Knowledge.ServerHealth> health = new ArrayList<>();
+            List<Knowledge.RegressionSums> lines = new ArrayList<>();
             while (in.available() > 0) {
                 int tag = in.readUnsignedByte();
                 int length = in.readInt();
                 if (length < 4 || length > in.available()) {
-                    throw new Unreadable("a section is longer than its message");
+                    throw new CorruptKnowledgeException("a section is longer than its message");
                 }
                 DataInputStream part =
                         new DataInputStream(new ByteArrayInputStream(in.readNBytes(length)));
                 int count = part.readInt();
                 if (count < 0 || count > length) {
-                    throw new Unreadable(
+                    throw new CorruptKnowledgeException(
                             "a section with " + count + " items in " + length + " bytes");
                 }
                 for (int i = 0; i < count && tag <= LINES; i++) {
@@ -189,7 +192,7 @@
                         case KEYS -> keys.add(readKey(part));
                         case HEALTH ->
                                 health.add(
-                                        new Knowledge.Health(
+                                        new Knowledge.ServerHealth(
                                                 readText(part),
                                                 part.readLong(),
                                                 part.readFloat(),
@@ -197,7 +200,7 @@
                                                 part.readInt()));
                         default ->
                                 lines.add(
-                                        new Knowledge.Sums(
+                                        new Knowledge.RegressionSums(
                                                 part.readDouble(),
                                                 part.readDouble(),
                                                 part.readDouble(),
@@ -207,25 +210,26 @@
                 }
             }
             if (lines.size() > MAX_LINES) {
-                throw new Unreadable(lines.size() + " lines");
+                throw new CorruptKnowledgeException(lines.size() + " lines");
             }
-            Knowledge.Sums none = new Knowledge.Sums(0, 0, 0, 0, 0);
+            Knowledge.RegressionSums none = new Knowledge.RegressionSums(0, 0, 0, 0, 0);
             return new Knowledge(
                     keys,
                     health,
                     lines.isEmpty() ? List.of() : lines.subList(1, lines.size()),
                     lines.isEmpty() ? none : lines.get(0));
         } catch (EOFException e) {
-            throw new Unreadable("cut short");
+            throw new CorruptKnowledgeException("cut short");
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static String readText(DataInputStream in) throws IOException, Unreadable {
+    private static String readText(DataInputStream in)
+            throws IOException, CorruptKnowledgeException {
         int length = in.readUnsignedShort();
         if (length > MAX_NAME) {
-            throw new Unreadable("a name of " + length + " bytes");
+            throw new CorruptKnowledgeException("a name of " + length + " bytes");
         }
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length) {
@@ -234,18 +238,19 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static Knowledge.Key readKey(DataInputStream in) throws IOException, Unreadable {
+    private static Knowledge.PrefixEntry readKey(DataInputStream in)
+            throws IOException, CorruptKnowledgeException {
         String name = readText(in);
         long age = in.readLong();
         int uses = in.readInt();
         int count = in.readUnsignedShort();
         if (count > MAX_HOLDERS) {
-            throw new Unreadable(count + " holders of a key");
+            throw new CorruptKnowledgeException(count + " holders of a key");
         }
-        List<Knowledge.Holding> holders = new ArrayList<>();
+        List<Knowledge.PrefixHolder> holders = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            holders.add(new Knowledge.Holding(readText(in), in.readLong(), in.readInt()));
+            holders.add(new Knowledge.PrefixHolder(readText(in), in.readLong(), in.readInt()));
         }
-        return new Knowledge.Key(name, age, uses, holders);
+        return new Knowledge.PrefixEntry(name, age, uses, holders);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/know/Seal.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/MessageAuthenticator.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.know;
+package sorrelhoist.core.statetransfer;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -16,7 +16,7 @@
  * list signs, all of it verify, so a new key is added behind at every router, then moved to the
  * front, then the old one is removed.
  */
-public final class Seal {
+public final class MessageAuthenticator {
     private static final String ALGORITHM = "HmacSHA256";
     private static final int LEAST_KEY = 16;
     private final Map<String, SecretKeySpec> keys = new LinkedHashMap<>();
@@ -28,7 +28,7 @@
      * @param secrets by key id, the signing one first
      * @throws IllegalArgumentException where there is none, or one is shorter than 16 bytes
      */
-    public Seal(Map<String, String> secrets) {
+    public MessageAuthenticator(Map<String, String> secrets) {
         secrets.forEach(
                 (id, secret) -> {
                     byte[] bytes = secret.getBytes(StandardCharsets.UTF_8);
@@ -51,7 +51,7 @@
     }
 
     /** {@return the id of the key that signs} */
-    public String keyId() {
+    public String signingKeyId() {
         return signing;
     }
 
--- a/core/src/main/java/sorrelhoist/core/know/PastFrames.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotLog.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.know;
+package sorrelhoist.core.statetransfer;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
  * checksum and when they were written. A kill at any byte leaves whole frames and a tail that shows
  * itself as cut; what is damaged or foreign is never taken for knowledge.
  */
-public final class PastFrames {
+public final class SnapshotLog {
     /**
      * One frame.
      *
@@ -28,7 +28,7 @@
      * @param fault what is wrong after that, or null; a cut tail is no fault
      * @param foreign whether it is no file of this program at all
      */
-    public record Read(List<Frame> frames, int validBytes, String fault, boolean foreign) {}
+    public record ReadResult(List<Frame> frames, int validBytes, String fault, boolean foreign) {}
 
     private static final byte[] HEADER = {'S', 'R', 'L', 'P', 'A', 'S', 'T', '1'};
     private static final int FRAME = 4 + 4 + 8;
@@ -36,7 +36,7 @@
     /** Bytes that a frame's content may have. */
     public static final int MAX_PAYLOAD = 64 << 20;
 
-    private PastFrames() {}
+    private SnapshotLog() {}
 
     /** {@return what a new file begins with} */
     public static byte[] header() {
@@ -44,7 +44,7 @@
     }
 
     /** {@return the bytes of one frame} */
-    public static byte[] frame(long savedAt, byte[] payload) {
+    public static byte[] encodeFrame(long savedAt, byte[] payload) {
         ByteBuffer out = ByteBuffer.allocate(FRAME + payload.length);
         out.putInt(payload.length).putInt(sum(savedAt, payload)).putLong(savedAt).put(payload);
         return out.array();
@@ -58,13 +58,13 @@
     }
 
     /** Reads a file's bytes. Never fails: what cannot be read is said. */
-    public static Read read(byte[] file) {
+    public static ReadResult read(byte[] file) {
         int common = Math.min(file.length, HEADER.length);
         if (!Arrays.equals(file, 0, common, HEADER, 0, common)) {
-            return new Read(List.of(), 0, "not a past of this program", true);
+            return new ReadResult(List.of(), 0, "not a past of this program", true);
         }
         if (file.length < HEADER.length) {
-            return new Read(List.of(), 0, null, false);
+            return new ReadResult(List.of(), 0, null, false);
         }
         List<Frame> frames = new ArrayList<>();
         ByteBuffer in = ByteBuffer.wrap(file).position(HEADER.length);
@@ -74,23 +74,23 @@
             int sum = in.getInt();
             long savedAt = in.getLong();
             if (length < 0 || length > MAX_PAYLOAD) {
-                return new Read(
+                return new ReadResult(
                         frames,
                         valid,
                         "a frame's length of " + length + " at byte " + valid,
                         false);
             }
             if (length > in.remaining()) {
-                return new Read(frames, valid, null, false);
+                return new ReadResult(frames, valid, null, false);
             }
             byte[] payload = new byte[length];
             in.get(payload);
             if (sum(savedAt, payload) != sum) {
-                return new Read(frames, valid, "a frame's checksum at byte " + valid, false);
+                return new ReadResult(frames, valid, "a frame's checksum at byte " + valid, false);
             }
             frames.add(new Frame(savedAt, payload));
             valid = in.position();
         }
-        return new Read(frames, valid, null, false);
+        return new ReadResult(frames, valid, null, false);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/know/PastKeeper.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotPolicy.java
@@ -1,21 +1,21 @@
-package sorrelhoist.core.know;
+package sorrelhoist.core.statetransfer;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import sorrelhoist.Knowledge;
+import sorrelhoist.routing.Knowledge;
 
 /**
  * Decides when a router writes down what it knows, and what of its past is still worth believing.
  * Between snapshots of everything, smaller ones of what was used lately are appended; a restart
  * takes the newest first, as what is already known stays.
  */
-public final class PastKeeper {
+public final class SnapshotPolicy {
     /** What to write now. */
-    public enum Step {
-        NOTHING,
-        APPEND,
-        SNAPSHOT
+    public enum SnapshotKind {
+        NONE,
+        INCREMENTAL,
+        FULL
     }
 
     /**
@@ -24,16 +24,16 @@
      * @param knowledge what
      * @param age how old, in microseconds
      */
-    public record Memory(Knowledge knowledge, long age) {}
+    public record RestoredSnapshot(Knowledge knowledge, long age) {}
 
     /**
      * Keys that an append holds: those used since the one before are few, the most recent matter
      * most.
      */
-    public static final int APPEND_BYTES = 64 << 10;
+    public static final int MAX_INCREMENTAL_BYTES = 64 << 10;
 
     /** Bytes of keys that a snapshot holds. */
-    public static final int SNAPSHOT_BYTES = 8 << 20;
+    public static final int MAX_FULL_BYTES = 8 << 20;
 
     private static final long APPEND_EVERY = 5_000_000;
     private static final long SNAPSHOT_EVERY = 60_000_000;
@@ -45,27 +45,27 @@
     private long logBytes;
 
     /** Makes one that has written nothing; its first step is due a little after the start. */
-    public PastKeeper(long now) {
+    public SnapshotPolicy(long now) {
         appendedAt = now;
         snapshotAt = now;
     }
 
     /** {@return what is due} */
-    public Step due(long now) {
+    public SnapshotKind kindDue(long now) {
         return now - snapshotAt >= SNAPSHOT_EVERY || logBytes >= LOG_BYTES
-                ? Step.SNAPSHOT
-                : now - appendedAt >= APPEND_EVERY ? Step.APPEND : Step.NOTHING;
+                ? SnapshotKind.FULL
+                : now - appendedAt >= APPEND_EVERY ? SnapshotKind.INCREMENTAL : SnapshotKind.NONE;
     }
 
     /** {@return when something is due next} */
-    public long nextAt() {
+    public long nextDueAt() {
         return Math.min(appendedAt + APPEND_EVERY, snapshotAt + SNAPSHOT_EVERY);
     }
 
     /** It was written, or could not be: either way the next is due after its time. */
-    public void wrote(long now, Step step, long bytes) {
+    public void snapshotWritten(long now, SnapshotKind step, long bytes) {
         appendedAt = now;
-        if (step == Step.SNAPSHOT) {
+        if (step == SnapshotKind.FULL) {
             snapshotAt = now;
             logBytes = 0;
         } else {
@@ -81,16 +81,17 @@
      * @return memories, the newest first; frames of the future count as just written, as a clock
      *     was set back
      */
-    public static List<Memory> believe(long now, List<PastFrames.Frame> frames) {
-        List<PastFrames.Frame> ordered = new ArrayList<>(frames);
+    public static List<RestoredSnapshot> selectRestorable(
+            long now, List<SnapshotLog.Frame> frames) {
+        List<SnapshotLog.Frame> ordered = new ArrayList<>(frames);
         ordered.sort(Comparator.comparingLong(f -> -f.savedAt()));
-        List<Memory> memories = new ArrayList<>();
-        for (PastFrames.Frame f : ordered) {
+        List<RestoredSnapshot> memories = new ArrayList<>();
+        for (SnapshotLog.Frame f : ordered) {
             long age = Math.max(0, now - f.savedAt());
             if (age <= MAX_AGE) {
                 try {
-                    memories.add(new Memory(KnowledgeForm.read(f.payload()), age));
-                } catch (KnowledgeForm.Unreadable e) {
+                    memories.add(new RestoredSnapshot(KnowledgeCodec.decode(f.payload()), age));
+                } catch (KnowledgeCodec.CorruptKnowledgeException e) {
                     continue; // whole by its checksum, but of a version that is too far away
                 }
             }
--- a/core/src/main/java/sorrelhoist/core/know/Lesson.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotTransfer.java
@@ -1,8 +1,8 @@
-package sorrelhoist.core.know;
+package sorrelhoist.core.statetransfer;
 
 import java.util.ArrayList;
 import java.util.List;
-import sorrelhoist.Knowledge;
+import sorrelhoist.routing.Knowledge;
 
 /**
  * What one teacher tells one learner, cut into chunks: health and lines with the first, then keys
@@ -10,13 +10,13 @@
  * Bounded in all; what it is made from is a copy, so a lesson does not keep its teacher from
  * learning on.
  */
-public final class Lesson {
+public final class SnapshotTransfer {
     /** Bytes of keys in one chunk. */
-    public static final int CHUNK = 32 << 10;
+    public static final int MAX_CHUNK_KEY_BYTES = 32 << 10;
 
     private static final int KEYS_A_CHUNK = 400;
     private final Knowledge known;
-    private final List<Knowledge.Key> wanted = new ArrayList<>();
+    private final List<Knowledge.PrefixEntry> wanted = new ArrayList<>();
     private final int maxBytes;
     private final long madeAt;
     private int at;
@@ -31,44 +31,49 @@
      * @param maxBytes that the whole lesson may take
      * @param now microseconds
      */
-    public Lesson(Knowledge known, Digest has, int maxBytes, long now) {
+    public SnapshotTransfer(Knowledge known, KeyDigest has, int maxBytes, long now) {
         this.known = known;
         this.maxBytes = maxBytes;
         this.madeAt = now;
         for (int i = known.keys().size() - 1; i >= 0; i--) {
-            if (!has.has(known.keys().get(i).name())) {
+            if (!has.contains(known.keys().get(i).name())) {
                 wanted.add(known.keys().get(i));
             }
         }
     }
 
     /** {@return the next chunk, its ages as of now; null at the end} */
-    public byte[] next(long now) {
+    public byte[] nextChunk(long now) {
         boolean first = index == 0;
         if (!first && at >= wanted.size() || sent >= maxBytes) {
             return null;
         }
         long older = Math.max(0, now - madeAt);
-        List<Knowledge.Key> some = new ArrayList<>();
+        List<Knowledge.PrefixEntry> some = new ArrayList<>();
         for (int end = Math.min(wanted.size(), at + KEYS_A_CHUNK); at < end; at++) {
-            Knowledge.Key k = wanted.get(at);
-            some.add(0, new Knowledge.Key(k.name(), k.age() + older, k.uses(), k.holders()));
+            Knowledge.PrefixEntry k = wanted.get(at);
+            some.add(
+                    0,
+                    new Knowledge.PrefixEntry(
+                            k.name(), k.ageMicros() + older, k.uses(), k.holders()));
         }
         byte[] bytes =
-                KnowledgeForm.write(
+                KnowledgeCodec.encode(
                         new Knowledge(
                                 some,
                                 first ? known.servers() : List.of(),
-                                first ? known.reads() : List.of(),
-                                first ? known.firstTokens() : new Knowledge.Sums(0, 0, 0, 0, 0)),
-                        CHUNK);
+                                first ? known.prefillTimes() : List.of(),
+                                first
+                                        ? known.firstTokenTimes()
+                                        : new Knowledge.RegressionSums(0, 0, 0, 0, 0)),
+                        MAX_CHUNK_KEY_BYTES);
         index++;
         sent += bytes.length;
         return bytes;
     }
 
     /** {@return how many keys there are to tell} */
-    public int size() {
+    public int keyCount() {
         return wanted.size();
     }
 }
--- a/core/src/main/java/sorrelhoist/core/text/Tokens.java
+++ b/core/src/main/java/sorrelhoist/core/text/TokenEstimator.java
@@ -5,10 +5,10 @@
  * Deadlines and costs grow with this number, so it has to be proportional rather than exact;
  * Decide's learnt lines take up the factor.
  */
-public final class Tokens {
+public final class TokenEstimator {
     private static final int BYTES_PER_TOKEN = 4;
 
-    private Tokens() {}
+    private TokenEstimator() {}
 
     /** {@return tokens of this text; 0 for none} */
     public static int estimate(String text) {
--- a/core/src/main/java/sorrelhoist/core/time/Backoff.java
+++ b/core/src/main/java/sorrelhoist/core/time/Backoff.java
@@ -25,13 +25,13 @@
     }
 
     /** {@return microseconds to wait after one more failure} */
-    public long failed() {
+    public long nextDelayMicros() {
         wait = wait == 0 ? first : Math.min(most, 2 * wait);
         return wait / 2 + random.nextLong(wait / 2 + 1);
     }
 
     /** It worked: the next failure waits the first time again. */
-    public void worked() {
+    public void reset() {
         wait = 0;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/time/Alarms.java
+++ b/core/src/main/java/sorrelhoist/core/time/TimerQueue.java
@@ -9,35 +9,35 @@
  *
  * @param <T> what is due
  */
-public final class Alarms<T> {
+public final class TimerQueue<T> {
     private record Entry<T>(long at, long order, T what) {}
 
     private final PriorityQueue<Entry<T>> queue =
             new PriorityQueue<>(
                     Comparator.<Entry<T>>comparingLong(Entry::at).thenComparingLong(Entry::order));
-    private long set;
+    private long schedule;
 
     /** Makes an empty set. */
-    public Alarms() {}
+    public TimerQueue() {}
 
     /**
      * Sets an alarm.
      *
      * @param at microseconds
-     * @param what handed back by {@link #due}
+     * @param what handed back by {@link #pollDue}
      */
-    public void set(long at, T what) {
-        queue.add(new Entry<>(at, set++, what));
+    public void schedule(long at, T what) {
+        queue.add(new Entry<>(at, schedule++, what));
     }
 
     /** {@return the time of the first, or Long.MAX_VALUE} */
-    public long next() {
+    public long nextDueMicros() {
         return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().at();
     }
 
     /** {@return the first that is due, taken out, or null} */
-    public T due(long now) {
-        return next() <= now ? queue.poll().what() : null;
+    public T pollDue(long now) {
+        return nextDueMicros() <= now ? queue.poll().what() : null;
     }
 
     /** {@return how many are set} */
--- a/core/src/test/java/sorrelhoist/core/guard/SendGuardTest.java
+++ b/core/src/test/java/sorrelhoist/core/guard/SendGuardTest.java
@@ -9,35 +9,37 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.Routing.Kind;
-import sorrelhoist.Routing.Limits;
-import sorrelhoist.Routing.ListForm;
-import sorrelhoist.Routing.Repeat;
-import sorrelhoist.Routing.Reports;
-import sorrelhoist.Routing.RequestClass;
-import sorrelhoist.Routing.Role;
-import sorrelhoist.Routing.Rules;
-import sorrelhoist.Routing.Scope;
-import sorrelhoist.Routing.Server;
-import sorrelhoist.Routing.ServerState;
-import sorrelhoist.Routing.Settings;
+import sorrelhoist.routing.Routing.Capabilities;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.LoadReportMode;
+import sorrelhoist.routing.Routing.RequestClass;
+import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerKind;
+import sorrelhoist.routing.Routing.ServerLimits;
+import sorrelhoist.routing.Routing.ServerState;
 
 /** Each invariant of a send, violated once: it is counted by its name, and the bytes stay here. */
 class SendGuardTest {
     private static final long SECOND = 1_000_000;
-    private static final Settings SETTINGS =
-            new Settings(
+    private static final RoutingSettings SETTINGS =
+            new RoutingSettings(
                     2,
                     0,
                     0,
                     false,
                     1,
-                    Reports.NONE,
-                    List.of(new RequestClass(SECOND, 0, 1, Repeat.SAFE, Scope.ALL, SECOND)),
+                    LoadReportMode.NONE,
+                    List.of(
+                            new RequestClass(
+                                    SECOND, 0, 1, Idempotency.SAFE, IdempotencyScope.ALL, SECOND)),
                     List.of(),
-                    List.of(new Kind(Role.READ, 1000)),
-                    new Limits(5, true, false, true, SECOND, false, false, 0, 0),
-                    new Rules(0.3, 6 * SECOND, 2, 3 * SECOND, SECOND));
+                    List.of(new ServerKind(Role.READ, 1000)),
+                    new Capabilities(5, true, false, true, SECOND, false, false, 0, 0),
+                    new ServerLimits(0.3, 6 * SECOND, 2, 3 * SECOND, SECOND));
     private final List<String> log = new ArrayList<>();
     private final InvariantMonitor monitor = new InvariantMonitor(log::add);
     private final SendGuard guard = new SendGuard(SETTINGS, monitor);
@@ -45,7 +47,7 @@
     @BeforeEach
     void list() {
         guard.listed(
-                ListForm.COMPLETE,
+                ListUpdateKind.COMPLETE,
                 List.of(
                         server("a", ServerState.SERVING, 0),
                         server("b", ServerState.SERVING, 0),
@@ -58,7 +60,7 @@
     }
 
     private static SendGuard.Attempt attempt(
-            String engine, boolean open, Repeat repeat, boolean mayHaveRun) {
+            String engine, boolean open, Idempotency repeat, boolean mayHaveRun) {
         return new SendGuard.Attempt(
                 "r", 1, engine, List.of(), open, 4 * SECOND, repeat, mayHaveRun, false, 2 * SECOND);
     }
@@ -71,36 +73,48 @@
 
     @Test
     void anOrdinarySendIsAllowedAndCountsNothing() {
-        assertTrue(guard.allows(attempt("a", true, Repeat.UNSAFE, false), SECOND));
-        assertTrue(guard.allows(attempt("b", true, Repeat.KEYED, true), SECOND));
+        assertTrue(guard.allows(attempt("a", true, Idempotency.UNSAFE, false), SECOND));
+        assertTrue(guard.allows(attempt("b", true, Idempotency.KEYED, true), SECOND));
         assertEquals(Map.of(), monitor.counts());
     }
 
     @Test
     void nothingLeavesForARequestThatIsAnswered() {
-        refused(attempt("a", false, Repeat.SAFE, false), SECOND, Invariant.SEND_FOR_OPEN_REQUEST);
+        refused(
+                attempt("a", false, Idempotency.SAFE, false),
+                SECOND,
+                Invariant.SEND_FOR_OPEN_REQUEST);
     }
 
     @Test
     void nothingLeavesAfterTheClientsTime() {
-        refused(attempt("a", true, Repeat.SAFE, false), 4 * SECOND, Invariant.SEND_WITHIN_DEADLINE);
+        refused(
+                attempt("a", true, Idempotency.SAFE, false),
+                4 * SECOND,
+                Invariant.SEND_WITHIN_DEADLINE);
     }
 
     @Test
     void nothingLeavesForAnEngineThatDrains() {
-        refused(attempt("d", true, Repeat.SAFE, false), SECOND, Invariant.SEND_TO_SERVING_ENGINE);
+        refused(
+                attempt("d", true, Idempotency.SAFE, false),
+                SECOND,
+                Invariant.SEND_TO_SERVING_ENGINE);
     }
 
     @Test
     void nothingLeavesForAnEngineThatIsGone() {
-        guard.listed(ListForm.UPDATE, List.of(server("a", ServerState.GONE, 0)), SECOND);
-        refused(attempt("a", true, Repeat.SAFE, false), SECOND, Invariant.SEND_TO_SERVING_ENGINE);
+        guard.listed(ListUpdateKind.UPDATE, List.of(server("a", ServerState.GONE, 0)), SECOND);
+        refused(
+                attempt("a", true, Idempotency.SAFE, false),
+                SECOND,
+                Invariant.SEND_TO_SERVING_ENGINE);
     }
 
     @Test
     void whatMayHaveRunIsNotRepeatedWhereThatHasAnEffect() {
         refused(
-                attempt("a", true, Repeat.UNSAFE, true),
+                attempt("a", true, Idempotency.UNSAFE, true),
                 SECOND,
                 Invariant.REPEAT_WITHOUT_SECOND_EFFECT);
     }
@@ -108,7 +122,7 @@
     @Test
     void aKeyedRepeatDoesNotLeaveAfterItsWindow() {
         refused(
-                attempt("a", true, Repeat.KEYED, true),
+                attempt("a", true, Idempotency.KEYED, true),
                 2 * SECOND,
                 Invariant.REPEAT_WITHOUT_SECOND_EFFECT);
     }
@@ -116,13 +130,13 @@
     @Test
     void sendsToAnEngineThatStartedAreCountedAgainstWhatLikeEnginesGet() {
         for (int i = 0; i < 10; i++) {
-            guard.allows(attempt("a", true, Repeat.SAFE, false), SECOND + i);
+            guard.allows(attempt("a", true, Idempotency.SAFE, false), SECOND + i);
         }
-        guard.listed(ListForm.UPDATE, List.of(server("b", ServerState.SERVING, 7)), SECOND);
+        guard.listed(ListUpdateKind.UPDATE, List.of(server("b", ServerState.SERVING, 7)), SECOND);
         int allowed = 0;
         while (monitor.counts().isEmpty()) {
             assertTrue(
-                    guard.allows(attempt("b", true, Repeat.SAFE, false), SECOND + allowed),
+                    guard.allows(attempt("b", true, Idempotency.SAFE, false), SECOND + allowed),
                     "it is only counted");
             allowed++;
         }
@@ -135,11 +149,11 @@
     @Test
     void eachNameIsLoggedOnceASecondAndCountedEveryTime() {
         for (int i = 0; i < 5; i++) {
-            guard.allows(attempt("d", true, Repeat.SAFE, false), i);
+            guard.allows(attempt("d", true, Idempotency.SAFE, false), i);
         }
         assertEquals(1, log.size());
         assertEquals(5L, monitor.counts().get(Invariant.SEND_TO_SERVING_ENGINE));
-        guard.allows(attempt("d", true, Repeat.SAFE, false), SECOND);
+        guard.allows(attempt("d", true, Idempotency.SAFE, false), SECOND);
         assertEquals(2, log.size());
     }
 }
--- a/core/src/test/java/sorrelhoist/core/members/MembersTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/MembersTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.Routing.Server;
-import sorrelhoist.Routing.ServerState;
 import sorrelhoist.core.members.RegistryView.Change;
 import sorrelhoist.core.members.RegistryView.Instance;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerState;
 
 /** The registry's list read as engines, the edge's table of them, and the edges' own numbers. */
 class MembersTest {
@@ -26,9 +26,9 @@
                 Map.of("zone", "a", "rack", "r", "kind", "prefill", "started-ms", "" + startedMs));
     }
 
-    private static EngineTable.Entry entry(
+    private static EngineTable.ListedEngine entry(
             String id, ServerState state, long incarnation, long upFor) {
-        return new EngineTable.Entry(
+        return new EngineTable.ListedEngine(
                 id, "a", "r", "prefill", state, 1, incarnation, upFor, "127.0.0.1:1");
     }
 
@@ -36,68 +36,69 @@
     void aDeltaIsKeptOnlyWhereItsHashCodeAgrees() {
         RegistryView view = new RegistryView();
         assertFalse(view.isComplete());
-        view.full(List.of(instance("a", "UP", 0), instance("b", "UP", 0)));
-        assertEquals("UP_2_", view.hashCodeText());
+        view.replaceAll(List.of(instance("a", "UP", 0), instance("b", "UP", 0)));
+        assertEquals("UP_2_", view.statusHashCode());
         assertTrue(
-                view.delta(
+                view.applyDelta(
                         List.of(new Change("MODIFIED", instance("b", "DOWN", 0))), "DOWN_1_UP_1_"));
-        assertTrue(view.delta(List.of(new Change("DELETED", instance("b", "DOWN", 0))), "UP_1_"));
-        assertFalse(view.delta(List.of(), "UP_2_"));
+        assertTrue(
+                view.applyDelta(List.of(new Change("DELETED", instance("b", "DOWN", 0))), "UP_1_"));
+        assertFalse(view.applyDelta(List.of(), "UP_2_"));
         assertFalse(view.isComplete());
-        view.full(List.of(instance("a", "UP", 0)));
+        view.replaceAll(List.of(instance("a", "UP", 0)));
         assertTrue(view.isComplete());
     }
 
     @Test
     void statesAreReadFromStatusAndAbsence() {
-        RosterBook book = new RosterBook(10 * S);
-        List<RosterBook.Line> first =
-                book.take(S, List.of(instance("a", "UP", 0), instance("b", "STARTING", 0)));
+        EndpointTracker book = new EndpointTracker(10 * S);
+        List<EndpointTracker.TrackedEndpoint> first =
+                book.update(S, List.of(instance("a", "UP", 0), instance("b", "STARTING", 0)));
         assertEquals(1, first.size());
-        assertEquals(0, book.take(2 * S, List.of(instance("a", "UP", 0))).size());
+        assertEquals(0, book.update(2 * S, List.of(instance("a", "UP", 0))).size());
         assertEquals(1, book.epoch());
         assertEquals(
                 ServerState.DRAINING,
-                book.take(3 * S, List.of(instance("a", "OUT_OF_SERVICE", 0)))
+                book.update(3 * S, List.of(instance("a", "OUT_OF_SERVICE", 0)))
                         .get(0)
                         .entry()
                         .state());
-        RosterBook.Line gone = book.take(4 * S, List.of()).get(0);
+        EndpointTracker.TrackedEndpoint gone = book.update(4 * S, List.of()).get(0);
         assertEquals(ServerState.GONE, gone.entry().state());
         assertEquals(4 * S, gone.learnedAt());
         assertNull(book.address("a"));
-        assertEquals(0, book.take(5 * S, List.of()).size());
-        assertEquals(1, book.take(6 * S, List.of(instance("a", "UP", 5500))).size());
+        assertEquals(0, book.update(5 * S, List.of()).size());
+        assertEquals(1, book.update(6 * S, List.of(instance("a", "UP", 5500))).size());
         assertEquals(4, book.epoch());
     }
 
     @Test
     void aRegistryThatListsNothingIsNotBelievedAtOnce() {
-        RosterBook book = new RosterBook(10 * S);
-        book.take(
+        EndpointTracker book = new EndpointTracker(10 * S);
+        book.update(
                 S, List.of(instance("a", "UP", 0), instance("b", "UP", 0), instance("c", "UP", 0)));
-        assertEquals(0, book.take(2 * S, List.of()).size());
-        assertTrue(book.complaints().get(0).contains("vanished"));
+        assertEquals(0, book.update(2 * S, List.of()).size());
+        assertTrue(book.warnings().get(0).contains("vanished"));
         assertEquals(
                 0,
-                book.take(
+                book.update(
                                 3 * S,
                                 List.of(
                                         instance("a", "UP", 0),
                                         instance("b", "UP", 0),
                                         instance("c", "UP", 0)))
                         .size());
-        assertEquals(0, book.take(4 * S, List.of()).size());
-        assertEquals(0, book.take(13 * S, List.of()).size());
-        assertEquals(3, book.take(14 * S, List.of()).size());
+        assertEquals(0, book.update(4 * S, List.of()).size());
+        assertEquals(0, book.update(13 * S, List.of()).size());
+        assertEquals(3, book.update(14 * S, List.of()).size());
     }
 
     @Test
     void metadataThatCannotBeUsedIsSaidAndLeftOut() {
-        RosterBook book = new RosterBook(10 * S);
+        EndpointTracker book = new EndpointTracker(10 * S);
         assertEquals(
                 0,
-                book.take(
+                book.update(
                                 0,
                                 List.of(
                                         new Instance(
@@ -109,56 +110,56 @@
                                                 "127.0.0.1:1",
                                                 Map.of("zone", "a", "kind", "k", "size", "big"))))
                         .size());
-        assertEquals(2, book.complaints().size());
+        assertEquals(2, book.warnings().size());
     }
 
     @Test
     void aStartsTimeMovesOnlyWithItsIncarnation() {
         EngineTable table = new EngineTable(List.of("a"), List.of("prefill"));
         long since =
-                table.take(100 * S, List.of(entry("e", ServerState.SERVING, 7, 10 * S)))
+                table.update(100 * S, List.of(entry("e", ServerState.SERVING, 7, 10 * S)))
                         .get(0)
                         .since();
         assertEquals(90 * S, since);
         // The same process, told again with an age that a slow network has bent.
         assertEquals(
                 since,
-                table.take(105 * S, List.of(entry("e", ServerState.DRAINING, 7, 14 * S)))
+                table.update(105 * S, List.of(entry("e", ServerState.DRAINING, 7, 14 * S)))
                         .get(0)
                         .since());
         // It restarted within a second under the same id: later, whatever the ages say.
         Server again =
-                table.take(106 * S, List.of(entry("e", ServerState.SERVING, 8, 30 * S))).get(0);
+                table.update(106 * S, List.of(entry("e", ServerState.SERVING, 8, 30 * S))).get(0);
         assertTrue(again.since() > since);
         // Late word of the process before says nothing of the one that runs.
-        assertEquals(List.of(), table.take(107 * S, List.of(entry("e", ServerState.GONE, 7, 0))));
+        assertEquals(List.of(), table.update(107 * S, List.of(entry("e", ServerState.GONE, 7, 0))));
     }
 
     @Test
     void enginesOfUnknownZonesOrKindsAreLeftOutAndSaid() {
         EngineTable table = new EngineTable(List.of("b"), List.of("prefill"));
-        assertEquals(List.of(), table.take(0, List.of(entry("e", ServerState.SERVING, 1, 0))));
-        assertTrue(table.complaints().get(0).contains("zone \"a\""));
+        assertEquals(List.of(), table.update(0, List.of(entry("e", ServerState.SERVING, 1, 0))));
+        assertTrue(table.warnings().get(0).contains("zone \"a\""));
     }
 
     @Test
     void edgesKeepTheirNumbersAndGapsClose() {
-        Seats seats = new Seats(2, 10 * S);
-        seats.attached("x");
-        assertEquals(new Seats.Seat(2, 0), seats.of("x"));
-        seats.attached("y");
-        seats.attached("z");
-        assertEquals(new Seats.Seat(3, 2), seats.of("z"));
-        seats.left(0, "x");
-        assertFalse(seats.expire(9 * S));
-        assertEquals(3, seats.of("y").routers());
-        seats.attached("x");
-        assertFalse(seats.expire(20 * S));
-        seats.left(20 * S, "x");
-        assertTrue(seats.expire(30 * S));
-        assertEquals(new Seats.Seat(2, 0), seats.of("y"));
-        assertEquals(new Seats.Seat(2, 1), seats.of("z"));
-        assertEquals("z", seats.at(1));
-        assertNull(seats.of("x"));
+        ReplicaSlots seats = new ReplicaSlots(2, 10 * S);
+        seats.join("x");
+        assertEquals(new ReplicaSlots.Slot(2, 0), seats.slotOf("x"));
+        seats.join("y");
+        seats.join("z");
+        assertEquals(new ReplicaSlots.Slot(3, 2), seats.slotOf("z"));
+        seats.leave(0, "x");
+        assertFalse(seats.expireLeases(9 * S));
+        assertEquals(3, seats.slotOf("y").replicas());
+        seats.join("x");
+        assertFalse(seats.expireLeases(20 * S));
+        seats.leave(20 * S, "x");
+        assertTrue(seats.expireLeases(30 * S));
+        assertEquals(new ReplicaSlots.Slot(2, 0), seats.slotOf("y"));
+        assertEquals(new ReplicaSlots.Slot(2, 1), seats.slotOf("z"));
+        assertEquals("z", seats.edgeAt(1));
+        assertNull(seats.slotOf("x"));
     }
 }
--- a/core/src/test/java/sorrelhoist/core/members/WatchPlanTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/WatchPlanTest.java
@@ -20,30 +20,33 @@
 
     /** {@return microseconds from the last sign of life until a new watch spoke} */
     private static long replaced(long seed, Fate... fates) {
-        WatchPlan plan = new WatchPlan(seed);
+        WatchReconnectPolicy plan = new WatchReconnectPolicy(seed);
         long now = 1_000_000;
-        plan.anew(now);
-        long held = plan.open(now);
-        plan.spoke(now, held);
+        plan.restart(now);
+        long held = plan.attemptToOpen(now);
+        plan.messageReceived(now, held);
         long silentFrom = now;
         int made = 0;
         for (; now < silentFrom + 60_000_000; now += STEP) {
-            long given = plan.giveUp(now);
+            long given = plan.attemptToAbandon(now);
             assertTrue(given != held, "a silent watch is kept until another speaks");
-            long number = plan.open(now);
+            long number = plan.attemptToOpen(now);
             if (number != 0) {
                 Fate fate = made < fates.length ? fates[made] : Fate.SPEAKS;
                 made++;
                 if (fate == Fate.SPEAKS) {
-                    assertEquals(held, plan.spoke(now, number), "the silent one is dropped then");
-                    assertTrue(plan.wanted(number));
-                    assertFalse(plan.wanted(held));
+                    assertEquals(
+                            held,
+                            plan.messageReceived(now, number),
+                            "the silent one is dropped then");
+                    assertTrue(plan.isCurrent(number));
+                    assertFalse(plan.isCurrent(held));
                     return now - silentFrom;
                 } else if (fate == Fate.REFUSED) {
-                    plan.ended(now, number);
+                    plan.watchEnded(now, number);
                 }
             }
-            assertTrue(plan.next() > now, "what is due was done: nothing spins");
+            assertTrue(plan.nextDeadline() > now, "what is due was done: nothing spins");
         }
         throw new AssertionError("no watch was opened");
     }
@@ -51,13 +54,18 @@
     @Test
     void aSilentWatchIsReplacedWithinTheBudgetAlsoWhenTwoAttemptsHang() {
         for (long seed = 0; seed < 200; seed++) {
-            assertTrue(replaced(seed) < WatchPlan.TOLD);
-            assertTrue(replaced(seed, Fate.HANGS) < WatchPlan.TOLD);
+            assertTrue(replaced(seed) < WatchReconnectPolicy.UPDATE_BUDGET);
+            assertTrue(replaced(seed, Fate.HANGS) < WatchReconnectPolicy.UPDATE_BUDGET);
             long worst = replaced(seed, Fate.HANGS, Fate.HANGS);
             assertTrue(
-                    worst <= WatchPlan.TOLD - WatchPlan.ATTEMPT / 2 + 5 * STEP,
+                    worst
+                            <= WatchReconnectPolicy.UPDATE_BUDGET
+                                    - WatchReconnectPolicy.ATTEMPT / 2
+                                    + 5 * STEP,
                     worst + " with seed " + seed);
-            assertTrue(replaced(seed, Fate.REFUSED, Fate.HANGS, Fate.REFUSED) < WatchPlan.TOLD);
+            assertTrue(
+                    replaced(seed, Fate.REFUSED, Fate.HANGS, Fate.REFUSED)
+                            < WatchReconnectPolicy.UPDATE_BUDGET);
         }
     }
 
@@ -69,86 +77,86 @@
             long first = replaced(seed, away);
             away[39] = Fate.SPEAKS;
             assertTrue(
-                    first - replaced(seed, away) <= WatchPlan.PAUSE + STEP,
+                    first - replaced(seed, away) <= WatchReconnectPolicy.PAUSE + STEP,
                     "the pause stays short");
         }
     }
 
     @Test
     void heartbeatsKeepAWatchAndALateOneIsNoLoss() {
-        WatchPlan plan = new WatchPlan(1);
-        plan.anew(0);
-        long held = plan.open(0);
-        plan.spoke(0, held);
+        WatchReconnectPolicy plan = new WatchReconnectPolicy(1);
+        plan.restart(0);
+        long held = plan.attemptToOpen(0);
+        plan.messageReceived(0, held);
         for (long now = 0; now < 60_000_000; now += STEP) {
             long lateness = now / HEARTBEAT % 2 * 500_000;
             if (now % HEARTBEAT == lateness) {
-                plan.spoke(now, held);
+                plan.messageReceived(now, held);
             }
-            assertEquals(0, plan.open(now), "at " + now);
+            assertEquals(0, plan.attemptToOpen(now), "at " + now);
         }
     }
 
     @Test
     void aResetWatchIsOpenedAgainAtOnceAndASilentOneMaySpeakAgain() {
-        WatchPlan plan = new WatchPlan(1);
-        plan.anew(0);
-        long first = plan.open(0);
-        plan.spoke(0, first);
-        plan.ended(100, first);
-        assertTrue(plan.next() <= 100 + 50_000);
-        long second = plan.open(plan.next());
+        WatchReconnectPolicy plan = new WatchReconnectPolicy(1);
+        plan.restart(0);
+        long first = plan.attemptToOpen(0);
+        plan.messageReceived(0, first);
+        plan.watchEnded(100, first);
+        assertTrue(plan.nextDeadline() <= 100 + 50_000);
+        long second = plan.attemptToOpen(plan.nextDeadline());
         assertTrue(second > first);
-        plan.spoke(60_000, second);
-        long later = 60_000 + WatchPlan.SILENCE;
-        long third = plan.open(later);
+        plan.messageReceived(60_000, second);
+        long later = 60_000 + WatchReconnectPolicy.SILENCE;
+        long third = plan.attemptToOpen(later);
         assertTrue(third > second);
-        plan.spoke(later + 1, second);
-        assertTrue(plan.wanted(second) && plan.wanted(third));
+        plan.messageReceived(later + 1, second);
+        assertTrue(plan.isCurrent(second) && plan.isCurrent(third));
     }
 
     @Test
     void anotherAddressIsWatchedAtOnceAndTheOldWatchKeptUntilItSpeaks() {
-        WatchPlan plan = new WatchPlan(1);
-        plan.anew(0);
-        long old = plan.open(0);
-        plan.spoke(0, old);
-        assertEquals(0, plan.anew(500));
-        long hanging = plan.open(500);
-        assertEquals(hanging, plan.anew(700), "an attempt at the former address is given up");
-        long fresh = plan.open(700);
-        assertTrue(plan.wanted(old));
-        assertEquals(old, plan.spoke(900, fresh));
-        plan.ended(1000, old);
-        assertEquals(0, plan.open(1000), "the end of what was dropped changes nothing");
+        WatchReconnectPolicy plan = new WatchReconnectPolicy(1);
+        plan.restart(0);
+        long old = plan.attemptToOpen(0);
+        plan.messageReceived(0, old);
+        assertEquals(0, plan.restart(500));
+        long hanging = plan.attemptToOpen(500);
+        assertEquals(hanging, plan.restart(700), "an attempt at the former address is given up");
+        long fresh = plan.attemptToOpen(700);
+        assertTrue(plan.isCurrent(old));
+        assertEquals(old, plan.messageReceived(900, fresh));
+        plan.watchEnded(1000, old);
+        assertEquals(0, plan.attemptToOpen(1000), "the end of what was dropped changes nothing");
     }
 
     @Test
     void anAttemptThatStopsInTheMiddleOfItsFirstListIsGivenUpAndTheOldWatchKept() {
-        WatchPlan plan = new WatchPlan(1);
-        plan.anew(0);
-        long old = plan.open(0);
-        plan.spoke(0, old);
-        plan.anew(1000);
-        long half = plan.open(1000);
-        plan.heard(2000, half);
-        assertTrue(plan.wanted(old) && plan.wanted(half));
-        assertEquals(0, plan.giveUp(2000 + WatchPlan.ATTEMPT - 1));
-        assertEquals(half, plan.giveUp(2000 + WatchPlan.ATTEMPT));
-        assertTrue(plan.wanted(old));
+        WatchReconnectPolicy plan = new WatchReconnectPolicy(1);
+        plan.restart(0);
+        long old = plan.attemptToOpen(0);
+        plan.messageReceived(0, old);
+        plan.restart(1000);
+        long half = plan.attemptToOpen(1000);
+        plan.bytesReceived(2000, half);
+        assertTrue(plan.isCurrent(old) && plan.isCurrent(half));
+        assertEquals(0, plan.attemptToAbandon(2000 + WatchReconnectPolicy.ATTEMPT - 1));
+        assertEquals(half, plan.attemptToAbandon(2000 + WatchReconnectPolicy.ATTEMPT));
+        assertTrue(plan.isCurrent(old));
     }
 
     @Test
     void anAttemptWhoseListComesInPartsIsWaitedForButNotForever() {
-        WatchPlan plan = new WatchPlan(1);
-        plan.anew(0);
-        long slow = plan.open(0);
+        WatchReconnectPolicy plan = new WatchReconnectPolicy(1);
+        plan.restart(0);
+        long slow = plan.attemptToOpen(0);
         long now = 0;
-        for (; plan.giveUp(now) == 0; now += WatchPlan.ATTEMPT / 2) {
-            plan.heard(now, slow);
-            assertTrue(now < 2 * WatchPlan.TOLD);
+        for (; plan.attemptToAbandon(now) == 0; now += WatchReconnectPolicy.ATTEMPT / 2) {
+            plan.bytesReceived(now, slow);
+            assertTrue(now < 2 * WatchReconnectPolicy.UPDATE_BUDGET);
         }
-        assertEquals(WatchPlan.TOLD, now);
+        assertEquals(WatchReconnectPolicy.UPDATE_BUDGET, now);
     }
 
     /**
@@ -172,9 +180,9 @@
             long hung =
                     java.util.Arrays.stream(order, 0, before).filter(f -> f == Fate.HANGS).count();
             long bound =
-                    WatchPlan.SILENCE
-                            + hung * WatchPlan.ATTEMPT
-                            + before * WatchPlan.PAUSE
+                    WatchReconnectPolicy.SILENCE
+                            + hung * WatchReconnectPolicy.ATTEMPT
+                            + before * WatchReconnectPolicy.PAUSE
                             + (before + 2) * STEP;
             assertTrue(replaced(fates, order) <= bound, "order " + fates);
         }
--- a/core/src/test/java/sorrelhoist/core/record/DangerTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/DangerTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.Reason;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.*;
 
 /** When a record is worth keeping: at the edge of a rule, and once an incident. */
 class DangerTest {
@@ -15,11 +15,11 @@
     private static final long MINUTE = 60_000_000;
     private final List<String> raised = new ArrayList<>();
     private final List<Long> heard = new ArrayList<>();
-    private final Danger danger =
-            new Danger(
-                    new Tap() {
+    private final AnomalyTrigger danger =
+            new AnomalyTrigger(
+                    new DecisionListener() {
                         @Override
-                        public void told(long at, Event event, List<Action> actions) {
+                        public void onDecision(long at, Event event, List<Action> actions) {
                             heard.add(at);
                         }
                     },
@@ -27,21 +27,24 @@
                     (at, what) -> raised.add(what));
 
     private void read(long at, long id) {
-        danger.told(
-                at, new AttemptEnded(id, 0, "r", Outcome.READ, 1, false, 0, Load.NONE), List.of());
+        danger.onDecision(
+                at,
+                new AttemptEnded(id, 0, "r", Outcome.READ, 1, false, 0, ServerLoad.NONE),
+                List.of());
     }
 
-    private void answered(long at, Entry.End how, long left, Reason.Kind why) {
-        danger.answered(new Entry.Answered(at, 1, how, 0, left, Reason.of(why)));
+    private void answered(long at, RecordEntry.Completion how, long left, Reason.Kind why) {
+        danger.onRequestCompleted(
+                new RecordEntry.RequestCompleted(at, 1, how, 0, left, Reason.of(why)));
     }
 
     @Test
     void aStateThatIsHeldAlmostTooLongIsTold() {
         read(1000, 7);
-        danger.told(200_000, new TimerFired(7), List.of(new Send(7, "w", 0, Reason.UNKNOWN)));
+        danger.onDecision(200_000, new TimerFired(7), List.of(new Send(7, "w", 0, Reason.UNKNOWN)));
         assertEquals(List.of(), raised);
         read(1000, 8);
-        danger.told(480_000, new TimerFired(8), List.of(new Release(8)));
+        danger.onDecision(480_000, new TimerFired(8), List.of(new Release(8)));
         assertEquals(1, raised.size());
         assertTrue(
                 raised.get(0).startsWith("rule five: a state was held for 479 ms of 500"),
@@ -51,29 +54,37 @@
 
     @Test
     void anAnswerAtTheLastMomentIsToldAndOnesThatNobodyIsOwedAreNot() {
-        answered(1, Entry.End.LEFT, 5, Reason.Kind.UNKNOWN);
-        answered(1, Entry.End.REFUSED, 1_000_000, Reason.Kind.DOOR);
+        answered(1, RecordEntry.Completion.LEFT, 5, Reason.Kind.UNKNOWN);
+        answered(1, RecordEntry.Completion.REFUSED, 1_000_000, Reason.Kind.DOOR);
         assertEquals(List.of(), raised);
-        answered(2, Entry.End.FAILED, 5_000, Reason.Kind.REPEAT_UNSAFE);
+        answered(2, RecordEntry.Completion.FAILED, 5_000, Reason.Kind.REPEAT_UNSAFE);
         assertEquals(1, raised.size());
     }
 
     @Test
     void manyFailuresAtOnceAreToldOnceAnIncident() {
         for (int i = 0; i < 49; i++) {
-            answered(i, Entry.End.FAILED, MINUTE, Reason.Kind.REPEAT_UNSAFE);
+            answered(i, RecordEntry.Completion.FAILED, MINUTE, Reason.Kind.REPEAT_UNSAFE);
         }
         assertEquals(List.of(), raised);
         for (int i = 0; i < 500; i++) {
-            answered(100 + i, Entry.End.FAILED, MINUTE, Reason.Kind.REPEAT_UNSAFE);
+            answered(100 + i, RecordEntry.Completion.FAILED, MINUTE, Reason.Kind.REPEAT_UNSAFE);
         }
         assertEquals(1, raised.size());
         for (int i = 0; i < 50; i++) {
-            answered(2 * MINUTE + i, Entry.End.FAILED, MINUTE, Reason.Kind.REPEAT_UNSAFE);
+            answered(
+                    2 * MINUTE + i,
+                    RecordEntry.Completion.FAILED,
+                    MINUTE,
+                    Reason.Kind.REPEAT_UNSAFE);
         }
         assertEquals(2, raised.size());
         for (int i = 0; i < 100; i++) {
-            answered(5 * MINUTE + i * 30_000L, Entry.End.FAILED, MINUTE, Reason.Kind.REPEAT_UNSAFE);
+            answered(
+                    5 * MINUTE + i * 30_000L,
+                    RecordEntry.Completion.FAILED,
+                    MINUTE,
+                    Reason.Kind.REPEAT_UNSAFE);
         }
         assertEquals(2, raised.size(), "spread over three seconds they are no incident");
     }
--- a/core/src/test/java/sorrelhoist/core/record/RecordTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordTest.java
@@ -10,39 +10,47 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.Reason;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.*;
 
 /** The record's bytes: exact, bounded, and honest about what is missing. */
 class RecordTest {
-    private static final Settings SETTINGS =
-            new Settings(
+    private static final RoutingSettings SETTINGS =
+            new RoutingSettings(
                     3,
                     1,
                     0,
                     false,
                     0.5,
-                    Reports.IN_OUTCOMES,
-                    List.of(new RequestClass(1_000_000, 40_000, 1, Repeat.SAFE, Scope.ALL, 0)),
+                    LoadReportMode.IN_OUTCOMES,
+                    List.of(
+                            new RequestClass(
+                                    1_000_000,
+                                    40_000,
+                                    1,
+                                    Idempotency.SAFE,
+                                    IdempotencyScope.ALL,
+                                    0)),
                     List.of(new Tenant(2.5)),
-                    List.of(new Kind(Role.READ, 1000), new Kind(Role.WRITE, 1000)),
-                    new Limits(6, true, true, true, 2000, false, true, 0.003, 0.003),
-                    new Rules(0.26, 2000, 3, 3000, 500));
-    private static final Entry.Started HEAD =
-            new Entry.Started("0.2.0", "edge-1", 77, SETTINGS, -5);
+                    List.of(new ServerKind(Role.READ, 1000), new ServerKind(Role.WRITE, 1000)),
+                    new Capabilities(6, true, true, true, 2000, false, true, 0.003, 0.003),
+                    new ServerLimits(0.26, 2000, 3, 3000, 500));
+    private static final RecordEntry.Header HEAD =
+            new RecordEntry.Header("0.2.0", "edge-1", 77, SETTINGS, -5);
 
-    private static final List<Entry> ENTRIES =
+    private static final List<RecordEntry> ENTRIES =
             List.of(
-                    new Entry.Told(
+                    new RecordEntry.Decision(
                             1,
                             new Members(
-                                    ListForm.COMPLETE,
+                                    ListUpdateKind.COMPLETE,
                                     List.of(
                                             new Server(
                                                     "r1", 0, 0, 2, ServerState.SERVING, 1.5, -9))),
                             List.of(new Timer(250_000, 1L << 60), new Follow(true))),
-                    new Entry.Asked(2, 5, 4, "edge-1.x.5", "mine", 0x1234567890L, 4_000_000, 0),
-                    new Entry.Told(
+                    new RecordEntry.RequestSubmitted(
+                            2, 5, 4, "edge-1.x.5", "mine", 0x1234567890L, 4_000_000, 0),
+                    new RecordEntry.Decision(
                             2,
                             new Arrived(5, 0, 0, "s", null, 100, 0, 20, 4_000_000),
                             List.of(
@@ -60,27 +68,30 @@
                                                     25_000,
                                                     "r2",
                                                     26_000)))),
-                    new Entry.Told(
+                    new RecordEntry.Decision(
                             3,
                             new ProbeAnswered(
-                                    "r1", Outcome.DONE, 12, new Load(0.25, Double.NaN, 3, 1e300)),
+                                    "r1",
+                                    Outcome.DONE,
+                                    12,
+                                    new ServerLoad(0.25, Double.NaN, 3, 1e300)),
                             List.of()),
-                    new Entry.Told(
+                    new RecordEntry.Decision(
                             3,
                             new PeerMessage(2, "x=\u00e9"),
                             List.of(new Log("a"), new Tell(-1, "b"))),
-                    new Entry.Answered(
+                    new RecordEntry.RequestCompleted(
                             9,
                             4,
-                            Entry.End.REFUSED,
+                            RecordEntry.Completion.REFUSED,
                             0,
                             123,
                             Reason.compared(Reason.Kind.REPEAT_BUDGET, 0, 1)),
-                    new Entry.Marked(10, "here"));
+                    new RecordEntry.Marker(10, "here"));
 
     private static byte[] file(int perChunk) {
-        List<byte[]> parts = new ArrayList<>(List.of(Chunks.header()));
-        Chunks.Writer w = new Chunks.Writer();
+        List<byte[]> parts = new ArrayList<>(List.of(ChunkCodec.fileHeader()));
+        ChunkCodec.Writer w = new ChunkCodec.Writer();
         for (int i = 0; i < ENTRIES.size(); i += perChunk) {
             w.begin(i, HEAD);
             ENTRIES.subList(i, Math.min(ENTRIES.size(), i + perChunk)).forEach(w::entry);
@@ -91,18 +102,18 @@
         return all.copy();
     }
 
-    private static List<Entry> entries(Tape tape) {
-        return tape.lines().stream().map(Tape.Line::entry).toList();
+    private static List<RecordEntry> entries(Recording tape) {
+        return tape.entries().stream().map(Recording.NumberedEntry::entry).toList();
     }
 
     @Test
-    void whatGoesInComesOut() throws Unreadable {
+    void whatGoesInComesOut() throws CorruptRecordException {
         for (int perChunk = 1; perChunk <= ENTRIES.size(); perChunk++) {
-            Tape tape = Tape.of(List.of(file(perChunk)));
-            assertEquals(HEAD, tape.head());
+            Recording tape = Recording.of(List.of(file(perChunk)));
+            assertEquals(HEAD, tape.header());
             assertEquals(ENTRIES, entries(tape));
-            assertTrue(tape.isWhole());
-            assertEquals(ENTRIES, entries(Tape.of(List.of(tape.file()))));
+            assertTrue(tape.isComplete());
+            assertEquals(ENTRIES, entries(Recording.of(List.of(tape.toFileBytes()))));
         }
     }
 
@@ -111,7 +122,7 @@
         byte[] file = file(2);
         int most = 0;
         for (int length = 0; length <= file.length; length++) {
-            Chunks.Read read = Chunks.read(Arrays.copyOf(file, length));
+            ChunkCodec.Read read = ChunkCodec.read(Arrays.copyOf(file, length));
             assertEquals(List.of(), read.faults(), "at " + length);
             assertTrue(read.chunks().size() >= most, "at " + length);
             most = read.chunks().size();
@@ -120,26 +131,28 @@
     }
 
     @Test
-    void aDamagedByteCostsItsChunkAndIsSaid() throws Unreadable {
+    void aDamagedByteCostsItsChunkAndIsSaid() throws CorruptRecordException {
         byte[] file = file(2);
-        for (int at = Chunks.header().length; at < file.length; at++) {
+        for (int at = ChunkCodec.fileHeader().length; at < file.length; at++) {
             byte[] bad = file.clone();
             bad[at] ^= 0x10;
-            Chunks.Read read = Chunks.read(bad);
+            ChunkCodec.Read read = ChunkCodec.read(bad);
             assertTrue(read.chunks().size() < 4, "at " + at);
             if (read.chunks().size() == 3 && read.chunks().get(2).first() == 6) {
-                assertFalse(Tape.of(List.of(bad)).isWhole(), "at " + at);
+                assertFalse(Recording.of(List.of(bad)).isComplete(), "at " + at);
                 assertFalse(read.faults().isEmpty());
             }
         }
         byte[] foreign = file.clone();
         foreign[2] = 'x';
-        assertTrue(Chunks.read(foreign).foreign());
+        assertTrue(ChunkCodec.read(foreign).foreign());
         foreign = file.clone();
         foreign[7] = '9';
         assertEquals(
-                "a record of another version of the form", Chunks.read(foreign).faults().get(0));
-        assertThrows(Unreadable.class, () -> Tape.of(List.of(Chunks.header())));
+                "a record of another version of the form",
+                ChunkCodec.read(foreign).faults().get(0));
+        assertThrows(
+                CorruptRecordException.class, () -> Recording.of(List.of(ChunkCodec.fileHeader())));
     }
 
     /**
@@ -148,7 +161,7 @@
     @Test
     void noiseBehindARightChecksumIsRefused() {
         SplittableRandom random = new SplittableRandom(4);
-        Chunks.Writer w = new Chunks.Writer();
+        ChunkCodec.Writer w = new ChunkCodec.Writer();
         int refused = 0;
         for (int i = 0; i < 20_000; i++) {
             w.begin(0, HEAD);
@@ -162,42 +175,48 @@
                             .hashBytes(chunk, 12, chunk.length - 12);
             byte[] framed = new Bytes().four(chunk.length - 12).eight(sum).copy();
             System.arraycopy(framed, 0, chunk, 0, 12);
-            byte[] file = new Bytes().raw(Chunks.header(), 8).raw(chunk, chunk.length).copy();
-            refused += Chunks.read(file).faults().isEmpty() ? 0 : 1;
+            byte[] file =
+                    new Bytes().raw(ChunkCodec.fileHeader(), 8).raw(chunk, chunk.length).copy();
+            refused += ChunkCodec.read(file).faults().isEmpty() ? 0 : 1;
         }
         assertTrue(refused > 1000, refused + " refused");
     }
 
     @Test
-    void whatIsDroppedIsCountedAndShows() throws Unreadable {
+    void whatIsDroppedIsCountedAndShows() throws CorruptRecordException {
         List<byte[]> taken = new ArrayList<>();
         boolean[] room = {true};
         Recorder recorder = new Recorder(HEAD, c -> room[0] && taken.add(c));
         for (int i = 0; i < 6; i++) {
             room[0] = i < 2 || i == 5;
-            recorder.mark(i, "mark " + i);
-            recorder.mark(i, "again " + i);
+            recorder.addMarker(i, "mark " + i);
+            recorder.addMarker(i, "again " + i);
             recorder.flush();
         }
-        assertEquals(0, recorder.lost());
-        byte[] file = Chunks.header();
+        assertEquals(0, recorder.droppedEntries());
+        byte[] file = ChunkCodec.fileHeader();
         for (byte[] c : taken) {
             file = new Bytes().raw(file, file.length).raw(c, c.length).copy();
         }
-        Tape tape = Tape.of(List.of(file));
-        assertFalse(tape.isWhole());
+        Recording tape = Recording.of(List.of(file));
+        assertFalse(tape.isComplete());
         assertEquals(1, tape.gaps().size());
         assertEquals("[4, 10]", Arrays.toString(tape.gaps().get(0)));
         assertEquals(
                 List.of(0L, 1L, 2L, 3L, 10L, 11L),
-                tape.lines().stream().map(Tape.Line::number).toList());
-        assertTrue(Chunks.read(file).chunks().get(2).entries().contains(new Entry.Lost(6)));
+                tape.entries().stream().map(Recording.NumberedEntry::number).toList());
+        assertTrue(
+                ChunkCodec.read(file)
+                        .chunks()
+                        .get(2)
+                        .entries()
+                        .contains(new RecordEntry.EntriesDropped(6)));
     }
 
     @Test
-    void aChunkThatIsThereTwiceCountsOnce() throws Unreadable {
+    void aChunkThatIsThereTwiceCountsOnce() throws CorruptRecordException {
         byte[] file = file(2);
-        assertEquals(ENTRIES, entries(Tape.of(List.of(file, file))));
+        assertEquals(ENTRIES, entries(Recording.of(List.of(file, file))));
     }
 
     record Before(long a, String b) {}
@@ -212,13 +231,13 @@
                 }
 
                 @Override
-                public String read(Input in) throws Unreadable {
+                public String read(Input in) throws CorruptRecordException {
                     return in.text();
                 }
             };
 
     @Test
-    void buildsThatDifferByAFieldReadEachOther() throws Unreadable {
+    void buildsThatDifferByAFieldReadEachOther() throws CorruptRecordException {
         Bytes old = new Bytes();
         RecordForm.of(Before.class).write(old, new Before(-3, "x"), PLAIN);
         After read = RecordForm.of(After.class).read(new Input(old.copy(), 0, old.size()), PLAIN);
@@ -238,7 +257,8 @@
     void promptsAreKeptAsHashesOnly() {
         List<byte[]> taken = new ArrayList<>();
         Recorder recorder = new Recorder(HEAD, taken::add);
-        recorder.asked(new Entry.Asked(1, 2, 3, "n", "c", 0, 0, 0), "a secret question");
+        recorder.onRequestSubmitted(
+                new RecordEntry.RequestSubmitted(1, 2, 3, "n", "c", 0, 0, 0), "a secret question");
         recorder.flush();
         assertFalse(
                 new String(taken.get(0), java.nio.charset.StandardCharsets.ISO_8859_1)
--- a/core/src/test/java/sorrelhoist/core/record/RegressionsTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RegressionsTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /**
  * Past failures as records: each was cut by `record cut --build` from what an edge recorded, and
@@ -23,23 +23,25 @@
     private static final Path RECORDS = Path.of("src/test/resources/records");
 
     static Stream<Path> records() throws IOException {
-        return Files.list(RECORDS).filter(p -> p.toString().endsWith(Shelf.SUFFIX)).sorted();
+        return Files.list(RECORDS)
+                .filter(p -> p.toString().endsWith(SegmentRetention.FILE_SUFFIX))
+                .sorted();
     }
 
-    private static Set<Long> ended(Tape tape) {
+    private static Set<Long> ended(Recording tape) {
         Set<Long> ids = new HashSet<>();
-        tape.lines().stream()
-                .filter(l -> l.entry() instanceof Entry.Told)
-                .flatMap(l -> ((Entry.Told) l.entry()).actions().stream())
+        tape.entries().stream()
+                .filter(l -> l.entry() instanceof RecordEntry.Decision)
+                .flatMap(l -> ((RecordEntry.Decision) l.entry()).actions().stream())
                 .filter(a -> a instanceof Refuse || a instanceof Fail)
-                .forEach(a -> ids.add(Story.request(a)));
+                .forEach(a -> ids.add(RequestTimeline.request(a)));
         return ids;
     }
 
     @ParameterizedTest
     @MethodSource("records")
-    void whatEndedForWantOfRoomIsSentNow(Path record) throws IOException, Unreadable {
-        Tape before = Tape.of(List.of(Files.readAllBytes(record)));
+    void whatEndedForWantOfRoomIsSentNow(Path record) throws IOException, CorruptRecordException {
+        Recording before = Recording.of(List.of(Files.readAllBytes(record)));
         Set<Long> ended = ended(before);
         assertFalse(ended.isEmpty(), record + " holds no failure");
         ended.removeAll(ended(Replay.again(before)));
--- a/core/src/test/java/sorrelhoist/core/life/Fleet.java
+++ b/core/src/test/java/sorrelhoist/core/request/Fleet.java
@@ -1,8 +1,8 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import java.util.ArrayList;
 import java.util.List;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /**
  * Small settings and engines for tests: two readers and three writers, one class of each kind of
@@ -19,22 +19,30 @@
 
     private Fleet() {}
 
-    static Settings decide(boolean cancel) {
-        return new Settings(
+    static RoutingSettings decide(boolean cancel) {
+        return new RoutingSettings(
                 1,
                 0,
                 0,
                 false,
                 0.1,
-                Reports.IN_OUTCOMES,
+                LoadReportMode.IN_OUTCOMES,
                 List.of(
-                        new RequestClass(SECOND, 40_000, 1, Repeat.SAFE, Scope.ALL, 0),
-                        new RequestClass(SECOND, 40_000, 1, Repeat.KEYED, Scope.CELL, 2 * SECOND),
-                        new RequestClass(SECOND, 40_000, 1, Repeat.UNSAFE, Scope.ALL, 0)),
+                        new RequestClass(
+                                SECOND, 40_000, 1, Idempotency.SAFE, IdempotencyScope.ALL, 0),
+                        new RequestClass(
+                                SECOND,
+                                40_000,
+                                1,
+                                Idempotency.KEYED,
+                                IdempotencyScope.CELL,
+                                2 * SECOND),
+                        new RequestClass(
+                                SECOND, 40_000, 1, Idempotency.UNSAFE, IdempotencyScope.ALL, 0)),
                 List.of(),
-                List.of(new Kind(Role.READ, 200_000), new Kind(Role.WRITE, 150_000)),
-                new Limits(5, cancel, false, true, 2 * SECOND, false, false, 0.003, 0.003),
-                new Rules(0.26, 12 * SECOND, 3, 3 * SECOND, RELEASE));
+                List.of(new ServerKind(Role.READ, 200_000), new ServerKind(Role.WRITE, 150_000)),
+                new Capabilities(5, cancel, false, true, 2 * SECOND, false, false, 0.003, 0.003),
+                new ServerLimits(0.26, 12 * SECOND, 3, 3 * SECOND, RELEASE));
     }
 
     static RouterSettings settings(boolean cancel, boolean resumes, long seed) {
@@ -62,8 +70,8 @@
         return all;
     }
 
-    static Call call(int cls, int maxTokens, long timeout) {
-        return new Call(
+    static InferenceRequest call(int cls, int maxTokens, long timeout) {
+        return new InferenceRequest(
                 "c", cls, 0, "s", "p", 50, "x".repeat(400), 100, maxTokens, timeout, 0, null);
     }
 }
--- a/core/src/test/java/sorrelhoist/core/life/Histories.java
+++ b/core/src/test/java/sorrelhoist/core/request/Histories.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
-import sorrelhoist.Routing.*;
-import sorrelhoist.core.record.Tap;
-import sorrelhoist.core.time.Alarms;
+import sorrelhoist.core.record.DecisionListener;
+import sorrelhoist.core.time.TimerQueue;
+import sorrelhoist.routing.Routing.*;
 
 /**
  * Random histories of a router in virtual time: clients that come and leave, engines that answer,
@@ -34,7 +34,7 @@
     final List<String> broken = new ArrayList<>();
     private final SplittableRandom random;
     private final Router router;
-    private final Alarms<Runnable> world = new Alarms<>();
+    private final TimerQueue<Runnable> world = new TimerQueue<>();
     private final Map<Long, Client> clients = new HashMap<>();
     private final Map<String, HeldState> held = new HashMap<>();
     private final Map<String, Integer> outBy = new HashMap<>();
@@ -52,32 +52,35 @@
     int resumed;
 
     Histories(long seed, UnaryOperator<Command> sabotage) {
-        this(seed, sabotage, s -> Tap.NONE);
+        this(seed, sabotage, s -> DecisionListener.NONE);
     }
 
-    Histories(long seed, UnaryOperator<Command> sabotage, Function<RouterSettings, Tap> tap) {
+    Histories(
+            long seed,
+            UnaryOperator<Command> sabotage,
+            Function<RouterSettings, DecisionListener> tap) {
         this.random = new SplittableRandom(seed);
         this.sabotage = sabotage;
         this.trouble = random.nextDouble() * 0.5;
         RouterSettings settings =
                 Fleet.settings(random.nextInt(5) > 0, random.nextInt(3) > 0, seed);
         this.router = new Router(settings, this::take, tap.apply(settings));
-        router.members(0, ListForm.COMPLETE, Fleet.servers());
+        router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
     }
 
     /** Plays one history to its end. */
     void play() {
         int count = 1 + random.nextInt(12);
         for (int i = 0; i < count; i++) {
-            world.set(random.nextLong(2 * Fleet.SECOND), this::arrive);
+            world.schedule(random.nextLong(2 * Fleet.SECOND), this::arrive);
         }
         if (random.nextInt(4) == 0) {
-            world.set(random.nextLong(2 * Fleet.SECOND), this::drainOne);
+            world.schedule(random.nextLong(2 * Fleet.SECOND), this::drainOne);
         }
-        for (long steps = 0; world.size() > 0 || router.open() > 0; steps++) {
-            now = Math.max(now, Math.min(world.next(), router.nextAlarm()));
+        for (long steps = 0; world.size() > 0 || router.openRequests() > 0; steps++) {
+            now = Math.max(now, Math.min(world.nextDueMicros(), router.nextTimerAt()));
             router.advance(now);
-            for (Runnable due = world.due(now); due != null; due = world.due(now)) {
+            for (Runnable due = world.pollDue(now); due != null; due = world.pollDue(now)) {
                 due.run();
             }
             check();
@@ -87,24 +90,28 @@
             }
         }
         // What was let go or cut needs its last alarms; ticks go on for ever.
-        for (long until = now + 6 * Fleet.SECOND; router.nextAlarm() <= until; ) {
-            now = Math.max(now, router.nextAlarm());
+        for (long until = now + 6 * Fleet.SECOND; router.nextTimerAt() <= until; ) {
+            now = Math.max(now, router.nextTimerAt());
             router.advance(now);
-            for (Runnable due = world.due(now); due != null; due = world.due(now)) {
+            for (Runnable due = world.pollDue(now); due != null; due = world.pollDue(now)) {
                 due.run();
             }
             check();
         }
-        if (router.known() + router.attemptsOut() + router.held() + router.reserved() > 0) {
+        if (router.known()
+                        + router.runningAttempts()
+                        + router.wantedReservations()
+                        + router.reservationCount()
+                > 0) {
             broken.add(
                     "left: "
                             + router.known()
                             + " known, "
-                            + router.attemptsOut()
+                            + router.runningAttempts()
                             + " out, "
-                            + router.held()
+                            + router.wantedReservations()
                             + " held, "
-                            + router.reserved()
+                            + router.reservationCount()
                             + " reserved");
         }
         clients.values().stream()
@@ -122,25 +129,25 @@
                 now + (timeout > 0 ? Math.min(timeout, 4 * Fleet.SECOND) : 4 * Fleet.SECOND);
         c.endsBy = timeout > 0 ? now + timeout : Long.MAX_VALUE;
         pending = c;
-        long client = router.arrived(now, Fleet.call(c.cls, most, timeout));
+        long client = router.requestArrived(now, Fleet.call(c.cls, most, timeout));
         clients.put(client, c);
         pending = null;
         if (random.nextInt(4) == 0) {
             long blocked = now + random.nextLong(Fleet.SECOND);
-            world.set(blocked, () -> router.clientBlocked(now, client, true));
+            world.schedule(blocked, () -> router.clientBackpressureChanged(now, client, true));
             if (random.nextInt(3) > 0) {
-                world.set(
+                world.schedule(
                         blocked + random.nextLong(4 * Fleet.SECOND),
-                        () -> router.clientBlocked(now, client, false));
+                        () -> router.clientBackpressureChanged(now, client, false));
             }
         }
         if (random.nextInt(4) == 0) {
-            world.set(
+            world.schedule(
                     now + random.nextLong(Fleet.SECOND),
                     () -> {
                         if (!c.ended) {
                             c.gone = true;
-                            router.clientGone(now, client);
+                            router.clientDisconnected(now, client);
                         }
                     });
         }
@@ -156,9 +163,9 @@
         List<Server> all = Fleet.servers();
         Server s = all.get(random.nextInt(all.size()));
         drainedAt.put(s.id(), now);
-        router.members(
+        router.endpointsUpdated(
                 now,
-                ListForm.UPDATE,
+                ListUpdateKind.UPDATE,
                 List.of(
                         new Server(
                                 s.id(),
@@ -175,18 +182,19 @@
 
     private void take(Command given) {
         Command order = sabotage.apply(given);
-        if (order instanceof Command.Read o) {
-            sent(o.attempt(), o.name(), o.engine());
+        if (order instanceof Command.StartPrefill o) {
+            sent(o.attempt(), o.requestName(), o.engine());
             read(o);
-        } else if (order instanceof Command.Write o) {
-            sent(o.attempt(), o.name(), o.engine());
+        } else if (order instanceof Command.StartDecode o) {
+            sent(o.attempt(), o.requestName(), o.engine());
             write(o);
-        } else if (order instanceof Command.Drop o) {
+        } else if (order instanceof Command.CancelAttempt o) {
             end(o.attempt());
-        } else if (order instanceof Command.Release o) {
-            held.keySet().removeIf(s -> o.state().isEmpty() ? false : s.equals(o.state()));
-        } else if (order instanceof Command.Deliver o) {
-            Client c = client(o.client());
+        } else if (order instanceof Command.ReleaseReservation o) {
+            held.keySet()
+                    .removeIf(s -> o.prefillState().isEmpty() ? false : s.equals(o.prefillState()));
+        } else if (order instanceof Command.DeliverToken o) {
+            Client c = client(o.clientId());
             if (c.ended || c.gone || now > c.endsBy) {
                 broken.add("rule 1: a token after the end");
             }
@@ -196,19 +204,22 @@
             if (c.tokens == 1 && now > c.firstTokenBy) {
                 broken.add("rule 1: a first token after the deadline");
             }
-        } else if (order instanceof Command.Finish o) {
-            finish(client(o.client()), o.answer());
+        } else if (order instanceof Command.FinishRequest o) {
+            finish(client(o.clientId()), o.result());
         }
     }
 
-    private void finish(Client c, Answer answer) {
+    private void finish(Client c, RequestResult answer) {
         if (c.ended || c.gone) {
             broken.add("rule 1: a second answer");
         }
         c.ended = true;
-        served += answer instanceof Answer.Served ? 1 : 0;
-        refused += answer instanceof Answer.Refused ? 1 : 0;
-        failed += answer instanceof Answer.Failed || answer instanceof Answer.Stalled ? 1 : 0;
+        served += answer instanceof RequestResult.Served ? 1 : 0;
+        refused += answer instanceof RequestResult.Refused ? 1 : 0;
+        failed +=
+                answer instanceof RequestResult.Failed || answer instanceof RequestResult.Stalled
+                        ? 1
+                        : 0;
         if (now > c.endsBy || c.tokens == 0 && now > c.firstTokenBy) {
             broken.add("rule 1: answered " + (now - c.firstTokenBy) + " us late");
         }
@@ -237,7 +248,7 @@
     }
 
     private void later(long delay, AttemptId id, Runnable what) {
-        world.set(
+        world.schedule(
                 now + delay,
                 () -> {
                     // A carrier reports nothing of what it was told to drop; sometimes word is on
@@ -255,10 +266,10 @@
 
     private void lose(AttemptId id, Outcome how, long note) {
         end(id);
-        router.attemptLost(now, id, how, note, Load.NONE);
+        router.attemptFailed(now, id, how, note, ServerLoad.NONE);
     }
 
-    private void read(Command.Read o) {
+    private void read(Command.StartPrefill o) {
         double luck = random.nextDouble();
         long took = 1000 + random.nextLong(100_000);
         if (luck < trouble / 2) {
@@ -270,19 +281,20 @@
                     o.attempt(),
                     () -> {
                         if (isOut(o.attempt())) {
-                            held.put(state, new HeldState(o.name(), now));
+                            held.put(state, new HeldState(o.requestName(), now));
                         }
                         end(o.attempt());
-                        router.readDone(now, o.attempt(), state, random.nextInt(100), Load.NONE);
+                        router.prefillCompleted(
+                                now, o.attempt(), state, random.nextInt(100), ServerLoad.NONE);
                     });
         }
     }
 
-    private void write(Command.Write o) {
+    private void write(Command.StartDecode o) {
         double luck = random.nextDouble();
         long took = 1000 + random.nextLong(100_000);
-        if (o.state() != null) {
-            stateOf.put(o.attempt(), o.state().state());
+        if (o.prefillState() != null) {
+            stateOf.put(o.attempt(), o.prefillState().stateId());
         }
         if (luck < trouble * 0.3) {
             Outcome how = trouble();
@@ -300,20 +312,20 @@
                     });
         } else if (luck >= trouble * 0.6) {
             run(o);
-            tokens(o, o.fromToken(), took);
+            tokens(o, o.firstTokenIndex(), took);
         }
     }
 
     /** The attempt may have an effect: at most once where that matters. */
-    private void run(Command.Write o) {
-        boolean again = !ran.add(o.name());
-        if (o.call().cls() == Fleet.UNSAFE && (again || o.fromToken() > 0)) {
+    private void run(Command.StartDecode o) {
+        boolean again = !ran.add(o.requestName());
+        if (o.request().classIndex() == Fleet.UNSAFE && (again || o.firstTokenIndex() > 0)) {
             broken.add("rule 2: an unsafe request ran twice");
         }
         String cell = o.engine().equals("w1") ? "1" : "0";
-        String first = cells.putIfAbsent(o.name(), cell);
-        if (o.call().cls() == Fleet.KEYED
-                && (first != null && !first.equals(cell) || o.fromToken() > 0)) {
+        String first = cells.putIfAbsent(o.requestName(), cell);
+        if (o.request().classIndex() == Fleet.KEYED
+                && (first != null && !first.equals(cell) || o.firstTokenIndex() > 0)) {
             broken.add("rule 2: a keyed request ran in two cells");
         }
     }
@@ -321,32 +333,34 @@
     private final Set<String> ran = new HashSet<>();
     private final Map<String, String> cells = new HashMap<>();
 
-    private void tokens(Command.Write o, int index, long delay) {
+    private void tokens(Command.StartDecode o, int index, long delay) {
         later(
                 delay,
                 o.attempt(),
                 () -> {
                     held.remove(stateOf.get(o.attempt()));
                     double luck = random.nextDouble();
-                    int most = o.call().maxTokens();
+                    int most = o.request().maxOutputTokens();
                     if (luck < trouble * 0.02) {
                         lose(o.attempt(), random.nextBoolean() ? Outcome.ERROR : Outcome.RESET, 0);
                     } else if (luck < trouble * 0.04) {
                         return;
                     } else if (luck < trouble * 0.06) {
-                        router.token(now, o.attempt(), index + 1 + random.nextInt(3), "x", null);
+                        router.tokenReceived(
+                                now, o.attempt(), index + 1 + random.nextInt(3), "x", null);
                         tokens(o, index, 1000);
-                    } else if (index >= most || index > o.fromToken() && random.nextInt(12) == 0) {
+                    } else if (index >= most
+                            || index > o.firstTokenIndex() && random.nextInt(12) == 0) {
                         end(o.attempt());
-                        router.streamDone(
+                        router.tokenStreamCompleted(
                                 now,
                                 o.attempt(),
                                 random.nextDouble() < trouble * 0.1 ? index + 1 : index,
                                 0,
-                                Load.NONE);
-                        router.token(now, o.attempt(), index, "after", null);
+                                ServerLoad.NONE);
+                        router.tokenReceived(now, o.attempt(), index, "after", null);
                     } else {
-                        router.token(now, o.attempt(), index, "t", null);
+                        router.tokenReceived(now, o.attempt(), index, "t", null);
                         tokens(o, index + 1, 1000 + random.nextLong(60_000));
                     }
                 });
@@ -354,12 +368,12 @@
 
     /** Rule 5: a state that no attempt waits for is taken or let go in time. */
     private void check() {
-        if (router.sendsWithoutOutcome() != router.attemptsOut()) {
+        if (router.sendsWithoutOutcome() != router.runningAttempts()) {
             broken.add(
                     "a send has not exactly one outcome: "
                             + router.sendsWithoutOutcome()
                             + " are without, "
-                            + router.attemptsOut()
+                            + router.runningAttempts()
                             + " are out");
         }
         held.forEach(
--- a/core/src/test/java/sorrelhoist/core/life/HistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HistoriesTest.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -52,14 +52,15 @@
 
     @Test
     void brokenTransitionsAreCaught() {
-        caught("rule 1: no answer", o -> o instanceof Command.Finish ? null : o);
-        caught("rule 5: ", o -> o instanceof Command.Release ? null : o);
+        caught("rule 1: no answer", o -> o instanceof Command.FinishRequest ? null : o);
+        caught("rule 5: ", o -> o instanceof Command.ReleaseReservation ? null : o);
         caught(
                 "a token lost or doubled",
                 o ->
-                        o instanceof Command.Deliver d
-                                ? new Command.Deliver(d.client(), d.index() / 2, d.text(), null)
+                        o instanceof Command.DeliverToken d
+                                ? new Command.DeliverToken(
+                                        d.clientId(), d.index() / 2, d.text(), null)
                                 : o);
-        caught("rule 2: two attempts out", o -> o instanceof Command.Drop ? null : o);
+        caught("rule 2: two attempts out", o -> o instanceof Command.CancelAttempt ? null : o);
     }
 }
--- /dev/null
+++ b/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
@@ -0,0 +1,130 @@
+package sorrelhoist.core.request;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.core.reservation.ReleaseReach;
+import sorrelhoist.routing.Routing.*;
+
+/**
+ * A router whose answers are events of its engines, and whose clients come again for the rest by
+ * themselves.
+ */
+class OpaqueStreamsTest {
+    private static final long SILENCE = 4 * Fleet.SECOND;
+    private final List<Command> orders = new ArrayList<>();
+    private final Router router =
+            new Router(
+                    new RouterSettings(
+                            "edge",
+                            1,
+                            Fleet.decide(true),
+                            List.of(Long.MAX_VALUE / 4, 0L, 0L),
+                            List.of(0L, 0L, 0L),
+                            0,
+                            false,
+                            Fleet.STALL,
+                            100,
+                            7,
+                            new StreamSettings(true, false, SILENCE, true),
+                            ReleaseReach.ANY_ENGINE),
+                    orders::add);
+
+    private <T extends Command> T last(Class<T> type) {
+        return orders.stream()
+                .filter(type::isInstance)
+                .map(type::cast)
+                .reduce((a, b) -> b)
+                .orElseThrow();
+    }
+
+    private long count(Class<? extends Command> type) {
+        return orders.stream().filter(type::isInstance).count();
+    }
+
+    private Command.StartDecode placed() {
+        router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
+        router.requestArrived(0, Fleet.call(Fleet.SAFE, 1, 2 * Fleet.SECOND));
+        router.prefillCompleted(
+                10_000, last(Command.StartPrefill.class).attempt(), "", 0, ServerLoad.NONE);
+        return last(Command.StartDecode.class);
+    }
+
+    private void pass(long from, long to) {
+        for (long t = from; t <= to; t += 1000) {
+            router.advance(t);
+        }
+    }
+
+    @Test
+    void eventsArePassedOnAsTheyAreAndNotCountedAgainstTheMostTokens() {
+        Command.StartDecode w = placed();
+        Object[] events = {new Object(), new Object(), new Object()};
+        for (Object event : events) {
+            assertTrue(router.opaqueEventReceived(20_000, w.attempt(), event));
+            assertSame(event, last(Command.DeliverToken.class).attachment());
+        }
+        router.opaqueStreamCompleted(30_000, w.attempt(), 5, ServerLoad.NONE);
+        assertInstanceOf(RequestResult.Served.class, last(Command.FinishRequest.class).result());
+        assertFalse(router.opaqueEventReceived(40_000, w.attempt(), new Object()));
+        assertEquals(0, router.known());
+    }
+
+    @Test
+    void enginesKnowARequestByItsClientsName() {
+        Command.StartDecode w = placed();
+        assertEquals("c", w.requestName());
+        assertEquals("c", last(Command.StartPrefill.class).requestName());
+    }
+
+    @Test
+    void theClientsTimeDoesNotEndAStreamThatHasBegun() {
+        Command.StartDecode w = placed();
+        router.opaqueEventReceived(20_000, w.attempt(), "e");
+        pass(20_000, 3 * Fleet.SECOND);
+        assertEquals(0, count(Command.FinishRequest.class));
+        router.opaqueEventReceived(3 * Fleet.SECOND, w.attempt(), "e");
+        router.opaqueStreamCompleted(3 * Fleet.SECOND, w.attempt(), 0, ServerLoad.NONE);
+        assertInstanceOf(RequestResult.Served.class, last(Command.FinishRequest.class).result());
+    }
+
+    @Test
+    void aSilentStreamEndsAfterThePlatformsLimitAndNotBefore() {
+        Command.StartDecode w = placed();
+        router.opaqueEventReceived(20_000, w.attempt(), "e");
+        pass(20_000, SILENCE);
+        assertEquals(0, count(Command.FinishRequest.class));
+        pass(SILENCE, SILENCE + 30_000);
+        assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
+        assertEquals(w.attempt(), last(Command.CancelAttempt.class).attempt());
+    }
+
+    @Test
+    void aDepartureMovesWhatHasBegunAndNothingElse() {
+        Command.StartDecode w = placed();
+        assertEquals(0, router.migratableStreams());
+        router.opaqueEventReceived(20_000, w.attempt(), "e");
+        router.requestArrived(30_000, Fleet.call(Fleet.SAFE, 1, 2 * Fleet.SECOND));
+        assertEquals(1, router.migratableStreams());
+        router.migrateYoungestStreams(40_000, 5);
+        assertEquals(w.attempt(), last(Command.CancelAttempt.class).attempt());
+        assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
+        assertEquals(1, router.openRequests());
+    }
+
+    @Test
+    void aBrokenStreamIsTheClientsToAskForAgain() {
+        Command.StartDecode w = placed();
+        router.opaqueEventReceived(20_000, w.attempt(), "e");
+        router.attemptFailed(30_000, w.attempt(), Outcome.RESET, 0, ServerLoad.NONE);
+        assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
+        assertEquals(1, count(Command.StartPrefill.class));
+        assertEquals(0, router.known());
+    }
+}
--- a/core/src/test/java/sorrelhoist/core/life/RecordedHistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,18 +8,18 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.Reason;
-import sorrelhoist.Routing.*;
-import sorrelhoist.core.record.Chunks;
-import sorrelhoist.core.record.Compare;
-import sorrelhoist.core.record.Cut;
-import sorrelhoist.core.record.Entry;
+import sorrelhoist.core.record.ChunkCodec;
+import sorrelhoist.core.record.CorruptRecordException;
+import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.core.record.Recorder;
-import sorrelhoist.core.record.Rename;
+import sorrelhoist.core.record.Recording;
+import sorrelhoist.core.record.RecordingAnonymizer;
+import sorrelhoist.core.record.RecordingMinimizer;
 import sorrelhoist.core.record.Replay;
-import sorrelhoist.core.record.Story;
-import sorrelhoist.core.record.Tape;
-import sorrelhoist.core.record.Unreadable;
+import sorrelhoist.core.record.ReplayComparison;
+import sorrelhoist.core.record.RequestTimeline;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.*;
 
 /**
  * Histories of a router, recorded, and played again: every action must be the same, and every
@@ -27,7 +27,7 @@
  */
 class RecordedHistoriesTest {
     private static byte[] file(List<byte[]> chunks) {
-        byte[] out = Chunks.header();
+        byte[] out = ChunkCodec.fileHeader();
         for (byte[] c : chunks) {
             int at = out.length;
             out = java.util.Arrays.copyOf(out, at + c.length);
@@ -46,11 +46,11 @@
                         s ->
                                 recorder[0] =
                                         new Recorder(
-                                                new Entry.Started(
+                                                new RecordEntry.Header(
                                                         "test",
-                                                        s.name(),
+                                                        s.routerName(),
                                                         s.incarnation(),
-                                                        s.decide(),
+                                                        s.routing(),
                                                         s.seed()),
                                                 chunks::add))
                 .play();
@@ -59,22 +59,27 @@
     }
 
     @Test
-    void everyActionOfThousandsOfRequestsIsTheSameAgain() throws Unreadable {
+    void everyActionOfThousandsOfRequestsIsTheSameAgain() throws CorruptRecordException {
         long requests = 0;
         long actions = 0;
         for (long seed = 0; seed < 700; seed++) {
-            Tape tape = Tape.of(List.of(recorded(seed)));
-            assertTrue(tape.isWhole() && tape.faults().isEmpty(), "seed " + seed);
-            Replay.Result r = Replay.of(tape);
+            Recording tape = Recording.of(List.of(recorded(seed)));
+            assertTrue(tape.isComplete() && tape.faults().isEmpty(), "seed " + seed);
+            Replay.Result r = Replay.run(tape);
             assertTrue(
-                    r.same(),
-                    "seed " + seed + ": " + (r.first() == null ? r.fault() : r.first().text()));
+                    r.isIdentical(),
+                    "seed "
+                            + seed
+                            + ": "
+                            + (r.firstDifference() == null
+                                    ? r.fault()
+                                    : r.firstDifference().describe()));
             actions += r.actions();
             requests +=
-                    tape.lines().stream()
+                    tape.entries().stream()
                             .filter(
                                     l ->
-                                            l.entry() instanceof Entry.Told t
+                                            l.entry() instanceof RecordEntry.Decision t
                                                     && t.event() instanceof Arrived)
                             .count();
         }
@@ -84,44 +89,46 @@
     }
 
     @Test
-    void anotherSeedIsNoticedAndTheFirstDifferenceNamed() throws Unreadable {
+    void anotherSeedIsNoticedAndTheFirstDifferenceNamed() throws CorruptRecordException {
         int found = 0;
         for (long seed = 0; seed < 50; seed++) {
-            Tape tape = Tape.of(List.of(recorded(seed)));
-            Entry.Started h = tape.head();
-            Tape other =
-                    Tape.of(
-                            new Entry.Started(
+            Recording tape = Recording.of(List.of(recorded(seed)));
+            RecordEntry.Header h = tape.header();
+            Recording other =
+                    Recording.of(
+                            new RecordEntry.Header(
                                     h.build(),
                                     h.name(),
                                     h.incarnation(),
                                     h.settings(),
                                     h.seed() + 1),
-                            tape.lines().stream().map(Tape.Line::entry).toList());
-            Replay.Difference d = Replay.of(other).first();
+                            tape.entries().stream().map(Recording.NumberedEntry::entry).toList());
+            Replay.Difference d = Replay.run(other).firstDifference();
             if (d != null) {
                 found++;
                 assertFalse(d.recorded() == null && d.replayed() == null);
-                assertTrue(d.text().startsWith("entry " + d.line().number()), d.text());
+                assertTrue(d.describe().startsWith("entry " + d.entry().number()), d.describe());
             }
         }
         assertTrue(found > 10, found + " noticed");
     }
 
     @Test
-    void everyAnswerIsExplainedByItsStory() throws Unreadable {
+    void everyAnswerIsExplainedByItsStory() throws CorruptRecordException {
         int told = 0;
         for (long seed = 0; seed < 60; seed++) {
-            Tape tape = Tape.of(List.of(recorded(seed)));
-            for (Tape.Line l : tape.lines()) {
-                if (l.entry() instanceof Entry.Asked a && a.fromToken() == 0) {
-                    List<String> story = new Story(tape).of(a.name());
+            Recording tape = Recording.of(List.of(recorded(seed)));
+            for (Recording.NumberedEntry l : tape.entries()) {
+                if (l.entry() instanceof RecordEntry.RequestSubmitted a && a.fromToken() == 0) {
+                    List<String> story = new RequestTimeline(tape).describe(a.name());
                     assertTrue(story.get(0).contains("asked, as " + a.name()), story.toString());
                     boolean ended =
-                            tape.lines().stream()
+                            tape.entries().stream()
                                     .anyMatch(
                                             x ->
-                                                    x.entry() instanceof Entry.Answered e
+                                                    x.entry()
+                                                                    instanceof
+                                                                    RecordEntry.RequestCompleted e
                                                             && e.client() == a.client());
                     assertEquals(
                             ended,
@@ -147,19 +154,21 @@
     }
 
     @Test
-    void aCutTapeStillShowsItsFailureAndLittleElse() throws Unreadable {
+    void aCutTapeStillShowsItsFailureAndLittleElse() throws CorruptRecordException {
         for (long seed = 0; seed < 400; seed++) {
-            Tape tape = Tape.of(List.of(recorded(seed)));
-            if (tape.lines().size() > 60 && budgetSpent(tape)) {
-                Cut cut = new Cut(tape.head(), RecordedHistoriesTest::budgetSpent, 3000);
-                Tape little = cut.of(tape);
+            Recording tape = Recording.of(List.of(recorded(seed)));
+            if (tape.entries().size() > 60 && budgetSpent(tape)) {
+                RecordingMinimizer cut =
+                        new RecordingMinimizer(
+                                tape.header(), RecordedHistoriesTest::budgetSpent, 3000);
+                Recording little = cut.minimize(tape);
                 assertTrue(budgetSpent(little));
                 assertTrue(
-                        little.lines().size() * 3 < tape.lines().size(),
-                        little.lines().size() + " of " + tape.lines().size());
-                Tape again = Tape.of(List.of(little.file()));
-                assertTrue(again.isWhole());
-                assertTrue(Replay.of(again).same(), "what was cut plays as it was cut");
+                        little.entries().size() * 3 < tape.entries().size(),
+                        little.entries().size() + " of " + tape.entries().size());
+                Recording again = Recording.of(List.of(little.toFileBytes()));
+                assertTrue(again.isComplete());
+                assertTrue(Replay.run(again).isIdentical(), "what was cut plays as it was cut");
                 return;
             }
         }
@@ -167,11 +176,11 @@
     }
 
     /** A request ended because nothing harmless was left to try. */
-    private static boolean budgetSpent(Tape tape) {
-        return tape.lines().stream()
+    private static boolean budgetSpent(Recording tape) {
+        return tape.entries().stream()
                 .anyMatch(
                         l ->
-                                l.entry() instanceof Entry.Told t
+                                l.entry() instanceof RecordEntry.Decision t
                                         && t.actions().stream()
                                                 .anyMatch(
                                                         a ->
@@ -182,98 +191,101 @@
     }
 
     @Test
-    void otherSettingsShowWhatTheyWouldHaveChanged() throws Unreadable {
+    void otherSettingsShowWhatTheyWouldHaveChanged() throws CorruptRecordException {
         int refusedNow = 0;
         for (long seed = 0; seed < 60; seed++) {
-            Tape tape = Tape.of(List.of(recorded(seed)));
-            Settings s = tape.head().settings();
-            Compare.Report same = Compare.of(tape, s);
-            assertEquals(same.requests(), same.same(), "seed " + seed);
-            Limits l = s.limits();
-            Settings two =
-                    new Settings(
+            Recording tape = Recording.of(List.of(recorded(seed)));
+            RoutingSettings s = tape.header().settings();
+            ReplayComparison.Report same = ReplayComparison.compare(tape, s);
+            assertEquals(same.requests(), same.unchanged(), "seed " + seed);
+            Capabilities l = s.capabilities();
+            RoutingSettings two =
+                    new RoutingSettings(
                             s.routers(),
                             s.self(),
                             s.zone(),
-                            s.asksDiscovery(),
-                            s.overShareWorth(),
-                            s.reports(),
+                            s.subscribesToDiscovery(),
+                            s.overQuotaPriorityWeight(),
+                            s.loadReportMode(),
                             s.classes(),
                             s.tenants(),
-                            s.kinds(),
-                            new Limits(
+                            s.serverKinds(),
+                            new Capabilities(
                                     2,
                                     l.cancel(),
                                     l.probes(),
                                     l.backoffHints(),
                                     l.maxBackoffMicros(),
-                                    l.writersRead(),
-                                    l.tells(),
-                                    l.probePrice(),
-                                    l.tellPrice()),
-                            s.rules());
-            Compare.Report fewer = Compare.of(tape, two);
-            int changed = fewer.nowRefused().values().stream().mapToInt(n -> n).sum();
+                                    l.decodersMayPrefill(),
+                                    l.gossip(),
+                                    l.probeCost(),
+                                    l.gossipCost()),
+                            s.serverLimits());
+            ReplayComparison.Report fewer = ReplayComparison.compare(tape, two);
+            int changed = fewer.newlyRejected().values().stream().mapToInt(n -> n).sum();
             assertEquals(
-                    fewer.requests() - fewer.same(),
+                    fewer.requests() - fewer.unchanged(),
                     changed
-                            + fewer.elsewhere()
-                            + fewer.nowSent().values().stream().mapToInt(n -> n).sum());
+                            + fewer.rerouted()
+                            + fewer.newlyForwarded().values().stream().mapToInt(n -> n).sum());
             refusedNow += changed;
         }
         assertTrue(refusedNow > 20, "two attempts in place of five end " + refusedNow + " more");
     }
 
     @Test
-    void neutralNamesStayEqualWhereNamesWere() throws Unreadable {
-        Tape tape = Tape.of(List.of(recorded(3)));
-        Tape other = Rename.of(tape);
-        assertTrue(Replay.of(other).same());
-        String text = other.lines().toString() + other.head();
+    void neutralNamesStayEqualWhereNamesWere() throws CorruptRecordException {
+        Recording tape = Recording.of(List.of(recorded(3)));
+        Recording other = RecordingAnonymizer.anonymize(tape);
+        assertTrue(Replay.run(other).isIdentical());
+        String text = other.entries().toString() + other.header();
         for (Server server : Fleet.servers()) {
             assertFalse(text.contains("id=" + server.id() + ","), text);
         }
         assertFalse(text.contains("session=s,"), text);
         assertEquals(
                 1,
-                other.lines().stream()
+                other.entries().stream()
                         .filter(
                                 l ->
-                                        l.entry() instanceof Entry.Told t
+                                        l.entry() instanceof RecordEntry.Decision t
                                                 && t.event() instanceof Arrived)
-                        .map(l -> ((Arrived) ((Entry.Told) l.entry()).event()).session())
+                        .map(l -> ((Arrived) ((RecordEntry.Decision) l.entry()).event()).session())
                         .distinct()
                         .count());
     }
 
     @Test
-    void whatIsTaughtAndAChangedSeatArePlayedToo() throws Unreadable {
+    void whatIsTaughtAndAChangedSeatArePlayedToo() throws CorruptRecordException {
         List<byte[]> chunks = new ArrayList<>();
         RouterSettings s = Fleet.settings(true, true, 9);
         Recorder recorder =
                 new Recorder(
-                        new Entry.Started("test", s.name(), s.incarnation(), s.decide(), s.seed()),
+                        new RecordEntry.Header(
+                                "test", s.routerName(), s.incarnation(), s.routing(), s.seed()),
                         chunks::add);
         Router teacher = new Router(s, o -> {});
-        teacher.members(0, ListForm.COMPLETE, Fleet.servers());
-        teacher.arrived(10, Fleet.call(0, 5, 0));
+        teacher.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
+        teacher.requestArrived(10, Fleet.call(0, 5, 0));
         Router router = new Router(s, o -> {}, recorder);
-        router.members(0, ListForm.COMPLETE, Fleet.servers());
-        router.learn(1000, teacher.known(1000, 100), 5000);
-        router.seated(2000, 7, 3);
+        router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
+        router.importKnowledge(1000, teacher.known(1000, 100), 5000);
+        router.routerCountChanged(2000, 7, 3);
         for (int i = 0; i < 20; i++) {
-            router.arrived(3000 + i, Fleet.call(i % 3, 5, 0));
+            router.requestArrived(3000 + i, Fleet.call(i % 3, 5, 0));
         }
         router.advance(10_000_000);
         recorder.flush();
-        Tape tape = Tape.of(List.of(file(chunks)));
-        assertTrue(tape.lines().stream().anyMatch(l -> l.entry() instanceof Entry.Taught));
-        assertTrue(Replay.of(tape).same());
+        Recording tape = Recording.of(List.of(file(chunks)));
         assertTrue(
-                tape.lines().stream()
+                tape.entries().stream()
+                        .anyMatch(l -> l.entry() instanceof RecordEntry.KnowledgeAdopted));
+        assertTrue(Replay.run(tape).isIdentical());
+        assertTrue(
+                tape.entries().stream()
                         .anyMatch(
                                 l ->
-                                        l.entry() instanceof Entry.Told t
+                                        l.entry() instanceof RecordEntry.Decision t
                                                 && t.event().equals(new Seated(7, 3))));
     }
 }
--- a/core/src/test/java/sorrelhoist/core/life/ReservationOrdersTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationOrdersTest.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/core/src/test/java/sorrelhoist/core/life/ReservationWorld.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationWorld.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sorrelhoist.Routing.Limits;
-import sorrelhoist.Routing.ListForm;
-import sorrelhoist.Routing.Load;
-import sorrelhoist.Routing.Outcome;
-import sorrelhoist.Routing.Server;
-import sorrelhoist.Routing.ServerState;
-import sorrelhoist.Routing.Settings;
 import sorrelhoist.core.reservation.ReleaseReach;
-import sorrelhoist.core.time.Alarms;
+import sorrelhoist.core.time.TimerQueue;
+import sorrelhoist.routing.Routing.Capabilities;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * Workers of the operators' platform around one router, in virtual time: they keep what reads leave
@@ -89,7 +89,7 @@
 
     private final Tail tail;
     private final Router router;
-    private final Alarms<Runnable> world = new Alarms<>();
+    private final TimerQueue<Runnable> world = new TimerQueue<>();
     private final Map<AttemptId, Out> out = new HashMap<>();
     private final Set<Long> abandoned = new HashSet<>();
     private final Set<String> gone = new HashSet<>();
@@ -106,30 +106,30 @@
 
     ReservationWorld(Tail tail, boolean writersRead) {
         this.tail = tail;
-        Settings small = Fleet.decide(true);
-        Limits limits = small.limits();
-        Settings settings =
-                new Settings(
+        RoutingSettings small = Fleet.decide(true);
+        Capabilities limits = small.capabilities();
+        RoutingSettings settings =
+                new RoutingSettings(
                         small.routers(),
                         small.self(),
                         small.zone(),
-                        small.asksDiscovery(),
-                        small.overShareWorth(),
-                        small.reports(),
+                        small.subscribesToDiscovery(),
+                        small.overQuotaPriorityWeight(),
+                        small.loadReportMode(),
                         small.classes(),
                         small.tenants(),
-                        small.kinds(),
-                        new Limits(
+                        small.serverKinds(),
+                        new Capabilities(
                                 limits.maxAttempts(),
                                 limits.cancel(),
                                 limits.probes(),
                                 limits.backoffHints(),
                                 limits.maxBackoffMicros(),
                                 writersRead,
-                                limits.tells(),
-                                limits.probePrice(),
-                                limits.tellPrice()),
-                        small.rules());
+                                limits.gossip(),
+                                limits.probeCost(),
+                                limits.gossipCost()),
+                        small.serverLimits());
         router =
                 new Router(
                         new RouterSettings(
@@ -143,10 +143,10 @@
                                 Fleet.STALL,
                                 100,
                                 7,
-                                new Streams(true, false, Fleet.SECOND, true),
+                                new StreamSettings(true, false, Fleet.SECOND, true),
                                 ReleaseReach.ANY_ENGINE),
                         this::take);
-        router.members(0, ListForm.COMPLETE, Fleet.servers());
+        router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
     }
 
     /** Plays one order. {@return what was wrong in it} */
@@ -162,11 +162,11 @@
         if (held) {
             faults.add("held at the end");
         }
-        if (router.reserved() > 0) {
-            faults.add("the router still counts " + router.reserved() + " reserved");
+        if (router.reservationCount() > 0) {
+            faults.add("the router still counts " + router.reservationCount() + " reserved");
         }
-        if (router.releasesExpired() > 0) {
-            faults.add(router.releasesExpired() + " releases expired");
+        if (router.expiredReleases() > 0) {
+            faults.add(router.expiredReleases() + " releases expired");
         }
         return faults.stream().distinct().toList();
     }
@@ -174,17 +174,18 @@
     private void arrive() {
         answered = false;
         client =
-                router.arrived(
+                router.requestArrived(
                         now,
-                        new Call(ID, Fleet.SAFE, 0, "s", "p", 50, "x", 100, 10, BUDGET, 0, null));
+                        new InferenceRequest(
+                                ID, Fleet.SAFE, 0, "s", "p", 50, "x", 100, 10, BUDGET, 0, null));
     }
 
     private void passTo(long time) {
-        while (Math.min(world.next(), router.nextAlarm()) <= time) {
-            now = Math.max(now, Math.min(world.next(), router.nextAlarm()));
+        while (Math.min(world.nextDueMicros(), router.nextTimerAt()) <= time) {
+            now = Math.max(now, Math.min(world.nextDueMicros(), router.nextTimerAt()));
             check();
             router.advance(now);
-            for (Runnable due = world.due(now); due != null; due = world.due(now)) {
+            for (Runnable due = world.pollDue(now); due != null; due = world.pollDue(now)) {
                 due.run();
             }
         }
@@ -257,7 +258,7 @@
             case CLIENT_GONE -> {
                 if (!answered) {
                     answered = true;
-                    router.clientGone(now, client);
+                    router.clientDisconnected(now, client);
                 }
             }
             case DEADLINE -> passTo(now + BUDGET);
@@ -274,9 +275,9 @@
                                     .filter(s -> s.id().equals(attempt.engine))
                                     .findFirst()
                                     .orElseThrow();
-                    router.members(
+                    router.endpointsUpdated(
                             now,
-                            ListForm.UPDATE,
+                            ListUpdateKind.UPDATE,
                             List.of(
                                     new Server(
                                             server.id(),
@@ -298,12 +299,12 @@
     private void readEnds(Out attempt) {
         end(attempt);
         hold();
-        router.readDone(now, attempt.id, "", 0, Load.NONE);
+        router.prefillCompleted(now, attempt.id, "", 0, ServerLoad.NONE);
     }
 
     private void lose(Out attempt, Outcome outcome, long note) {
         end(attempt);
-        router.attemptLost(now, attempt.id, outcome, note, Load.NONE);
+        router.attemptFailed(now, attempt.id, outcome, note, ServerLoad.NONE);
     }
 
     /**
@@ -321,7 +322,7 @@
     }
 
     private void playTail(Out attempt) {
-        world.set(
+        world.schedule(
                 now + STEP,
                 () -> {
                     if (!isOut(attempt)
@@ -343,13 +344,13 @@
     private void stream(Out attempt) {
         held = false;
         attempt.streaming = true;
-        router.event(now, attempt.id, new Object());
-        world.set(
+        router.opaqueEventReceived(now, attempt.id, new Object());
+        world.schedule(
                 now + STEP,
                 () -> {
                     if (isOut(attempt)) {
                         end(attempt);
-                        router.streamWhole(now, attempt.id, 0, Load.NONE);
+                        router.opaqueStreamCompleted(now, attempt.id, 0, ServerLoad.NONE);
                     }
                 });
     }
@@ -358,18 +359,18 @@
     // ---------------------------------------------------------------------------
 
     private void take(Command order) {
-        if (order instanceof Command.Read o) {
+        if (order instanceof Command.StartPrefill o) {
             send(new Out(o.attempt(), o.engine(), true));
-        } else if (order instanceof Command.Write o) {
+        } else if (order instanceof Command.StartDecode o) {
             send(new Out(o.attempt(), o.engine(), false));
-        } else if (order instanceof Command.Drop o) {
+        } else if (order instanceof Command.CancelAttempt o) {
             drop(out.get(o.attempt()));
-        } else if (order instanceof Command.Finish) {
+        } else if (order instanceof Command.FinishRequest) {
             answered = true;
-        } else if (order instanceof Command.Release o) {
+        } else if (order instanceof Command.ReleaseReservation o) {
             release(o);
         } else if (order instanceof Command.AbandonRelease o) {
-            abandoned.add(o.id());
+            abandoned.add(o.releaseId());
         }
     }
 
@@ -390,7 +391,7 @@
         if (connecting == Connecting.SWALLOWS) {
             router.attemptWritten(now, attempt.id);
         } else if (connecting == Connecting.STANDS) {
-            world.set(
+            world.schedule(
                     now + SOON,
                     () -> {
                         if (isOut(attempt)) {
@@ -402,7 +403,7 @@
                         }
                     });
         } else if (connecting == Connecting.FAILS) {
-            world.set(
+            world.schedule(
                     now + CONNECT_LIMIT,
                     () -> {
                         if (isOut(attempt)) {
@@ -418,29 +419,31 @@
         }
         end(attempt);
         if (attempt.read && attempt.reached && endsAfterDrop >= 0) {
-            world.set(now + endsAfterDrop, this::hold);
+            world.schedule(now + endsAfterDrop, this::hold);
             endsAfterDrop = -1;
         }
     }
 
-    private void release(Command.Release o) {
+    private void release(Command.ReleaseReservation o) {
         Happening fate = gone.contains(o.engine()) ? Happening.RELEASE_REFUSED : releases.poll();
         if (fate == Happening.RELEASE_LOST) {
             return;
         }
         long arrives = fate == Happening.RELEASE_SLOW ? SLOW_RELEASE_ARRIVES : RELEASE_ARRIVES;
-        world.set(
+        world.schedule(
                 now + arrives,
                 () -> {
-                    if (abandoned.contains(o.id())) {
+                    if (abandoned.contains(o.releaseId())) {
                         return;
                     }
                     if (fate == Happening.RELEASE_REFUSED) {
-                        router.releaseEnded(now, o.id(), false);
+                        router.releaseCompleted(now, o.releaseId(), false);
                         return;
                     }
                     held = false;
-                    world.set(now + RELEASE_ARRIVES, () -> router.releaseEnded(now, o.id(), true));
+                    world.schedule(
+                            now + RELEASE_ARRIVES,
+                            () -> router.releaseCompleted(now, o.releaseId(), true));
                 });
     }
 }
--- a/core/src/test/java/sorrelhoist/core/life/RouterBench.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterBench.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -13,11 +13,11 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import org.openjdk.jmh.runner.RunnerException;
-import sorrelhoist.Routing.ListForm;
-import sorrelhoist.Routing.Load;
-import sorrelhoist.core.record.Entry;
+import sorrelhoist.core.record.DecisionListener;
+import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.core.record.Recorder;
-import sorrelhoist.core.record.Tap;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.ServerLoad;
 
 /**
  * What a whole request costs the router, from its arrival to its answer of two tokens, with and
@@ -34,7 +34,7 @@
     @Param({"off", "on"})
     public String recorder;
 
-    private final Call[] calls = new Call[64];
+    private final InferenceRequest[] calls = new InferenceRequest[64];
     private Router router;
     private AttemptId last;
     private long now = 1_000_000;
@@ -46,21 +46,25 @@
     @Setup
     public void fleet() {
         RouterSettings s = Fleet.settings(true, true, 3);
-        Tap tap =
+        DecisionListener tap =
                 recorder.equals("off")
-                        ? Tap.NONE
+                        ? DecisionListener.NONE
                         : new Recorder(
-                                new Entry.Started(
-                                        "bench", s.name(), s.incarnation(), s.decide(), s.seed()),
+                                new RecordEntry.Header(
+                                        "bench",
+                                        s.routerName(),
+                                        s.incarnation(),
+                                        s.routing(),
+                                        s.seed()),
                                 chunk -> {
                                     chunkBytes += chunk.length;
                                     return true;
                                 });
         router = new Router(s, this::take, tap);
-        router.members(now, ListForm.COMPLETE, Fleet.servers());
+        router.endpointsUpdated(now, ListUpdateKind.COMPLETE, Fleet.servers());
         for (int i = 0; i < calls.length; i++) {
             calls[i] =
-                    new Call(
+                    new InferenceRequest(
                             "client-" + i,
                             0,
                             0,
@@ -77,9 +81,9 @@
     }
 
     private void take(Command order) {
-        if (order instanceof Command.Read r) {
+        if (order instanceof Command.StartPrefill r) {
             last = r.attempt();
-        } else if (order instanceof Command.Write w) {
+        } else if (order instanceof Command.StartDecode w) {
             last = w.attempt();
         }
     }
@@ -90,11 +94,11 @@
         requests++;
         now += 300;
         router.advance(now);
-        router.arrived(now, calls[n++ % calls.length]);
-        router.readDone(now + 50, last, "state", 100, Load.NONE);
-        router.token(now + 100, last, 0, "a", null);
-        router.token(now + 150, last, 1, "b", null);
-        router.streamDone(now + 200, last, 2, 0, Load.NONE);
+        router.requestArrived(now, calls[n++ % calls.length]);
+        router.prefillCompleted(now + 50, last, "state", 100, ServerLoad.NONE);
+        router.tokenReceived(now + 100, last, 0, "a", null);
+        router.tokenReceived(now + 150, last, 1, "b", null);
+        router.tokenStreamCompleted(now + 200, last, 2, 0, ServerLoad.NONE);
         return router;
     }
 
--- a/decide/src/main/java/sorrelhoist/Hash.java
+++ b/decide/src/main/java/sorrelhoist/routing/Hash.java
@@ -1,4 +1,4 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 /** Hashes that are the same at every router; arithmetic only. */
 final class Hash {
--- a/decide/src/main/java/sorrelhoist/Line.java
+++ b/decide/src/main/java/sorrelhoist/routing/Line.java
@@ -1,4 +1,4 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 /** A straight line through recent (tokens, time) pairs, the old ones fading; arithmetic only. */
 final class Line {
@@ -32,18 +32,18 @@
         xy = xy * decay + tokens * time;
     }
 
-    Knowledge.Sums sums() {
-        return new Knowledge.Sums(n, x, y, xx, xy);
+    Knowledge.RegressionSums sums() {
+        return new Knowledge.RegressionSums(n, x, y, xx, xy);
     }
 
     /** Takes a taught line in place of its own, as if so many pairs had shown it. */
-    void adopt(Knowledge.Sums taught, double pairs) {
-        double scale = pairs / taught.n();
+    void adopt(Knowledge.RegressionSums taught, double pairs) {
+        double scale = pairs / taught.weight();
         n = pairs;
-        x = taught.x() * scale;
-        y = taught.y() * scale;
-        xx = taught.xx() * scale;
-        xy = taught.xy() * scale;
+        x = taught.tokens() * scale;
+        y = taught.micros() * scale;
+        xx = taught.squaredTokens() * scale;
+        xy = taught.tokensTimesMicros() * scale;
     }
 
     double pairs() {
--- a/decide/src/main/java/sorrelhoist/News.java
+++ b/decide/src/main/java/sorrelhoist/routing/News.java
@@ -1,4 +1,4 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/decide/src/main/java/sorrelhoist/Reason.java
+++ b/decide/src/main/java/sorrelhoist/routing/Reason.java
@@ -1,4 +1,4 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 /**
  * Why an action was taken, as data. Estimates are microseconds unless the kind says otherwise; what
--- a/decide/src/main/java/sorrelhoist/Routing.java
+++ b/decide/src/main/java/sorrelhoist/routing/Routing.java
@@ -1,9 +1,10 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import java.util.List;
 
 /**
- * The vocabulary between a router and {@link Decide}: settings at start, events in, actions out.
+ * The vocabulary between a router and {@link RoutingPolicy}: settings at start, events in, actions
+ * out.
  *
  * <p>All times are microseconds on the router's own clock, which only advances. Server ids are
  * opaque. Everything here is plain data; nothing in this file decides anything.
@@ -19,21 +20,21 @@
     }
 
     /** How safely a request class may be repeated. */
-    public enum Repeat {
+    public enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
     }
 
     /** Which servers drop the repeats of a keyed request. */
-    public enum Scope {
+    public enum IdempotencyScope {
         ALL,
         ZONE,
         CELL
     }
 
     /** How load reports come: never, within outcomes, or only within probe results. */
-    public enum Reports {
+    public enum LoadReportMode {
         NONE,
         IN_OUTCOMES,
         IN_PROBES
@@ -47,7 +48,7 @@
     }
 
     /** How a membership event relates to the list that is held. */
-    public enum ListForm {
+    public enum ListUpdateKind {
         UPDATE,
         COMPLETE,
         RESTORED,
@@ -73,28 +74,28 @@
     /**
      * One request class.
      *
-     * @param aimMicros a first token within this time earns full worth
-     * @param aimPer1000Micros added to the aim for each 1,000 prompt tokens
-     * @param worth worth of one request, compared between classes
-     * @param repeat how safely the class may be repeated
-     * @param scope for keyed classes: the servers that drop repeats
-     * @param repeatWindowMicros for keyed classes: how long repeats are dropped, from the first
-     *     send
+     * @param latencyObjectiveMicros a first token within this time earns full worth
+     * @param latencyObjectivePer1000TokensMicros added to the aim for each 1,000 prompt tokens
+     * @param priorityWeight worth of one request, compared between classes
+     * @param idempotency how safely the class may be repeated
+     * @param idempotencyScope for keyed classes: the servers that drop repeats
+     * @param idempotencyWindowMicros for keyed classes: how long repeats are dropped, from the
+     *     first send
      */
     public record RequestClass(
-            long aimMicros,
-            long aimPer1000Micros,
-            double worth,
-            Repeat repeat,
-            Scope scope,
-            long repeatWindowMicros) {}
+            long latencyObjectiveMicros,
+            long latencyObjectivePer1000TokensMicros,
+            double priorityWeight,
+            Idempotency idempotency,
+            IdempotencyScope idempotencyScope,
+            long idempotencyWindowMicros) {}
 
     /**
      * One tenant.
      *
-     * @param allowancePerSecond requests a second within its share, over all routers
+     * @param quotaPerSecond requests a second within its share, over all routers
      */
-    public record Tenant(double allowancePerSecond) {}
+    public record Tenant(double quotaPerSecond) {}
 
     /**
      * One kind of server.
@@ -102,7 +103,7 @@
      * @param role what such servers do
      * @param memoryTokens memory, in tokens
      */
-    public record Kind(Role role, long memoryTokens) {}
+    public record ServerKind(Role role, long memoryTokens) {}
 
     /**
      * What the router may do.
@@ -112,37 +113,37 @@
      * @param probes whether {@link Probe} is permitted
      * @param backoffHints whether clients are told when to come back
      * @param maxBackoffMicros the longest hint that a client heeds
-     * @param writersRead whether a writer reads the prompt itself when it finds no state
-     * @param tells whether {@link Tell} is permitted
-     * @param probePrice points of the result for one probe a request
-     * @param tellPrice points of the result for 256 delivered bytes a request
+     * @param decodersMayPrefill whether a writer reads the prompt itself when it finds no state
+     * @param gossip whether {@link Tell} is permitted
+     * @param probeCost points of the result for one probe a request
+     * @param gossipCost points of the result for 256 delivered bytes a request
      */
-    public record Limits(
+    public record Capabilities(
             int maxAttempts,
             boolean cancel,
             boolean probes,
             boolean backoffHints,
             long maxBackoffMicros,
-            boolean writersRead,
-            boolean tells,
-            double probePrice,
-            double tellPrice) {}
+            boolean decodersMayPrefill,
+            boolean gossip,
+            double probeCost,
+            double gossipCost) {}
 
     /**
      * Figures of the rules.
      *
-     * @param coldFrom a started server can do this share of its work or more
-     * @param coldMicros and is warm after this time
-     * @param fallMultiple sent more than this multiple of what it can do
-     * @param fallMicros for this long, it falls over
-     * @param releaseMicros a held state is taken or let go within this time
+     * @param coldCapacityShare a started server can do this share of its work or more
+     * @param warmUpMicros and is warm after this time
+     * @param overloadMultiple sent more than this multiple of what it can do
+     * @param overloadMicros for this long, it falls over
+     * @param reservationLimitMicros a held state is taken or let go within this time
      */
-    public record Rules(
-            double coldFrom,
-            long coldMicros,
-            double fallMultiple,
-            long fallMicros,
-            long releaseMicros) {}
+    public record ServerLimits(
+            double coldCapacityShare,
+            long warmUpMicros,
+            double overloadMultiple,
+            long overloadMicros,
+            long reservationLimitMicros) {}
 
     /**
      * All that a router is told at start.
@@ -150,35 +151,35 @@
      * @param routers routers that share the servers, this one included
      * @param self this router's number, from 0
      * @param zone the zone in which this router stands
-     * @param asksDiscovery true where list changes come only to those that follow
-     * @param overShareWorth worth of a tenant's requests beyond its share, as a share of the
-     *     class's
-     * @param reports how load reports come
+     * @param subscribesToDiscovery true where list changes come only to those that follow
+     * @param overQuotaPriorityWeight worth of a tenant's requests beyond its share, as a share of
+     *     the class's
+     * @param loadReportMode how load reports come
      * @param classes request classes, by index
      * @param tenants tenants, by index; may be empty
-     * @param kinds server kinds, by index
-     * @param limits what is permitted
-     * @param rules the rules' figures
+     * @param serverKinds server kinds, by index
+     * @param capabilities what is permitted
+     * @param serverLimits the rules' figures
      */
-    public record Settings(
+    public record RoutingSettings(
             int routers,
             int self,
             int zone,
-            boolean asksDiscovery,
-            double overShareWorth,
-            Reports reports,
+            boolean subscribesToDiscovery,
+            double overQuotaPriorityWeight,
+            LoadReportMode loadReportMode,
             List<RequestClass> classes,
             List<Tenant> tenants,
-            List<Kind> kinds,
-            Limits limits,
-            Rules rules) {}
+            List<ServerKind> serverKinds,
+            Capabilities capabilities,
+            ServerLimits serverLimits) {}
 
     /**
      * One line of the list of servers.
      *
      * @param id opaque, the same at every router
      * @param zone the zone in which it stands
-     * @param kind index into {@link Settings#kinds}
+     * @param kind index into {@link RoutingSettings#serverKinds}
      * @param cell the small group of servers with a fast link among them
      * @param state as listed
      * @param size for comparison with servers of the same role
@@ -195,9 +196,10 @@
      * @param held requests it holds, those waiting too
      * @param queued requests that wait
      */
-    public record Load(double memoryShare, double waitingTokens, double held, double queued) {
+    public record ServerLoad(double memoryShare, double waitingTokens, double held, double queued) {
         /** Nothing was reported. */
-        public static final Load NONE = new Load(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+        public static final ServerLoad NONE =
+                new ServerLoad(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
     /** What a router tells the module. */
@@ -209,14 +211,14 @@
      * @param form how the lines relate to the list held
      * @param servers the lines; empty where unavailable
      */
-    public record Members(ListForm form, List<Server> servers) implements Event {}
+    public record Members(ListUpdateKind form, List<Server> servers) implements Event {}
 
     /**
      * A request came and is owed one final answer.
      *
      * @param id never repeated
-     * @param cls index into {@link Settings#classes}
-     * @param tenant index into {@link Settings#tenants}; 0 where there are none
+     * @param cls index into {@link RoutingSettings#classes}
+     * @param tenant index into {@link RoutingSettings#tenants}; 0 where there are none
      * @param session the conversation, or null
      * @param prefix the beginning shared with other sessions, or null
      * @param promptTokens tokens in the prompt
@@ -273,7 +275,7 @@
      * @param tookMicros time since the send
      * @param ended true once the request is concluded
      * @param note kept tokens after READ and DONE; 1 after FULL where no state was there to fetch
-     * @param report the server's load report, or {@link Load#NONE}
+     * @param report the server's load report, or {@link ServerLoad#NONE}
      */
     public record AttemptEnded(
             long id,
@@ -283,7 +285,7 @@
             long tookMicros,
             boolean ended,
             long note,
-            Load report)
+            ServerLoad report)
             implements Event {}
 
     /**
@@ -312,9 +314,9 @@
      * @param server the server probed
      * @param outcome DONE, or the reason otherwise
      * @param tookMicros time since it was sent
-     * @param report the server's load report, or {@link Load#NONE}
+     * @param report the server's load report, or {@link ServerLoad#NONE}
      */
-    public record ProbeAnswered(String server, Outcome outcome, long tookMicros, Load report)
+    public record ProbeAnswered(String server, Outcome outcome, long tookMicros, ServerLoad report)
             implements Event {}
 
     /**
