--- a/decide/src/main/java/sorrelhoist/Decide.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingPolicy.java
@@ -1,4 +1,4 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -12,9 +12,9 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
-import sorrelhoist.Reason.Kind;
-import sorrelhoist.Routing.*;
-import sorrelhoist.State.*;
+import sorrelhoist.routing.Reason.Kind;
+import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.State.*;
 
 /**
  * Every decision of a router, in one place; its settings, events and actions are the records of
@@ -23,7 +23,7 @@
  * ordinary path is the project's design (docs/design.md); what comes after it in this file acts
  * only when something is wrong.
  */
-public final class Decide {
+public final class RoutingPolicy {
     // ---- Constants: the ordinary path; times in microseconds ------------
     private static final long LOAD_WINDOW =
             10_000_000; // H: own sends that make up a reader's load L
@@ -112,7 +112,7 @@
     private static final long TICK_TOKEN = 1L << 60;
     private static final long ASK_TOKEN = TICK_TOKEN + 1;
 
-    private Settings settings;
+    private RoutingSettings settings;
     private final SplittableRandom random;
     private final TreeMap<String, Peer> peers = new TreeMap<>();
     private final Map<Long, Request> requests = new LinkedHashMap<>();
@@ -148,11 +148,11 @@
     private double nextEstimate;
 
     /** Knows nothing yet but its settings; complains of one that is missing or inconsistent. */
-    public Decide(Settings settings, long seed) {
+    public RoutingPolicy(RoutingSettings settings, long seed) {
         this.settings = SettingsCheck.checked(settings);
         this.random = new SplittableRandom(seed);
-        settings.kinds().forEach(k -> readLines.add(new Line(FIT_DECAY, FIRST_LINE)));
-        settings.kinds().forEach(k -> paces.add(new Line(FIT_DECAY, FIRST_LINE)));
+        settings.serverKinds().forEach(k -> readLines.add(new Line(FIT_DECAY, FIRST_LINE)));
+        settings.serverKinds().forEach(k -> paces.add(new Line(FIT_DECAY, FIRST_LINE)));
         tenantSaved = new double[settings.tenants().size()];
         tenantAt = new long[settings.tenants().size()];
         retries = RETRIES_SAVED / settings.routers();
@@ -165,7 +165,7 @@
      * Takes one event and returns what to do at once, in order; no action on a request is to hold
      * it.
      */
-    public List<Action> on(long time, Event event) {
+    public List<Action> onEvent(long time, Event event) {
         Objects.requireNonNull(
                 event, "give an event; to pass time alone, ask for a Timer and report it");
         now = SettingsCheck.monotonic(now, time);
@@ -173,7 +173,7 @@
         if (startedAt < 0) {
             startedAt = now;
             act(new Timer(TICK, TICK_TOKEN));
-            if (settings.asksDiscovery()) {
+            if (settings.subscribesToDiscovery()) {
                 act(new Follow(true));
             }
         }
@@ -237,7 +237,9 @@
                 && (old.next().getValue().used <= now - KEY_AGE || keys.size() > MAX_KEYS)) {
             old.remove();
         }
-        if (probes >= 1 && settings.limits().probes() && settings.reports() == Reports.IN_PROBES) {
+        if (probes >= 1
+                && settings.capabilities().probes()
+                && settings.loadReportMode() == LoadReportMode.IN_PROBES) {
             peers.values().stream()
                     .filter(Peer::serving)
                     .min(Comparator.comparingLong(p -> p.probedAt))
@@ -556,8 +558,9 @@
                         1,
                         probes
                                 + PROBE_SPEND
-                                        / Math.max(PROBE_SPEND, settings.limits().probePrice()));
-        double part = TELL_SPEND / Math.max(TELL_SPEND, settings.limits().tellPrice());
+                                        / Math.max(
+                                                PROBE_SPEND, settings.capabilities().probeCost()));
+        double part = TELL_SPEND / Math.max(TELL_SPEND, settings.capabilities().gossipCost());
         bytes = Math.min(TELL_BYTES * (double) settings.routers(), bytes + TELL_BYTES * part);
         act(new Timer(Math.max(0, a.budgetMicros()), a.id()));
         step(r);
@@ -565,7 +568,7 @@
 
     /** Takes a request with no attempt out one stage further, or gives it up at once. */
     private void step(Request r) {
-        int left = settings.limits().maxAttempts() - r.sends;
+        int left = settings.capabilities().maxAttempts() - r.sends;
         if (now >= r.deadline) {
             giveUp(r, Reason.compared(Kind.DEADLINE, now - r.arrivedAt, r.deadline - r.arrivedAt));
         } else if (left < 1) {
@@ -595,7 +598,7 @@
         } else if (!readers.isEmpty()) {
             Peer trial = dueTrial(Role.READ, r);
             send(r, trial != null ? trial : reader, true);
-        } else if (settings.limits().writersRead() && !writers.isEmpty()) {
+        } else if (settings.capabilities().decodersMayPrefill() && !writers.isEmpty()) {
             // No reader can be used: a writer that reads is slow and slows others, but answers.
             Peer chosen = lighterOfTwo(writers);
             by = Kind.WRITER_READS;
@@ -622,7 +625,7 @@
     }
 
     private double heldUntil(Request r) {
-        return r.idleSince + HOLD_SHARE * settings.rules().releaseMicros();
+        return r.idleSince + HOLD_SHARE * settings.serverLimits().reservationLimitMicros();
     }
 
     /** Names what keeps a role's servers from a request for which none could be found. */
@@ -633,7 +636,8 @@
                         .anyMatch(
                                 p ->
                                         p.state == ServerState.DRAINING
-                                                && settings.kinds().get(p.kind).role() == role);
+                                                && settings.serverKinds().get(p.kind).role()
+                                                        == role);
         return all.isEmpty()
                 ? drains ? Kind.DRAINING : Kind.NO_SERVER
                 : all.stream().anyMatch(p -> mayRepeatAt(r, p)) ? Kind.COLD : Kind.REPEAT_UNSAFE;
@@ -698,7 +702,7 @@
         a.peer.tokens -= a.tokens;
         reported(a.peer, e.report());
         r.answered |= e.ended() || r.streaming || e.outcome() == Outcome.DONE;
-        learn(r, a, e);
+        importKnowledge(r, a, e);
         if (r.answered) {
             finish(r);
         } else if (e.outcome() == Outcome.READ) {
@@ -731,7 +735,7 @@
             r.reader = null;
         }
         r.full = e.outcome() == Outcome.FULL;
-        if (r.mayHaveRunAt != null && r.cls.repeat() == Repeat.UNSAFE) {
+        if (r.mayHaveRunAt != null && r.cls.idempotency() == Idempotency.UNSAFE) {
             giveUp(r, Reason.of(Kind.REPEAT_UNSAFE));
         } else if (!free && retries < 1) {
             giveUp(r, Reason.compared(Kind.REPEAT_BUDGET, retries, 1));
@@ -750,10 +754,12 @@
     /** The final answer goes out at once, with a hint when to come back where clients hear one. */
     private void giveUp(Request r, Reason why) {
         long hint =
-                Math.min(settings.limits().maxBackoffMicros(), BACKOFF + random.nextLong(BACKOFF));
+                Math.min(
+                        settings.capabilities().maxBackoffMicros(),
+                        BACKOFF + random.nextLong(BACKOFF));
         act(
                 mayRefuse(r)
-                        ? new Refuse(r.id, settings.limits().backoffHints() ? hint : 0, why)
+                        ? new Refuse(r.id, settings.capabilities().backoffHints() ? hint : 0, why)
                         : new Fail(r.id, why));
         conclude(r, why);
     }
@@ -764,7 +770,7 @@
         settle(r);
         if (r.attempt == null) {
             finish(r);
-        } else if (settings.limits().cancel() && !r.streaming) {
+        } else if (settings.capabilities().cancel() && !r.streaming) {
             act(new Cancel(r.id, r.attempt.number, why));
         }
     }
@@ -817,7 +823,7 @@
      * retry.
      */
     private Peer dueTrial(Role role, Request r) {
-        if (!r.failed.isEmpty() || role == Role.WRITE && r.cls.repeat() != Repeat.SAFE) {
+        if (!r.failed.isEmpty() || role == Role.WRITE && r.cls.idempotency() != Idempotency.SAFE) {
             return null;
         }
         List<Peer> due =
@@ -841,7 +847,7 @@
         return due.isEmpty() ? null : due.get(0);
     }
 
-    private void learn(Request r, Attempt a, AttemptEnded e) {
+    private void importKnowledge(Request r, Attempt a, AttemptEnded e) {
         switch (e.outcome()) {
             case READ -> {
                 long missed = Math.max(0, r.prompt() - e.note());
@@ -915,7 +921,7 @@
      */
     private long longestTrialWait() {
         long fleet = 4 * TRIAL_WAIT * settings.routers();
-        return settings.limits().tells() ? Math.max(TRIAL_WAIT_MAX, fleet) : TRIAL_WAIT_MAX;
+        return settings.capabilities().gossip() ? Math.max(TRIAL_WAIT_MAX, fleet) : TRIAL_WAIT_MAX;
     }
 
     /**
@@ -934,7 +940,7 @@
     }
 
     private double median(Peer of, ToDoubleFunction<Peer> what) {
-        List<Peer> like = serving.get(settings.kinds().get(of.kind).role());
+        List<Peer> like = serving.get(settings.serverKinds().get(of.kind).role());
         double[] all = like.stream().mapToDouble(what).sorted().toArray();
         return all.length == 0 ? 1 : all[(all.length - 1) / 2];
     }
@@ -962,7 +968,7 @@
         }
     }
 
-    private static void reported(Peer p, Load load) {
+    private static void reported(Peer p, ServerLoad load) {
         p.memory = Double.isNaN(load.memoryShare()) ? p.memory : load.memoryShare();
     }
 
@@ -977,7 +983,7 @@
         news.put(Hash.tag(p.id), new News.Item(kind, payer, value));
         String body = News.write(news);
         double price = body.length() * (settings.routers() - 1.0);
-        if (settings.limits().tells()
+        if (settings.capabilities().gossip()
                 && price > 0
                 && price <= bytes
                 && (kind != News.LAG || !dense())) {
@@ -1039,34 +1045,34 @@
     // ----------------------------
 
     /** What own evidence has taught, the most recently used keys up to a number. */
-    public Knowledge known(long time, int mostKeys) {
-        List<Knowledge.Key> some = new ArrayList<>();
+    public Knowledge exportKnowledge(long time, int mostKeys) {
+        List<Knowledge.PrefixEntry> some = new ArrayList<>();
         keys.values().stream()
                 .skip(Math.max(0, keys.size() - mostKeys))
                 .forEach(
                         k -> {
-                            List<Knowledge.Holding> holders = new ArrayList<>();
+                            List<Knowledge.PrefixHolder> holders = new ArrayList<>();
                             k.holders.forEach(
                                     (id, h) ->
                                             holders.add(
-                                                    new Knowledge.Holding(
+                                                    new Knowledge.PrefixHolder(
                                                             id,
                                                             peers.containsKey(id)
                                                                     ? peers.get(id).since
                                                                     : 0,
                                                             h.tokens)));
                             some.add(
-                                    new Knowledge.Key(
+                                    new Knowledge.PrefixEntry(
                                             k.name, Math.max(0, time - k.used), k.uses, holders));
                         });
-        List<Knowledge.Health> health = new ArrayList<>();
+        List<Knowledge.ServerHealth> health = new ArrayList<>();
         // What was only heard of is not told on: repeated in a circle it would look like evidence.
         peers.values().stream()
                 .filter(p -> !p.hearsay && (p.heard > 0 || p.bad > 0))
                 .forEach(
                         p ->
                                 health.add(
-                                        new Knowledge.Health(
+                                        new Knowledge.ServerHealth(
                                                 p.id, p.since, p.bad, p.slow, p.heard)));
         return new Knowledge(
                 some, health, readLines.stream().map(Line::sums).toList(), firstTokens.sums());
@@ -1078,16 +1084,16 @@
      * locality or a retry, never a rule, as no server becomes a candidate by it and none is set
      * aside.
      */
-    public void learn(long time, Knowledge taught, long age) {
+    public void importKnowledge(long time, Knowledge taught, long age) {
         double trust = Math.exp(-age / (double) TAUGHT_FADE);
-        for (Knowledge.Key k : taught.keys()) {
-            long used = time - age - k.age();
-            boolean wanted = used > time - KEY_AGE && k.age() >= 0 && keys.size() < MAX_KEYS;
+        for (Knowledge.PrefixEntry k : taught.keys()) {
+            long used = time - age - k.ageMicros();
+            boolean wanted = used > time - KEY_AGE && k.ageMicros() >= 0 && keys.size() < MAX_KEYS;
             if (wanted && !keys.containsKey(k.name())) {
                 Key key = new Key(k.name());
                 key.used = used;
                 key.uses = Math.max(0, k.uses());
-                for (Knowledge.Holding h : k.holders()) {
+                for (Knowledge.PrefixHolder h : k.holders()) {
                     if (h.tokens() > 0 && sameProcess(h.server(), h.since())) {
                         key.holders.put(h.server(), new Holder(h.tokens()));
                     }
@@ -1095,27 +1101,27 @@
                 keys.put(k.name(), key);
             }
         }
-        for (Knowledge.Health h : taught.servers()) {
+        for (Knowledge.ServerHealth h : taught.servers()) {
             Peer p = peers.get(h.id());
             boolean own = p == null || p.heard > 0 || p.bad > 0;
             if (!own && h.sound() && sameProcess(h.id(), h.since())) {
                 p.hearsay = true;
-                p.bad = trust * Math.max(0, Math.min(TAUGHT_BAD, h.bad()));
-                p.slow = 1 + trust * (Math.max(0.1, Math.min(SLOW, h.slow())) - 1);
+                p.bad = trust * Math.max(0, Math.min(TAUGHT_BAD, h.failureRate()));
+                p.slow = 1 + trust * (Math.max(0.1, Math.min(SLOW, h.latencyRatio())) - 1);
             }
         }
-        for (int i = 0; i < Math.min(readLines.size(), taught.reads().size()); i++) {
-            adopt(readLines.get(i), taught.reads().get(i), trust);
+        for (int i = 0; i < Math.min(readLines.size(), taught.prefillTimes().size()); i++) {
+            adopt(readLines.get(i), taught.prefillTimes().get(i), trust);
         }
-        adopt(firstTokens, taught.firstTokens(), trust);
+        adopt(firstTokens, taught.firstTokenTimes(), trust);
     }
 
     private boolean sameProcess(String id, long since) {
         return peers.containsKey(id) && peers.get(id).since == since;
     }
 
-    private static void adopt(Line own, Knowledge.Sums taught, double trust) {
-        double pairs = trust * Math.min(TAUGHT_PAIRS, taught.n());
+    private static void adopt(Line own, Knowledge.RegressionSums taught, double trust) {
+        double pairs = trust * Math.min(TAUGHT_PAIRS, taught.weight());
         if (taught.sound() && pairs > own.pairs()) {
             own.adopt(taught, pairs);
         }
@@ -1125,13 +1131,13 @@
     // ------------------------------------------------------------------------------
 
     private void members(Members e) {
-        if (e.form() == ListForm.UNAVAILABLE && settings.asksDiscovery()) {
+        if (e.form() == ListUpdateKind.UNAVAILABLE && settings.subscribesToDiscovery()) {
             act(new Timer(ASK_AGAIN + random.nextLong(ASK_AGAIN), ASK_TOKEN));
         }
-        if (e.form() == ListForm.UNAVAILABLE) {
+        if (e.form() == ListUpdateKind.UNAVAILABLE) {
             return;
         }
-        if (e.form() != ListForm.UPDATE) {
+        if (e.form() != ListUpdateKind.UPDATE) {
             peers.values().forEach(p -> p.state = ServerState.GONE);
         }
         for (Server s : e.servers()) {
@@ -1155,7 +1161,11 @@
             serving.put(
                     role,
                     peers.values().stream()
-                            .filter(p -> p.serving() && settings.kinds().get(p.kind).role() == role)
+                            .filter(
+                                    p ->
+                                            p.serving()
+                                                    && settings.serverKinds().get(p.kind).role()
+                                                            == role)
                             .toList());
         }
         byTag.clear();
@@ -1193,8 +1203,8 @@
         boolean over = overShare(r.arrival.tenant());
         double tightest =
                 settings.classes().stream()
-                        .filter(c -> c.worth() > r.cls.worth())
-                        .mapToDouble(RequestClass::aimMicros)
+                        .filter(c -> c.priorityWeight() > r.cls.priorityWeight())
+                        .mapToDouble(RequestClass::latencyObjectiveMicros)
                         .min()
                         .orElse(Double.MAX_VALUE);
         boolean less = tightest < Double.MAX_VALUE;
@@ -1231,7 +1241,7 @@
         if (tenant < 0 || tenant >= tenantSaved.length) {
             return false;
         }
-        double rate = settings.tenants().get(tenant).allowancePerSecond() / settings.routers();
+        double rate = settings.tenants().get(tenant).quotaPerSecond() / settings.routers();
         double most = Math.max(SHARE_LEAST, SHARE_SAVED * rate);
         double gained = tenantAt[tenant] == 0 ? most : rate * (now - tenantAt[tenant]) / 1e6;
         tenantAt[tenant] = now;
@@ -1251,14 +1261,14 @@
      * ones.
      */
     private boolean mayRepeatAt(Request r, Peer p) {
-        if (r.mayHaveRunAt == null || r.cls.repeat() == Repeat.SAFE) {
+        if (r.mayHaveRunAt == null || r.cls.idempotency() == Idempotency.SAFE) {
             return true;
         }
-        if (r.cls.repeat() == Repeat.UNSAFE
-                || now >= r.mayHaveRunFrom + r.cls.repeatWindowMicros()) {
+        if (r.cls.idempotency() == Idempotency.UNSAFE
+                || now >= r.mayHaveRunFrom + r.cls.idempotencyWindowMicros()) {
             return false;
         }
-        return switch (r.cls.scope()) {
+        return switch (r.cls.idempotencyScope()) {
             case ALL -> true;
             case ZONE -> p.zone == r.mayHaveRunAt.zone;
             case CELL -> p.cell == r.mayHaveRunAt.cell;
@@ -1270,13 +1280,14 @@
      */
     private static boolean mayRefuse(Request r) {
         boolean never = r.mayHaveRunAt == null && (r.attempt == null || r.attempt.read);
-        return r.cls.repeat() == Repeat.SAFE
+        return r.cls.idempotency() == Idempotency.SAFE
                 || never
-                || r.cls.repeat() == Repeat.KEYED && r.cls.scope() == Scope.ALL;
+                || r.cls.idempotency() == Idempotency.KEYED
+                        && r.cls.idempotencyScope() == IdempotencyScope.ALL;
     }
 
     private boolean coldAllows(Peer p) {
-        Role role = settings.kinds().get(p.kind).role();
+        Role role = settings.serverKinds().get(p.kind).role();
         return slowStart.allows(p, role, settings, gap, serving.get(role).size(), now);
     }
 }
--- a/decide/src/main/java/sorrelhoist/SettingsCheck.java
+++ b/decide/src/main/java/sorrelhoist/routing/SettingsCheck.java
@@ -1,32 +1,40 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import java.util.List;
 import java.util.Objects;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /** Refuses settings with which no router could keep its rules; decides nothing. */
 final class SettingsCheck {
     private SettingsCheck() {}
 
-    static Settings checked(Settings s) {
+    static RoutingSettings checked(RoutingSettings s) {
         require(s != null, "settings");
         require(s.routers() > 0, "routers");
         require(s.self() >= 0, "self");
-        require(s.reports() != null, "reports");
+        require(s.loadReportMode() != null, "reports");
         require(whole(s.classes()) && !s.classes().isEmpty(), "classes");
         require(whole(s.tenants()), "tenants");
-        require(whole(s.kinds()) && !s.kinds().isEmpty(), "kinds");
-        require(s.limits() != null && s.limits().maxAttempts() > 0, "limits");
-        require(s.limits().maxBackoffMicros() >= 0, "limits");
+        require(whole(s.serverKinds()) && !s.serverKinds().isEmpty(), "kinds");
+        require(s.capabilities() != null && s.capabilities().maxAttempts() > 0, "limits");
+        require(s.capabilities().maxBackoffMicros() >= 0, "limits");
         require(
-                s.rules() != null && s.rules().releaseMicros() > 0 && s.rules().coldFrom() > 0,
+                s.serverLimits() != null
+                        && s.serverLimits().reservationLimitMicros() > 0
+                        && s.serverLimits().coldCapacityShare() > 0,
                 "rules");
-        require(s.rules().coldMicros() >= 0 && s.rules().fallMultiple() > 0, "rules");
-        require(s.rules().fallMicros() > 0, "rules");
+        require(
+                s.serverLimits().warmUpMicros() >= 0 && s.serverLimits().overloadMultiple() > 0,
+                "rules");
+        require(s.serverLimits().overloadMicros() > 0, "rules");
         for (RequestClass c : s.classes()) {
-            require(c.aimMicros() > 0 && c.repeat() != null && c.scope() != null, "classes");
+            require(
+                    c.latencyObjectiveMicros() > 0
+                            && c.idempotency() != null
+                            && c.idempotencyScope() != null,
+                    "classes");
         }
-        for (Kind k : s.kinds()) {
+        for (ServerKind k : s.serverKinds()) {
             require(k.role() != null, "kinds");
         }
         return s;
@@ -46,20 +54,20 @@
      * The same settings with another number of routers: parts of the fleet are granted by it from
      * now on.
      */
-    static Settings reseated(Settings s, Seated e) {
+    static RoutingSettings reseated(RoutingSettings s, Seated e) {
         return checked(
-                new Settings(
+                new RoutingSettings(
                         e.routers(),
                         e.self(),
                         s.zone(),
-                        s.asksDiscovery(),
-                        s.overShareWorth(),
-                        s.reports(),
+                        s.subscribesToDiscovery(),
+                        s.overQuotaPriorityWeight(),
+                        s.loadReportMode(),
                         s.classes(),
                         s.tenants(),
-                        s.kinds(),
-                        s.limits(),
-                        s.rules()));
+                        s.serverKinds(),
+                        s.capabilities(),
+                        s.serverLimits()));
     }
 
     static long monotonic(long before, long time) {
@@ -74,7 +82,7 @@
         return time;
     }
 
-    static void arrival(Arrived a, Settings settings, boolean open) {
+    static void arrival(Arrived a, RoutingSettings settings, boolean open) {
         if (a.cls() < 0 || a.cls() >= settings.classes().size()) {
             throw new IllegalArgumentException(
                     "class " + a.cls() + " is not in the settings' classes");
--- a/decide/src/main/java/sorrelhoist/SlowStart.java
+++ b/decide/src/main/java/sorrelhoist/routing/SlowStart.java
@@ -1,10 +1,10 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import java.util.List;
-import sorrelhoist.Routing.Role;
-import sorrelhoist.Routing.Rules;
-import sorrelhoist.Routing.Settings;
-import sorrelhoist.State.Peer;
+import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.ServerLimits;
+import sorrelhoist.routing.State.Peer;
 
 /**
  * Slow start: how much a server that has just started may be sent. Starts are told on this router's
@@ -41,8 +41,8 @@
      * @param now this router's clock
      * @param age for how long this router runs
      */
-    void measure(Role role, List<Peer> servers, Settings settings, long now, long age) {
-        long window = settings.rules().fallMicros();
+    void measure(Role role, List<Peer> servers, RoutingSettings settings, long now, long age) {
+        long window = settings.serverLimits().overloadMicros();
         double served =
                 servers.stream().mapToLong(p -> p.servedSince(now - SERVED_WINDOWS * window)).sum();
         double passed = Math.min(SERVED_WINDOWS, age / (double) window);
@@ -67,20 +67,20 @@
      * @param alike how many servers of the role there are
      * @param now this router's clock
      */
-    boolean allows(Peer p, Role role, Settings settings, double gap, int alike, long now) {
-        Rules rules = settings.rules();
-        if (isWarm(p, now, rules.coldMicros())) {
+    boolean allows(Peer p, Role role, RoutingSettings settings, double gap, int alike, long now) {
+        ServerLimits rules = settings.serverLimits();
+        if (isWarm(p, now, rules.warmUpMicros())) {
             return true;
         }
         double most = mostServed[role.ordinal()];
-        double bearable = SAFETY * rules.fallMultiple() * rules.coldFrom() * most;
+        double bearable = SAFETY * rules.overloadMultiple() * rules.coldCapacityShare() * most;
         if (bearable >= 1) {
-            return p.sentSince(now - rules.fallMicros()) + 1 <= bearable;
+            return p.sentSince(now - rules.overloadMicros()) + 1 <= bearable;
         }
-        double mean = Math.max(most, rules.fallMicros() / gap / alike);
+        double mean = Math.max(most, rules.overloadMicros() / gap / alike);
         double share = Math.max(bearable / UNEVEN / mean, 1 / TURNS / settings.routers());
-        long window = now / rules.fallMicros();
+        long window = now / rules.overloadMicros();
         double draw = (Hash.of(p.id + window, "" + settings.self()) >>> 11) * 0x1p-53;
-        return draw < share && p.sentSince(window * rules.fallMicros() - 1) == 0;
+        return draw < share && p.sentSince(window * rules.overloadMicros() - 1) == 0;
     }
 }
--- a/decide/src/main/java/sorrelhoist/State.java
+++ b/decide/src/main/java/sorrelhoist/routing/State.java
@@ -1,4 +1,4 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import java.util.ArrayDeque;
 import java.util.HashSet;
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /**
- * What {@link Decide} keeps about servers and requests: plain fields, no decision and no tuned
- * value.
+ * What {@link RoutingPolicy} keeps about servers and requests: plain fields, no decision and no
+ * tuned value.
  */
 final class State {
     /** Class and tenant make up one number. */
@@ -172,7 +172,9 @@
             this.arrivedAt = now;
             this.idleSince = now;
             this.deadline = now + a.budgetMicros();
-            this.aim = cls.aimMicros() + cls.aimPer1000Micros() * a.promptTokens() / 1000.0;
+            this.aim =
+                    cls.latencyObjectiveMicros()
+                            + cls.latencyObjectivePer1000TokensMicros() * a.promptTokens() / 1000.0;
         }
 
         String session() {
--- a/decide/src/test/java/sorrelhoist/DecideTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/DecideTest.java
@@ -1,44 +1,44 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static sorrelhoist.Fixtures.*;
+import static sorrelhoist.routing.Fixtures.*;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /** Each test is named after the failure that it guards against. */
 class DecideTest {
-    private final Decide decide = start(plain(), fleet());
+    private final RoutingPolicy decide = start(plain(), fleet());
     private long now = 10 * SECOND;
 
-    private static Decide start(Settings settings, List<Server> servers) {
-        Decide d = new Decide(settings, 7);
-        d.on(10 * SECOND, new Members(ListForm.RESTORED, servers));
+    private static RoutingPolicy start(RoutingSettings settings, List<Server> servers) {
+        RoutingPolicy d = new RoutingPolicy(settings, 7);
+        d.onEvent(10 * SECOND, new Members(ListUpdateKind.RESTORED, servers));
         return d;
     }
 
     private Send arrive(long id, String session, String prefix, long prompt, long prefixTokens) {
-        return send(decide.on(now, request(id, session, prefix, prompt, prefixTokens)));
+        return send(decide.onEvent(now, request(id, session, prefix, prompt, prefixTokens)));
     }
 
     private Send read(Send s, long kept) {
         now += 50_000;
-        return send(decide.on(now, ended(s, 0, Outcome.READ, 50_000, kept)));
+        return send(decide.onEvent(now, ended(s, 0, Outcome.READ, 50_000, kept)));
     }
 
     /** Ends a read and then its answer; returns where it was written. */
     private String answer(Send s, int attempt, long took) {
-        Send w = send(decide.on(now, ended(s, attempt, Outcome.READ, took, 0)));
-        decide.on(now, new StreamStarted(w.id(), attempt + 1, w.server(), 20_000));
-        decide.on(now, ended(w, attempt + 1, Outcome.DONE, 20_000, 0));
+        Send w = send(decide.onEvent(now, ended(s, attempt, Outcome.READ, took, 0)));
+        decide.onEvent(now, new StreamStarted(w.id(), attempt + 1, w.server(), 20_000));
+        decide.onEvent(now, ended(w, attempt + 1, Outcome.DONE, 20_000, 0));
         return w.server();
     }
 
@@ -47,8 +47,8 @@
             long id, String session, String prefix, long prompt, long prefixTokens, long kept) {
         Send s = arrive(id, session, prefix, prompt, prefixTokens);
         Send w = read(s, kept);
-        decide.on(now, new StreamStarted(id, 1, w.server(), 20_000));
-        decide.on(now, ended(w, 1, Outcome.DONE, 20_000, 0));
+        decide.onEvent(now, new StreamStarted(id, 1, w.server(), 20_000));
+        decide.onEvent(now, ended(w, 1, Outcome.DONE, 20_000, 0));
         return s.server();
     }
 
@@ -66,12 +66,13 @@
         Set<String> readers = new HashSet<>();
         for (int i = 0; i < 20; i++) {
             String prefix = "p" + i;
-            Decide other = new Decide(plain(), 1000 + i);
-            other.on(0, new Members(ListForm.RESTORED, fleet()));
+            RoutingPolicy other = new RoutingPolicy(plain(), 1000 + i);
+            other.onEvent(0, new Members(ListUpdateKind.RESTORED, fleet()));
             String here =
-                    send(start(plain(), fleet()).on(10 * SECOND, request(1, "x", prefix, 900, 800)))
+                    send(start(plain(), fleet())
+                                    .onEvent(10 * SECOND, request(1, "x", prefix, 900, 800)))
                             .server();
-            assertEquals(here, send(other.on(0, request(1, "y", prefix, 900, 800))).server());
+            assertEquals(here, send(other.onEvent(0, request(1, "y", prefix, 900, 800))).server());
             readers.add(here);
         }
         assertTrue(readers.size() > 2, "the hash should spread keys: " + readers);
@@ -96,7 +97,7 @@
     @Test
     void theWriterIsChosenNearTheReaderAfterTheRead() {
         for (int i = 0; i < 30; i++) {
-            List<Action> onArrival = decide.on(now, request(i, "s" + i, null, 800, 0));
+            List<Action> onArrival = decide.onEvent(now, request(i, "s" + i, null, 800, 0));
             Send s = send(onArrival);
             assertTrue(all(onArrival, Reserve.class).isEmpty());
             String w = answer(s, 0, 50_000);
@@ -115,9 +116,11 @@
                         .filter(s -> s.id().equals(first.server()))
                         .findFirst()
                         .orElseThrow();
-        decide.on(now, new Members(ListForm.UPDATE, List.of(with(home, ServerState.SERVING, now))));
+        decide.onEvent(
+                now,
+                new Members(ListUpdateKind.UPDATE, List.of(with(home, ServerState.SERVING, now))));
         now += 13 * SECOND;
-        decide.on(now, new TimerFired(99));
+        decide.onEvent(now, new TimerFired(99));
         Set<String> readers = new HashSet<>();
         for (int i = 2; i < 6; i++) {
             readers.add(arrive(i, "a" + i, null, 4000, 0).server());
@@ -128,7 +131,7 @@
     @Test
     void aRefusedConnectIsRetriedElsewhereAtOnce() {
         Send s = arrive(1, "a", null, 1000, 0);
-        Send again = send(decide.on(now + 300, ended(s, 0, Outcome.CONNECT_FAILED, 300, 0)));
+        Send again = send(decide.onEvent(now + 300, ended(s, 0, Outcome.CONNECT_FAILED, 300, 0)));
         assertNotEquals(s.server(), again.server());
     }
 
@@ -142,16 +145,16 @@
         assertEquals(1, w.id());
         assertTrue(w.server().startsWith("w"));
         now += 20_000;
-        Send quick = send(decide.on(now, ended(w, 1, Outcome.CONNECT_FAILED, 20_000, 0)));
+        Send quick = send(decide.onEvent(now, ended(w, 1, Outcome.CONNECT_FAILED, 20_000, 0)));
         assertTrue(
                 quick.server().startsWith("w"),
                 "a refused connection costs the state next to no time");
         now += 240_000;
-        Send anew = send(decide.on(now, ended(quick, 2, Outcome.CONNECT_FAILED, 240_000, 0)));
+        Send anew = send(decide.onEvent(now, ended(quick, 2, Outcome.CONNECT_FAILED, 240_000, 0)));
         assertTrue(
                 anew.server().startsWith("r"),
                 anew + ": the same wait again would hold the state for too long");
-        Send last = send(decide.on(now + 50_000, ended(anew, 3, Outcome.READ, 50_000, 900)));
+        Send last = send(decide.onEvent(now + 50_000, ended(anew, 3, Outcome.READ, 50_000, 900)));
         assertTrue(last.server().startsWith("w"));
     }
 
@@ -162,8 +165,8 @@
     @Test
     void theDeadlineStopsWithTheFirstToken() {
         Send w = read(arrive(1, "a", null, 1000, 0), 0);
-        decide.on(now, new StreamStarted(1, 1, w.server(), 20_000));
-        assertEquals(List.of(), decide.on(now + 5 * SECOND, new TimerFired(1)));
+        decide.onEvent(now, new StreamStarted(1, 1, w.server(), 20_000));
+        assertEquals(List.of(), decide.onEvent(now + 5 * SECOND, new TimerFired(1)));
     }
 
     @Test
@@ -172,7 +175,8 @@
         assertTrue(s.cutAt() - now < 3 * SECOND, "cut after " + (s.cutAt() - now));
         now = s.cutAt();
         assertNotEquals(
-                s.server(), send(decide.on(now, ended(s, 0, Outcome.TIMED_OUT, 0, 0))).server());
+                s.server(),
+                send(decide.onEvent(now, ended(s, 0, Outcome.TIMED_OUT, 0, 0))).server());
     }
 
     @Test
@@ -183,7 +187,7 @@
             now += 40_000;
             if (s.server().equals("r1")) {
                 hits++;
-                s = send(decide.on(now, ended(s, 0, Outcome.ERROR, 1000, 0)));
+                s = send(decide.onEvent(now, ended(s, 0, Outcome.ERROR, 1000, 0)));
                 answer(s, 1, 30_000);
             } else {
                 answer(s, 0, 30_000);
@@ -218,10 +222,10 @@
         int sends = 0;
         for (int i = 0; i < 80; i++) {
             now += 100_000;
-            List<Action> actions = decide.on(now, request(i, "s" + i, null, 1000, 0));
+            List<Action> actions = decide.onEvent(now, request(i, "s" + i, null, 1000, 0));
             for (int n = 0; !all(actions, Send.class).isEmpty(); n++) {
                 sends++;
-                actions = decide.on(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
+                actions = decide.onEvent(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
             }
         }
         assertTrue(sends >= 80, "sends " + sends);
@@ -232,10 +236,10 @@
         int sends = 0;
         for (int i = 0; i < 200; i++) {
             now += 20_000;
-            List<Action> actions = decide.on(now, request(i, "s" + i, null, 1000, 0));
+            List<Action> actions = decide.onEvent(now, request(i, "s" + i, null, 1000, 0));
             for (int n = 0; !all(actions, Send.class).isEmpty(); n++) {
                 sends++;
-                actions = decide.on(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
+                actions = decide.onEvent(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
             }
         }
         assertTrue(sends < 270, "sends " + sends);
@@ -251,7 +255,7 @@
                                                 ? with(s, ServerState.DRAINING, 0)
                                                 : s)
                         .toList();
-        decide.on(now, new Members(ListForm.COMPLETE, draining));
+        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, draining));
         for (int i = 0; i < 40; i++) {
             Send s = arrive(i, "s" + i, null, 1000, 0);
             assertNotEquals("r1", s.server());
@@ -261,13 +265,14 @@
 
     @Test
     void aStateIsLetGoWhenNoWriterIsThere() {
-        Decide d = start(plain(), List.of(reader("r1", 0)));
-        Send s = send(d.on(now, request(1, "a", null, 1000, 0)));
-        List<Action> actions = new ArrayList<>(d.on(now, ended(s, 0, Outcome.READ, 40_000, 0)));
+        RoutingPolicy d = start(plain(), List.of(reader("r1", 0)));
+        Send s = send(d.onEvent(now, request(1, "a", null, 1000, 0)));
+        List<Action> actions =
+                new ArrayList<>(d.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
         long until = now;
         while (all(actions, Release.class).isEmpty()) {
             until += all(actions, Timer.class).get(0).delayMicros();
-            actions = d.on(until, new TimerFired(1));
+            actions = d.onEvent(until, new TimerFired(1));
         }
         assertTrue(until - now < RELEASE);
         assertEquals(1, all(actions, Refuse.class).size());
@@ -276,39 +281,46 @@
     @Test
     void aStateReadForADepartedClientIsLetGo() {
         Send s = arrive(1, "a", null, 1000, 0);
-        assertEquals(1, all(decide.on(now, new ClientGone(1)), Cancel.class).size());
-        assertEquals(List.of(new Release(1)), decide.on(now, ended(s, 0, Outcome.READ, 40_000, 0)));
+        assertEquals(1, all(decide.onEvent(now, new ClientGone(1)), Cancel.class).size());
+        assertEquals(
+                List.of(new Release(1)), decide.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
     }
 
     @Test
     void aLostStateIsReadAgain() {
         Send w = read(arrive(1, "a", null, 1000, 0), 0);
-        Send again = send(decide.on(now, ended(w, 1, Outcome.FULL, 500, 1)));
+        Send again = send(decide.onEvent(now, ended(w, 1, Outcome.FULL, 500, 1)));
         assertTrue(again.server().startsWith("r"));
     }
 
     @Test
     void anUnsafeRequestThatMayHaveRunFails() {
-        Decide d = start(settings(Repeat.UNSAFE, Scope.ALL, false, List.of()), fleet());
-        Send s = send(d.on(now, request(1, "a", null, 1000, 0)));
-        Send w = send(d.on(now, ended(s, 0, Outcome.READ, 40_000, 0)));
-        List<Action> actions = d.on(now, ended(w, 1, Outcome.RESET, 500, 0));
+        RoutingPolicy d =
+                start(
+                        settings(Idempotency.UNSAFE, IdempotencyScope.ALL, false, List.of()),
+                        fleet());
+        Send s = send(d.onEvent(now, request(1, "a", null, 1000, 0)));
+        Send w = send(d.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
+        List<Action> actions = d.onEvent(now, ended(w, 1, Outcome.RESET, 500, 0));
         assertEquals(1, all(actions, Fail.class).size());
         assertTrue(all(actions, Send.class).isEmpty() && all(actions, Refuse.class).isEmpty());
     }
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
-        Decide d = start(settings(Repeat.KEYED, Scope.CELL, false, List.of()), fleet());
-        Send s = send(d.on(now, request(1, "a", null, 1000, 0)));
-        Send w = send(d.on(now, ended(s, 0, Outcome.READ, 40_000, 0)));
-        Send again = send(d.on(now, ended(w, 1, Outcome.ERROR, 500, 0)));
+        RoutingPolicy d =
+                start(
+                        settings(Idempotency.KEYED, IdempotencyScope.CELL, false, List.of()),
+                        fleet());
+        Send s = send(d.onEvent(now, request(1, "a", null, 1000, 0)));
+        Send w = send(d.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
+        Send again = send(d.onEvent(now, ended(w, 1, Outcome.ERROR, 500, 0)));
         Set<String> cell =
                 w.server().matches("w[12]")
                         ? Set.of("r1", "r2", "w1", "w2")
                         : Set.of("r3", "r4", "w3", "w4");
         assertTrue(cell.contains(again.server()));
-        Send write = send(d.on(now, ended(again, 2, Outcome.READ, 40_000, 0)));
+        Send write = send(d.onEvent(now, ended(again, 2, Outcome.READ, 40_000, 0)));
         assertTrue(write.server().startsWith("w") && cell.contains(write.server()));
     }
 
@@ -318,7 +330,7 @@
                 fleet().stream()
                         .map(s -> s.id().equals("r1") ? with(s, ServerState.SERVING, now) : s)
                         .toList();
-        decide.on(now, new Members(ListForm.COMPLETE, cold));
+        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, cold));
         int sent = 0;
         for (int i = 0; i < 30; i++) {
             now += 100_000;
@@ -331,8 +343,8 @@
 
     @Test
     void anEmptyListRefusesAtOnceWithAHint() {
-        Decide d = start(plain(), List.of());
-        List<Refuse> refused = all(d.on(now, request(1, null, null, 1000, 0)), Refuse.class);
+        RoutingPolicy d = start(plain(), List.of());
+        List<Refuse> refused = all(d.onEvent(now, request(1, null, null, 1000, 0)), Refuse.class);
         assertEquals(1, refused.size());
         assertTrue(refused.get(0).backoffMicros() > 0);
     }
@@ -342,11 +354,20 @@
         List<Server> writers = List.of(writer("w1", 0));
         assertEquals(
                 "w1",
-                send(start(settings(Repeat.SAFE, Scope.ALL, true, List.of()), writers)
-                                .on(now, request(1, "a", null, 1000, 0)))
+                send(start(
+                                        settings(
+                                                Idempotency.SAFE,
+                                                IdempotencyScope.ALL,
+                                                true,
+                                                List.of()),
+                                        writers)
+                                .onEvent(now, request(1, "a", null, 1000, 0)))
                         .server());
         assertTrue(
-                all(start(plain(), writers).on(now, request(1, "a", null, 1000, 0)), Send.class)
+                all(
+                                start(plain(), writers)
+                                        .onEvent(now, request(1, "a", null, 1000, 0)),
+                                Send.class)
                         .isEmpty());
     }
 
@@ -354,15 +375,15 @@
     void mixedServersTakeTheirShareWhole() {
         List<Server> fleet = new ArrayList<>(fleet());
         fleet.add(new Server("m1", 0, 2, 0, ServerState.SERVING, 8, 0));
-        Decide d = start(plain(), fleet);
+        RoutingPolicy d = start(plain(), fleet);
         int mixed = 0;
         for (int i = 0; i < 100; i++) {
             now += 100_000;
-            Send s = send(d.on(now, request(i, "s" + i, null, 100, 0)));
+            Send s = send(d.onEvent(now, request(i, "s" + i, null, 100, 0)));
             mixed += s.server().equals("m1") ? 1 : 0;
             Outcome outcome = s.server().equals("m1") ? Outcome.DONE : Outcome.READ;
-            for (Send w : all(d.on(now, ended(s, 0, outcome, 10_000, 0)), Send.class)) {
-                d.on(now, ended(w, 1, Outcome.DONE, 10_000, 0));
+            for (Send w : all(d.onEvent(now, ended(s, 0, outcome, 10_000, 0)), Send.class)) {
+                d.onEvent(now, ended(w, 1, Outcome.DONE, 10_000, 0));
             }
         }
         assertTrue(mixed > 25 && mixed < 75, "mixed " + mixed);
@@ -370,11 +391,11 @@
 
     @Test
     void aTenantBeyondItsShareMakesRoomFirst() {
-        Decide d =
+        RoutingPolicy d =
                 start(
                         settings(
-                                Repeat.SAFE,
-                                Scope.ALL,
+                                Idempotency.SAFE,
+                                IdempotencyScope.ALL,
                                 false,
                                 List.of(new Tenant(2), new Tenant(50))),
                         fleet());
@@ -382,55 +403,59 @@
         for (int i = 0; i < 200; i++) {
             now += 10_000;
             Arrived a = new Arrived(i, 0, i % 2, "s" + i, null, 3000, 0, 200, 4 * SECOND);
-            refused[i % 2] += all(d.on(now, a), Refuse.class).size();
+            refused[i % 2] += all(d.onEvent(now, a), Refuse.class).size();
         }
         assertTrue(refused[0] > refused[1], refused[0] + " against " + refused[1]);
     }
 
     @Test
     void aFailedCallToDiscoveryIsRepeatedLater() {
-        Decide d =
-                new Decide(
+        RoutingPolicy d =
+                new RoutingPolicy(
                         settings(
-                                Repeat.SAFE,
-                                Scope.ALL,
+                                Idempotency.SAFE,
+                                IdempotencyScope.ALL,
                                 false,
                                 List.of(),
                                 true,
-                                Reports.NONE,
+                                LoadReportMode.NONE,
                                 false,
                                 true,
                                 5),
                         1);
-        assertTrue(d.on(now, new Members(ListForm.RESTORED, fleet())).contains(new Follow(true)));
+        assertTrue(
+                d.onEvent(now, new Members(ListUpdateKind.RESTORED, fleet()))
+                        .contains(new Follow(true)));
         Timer again =
-                all(d.on(now, new Members(ListForm.UNAVAILABLE, List.of())), Timer.class).get(0);
+                all(d.onEvent(now, new Members(ListUpdateKind.UNAVAILABLE, List.of())), Timer.class)
+                        .get(0);
         assertTrue(
-                d.on(now + again.delayMicros(), new TimerFired(again.token()))
+                d.onEvent(now + again.delayMicros(), new TimerFired(again.token()))
                         .contains(new Follow(true)));
     }
 
     @Test
     void probesAreSentOnlyWhereAllowedAndNeeded() {
-        Settings pull =
+        RoutingSettings pull =
                 settings(
-                        Repeat.SAFE,
-                        Scope.ALL,
+                        Idempotency.SAFE,
+                        IdempotencyScope.ALL,
                         false,
                         List.of(),
                         false,
-                        Reports.IN_PROBES,
+                        LoadReportMode.IN_PROBES,
                         true,
                         true,
                         5);
-        for (Settings s : List.of(pull, plain())) {
-            Decide d = new Decide(s, 1);
+        for (RoutingSettings s : List.of(pull, plain())) {
+            RoutingPolicy d = new RoutingPolicy(s, 1);
             Timer tick =
-                    all(d.on(now, new Members(ListForm.RESTORED, fleet())), Timer.class).get(0);
+                    all(d.onEvent(now, new Members(ListUpdateKind.RESTORED, fleet())), Timer.class)
+                            .get(0);
             for (int i = 0; i < 20; i++) {
-                d.on(now, request(i, "s" + i, null, 1000, 0));
+                d.onEvent(now, request(i, "s" + i, null, 1000, 0));
             }
-            List<Action> later = d.on(now + tick.delayMicros(), new TimerFired(tick.token()));
+            List<Action> later = d.onEvent(now + tick.delayMicros(), new TimerFired(tick.token()));
             assertEquals(s == pull, !all(later, Probe.class).isEmpty());
         }
     }
@@ -443,7 +468,8 @@
         }
         now += 700_000;
         for (int i = 4; i < 12 && hanging.size() < 4; i++) {
-            List<Send> sends = all(decide.on(now, request(i, "s" + i, null, 1000, 0)), Send.class);
+            List<Send> sends =
+                    all(decide.onEvent(now, request(i, "s" + i, null, 1000, 0)), Send.class);
             for (Send s : sends) {
                 assertFalse(hanging.contains(answer(s, 0, 50_000)));
             }
@@ -474,7 +500,9 @@
     void whatWouldComeLateIsRefusedAtOnce() {
         int refused = 0;
         for (int i = 0; i < 100; i++) {
-            refused += all(decide.on(now, request(i, "s" + i, null, 3000, 0)), Refuse.class).size();
+            refused +=
+                    all(decide.onEvent(now, request(i, "s" + i, null, 3000, 0)), Refuse.class)
+                            .size();
         }
         assertTrue(refused > 50 && refused < 96, "refused " + refused);
     }
@@ -486,12 +514,15 @@
     @Test
     void afterAnAnswerThatBrokeOffThePromptIsReadAnewAtAReader() {
         for (Outcome broke : List.of(Outcome.ERROR, Outcome.RESET)) {
-            Decide d = start(settings(Repeat.SAFE, Scope.ALL, true, List.of()), fleet());
-            Send read = send(d.on(now, request(1, "s", null, 3000, 0)));
-            Send write = send(d.on(now, ended(read, 0, Outcome.READ, 10_000, 0)));
-            Send again = send(d.on(now, ended(write, 1, broke, 10_000, 0)));
+            RoutingPolicy d =
+                    start(
+                            settings(Idempotency.SAFE, IdempotencyScope.ALL, true, List.of()),
+                            fleet());
+            Send read = send(d.onEvent(now, request(1, "s", null, 3000, 0)));
+            Send write = send(d.onEvent(now, ended(read, 0, Outcome.READ, 10_000, 0)));
+            Send again = send(d.onEvent(now, ended(write, 1, broke, 10_000, 0)));
             assertEquals(read.server(), again.server(), "the one that has kept the text");
-            Send other = send(d.on(now, ended(again, 2, Outcome.READ, 10_000, 3000)));
+            Send other = send(d.onEvent(now, ended(again, 2, Outcome.READ, 10_000, 3000)));
             assertTrue(other.server().startsWith("w") && !other.server().equals(write.server()));
         }
     }
@@ -504,11 +535,11 @@
     void whoComesForTheRestOfAnAnswerIsLetInBeyondTheAimButNotWithoutEnd() {
         int[] refused = new int[2];
         for (int kind = 0; kind < 2; kind++) {
-            Decide d = start(plain(), fleet());
+            RoutingPolicy d = start(plain(), fleet());
             for (int i = 0; i < 100; i++) {
                 Arrived a =
                         new Arrived(i, 0, 0, "s" + i, null, 3000, 0, 200, 4 * SECOND, kind == 1);
-                refused[kind] += all(d.on(now, a), Refuse.class).size();
+                refused[kind] += all(d.onEvent(now, a), Refuse.class).size();
             }
         }
         assertTrue(
@@ -529,12 +560,13 @@
                     new Server(
                             "n" + i, old.zone(), old.kind(), old.cell(), ServerState.SERVING, 1, 0);
             present.add(fresh);
-            decide.on(
+            decide.onEvent(
                     now,
-                    new Members(ListForm.UPDATE, List.of(with(old, ServerState.GONE, 0), fresh)));
+                    new Members(
+                            ListUpdateKind.UPDATE, List.of(with(old, ServerState.GONE, 0), fresh)));
             serve(i, "s" + i, null, 1000, 0, 0);
         }
-        int known = decide.known(now, 100).servers().size();
+        int known = decide.exportKnowledge(now, 100).servers().size();
         assertTrue(
                 known <= fleet().size() + 2 * 60 / 5, known + " servers known of 8 that are there");
     }
@@ -542,57 +574,58 @@
     @Test
     void oddButLegalHistoriesDoNotThrow() {
         Send s = arrive(1, "a", null, 1000, 0);
-        decide.on(now, new ClientGone(1));
-        decide.on(now, new ClientGone(1));
-        decide.on(now, ended(s, 0, Outcome.CANCELLED, 10, 0));
-        decide.on(now, ended(s, 0, Outcome.READ, 10, 0));
-        decide.on(now, new TimerFired(1));
-        decide.on(now, new TimerFired(1));
-        decide.on(now, new StreamStarted(1, 0, "r1", 5));
-        decide.on(now, new ProbeAnswered("never-listed", Outcome.DONE, 5, Load.NONE));
-        decide.on(now, new PeerMessage(1, "hi"));
-        decide.on(now, new Members(ListForm.COMPLETE, List.of()));
-        decide.on(now, new Members(ListForm.COMPLETE, fleet()));
-        assertFalse(all(decide.on(now, request(2, "a", null, 1000, 0)), Send.class).isEmpty());
+        decide.onEvent(now, new ClientGone(1));
+        decide.onEvent(now, new ClientGone(1));
+        decide.onEvent(now, ended(s, 0, Outcome.CANCELLED, 10, 0));
+        decide.onEvent(now, ended(s, 0, Outcome.READ, 10, 0));
+        decide.onEvent(now, new TimerFired(1));
+        decide.onEvent(now, new TimerFired(1));
+        decide.onEvent(now, new StreamStarted(1, 0, "r1", 5));
+        decide.onEvent(now, new ProbeAnswered("never-listed", Outcome.DONE, 5, ServerLoad.NONE));
+        decide.onEvent(now, new PeerMessage(1, "hi"));
+        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, List.of()));
+        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, fleet()));
+        assertFalse(all(decide.onEvent(now, request(2, "a", null, 1000, 0)), Send.class).isEmpty());
     }
 
     @Test
     void misuseSaysWhatToDoInstead() {
-        assertThrows(IllegalArgumentException.class, () -> decide.on(5, new TimerFired(1)));
-        assertThrows(NullPointerException.class, () -> decide.on(now, null));
+        assertThrows(IllegalArgumentException.class, () -> decide.onEvent(5, new TimerFired(1)));
+        assertThrows(NullPointerException.class, () -> decide.onEvent(now, null));
         arrive(1, "a", null, 10, 0);
         assertThrows(
-                IllegalArgumentException.class, () -> decide.on(now, request(1, "a", null, 10, 0)));
-        Settings p = plain();
-        Settings noKinds =
-                new Settings(
+                IllegalArgumentException.class,
+                () -> decide.onEvent(now, request(1, "a", null, 10, 0)));
+        RoutingSettings p = plain();
+        RoutingSettings noKinds =
+                new RoutingSettings(
                         2,
                         0,
                         0,
                         false,
                         1,
-                        Reports.NONE,
+                        LoadReportMode.NONE,
                         p.classes(),
                         List.of(),
                         List.of(),
-                        p.limits(),
-                        p.rules());
+                        p.capabilities(),
+                        p.serverLimits());
         assertEquals(
                 "setting missing or inconsistent: kinds",
-                assertThrows(IllegalArgumentException.class, () -> new Decide(noKinds, 1))
+                assertThrows(IllegalArgumentException.class, () -> new RoutingPolicy(noKinds, 1))
                         .getMessage());
-        assertThrows(IllegalArgumentException.class, () -> new Decide(null, 1));
+        assertThrows(IllegalArgumentException.class, () -> new RoutingPolicy(null, 1));
     }
 
     @Test
     void aChangedNumberOfRoutersChangesTheParts() {
-        Decide decide = new Decide(Fixtures.plain(), 1);
-        decide.on(0, new Members(ListForm.COMPLETE, Fixtures.fleet()));
-        assertTrue(decide.on(1, new Seated(150, 149)).isEmpty());
-        assertThrows(IllegalArgumentException.class, () -> decide.on(2, new Seated(0, 0)));
+        RoutingPolicy decide = new RoutingPolicy(Fixtures.plain(), 1);
+        decide.onEvent(0, new Members(ListUpdateKind.COMPLETE, Fixtures.fleet()));
+        assertTrue(decide.onEvent(1, new Seated(150, 149)).isEmpty());
+        assertThrows(IllegalArgumentException.class, () -> decide.onEvent(2, new Seated(0, 0)));
         assertEquals(
                 1,
-                Fixtures.all(decide.on(3, Fixtures.request(1, "s", "p", 500, 100)), Send.class)
+                Fixtures.all(decide.onEvent(3, Fixtures.request(1, "s", "p", 500, 100)), Send.class)
                         .size());
     }
 }
--- a/decide/src/test/java/sorrelhoist/EmbeddingExampleTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
@@ -1,4 +1,4 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /**
  * A router of one's own in a few lines, as the README describes it: a loop that feeds events and
@@ -21,7 +21,7 @@
         }
     }
 
-    private final Decide decide = new Decide(Fixtures.plain(), 42);
+    private final RoutingPolicy decide = new RoutingPolicy(Fixtures.plain(), 42);
     private final PriorityQueue<Due> pending = new PriorityQueue<>();
     private final List<String> path = new ArrayList<>();
     private int attempt;
@@ -44,7 +44,7 @@
                                         50_000,
                                         !reader,
                                         0,
-                                        Load.NONE)));
+                                        ServerLoad.NONE)));
                 if (!reader) {
                     pending.add(
                             new Due(
@@ -63,18 +63,18 @@
     @Test
     void aRequestIsReadAndAnsweredAndNothingMoreIsDone() {
         perform(
-                decide.on(
+                decide.onEvent(
                         now,
                         new Members(
-                                ListForm.RESTORED,
+                                ListUpdateKind.RESTORED,
                                 List.of(
                                         Fixtures.reader("reader-1", 0),
                                         Fixtures.writer("writer-1", 0)))));
-        perform(decide.on(now, Fixtures.request(1, "session", "system-prompt", 1500, 1200)));
+        perform(decide.onEvent(now, Fixtures.request(1, "session", "system-prompt", 1500, 1200)));
         while (now < 5_000_000) {
             Due due = pending.remove();
             now = due.at();
-            perform(decide.on(now, due.event()));
+            perform(decide.onEvent(now, due.event()));
         }
         assertEquals(List.of("reader-1", "writer-1"), path);
     }
--- a/decide/src/test/java/sorrelhoist/Fixtures.java
+++ b/decide/src/test/java/sorrelhoist/routing/Fixtures.java
@@ -1,8 +1,8 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import java.util.ArrayList;
 import java.util.List;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /** Small settings, servers and events for the module's tests. */
 final class Fixtures {
@@ -11,22 +11,23 @@
 
     private Fixtures() {}
 
-    static Settings settings(
-            Repeat repeat, Scope scope, boolean writersRead, List<Tenant> tenants) {
-        return settings(repeat, scope, writersRead, tenants, false, Reports.NONE, false, true, 5);
+    static RoutingSettings settings(
+            Idempotency repeat, IdempotencyScope scope, boolean writersRead, List<Tenant> tenants) {
+        return settings(
+                repeat, scope, writersRead, tenants, false, LoadReportMode.NONE, false, true, 5);
     }
 
-    static Settings settings(
-            Repeat repeat,
-            Scope scope,
+    static RoutingSettings settings(
+            Idempotency repeat,
+            IdempotencyScope scope,
             boolean writersRead,
             List<Tenant> tenants,
             boolean asks,
-            Reports reports,
+            LoadReportMode reports,
             boolean probes,
             boolean cancel,
             int attempts) {
-        return new Settings(
+        return new RoutingSettings(
                 2,
                 0,
                 0,
@@ -38,10 +39,10 @@
                         new RequestClass(800_000, 40_000, 3, repeat, scope, 2 * SECOND)),
                 tenants,
                 List.of(
-                        new Kind(Role.READ, 200_000),
-                        new Kind(Role.WRITE, 150_000),
-                        new Kind(Role.BOTH, 150_000)),
-                new Limits(
+                        new ServerKind(Role.READ, 200_000),
+                        new ServerKind(Role.WRITE, 150_000),
+                        new ServerKind(Role.BOTH, 150_000)),
+                new Capabilities(
                         attempts,
                         cancel,
                         probes,
@@ -51,11 +52,11 @@
                         asks,
                         0.003,
                         0.003),
-                new Rules(0.26, 12 * SECOND, 3, 3 * SECOND, RELEASE));
+                new ServerLimits(0.26, 12 * SECOND, 3, 3 * SECOND, RELEASE));
     }
 
-    static Settings plain() {
-        return settings(Repeat.SAFE, Scope.ALL, false, List.of());
+    static RoutingSettings plain() {
+        return settings(Idempotency.SAFE, IdempotencyScope.ALL, false, List.of());
     }
 
     static Server reader(String id, int cell) {
@@ -95,7 +96,7 @@
                 took,
                 outcome == Outcome.DONE,
                 note,
-                Load.NONE);
+                ServerLoad.NONE);
     }
 
     static <T extends Action> List<T> all(List<Action> actions, Class<T> type) {
--- a/decide/src/test/java/sorrelhoist/FleetTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetTest.java
@@ -1,10 +1,10 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static sorrelhoist.Fixtures.*;
+import static sorrelhoist.routing.Fixtures.*;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,32 +17,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /** Many routers over one fleet, each of which sees only its part. */
 class FleetTest {
-    private static Settings part(int routers, int self) {
-        Settings s = settings(Repeat.SAFE, Scope.ALL, false, List.of());
-        Limits l = s.limits();
-        return new Settings(
+    private static RoutingSettings part(int routers, int self) {
+        RoutingSettings s = settings(Idempotency.SAFE, IdempotencyScope.ALL, false, List.of());
+        Capabilities l = s.capabilities();
+        return new RoutingSettings(
                 routers,
                 self,
                 0,
                 false,
                 0.1,
-                Reports.NONE,
+                LoadReportMode.NONE,
                 s.classes(),
                 List.of(),
-                s.kinds(),
-                new Limits(5, true, false, true, l.maxBackoffMicros(), false, true, 0.003, 0.003),
-                s.rules());
+                s.serverKinds(),
+                new Capabilities(
+                        5, true, false, true, l.maxBackoffMicros(), false, true, 0.003, 0.003),
+                s.serverLimits());
     }
 
-    private static List<Decide> routers(int n, List<Server> fleet) {
-        List<Decide> all = new ArrayList<>();
+    private static List<RoutingPolicy> routers(int n, List<Server> fleet) {
+        List<RoutingPolicy> all = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            all.add(new Decide(part(n, i), 31 + i));
-            all.get(i).on(0, new Members(ListForm.RESTORED, fleet));
+            all.add(new RoutingPolicy(part(n, i), 31 + i));
+            all.get(i).onEvent(0, new Members(ListUpdateKind.RESTORED, fleet));
         }
         return all;
     }
@@ -67,7 +68,7 @@
                                         ? Long.compare(a.at, b.at)
                                         : Long.compare(a.order, b.order));
         final Map<Long, Integer> attempts = new TreeMap<>();
-        final List<Decide> routers;
+        final List<RoutingPolicy> routers;
 
         /** Sends to these fail at once. */
         Set<String> failing = Set.of();
@@ -86,8 +87,8 @@
         World(int n, List<Server> fleet) {
             routers = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                routers.add(new Decide(part(n, i), 31 + i));
-                later(0, i, new Members(ListForm.RESTORED, fleet));
+                routers.add(new RoutingPolicy(part(n, i), 31 + i));
+                later(0, i, new Members(ListUpdateKind.RESTORED, fleet));
             }
         }
 
@@ -98,7 +99,7 @@
         void play(long end) {
             while (!due.isEmpty() && due.peek().at < end) {
                 Due d = due.poll();
-                for (Action a : routers.get(d.router).on(d.at, d.event)) {
+                for (Action a : routers.get(d.router).onEvent(d.at, d.event)) {
                     take(d.at, d.router, a);
                 }
             }
@@ -128,7 +129,7 @@
                                     s.cutAt() - now,
                                     false,
                                     0,
-                                    Load.NONE));
+                                    ServerLoad.NONE));
                 } else if (failing.contains(s.server()) && now < failingUntil) {
                     failures++;
                     later(
@@ -142,7 +143,7 @@
                                     2000,
                                     false,
                                     0,
-                                    Load.NONE));
+                                    ServerLoad.NONE));
                 } else if (s.server().startsWith("r")) {
                     later(
                             now + 60_000,
@@ -155,7 +156,7 @@
                                     60_000,
                                     false,
                                     0,
-                                    Load.NONE));
+                                    ServerLoad.NONE));
                 } else {
                     later(now + 40_000, router, new StreamStarted(s.id(), n, s.server(), 40_000));
                     later(
@@ -169,7 +170,7 @@
                                     SECOND,
                                     true,
                                     0,
-                                    Load.NONE));
+                                    ServerLoad.NONE));
                 }
             }
         }
@@ -210,16 +211,20 @@
                 world.later(
                         start,
                         i,
-                        new Members(ListForm.UPDATE, List.of(with(s, ServerState.SERVING, start))));
+                        new Members(
+                                ListUpdateKind.UPDATE,
+                                List.of(with(s, ServerState.SERVING, start))));
             }
         }
         world.play(44 * SECOND);
-        Rules rules = part(n, 0).rules();
+        ServerLimits rules = part(n, 0).serverLimits();
         for (String id : List.of("r3", "w13")) {
             // 150 a second over ten servers of a role: each can do 45 in a window at least, cold
             // 0.26 of it.
-            double bearable = rules.fallMultiple() * rules.coldFrom() * 45;
-            long most = world.mostWithin(id, start, start + rules.coldMicros(), rules.fallMicros());
+            double bearable = rules.overloadMultiple() * rules.coldCapacityShare() * 45;
+            long most =
+                    world.mostWithin(
+                            id, start, start + rules.warmUpMicros(), rules.overloadMicros());
             assertTrue(
                     most <= bearable, n + " routers sent " + id + " " + most + " of " + bearable);
             assertTrue(
@@ -348,7 +353,7 @@
                         .map(s -> with(s, ServerState.SERVING, start))
                         .toList();
         for (int i = 0; i < 100; i++) {
-            world.later(start, i, new Members(ListForm.UPDATE, cold));
+            world.later(start, i, new Members(ListUpdateKind.UPDATE, cold));
         }
         world.play(start + 12 * SECOND);
         long all = 0;
@@ -388,20 +393,21 @@
     @Test
     void equalCostsDoNotSendAllRoutersToTheFirstReader() {
         Map<String, Integer> hits = new TreeMap<>();
-        List<Decide> routers = routers(100, fleet(10, 10));
+        List<RoutingPolicy> routers = routers(100, fleet(10, 10));
         for (int i = 0; i < 100; i++) {
             hits.merge(
-                    send(routers.get(i).on(SECOND, request(i, "s" + i, "p", 4000, 300))).server(),
+                    send(routers.get(i).onEvent(SECOND, request(i, "s" + i, "p", 4000, 300)))
+                            .server(),
                     1,
                     Integer::sum);
             hits.merge(
-                    send(routers.get(i).on(SECOND, request(1000 + i, "t" + i, "p", 4000, 300)))
+                    send(routers.get(i).onEvent(SECOND, request(1000 + i, "t" + i, "p", 4000, 300)))
                             .server(),
                     1,
                     Integer::sum);
         }
         hits.remove(
-                send(routers(1, fleet(10, 10)).get(0).on(0, request(1, "x", "p", 4000, 300)))
+                send(routers(1, fleet(10, 10)).get(0).onEvent(0, request(1, "x", "p", 4000, 300)))
                         .server());
         assertTrue(hits.size() > 6 && hits.values().stream().allMatch(h -> h < 40), "" + hits);
     }
@@ -466,13 +472,13 @@
     void whatTheDoorAlwaysLetsInIsOneSumForAllRouters() {
         Map<Integer, Integer> letIn = new TreeMap<>();
         for (int n : List.of(3, 150)) {
-            List<Decide> routers = routers(n, fleet(10, 10));
+            List<RoutingPolicy> routers = routers(n, fleet(10, 10));
             for (int id = 0; id < 600; id++) {
                 letIn.merge(
                         n,
                         all(
                                         routers.get(id % n)
-                                                .on(
+                                                .onEvent(
                                                         SECOND,
                                                         request(id, "s" + id, null, 900_000, 0)),
                                         Send.class)
@@ -486,16 +492,16 @@
 
     @Test
     void theDoorReopensSoonAfterAJamThoughFewRequestsCome() {
-        Decide d = routers(100, fleet(4, 4)).get(0);
+        RoutingPolicy d = routers(100, fleet(4, 4)).get(0);
         long now = SECOND;
         int served = 0;
         for (int id = 0; id < 40; id++, now += SECOND) {
             long first = id >= 15 && id < 25 ? 3 * SECOND : 40_000;
             now += id == 25 ? 8 * SECOND : 0;
-            for (Send s : all(d.on(now, request(id, "s" + id, null, 1000, 0)), Send.class)) {
-                Send w = send(d.on(now + 50_000, ended(s, 0, Outcome.READ, 50_000, 0)));
-                d.on(now + 50_000 + first, new StreamStarted(id, 1, w.server(), first));
-                d.on(now + 60_000 + first, ended(w, 1, Outcome.DONE, first + 10_000, 0));
+            for (Send s : all(d.onEvent(now, request(id, "s" + id, null, 1000, 0)), Send.class)) {
+                Send w = send(d.onEvent(now + 50_000, ended(s, 0, Outcome.READ, 50_000, 0)));
+                d.onEvent(now + 50_000 + first, new StreamStarted(id, 1, w.server(), first));
+                d.onEvent(now + 60_000 + first, ended(w, 1, Outcome.DONE, first + 10_000, 0));
                 now += first;
                 served += id >= 25 ? 1 : 0;
             }
@@ -505,57 +511,58 @@
 
     @Test
     void aLagThatOneRouterFeltIsPassedOverByAnother() {
-        List<Decide> two = routers(2, fleet(4, 4));
-        Send s = send(two.get(0).on(SECOND, request(1, "a", "p", 1000, 900)));
-        List<Action> after = two.get(0).on(3 * SECOND, ended(s, 0, Outcome.READ, 2 * SECOND, 0));
+        List<RoutingPolicy> two = routers(2, fleet(4, 4));
+        Send s = send(two.get(0).onEvent(SECOND, request(1, "a", "p", 1000, 900)));
+        List<Action> after =
+                two.get(0).onEvent(3 * SECOND, ended(s, 0, Outcome.READ, 2 * SECOND, 0));
         for (int id = 2; all(after, Tell.class).isEmpty() && id < 40; id++) {
-            after = two.get(0).on(3 * SECOND, request(id, "b" + id, null, 100, 0));
+            after = two.get(0).onEvent(3 * SECOND, request(id, "b" + id, null, 100, 0));
             Send t = send(after);
-            after = two.get(0).on(3 * SECOND, ended(t, 0, Outcome.FULL, 1000, 0));
+            after = two.get(0).onEvent(3 * SECOND, ended(t, 0, Outcome.FULL, 1000, 0));
         }
         Tell told = all(after, Tell.class).get(0);
         assertTrue(told.body().length() <= 256);
         assertEquals(
                 s.server(),
-                send(two.get(1).on(3 * SECOND, request(90, "c", "p", 1000, 900))).server());
-        two.get(1).on(3 * SECOND, new PeerMessage(0, told.body()));
+                send(two.get(1).onEvent(3 * SECOND, request(90, "c", "p", 1000, 900))).server());
+        two.get(1).onEvent(3 * SECOND, new PeerMessage(0, told.body()));
         assertNotEquals(
                 s.server(),
-                send(two.get(1).on(3 * SECOND, request(91, "d", "p", 1000, 900))).server());
+                send(two.get(1).onEvent(3 * SECOND, request(91, "d", "p", 1000, 900))).server());
     }
 
     @Test
     void foreignMessagesAreSurvived() {
-        Decide d = routers(2, fleet(2, 2)).get(0);
+        RoutingPolicy d = routers(2, fleet(2, 2)).get(0);
         Random random = new Random(1);
         for (int i = 0; i < 2000; i++) {
             StringBuilder body = new StringBuilder();
             for (int n = random.nextInt(300); n > 0; n--) {
                 body.append("0:lxf. z9\u00e9\n".charAt(random.nextInt(11)));
             }
-            d.on(i, new PeerMessage(random.nextInt(9), body.toString()));
+            d.onEvent(i, new PeerMessage(random.nextInt(9), body.toString()));
         }
-        assertFalse(all(d.on(SECOND, request(1, "a", null, 1000, 0)), Send.class).isEmpty());
+        assertFalse(all(d.onEvent(SECOND, request(1, "a", null, 1000, 0)), Send.class).isEmpty());
     }
 
     @Test
     void aServerThatIsFullForOneClassStillTakesTheOthers() {
-        Decide d = new Decide(part(2, 0), 1);
-        d.on(0, new Members(ListForm.RESTORED, fleet(2, 2)));
-        Send s = send(d.on(SECOND, request(1, "a", "p", 1000, 900)));
-        Send elsewhere = send(d.on(SECOND + 200_000, ended(s, 0, Outcome.FULL, 200_000, 0)));
+        RoutingPolicy d = new RoutingPolicy(part(2, 0), 1);
+        d.onEvent(0, new Members(ListUpdateKind.RESTORED, fleet(2, 2)));
+        Send s = send(d.onEvent(SECOND, request(1, "a", "p", 1000, 900)));
+        Send elsewhere = send(d.onEvent(SECOND + 200_000, ended(s, 0, Outcome.FULL, 200_000, 0)));
         assertNotEquals(s.server(), elsewhere.server());
-        d.on(SECOND + 300_000, ended(elsewhere, 1, Outcome.READ, 100_000, 0));
+        d.onEvent(SECOND + 300_000, ended(elsewhere, 1, Outcome.READ, 100_000, 0));
         long now = 3 * SECOND;
         Arrived other = new Arrived(2, 1, 0, "b", "p", 1000, 900, 200, 4 * SECOND);
         Arrived same = new Arrived(3, 0, 0, "c", "p", 1000, 900, 200, 4 * SECOND);
-        assertEquals(elsewhere.server(), send(d.on(now, same)).server());
+        assertEquals(elsewhere.server(), send(d.onEvent(now, same)).server());
         List<String> forOther = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             Arrived a = new Arrived(10 + i, 1, 0, "x" + i, null, 3000, 0, 200, 4 * SECOND);
-            all(d.on(now, a), Send.class).forEach(sent -> forOther.add(sent.server()));
+            all(d.onEvent(now, a), Send.class).forEach(sent -> forOther.add(sent.server()));
         }
         assertTrue(forOther.contains(s.server()), "" + forOther);
-        assertFalse(all(d.on(now, other), Send.class).isEmpty());
+        assertFalse(all(d.onEvent(now, other), Send.class).isEmpty());
     }
 }
--- a/decide/src/test/java/sorrelhoist/ReasonTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
@@ -1,18 +1,18 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.Reason.Kind;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Reason.Kind;
+import sorrelhoist.routing.Routing.*;
 
 /** Each final answer and each send says what settled it, with the figures that were compared. */
 class ReasonTest {
     private static final long SECOND = 1_000_000;
     private long now = 1000 * SECOND;
-    private Decide decide;
+    private RoutingPolicy decide;
 
     private static Server server(String id, int kind, ServerState state, long since) {
         return new Server(id, 0, kind, 0, state, 1, since);
@@ -22,24 +22,27 @@
         return new Arrived(id, 0, 0, "s" + id, null, 1000, 0, 20, budget);
     }
 
-    private void start(Repeat repeat, List<Server> servers) {
-        Settings settings =
-                new Settings(
+    private void start(Idempotency repeat, List<Server> servers) {
+        RoutingSettings settings =
+                new RoutingSettings(
                         1,
                         0,
                         0,
                         false,
                         0.5,
-                        Reports.NONE,
-                        List.of(new RequestClass(SECOND, 40_000, 1, repeat, Scope.ALL, 0)),
+                        LoadReportMode.NONE,
+                        List.of(
+                                new RequestClass(
+                                        SECOND, 40_000, 1, repeat, IdempotencyScope.ALL, 0)),
                         List.of(),
                         List.of(
-                                new Routing.Kind(Role.READ, 200_000),
-                                new Routing.Kind(Role.WRITE, 200_000)),
-                        new Limits(3, true, true, true, 2 * SECOND, false, true, 0.003, 0.003),
-                        new Rules(0.26, 2 * SECOND, 3, 3 * SECOND, SECOND / 2));
-        decide = new Decide(settings, 7);
-        decide.on(now, new Members(ListForm.COMPLETE, servers));
+                                new Routing.ServerKind(Role.READ, 200_000),
+                                new Routing.ServerKind(Role.WRITE, 200_000)),
+                        new Capabilities(
+                                3, true, true, true, 2 * SECOND, false, true, 0.003, 0.003),
+                        new ServerLimits(0.26, 2 * SECOND, 3, 3 * SECOND, SECOND / 2));
+        decide = new RoutingPolicy(settings, 7);
+        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, servers));
     }
 
     private static <T> T only(List<Action> actions, Class<T> type) {
@@ -54,15 +57,15 @@
 
     @Test
     void aSendNamesWhatSettledItAndTheNextBest() {
-        start(Repeat.SAFE, List.of(R1, R2, W1));
-        Send read = only(decide.on(now, ask(1, 4 * SECOND)), Send.class);
+        start(Idempotency.SAFE, List.of(R1, R2, W1));
+        Send read = only(decide.onEvent(now, ask(1, 4 * SECOND)), Send.class);
         assertEquals(Kind.UNSEEN, read.why().kind());
         assertEquals(read.server().equals("r1") ? "r2" : "r1", read.why().next());
         assertTrue(read.why().estimate() > 0 && read.why().limit() == 1_040_000, read.toString());
         now += 50_000;
         Send write =
                 only(
-                        decide.on(
+                        decide.onEvent(
                                 now,
                                 new AttemptEnded(
                                         1,
@@ -72,15 +75,17 @@
                                         50_000,
                                         false,
                                         0,
-                                        Load.NONE)),
+                                        ServerLoad.NONE)),
                         Send.class);
         assertEquals(Kind.TWO_DRAWS, write.why().kind());
         assertTrue(write.why().expected() >= 50_000, "counts from the client's asking: " + write);
-        decide.on(now, new StreamStarted(1, 1, "w1", 1000));
-        decide.on(now, new AttemptEnded(1, 1, "w1", Outcome.DONE, 2000, true, 0, Load.NONE));
+        decide.onEvent(now, new StreamStarted(1, 1, "w1", 1000));
+        decide.onEvent(
+                now, new AttemptEnded(1, 1, "w1", Outcome.DONE, 2000, true, 0, ServerLoad.NONE));
         Send again =
                 only(
-                        decide.on(now, new Arrived(2, 0, 0, "s1", null, 1000, 0, 20, 4 * SECOND)),
+                        decide.onEvent(
+                                now, new Arrived(2, 0, 0, "s1", null, 1000, 0, 20, 4 * SECOND)),
                         Send.class);
         assertEquals(Kind.KEPT, again.why().kind());
         assertEquals(read.server(), again.server());
@@ -88,10 +93,10 @@
 
     @Test
     void theDoorGivesTheSumThatClosedIt() {
-        start(Repeat.SAFE, List.of(R1, W1));
+        start(Idempotency.SAFE, List.of(R1, W1));
         Reason why = null;
         for (long id = 1; id < 200 && why == null; id++) {
-            for (Action a : decide.on(now, ask(id, 4 * SECOND))) {
+            for (Action a : decide.onEvent(now, ask(id, 4 * SECOND))) {
                 why = a instanceof Refuse r ? r.why() : why;
             }
         }
@@ -102,17 +107,19 @@
 
     @Test
     void whatIsMissingIsTold() {
-        start(Repeat.SAFE, List.of(W1));
+        start(Idempotency.SAFE, List.of(W1));
         assertEquals(
-                Kind.NO_SERVER, only(decide.on(now, ask(1, SECOND)), Refuse.class).why().kind());
-        start(Repeat.SAFE, List.of(server("r1", 0, ServerState.DRAINING, 0), W1));
+                Kind.NO_SERVER,
+                only(decide.onEvent(now, ask(1, SECOND)), Refuse.class).why().kind());
+        start(Idempotency.SAFE, List.of(server("r1", 0, ServerState.DRAINING, 0), W1));
         assertEquals(
-                Kind.DRAINING, only(decide.on(now, ask(1, SECOND)), Refuse.class).why().kind());
+                Kind.DRAINING,
+                only(decide.onEvent(now, ask(1, SECOND)), Refuse.class).why().kind());
         // Just started, and this router's turn at it is used up.
-        start(Repeat.SAFE, List.of(server("r1", 0, ServerState.SERVING, now), W1));
+        start(Idempotency.SAFE, List.of(server("r1", 0, ServerState.SERVING, now), W1));
         Kind last = null;
         for (long id = 1; id < 4; id++) {
-            for (Action a : decide.on(now, ask(id, SECOND))) {
+            for (Action a : decide.onEvent(now, ask(id, SECOND))) {
                 last = a instanceof Refuse r ? r.why().kind() : last;
             }
         }
@@ -121,42 +128,52 @@
 
     @Test
     void theEndOfTimeOfAttemptsAndOfHarmlessRepeatsIsTold() {
-        start(Repeat.SAFE, List.of(R1, W1));
-        Send read = only(decide.on(now, ask(1, SECOND)), Send.class);
+        start(Idempotency.SAFE, List.of(R1, W1));
+        Send read = only(decide.onEvent(now, ask(1, SECOND)), Send.class);
         now += SECOND;
-        List<Action> late = decide.on(now, new TimerFired(1));
+        List<Action> late = decide.onEvent(now, new TimerFired(1));
         assertEquals(
                 Reason.compared(Kind.DEADLINE, SECOND, SECOND), only(late, Refuse.class).why());
         assertEquals(Kind.DEADLINE, only(late, Cancel.class).why().kind());
-        decide.on(
+        decide.onEvent(
                 now,
                 new AttemptEnded(
-                        1, 0, read.server(), Outcome.CANCELLED, SECOND, true, 0, Load.NONE));
+                        1, 0, read.server(), Outcome.CANCELLED, SECOND, true, 0, ServerLoad.NONE));
 
-        start(Repeat.UNSAFE, List.of(R1, W1));
-        read = only(decide.on(now, ask(1, SECOND)), Send.class);
-        decide.on(
+        start(Idempotency.UNSAFE, List.of(R1, W1));
+        read = only(decide.onEvent(now, ask(1, SECOND)), Send.class);
+        decide.onEvent(
                 now,
-                new AttemptEnded(1, 0, read.server(), Outcome.READ, 1000, false, 0, Load.NONE));
+                new AttemptEnded(
+                        1, 0, read.server(), Outcome.READ, 1000, false, 0, ServerLoad.NONE));
         Fail fail =
                 only(
-                        decide.on(
+                        decide.onEvent(
                                 now,
                                 new AttemptEnded(
-                                        1, 1, "w1", Outcome.ERROR, 1000, false, 0, Load.NONE)),
+                                        1,
+                                        1,
+                                        "w1",
+                                        Outcome.ERROR,
+                                        1000,
+                                        false,
+                                        0,
+                                        ServerLoad.NONE)),
                         Fail.class);
         assertEquals(Kind.REPEAT_UNSAFE, fail.why().kind());
 
-        start(Repeat.SAFE, List.of(R1, W1));
-        decide.on(now, ask(1, SECOND));
-        decide.on(now, new AttemptEnded(1, 0, "r1", Outcome.READ, 1000, false, 0, Load.NONE));
-        decide.on(now, new AttemptEnded(1, 1, "w1", Outcome.FULL, 1000, false, 0, Load.NONE));
+        start(Idempotency.SAFE, List.of(R1, W1));
+        decide.onEvent(now, ask(1, SECOND));
+        decide.onEvent(
+                now, new AttemptEnded(1, 0, "r1", Outcome.READ, 1000, false, 0, ServerLoad.NONE));
+        decide.onEvent(
+                now, new AttemptEnded(1, 1, "w1", Outcome.FULL, 1000, false, 0, ServerLoad.NONE));
         Refuse full =
                 only(
-                        decide.on(
+                        decide.onEvent(
                                 now,
                                 new AttemptEnded(
-                                        1, 2, "w1", Outcome.FULL, 1000, false, 0, Load.NONE)),
+                                        1, 2, "w1", Outcome.FULL, 1000, false, 0, ServerLoad.NONE)),
                         Refuse.class);
         assertEquals(Reason.compared(Kind.TOLD_FULL, 3, 3), full.why());
     }
--- a/decide/src/test/java/sorrelhoist/RulesTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RulesTest.java
@@ -1,11 +1,11 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static sorrelhoist.Fixtures.RELEASE;
-import static sorrelhoist.Fixtures.SECOND;
-import static sorrelhoist.Fixtures.settings;
+import static sorrelhoist.routing.Fixtures.RELEASE;
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.settings;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -14,7 +14,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /** The five rules over long, seeded, legal histories under varied settings. */
 class RulesTest {
@@ -24,9 +24,9 @@
 
     @Test
     void theRulesHoldOverRandomHistories() {
-        List<Settings> variants = new ArrayList<>();
-        for (Repeat repeat : Repeat.values()) {
-            for (Scope scope : Scope.values()) {
+        List<RoutingSettings> variants = new ArrayList<>();
+        for (Idempotency repeat : Idempotency.values()) {
+            for (IdempotencyScope scope : IdempotencyScope.values()) {
                 boolean odd = variants.size() % 2 == 1;
                 variants.add(
                         settings(
@@ -35,7 +35,7 @@
                                 odd,
                                 odd ? List.of(new Tenant(3), new Tenant(9)) : List.of(),
                                 odd,
-                                Reports.values()[variants.size() % 3],
+                                LoadReportMode.values()[variants.size() % 3],
                                 odd,
                                 variants.size() % 3 != 0,
                                 2 + variants.size() % 5));
@@ -52,7 +52,7 @@
 
     @Test
     void equalEventsGiveEqualActions() {
-        Settings s = settings(Repeat.SAFE, Scope.ALL, false, List.of());
+        RoutingSettings s = settings(Idempotency.SAFE, IdempotencyScope.ALL, false, List.of());
         History a = new History(s, 5);
         History b = new History(s, 5);
         a.play();
@@ -85,9 +85,9 @@
 
     /** A world that draws legal events and checks every action against the rules. */
     private static final class History {
-        final Settings settings;
+        final RoutingSettings settings;
         final Random random;
-        final Decide decide;
+        final RoutingPolicy decide;
         final Map<String, Server> servers = new TreeMap<>();
         final Map<Long, Open> requests = new TreeMap<>();
         final TreeMap<Long, List<Long>> timers = new TreeMap<>();
@@ -100,15 +100,15 @@
         int refused;
         int failed;
 
-        History(Settings settings, int seed) {
+        History(RoutingSettings settings, int seed) {
             this.settings = settings;
             this.random = new Random(seed);
-            this.decide = new Decide(settings, seed);
+            this.decide = new RoutingPolicy(settings, seed);
             for (int i = 0; i < 12; i++) {
                 int kind = i < 5 ? 0 : i < 10 ? 1 : 2;
                 put(new Server("s" + i, i % 2, kind, i % 4, ServerState.SERVING, 1, 0));
             }
-            give(new Members(ListForm.RESTORED, List.copyOf(servers.values())));
+            give(new Members(ListUpdateKind.RESTORED, List.copyOf(servers.values())));
         }
 
         void put(Server s) {
@@ -167,12 +167,12 @@
                             s.size(),
                             restart ? now : s.since()));
             if (random.nextInt(4) == 0) {
-                give(new Members(ListForm.UNAVAILABLE, List.of()));
+                give(new Members(ListUpdateKind.UNAVAILABLE, List.of()));
             }
             boolean whole = random.nextBoolean();
             give(
                     new Members(
-                            whole ? ListForm.COMPLETE : ListForm.UPDATE,
+                            whole ? ListUpdateKind.COMPLETE : ListUpdateKind.UPDATE,
                             whole ? List.copyOf(servers.values()) : List.of(servers.get(s.id()))));
         }
 
@@ -198,7 +198,7 @@
 
         void end(Open r, int n) {
             Send s = r.out.get(n);
-            Role role = settings.kinds().get(servers.get(s.server()).kind()).role();
+            Role role = settings.serverKinds().get(servers.get(s.server()).kind()).role();
             Outcome outcome = draw(role);
             boolean late = s.cutAt() <= now || r.deadline <= now;
             if (!r.streaming && late) {
@@ -237,8 +237,8 @@
                             r.over,
                             note,
                             random.nextBoolean()
-                                    ? Load.NONE
-                                    : new Load(
+                                    ? ServerLoad.NONE
+                                    : new ServerLoad(
                                             random.nextDouble(),
                                             random.nextInt(9000),
                                             1,
@@ -259,7 +259,7 @@
         }
 
         void give(Event event) {
-            for (Action a : decide.on(now, event)) {
+            for (Action a : decide.onEvent(now, event)) {
                 log.append(now).append(a).append('\n');
                 take(a);
             }
@@ -278,13 +278,13 @@
             } else if (action instanceof Release a) {
                 requests.get(a.id()).state = false;
             } else if (action instanceof Cancel a) {
-                assertTrue(settings.limits().cancel());
+                assertTrue(settings.capabilities().cancel());
                 requests.get(a.id()).endsAt.computeIfPresent(a.attempt(), (n, t) -> now + STEP);
             } else if (action instanceof Timer a) {
                 timers.computeIfAbsent(now + Math.max(1, a.delayMicros()), t -> new ArrayList<>())
                         .add(a.token());
             } else if (action instanceof Probe) {
-                assertTrue(settings.limits().probes());
+                assertTrue(settings.capabilities().probes());
             }
         }
 
@@ -293,17 +293,21 @@
             Server s = servers.get(a.server());
             assertTrue(r != null && !r.over, "sent after the end");
             assertTrue(r.out.isEmpty(), "two attempts at once");
-            assertTrue(r.sends < settings.limits().maxAttempts(), "too many attempts");
+            assertTrue(r.sends < settings.capabilities().maxAttempts(), "too many attempts");
             assertEquals(ServerState.SERVING, s.state(), "sent to a server that drains or is gone");
-            if (r.mayHaveRun != null && settings.classes().get(0).repeat() != Repeat.SAFE) {
-                assertEquals(Repeat.KEYED, settings.classes().get(0).repeat());
+            if (r.mayHaveRun != null
+                    && settings.classes().get(0).idempotency() != Idempotency.SAFE) {
+                assertEquals(Idempotency.KEYED, settings.classes().get(0).idempotency());
                 assertTrue(
-                        now < r.mayHaveRunSentAt + settings.classes().get(0).repeatWindowMicros());
-                Scope scope = settings.classes().get(0).scope();
+                        now
+                                < r.mayHaveRunSentAt
+                                        + settings.classes().get(0).idempotencyWindowMicros());
+                IdempotencyScope scope = settings.classes().get(0).idempotencyScope();
                 assertTrue(
-                        scope == Scope.ALL
-                                || scope == Scope.ZONE && s.zone() == r.mayHaveRun.zone()
-                                || scope == Scope.CELL && s.cell() == r.mayHaveRun.cell(),
+                        scope == IdempotencyScope.ALL
+                                || scope == IdempotencyScope.ZONE && s.zone() == r.mayHaveRun.zone()
+                                || scope == IdempotencyScope.CELL
+                                        && s.cell() == r.mayHaveRun.cell(),
                         "sent outside its group");
             }
             if (r.mayHaveRun == null) {
@@ -324,15 +328,15 @@
         void checkCold(Server s) {
             ArrayDeque<Long> sends = recentSends.computeIfAbsent(s.id(), id -> new ArrayDeque<>());
             sends.add(now);
-            sends.removeIf(t -> t <= now - settings.rules().fallMicros());
-            if (s.since() == 0 || now - s.since() >= settings.rules().coldMicros()) {
+            sends.removeIf(t -> t <= now - settings.serverLimits().overloadMicros());
+            if (s.since() == 0 || now - s.since() >= settings.serverLimits().warmUpMicros()) {
                 mostSent.merge(s.kind(), sends.size(), Math::max);
                 return;
             }
             long sinceStart = sends.stream().filter(t -> t >= s.since()).count();
             double bearable =
-                    settings.rules().fallMultiple()
-                            * settings.rules().coldFrom()
+                    settings.serverLimits().overloadMultiple()
+                            * settings.serverLimits().coldCapacityShare()
                             * mostSent.getOrDefault(s.kind(), 0);
             assertTrue(sinceStart <= Math.max(1, bearable), s.id() + " cold got " + sinceStart);
         }
@@ -351,13 +355,14 @@
                     r.out.values().stream()
                             .anyMatch(
                                     s ->
-                                            settings.kinds()
+                                            settings.serverKinds()
                                                             .get(servers.get(s.server()).kind())
                                                             .role()
                                                     != Role.READ);
-            return c.repeat() == Repeat.SAFE
+            return c.idempotency() == Idempotency.SAFE
                     || r.mayHaveRun == null && !writing
-                    || c.repeat() == Repeat.KEYED && c.scope() == Scope.ALL;
+                    || c.idempotency() == Idempotency.KEYED
+                            && c.idempotencyScope() == IdempotencyScope.ALL;
         }
 
         void check() {
--- a/decide/src/test/java/sorrelhoist/SlowStartTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/SlowStartTest.java
@@ -1,24 +1,24 @@
-package sorrelhoist;
+package sorrelhoist.routing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static sorrelhoist.Fixtures.SECOND;
-import static sorrelhoist.Fixtures.all;
-import static sorrelhoist.Fixtures.ended;
-import static sorrelhoist.Fixtures.fleet;
-import static sorrelhoist.Fixtures.plain;
-import static sorrelhoist.Fixtures.request;
-import static sorrelhoist.Fixtures.with;
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.ended;
+import static sorrelhoist.routing.Fixtures.fleet;
+import static sorrelhoist.routing.Fixtures.plain;
+import static sorrelhoist.routing.Fixtures.request;
+import static sorrelhoist.routing.Fixtures.with;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sorrelhoist.Routing.ListForm;
-import sorrelhoist.Routing.Members;
-import sorrelhoist.Routing.Outcome;
-import sorrelhoist.Routing.Send;
-import sorrelhoist.Routing.Server;
-import sorrelhoist.Routing.ServerState;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerState;
 
 /** A server that starts anew gets little, and no longer than the rules say. */
 class SlowStartTest {
@@ -27,17 +27,18 @@
     private static final long WINDOW = 3 * SECOND;
     private static final int MOST_COLD = 4; // as aColdServerIsNotPushedOver in DecideTest has it
     private static final int ASKED = 30;
-    private final Decide decide = new Decide(plain(), 1);
+    private final RoutingPolicy decide = new RoutingPolicy(plain(), 1);
     private long now = 100 * HOUR;
     private long ids;
 
-    private void told(ListForm form, long r1Since) {
+    private void told(ListUpdateKind form, long r1Since) {
         List<Server> servers =
                 fleet().stream()
                         .map(s -> s.id().equals("r1") ? with(s, ServerState.SERVING, r1Since) : s)
                         .toList();
-        decide.on(
-                now, new Members(form, form == ListForm.UPDATE ? servers.subList(0, 1) : servers));
+        decide.onEvent(
+                now,
+                new Members(form, form == ListUpdateKind.UPDATE ? servers.subList(0, 1) : servers));
     }
 
     /** {@return how many of some requests over one window go to r1} */
@@ -46,11 +47,15 @@
         for (int i = 0; i < ASKED; i++) {
             now += WINDOW / ASKED;
             for (Send read :
-                    all(decide.on(now, request(++ids, "s" + ids, null, 1000, 0)), Send.class)) {
+                    all(
+                            decide.onEvent(now, request(++ids, "s" + ids, null, 1000, 0)),
+                            Send.class)) {
                 sent += read.server().equals("r1") ? 1 : 0;
                 for (Send write :
-                        all(decide.on(now, ended(read, 0, Outcome.READ, 40_000, 0)), Send.class)) {
-                    decide.on(now, ended(write, 1, Outcome.DONE, 40_000, 0));
+                        all(
+                                decide.onEvent(now, ended(read, 0, Outcome.READ, 40_000, 0)),
+                                Send.class)) {
+                    decide.onEvent(now, ended(write, 1, Outcome.DONE, 40_000, 0));
                 }
             }
         }
@@ -61,12 +66,13 @@
     @ParameterizedTest
     @ValueSource(longs = {-7300, 0})
     void anotherStartIsAnotherProcessAlsoWhereItLiesBeforeTheFormerOne(long stepSeconds) {
-        told(ListForm.COMPLETE, now - 2 * HOUR);
-        Send held = all(decide.on(now, request(++ids, "kept", null, 1000, 0)), Send.class).get(0);
-        decide.on(now, ended(held, 0, Outcome.READ, 40_000, 0));
-        told(ListForm.UPDATE, now + stepSeconds * SECOND);
+        told(ListUpdateKind.COMPLETE, now - 2 * HOUR);
+        Send held =
+                all(decide.onEvent(now, request(++ids, "kept", null, 1000, 0)), Send.class).get(0);
+        decide.onEvent(now, ended(held, 0, Outcome.READ, 40_000, 0));
+        told(ListUpdateKind.UPDATE, now + stepSeconds * SECOND);
         assertTrue(
-                decide.known(now, 10).keys().stream()
+                decide.exportKnowledge(now, 10).keys().stream()
                         .filter(k -> k.name().equals("kept"))
                         .flatMap(k -> k.holders().stream())
                         .noneMatch(h -> h.server().equals("r1")),
@@ -76,7 +82,7 @@
     @ParameterizedTest
     @ValueSource(longs = {3600, 1_000_000_000, Long.MAX_VALUE / 2_000_000})
     void noServerIsHeldColdForLongerThanTheRulesSay(long stepSeconds) {
-        told(ListForm.COMPLETE, now + stepSeconds * SECOND);
+        told(ListUpdateKind.COMPLETE, now + stepSeconds * SECOND);
         assertTrue(sentInAWindow() <= MOST_COLD, "cold where its start is told to come");
         now += COLD;
         assertTrue(sentInAWindow() > MOST_COLD, "warm after the time of the rules");
@@ -84,12 +90,12 @@
 
     @Test
     void aListToldAgainIsNoRestart() {
-        told(ListForm.COMPLETE, now - 2 * HOUR);
+        told(ListUpdateKind.COMPLETE, now - 2 * HOUR);
         long since = now - 2 * HOUR;
         int before = sentInAWindow();
-        decide.on(now, new Members(ListForm.COMPLETE, List.of()));
+        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, List.of()));
         now += HOUR;
-        told(ListForm.COMPLETE, since);
+        told(ListUpdateKind.COMPLETE, since);
         assertTrue(
                 before > MOST_COLD && sentInAWindow() > MOST_COLD,
                 "the same process, seen again, is warm");
@@ -97,7 +103,7 @@
 
     @Test
     void aRouterThatStartsTakesTheAgesOfItsFirstListAsTheyAreTold() {
-        told(ListForm.COMPLETE, now - COLD - SECOND);
+        told(ListUpdateKind.COMPLETE, now - COLD - SECOND);
         assertTrue(sentInAWindow() > MOST_COLD);
     }
 }
--- a/edge/src/main/java/sorrelhoist/edge/Client.java
+++ b/edge/src/main/java/sorrelhoist/edge/Client.java
@@ -1,6 +1,6 @@
 package sorrelhoist.edge;
 
-import sorrelhoist.core.life.Answer;
+import sorrelhoist.core.request.RequestResult;
 
 /** A client's side of a request. Told on the router's thread; hops to its own where it has to. */
 interface Client {
@@ -14,5 +14,5 @@
     void token(int index, String text, Runnable credit);
 
     /** Its one final answer. */
-    void finish(Answer answer);
+    void finish(RequestResult answer);
 }
--- a/edge/src/main/java/sorrelhoist/edge/Edge.java
+++ b/edge/src/main/java/sorrelhoist/edge/Edge.java
@@ -15,15 +15,14 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sorrelhoist.Knowledge;
-import sorrelhoist.core.know.LearnPlan;
-import sorrelhoist.core.know.Processes;
-import sorrelhoist.core.know.Seal;
-import sorrelhoist.core.life.RouterSettings;
 import sorrelhoist.core.members.EngineTable;
-import sorrelhoist.core.record.Shelf;
-import sorrelhoist.core.record.Tap;
-import sorrelhoist.core.sched.Background;
+import sorrelhoist.core.record.DecisionListener;
+import sorrelhoist.core.record.SegmentRetention;
+import sorrelhoist.core.request.RouterSettings;
+import sorrelhoist.core.scheduling.BackgroundScheduler;
+import sorrelhoist.core.statetransfer.DonorSelection;
+import sorrelhoist.core.statetransfer.MessageAuthenticator;
+import sorrelhoist.core.statetransfer.ProcessIdentityTranslator;
 import sorrelhoist.edge.past.FolderDisk;
 import sorrelhoist.edge.past.PastWork;
 import sorrelhoist.edge.record.RecordFolder;
@@ -34,23 +33,24 @@
 import sorrelhoist.protocol.grpc.GrpcServer;
 import sorrelhoist.protocol.http2.Http2Connection;
 import sorrelhoist.protocol.http2.Http2Limits;
-import sorrelhoist.protocol.net.Net;
+import sorrelhoist.protocol.net.LoopbackTransport;
+import sorrelhoist.routing.Knowledge;
 
 /**
  * An edge: client listener, router, engine connections and the stream to the planner, put together.
  */
-public final class Edge implements Http2Connection.Watcher {
+public final class Edge implements Http2Connection.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Edge.class);
     private static final int SEGMENTS = 8; // so that an eighth of the record goes at a time
     private static final long MINUTE = 60_000_000;
     private static final int MESSAGE_OVERHEAD = 64 << 10;
     private static final long LOOK_MILLIS = 20;
-    private static final Background.Job PAST =
-            new Background.Job("past", 1, 50_000, 16 << 20, 10_000_000);
-    private static final Background.Job RECORD =
-            new Background.Job("record", 3, 50_000, 64 << 20, 100_000);
-    private static final Background.Job TEACH =
-            new Background.Job("teach", 2, 30_000, 4 << 20, 5_000_000);
+    private static final BackgroundScheduler.Job PAST =
+            new BackgroundScheduler.Job("past", 1, 50_000, 16 << 20, 10_000_000);
+    private static final BackgroundScheduler.Job RECORD =
+            new BackgroundScheduler.Job("record", 3, 50_000, 64 << 20, 100_000);
+    private static final BackgroundScheduler.Job TEACH =
+            new BackgroundScheduler.Job("teach", 2, 30_000, 4 << 20, 5_000_000);
     private final EdgeSettings settings;
     private final EventLoopGroup network;
     private final RouterLoop loop;
@@ -86,11 +86,11 @@
         this.tracing = new Tracing(telemetry);
         EdgeSettings.ServingSettings s = settings.serving();
         long incarnation = System.currentTimeMillis();
-        network = Net.loops(s.threads(), "edge-net");
+        network = LoopbackTransport.newEventLoops(s.threads(), "edge-net");
         RouterSettings router = settings.router(incarnation);
         record =
                 settings.record().folder().isEmpty() ? null : openRecord(settings.record(), router);
-        loop = new RouterLoop(router, record == null ? Tap.NONE : record.tap());
+        loop = new RouterLoop(router, record == null ? DecisionListener.NONE : record.tap());
         EngineTable table =
                 new EngineTable(
                         settings.zones(),
@@ -119,14 +119,17 @@
                         network.next(),
                         () -> recall(table),
                         this::tellLearner);
-        Seal seal = settings.teachKeys().isEmpty() ? null : seal(settings.teachKeys());
+        MessageAuthenticator seal =
+                settings.teachKeys().isEmpty() ? null : seal(settings.teachKeys());
         teacher =
                 seal == null
                         ? null
                         : new Teacher(
                                 settings.name(),
                                 seal,
-                                most -> Processes.outward(loop.known(most), table),
+                                most ->
+                                        ProcessIdentityTranslator.toIncarnations(
+                                                loop.known(most), table),
                                 what -> loop.post(r -> what.run()),
                                 () -> loop.due(TEACH));
         learner =
@@ -138,17 +141,24 @@
                                 seal,
                                 network.next(),
                                 this::known,
-                                k -> loop.post(r -> loop.learn(Processes.inward(k, table), 0)));
+                                k ->
+                                        loop.post(
+                                                r ->
+                                                        loop.learn(
+                                                                ProcessIdentityTranslator
+                                                                        .toLocalStartTimes(
+                                                                                k, table),
+                                                                0)));
         loop.connect(engines, planner);
     }
 
-    private static Seal seal(List<EdgeSettings.KeySettings> keys) {
+    private static MessageAuthenticator seal(List<EdgeSettings.KeySettings> keys) {
         Map<String, String> secrets = new LinkedHashMap<>();
         keys.forEach(k -> secrets.put(k.id(), k.secret()));
-        return new Seal(secrets);
+        return new MessageAuthenticator(secrets);
     }
 
-    private void tellLearner(List<LearnPlan.Peer> peers) {
+    private void tellLearner(List<DonorSelection.Donor> peers) {
         if (learner != null) {
             learner.peers(peers);
         }
@@ -156,8 +166,8 @@
 
     private static RecordWork openRecord(EdgeSettings.RecordSettings s, RouterSettings router) {
         long bytes = (long) s.megabytes() << 20;
-        Shelf.Bounds bounds =
-                new Shelf.Bounds(
+        SegmentRetention.Limits bounds =
+                new SegmentRetention.Limits(
                         Math.max(1 << 20, bytes / SEGMENTS),
                         bytes,
                         s.minutes() * MINUTE,
@@ -205,13 +215,20 @@
 
     private void keepPast(EngineTable table) {
         past.restore(loop.now())
-                .forEach(m -> loop.learn(Processes.inward(m.knowledge(), table), m.age()));
+                .forEach(
+                        m ->
+                                loop.learn(
+                                        ProcessIdentityTranslator.toLocalStartTimes(
+                                                m.knowledge(), table),
+                                        m.age()));
         loop.background(
                 PAST,
                 now -> {
                     int keys = past.keysDue(now);
                     if (keys > 0) {
-                        past.write(now, Processes.outward(loop.known(keys), table));
+                        past.write(
+                                now,
+                                ProcessIdentityTranslator.toIncarnations(loop.known(keys), table));
                     }
                     return past.nextAt();
                 });
@@ -232,12 +249,12 @@
         Http2Limits limits =
                 Http2Limits.SERVER.withMaxStreams(settings.serving().streamsPerConnection());
         listener =
-                Net.listen(
+                LoopbackTransport.listen(
                         network,
                         settings.port(),
                         () -> Http2Connection.server(limits, server, this));
         if (teacher != null) {
-            server.on(Teacher.TEACH, teacher::open);
+            server.addMethod(Teacher.TEACH, teacher::open);
             loop.background(
                     TEACH,
                     now -> {
@@ -260,7 +277,7 @@
 
     /** {@return the port on which clients are served} */
     public int port() {
-        return Net.port(listener);
+        return LoopbackTransport.localPort(listener);
     }
 
     /** {@return requests without a final answer, a moment ago} */
@@ -288,22 +305,22 @@
                 r ->
                         result.complete(
                                 new int[] {
-                                    r.open(),
+                                    r.openRequests(),
                                     r.known(),
-                                    r.attemptsOut(),
-                                    r.held(),
+                                    r.runningAttempts(),
+                                    r.wantedReservations(),
                                     engines.flights()
                                 }));
         return result;
     }
 
     @Override
-    public void ready(Http2Connection connection) {
+    public void onReady(Http2Connection connection) {
         clients.add(connection);
     }
 
     @Override
-    public void closed(Http2Connection connection, String why) {
+    public void onClosed(Http2Connection connection, String why) {
         clients.remove(connection);
         LOG.atDebug()
                 .addKeyValue("event", "client_closed")
@@ -322,13 +339,13 @@
                 .addKeyValue("event", "draining")
                 .addKeyValue("open", open())
                 .log("edge drains");
-        loop.post(sorrelhoist.core.life.Router::drainNow);
-        clients.forEach(c -> c.executor().execute(c::drain));
+        loop.post(sorrelhoist.core.request.Router::startDraining);
+        clients.forEach(c -> c.executor().execute(c::shutdownGracefully));
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(settings.serving().drainMs());
         while (loop.open() > 0 && System.nanoTime() < end && !hurry.getAsBoolean()) {
             pause();
         }
-        loop.post(r -> r.endAll(loop.now(), "the edge stops"));
+        loop.post(r -> r.failAllRequests(loop.now(), "the edge stops"));
         long last = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
         while ((loop.open() > 0 || !clients.isEmpty()) && System.nanoTime() < last) {
             pause();
--- a/edge/src/main/java/sorrelhoist/edge/EdgeSettings.java
+++ b/edge/src/main/java/sorrelhoist/edge/EdgeSettings.java
@@ -1,8 +1,8 @@
 package sorrelhoist.edge;
 
 import java.util.List;
-import sorrelhoist.Routing;
-import sorrelhoist.core.life.RouterSettings;
+import sorrelhoist.core.request.RouterSettings;
+import sorrelhoist.routing.Routing;
 
 /**
  * What an edge is told at its start.
@@ -181,17 +181,17 @@
 
     /** {@return the same for the decisions} */
     public RouterSettings router(long incarnation) {
-        Routing.Settings decide =
-                new Routing.Settings(
+        Routing.RoutingSettings decide =
+                new Routing.RoutingSettings(
                         routers,
                         0,
                         zones.indexOf(zone),
                         false,
                         limits.overShareWorth(),
                         switch (limits.reports()) {
-                            case "outcomes" -> Routing.Reports.IN_OUTCOMES;
-                            case "probes" -> Routing.Reports.IN_PROBES;
-                            default -> Routing.Reports.NONE;
+                            case "outcomes" -> Routing.LoadReportMode.IN_OUTCOMES;
+                            case "probes" -> Routing.LoadReportMode.IN_PROBES;
+                            default -> Routing.LoadReportMode.NONE;
                         },
                         classes.stream()
                                 .map(
@@ -200,19 +200,21 @@
                                                         c.aimMs() * 1000,
                                                         c.aimMsPer1000() * 1000,
                                                         c.worth(),
-                                                        Routing.Repeat.valueOf(upper(c.repeat())),
-                                                        Routing.Scope.valueOf(upper(c.scope())),
+                                                        Routing.Idempotency.valueOf(
+                                                                upper(c.repeat())),
+                                                        Routing.IdempotencyScope.valueOf(
+                                                                upper(c.scope())),
                                                         c.repeatWindowMs() * 1000))
                                 .toList(),
                         tenants.stream().map(t -> new Routing.Tenant(t.perSecond())).toList(),
                         kinds.stream()
                                 .map(
                                         k ->
-                                                new Routing.Kind(
+                                                new Routing.ServerKind(
                                                         Routing.Role.valueOf(upper(k.role())),
                                                         k.memoryTokens()))
                                 .toList(),
-                        new Routing.Limits(
+                        new Routing.Capabilities(
                                 limits.maxAttempts(),
                                 limits.cancel(),
                                 limits.probes(),
@@ -222,7 +224,7 @@
                                 limits.tells(),
                                 limits.probePrice(),
                                 limits.tellPrice()),
-                        new Routing.Rules(
+                        new Routing.ServerLimits(
                                 rules.coldFrom(),
                                 rules.coldMs() * 1000,
                                 rules.fallMultiple(),
--- a/edge/src/main/java/sorrelhoist/edge/Engines.java
+++ b/edge/src/main/java/sorrelhoist/edge/Engines.java
@@ -8,14 +8,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sorrelhoist.Reason;
-import sorrelhoist.Routing.Load;
-import sorrelhoist.Routing.Outcome;
-import sorrelhoist.core.life.AttemptId;
-import sorrelhoist.core.life.Call;
-import sorrelhoist.core.life.Command;
-import sorrelhoist.core.life.EngineCommands;
 import sorrelhoist.core.members.EngineTable;
+import sorrelhoist.core.request.AttemptId;
+import sorrelhoist.core.request.Command;
+import sorrelhoist.core.request.EngineCommands;
+import sorrelhoist.core.request.InferenceRequest;
 import sorrelhoist.protocol.engine.DecodeEvent;
 import sorrelhoist.protocol.engine.DecodeRequest;
 import sorrelhoist.protocol.engine.EngineApi;
@@ -28,10 +25,13 @@
 import sorrelhoist.protocol.engine.ReserveRequest;
 import sorrelhoist.protocol.grpc.ClientCall;
 import sorrelhoist.protocol.grpc.GrpcChannel;
+import sorrelhoist.protocol.grpc.GrpcTimeout;
 import sorrelhoist.protocol.grpc.Status;
-import sorrelhoist.protocol.grpc.Timeouts;
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.protobuf.ProtoException;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.ServerLoad;
 
 /**
  * Carries commands to engines and their answers back. Called on the router's thread; calls run on
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void drop(Command.Drop command) {
+    public void cancelAttempt(Command.CancelAttempt command) {
         Flight flight = flights.remove(command.attempt());
         if (flight != null) {
             tracing.attemptEnded(flight.span(), "dropped");
@@ -78,17 +78,17 @@
     }
 
     @Override
-    public void releaseExpired(Command.ReleaseExpired command) {
+    public void reportExpiredRelease(Command.ReportExpiredRelease command) {
         LOG.atWarn()
                 .addKeyValue("event", "release_expired")
-                .addKeyValue("request", command.name())
+                .addKeyValue("request", command.requestName())
                 .addKeyValue("engine", command.engine())
-                .addKeyValue("calls", command.calls())
+                .addKeyValue("calls", command.releaseCalls())
                 .log("what is held for a request was not released in time");
     }
 
     @Override
-    public void closeIdle(Command.CloseIdle command) {
+    public void closeIdleConnections(Command.CloseIdleConnections command) {
         GrpcChannel channel = channel(command.engine());
         if (channel != null) {
             onNetwork(channel, channel::closeIdle);
@@ -102,7 +102,7 @@
             return known;
         }
         if (known != null) {
-            known.loop().execute(known::shut);
+            known.loop().execute(known::shutdown);
         }
         GrpcChannel fresh;
         try {
@@ -135,14 +135,14 @@
 
     private Headers until(long until) {
         long left = until == Long.MAX_VALUE ? MAX_HOP : Math.max(1, until - loop.now());
-        return new Headers().add("grpc-timeout", Timeouts.format(left));
+        return new Headers().add("grpc-timeout", GrpcTimeout.format(left));
     }
 
     private void fly(
             AttemptId id,
             String engine,
             String path,
-            Call asked,
+            InferenceRequest asked,
             String name,
             long until,
             byte[] request,
@@ -150,7 +150,10 @@
             Answers answers) {
         GrpcChannel channel = channel(engine);
         if (channel == null) {
-            loop.post(r -> r.attemptLost(loop.now(), id, Outcome.CONNECT_FAILED, 0, Load.NONE));
+            loop.post(
+                    r ->
+                            r.attemptFailed(
+                                    loop.now(), id, Outcome.CONNECT_FAILED, 0, ServerLoad.NONE));
             return;
         }
         answers.on = channel.loop();
@@ -160,145 +163,154 @@
         }
         Object span =
                 tracing.attempt(
-                        asked.trace(),
+                        asked.attachment(),
                         path.equals(EngineApi.PREFILL) ? "prefill" : "decode",
                         engine,
                         name,
                         id.number(),
                         metadata,
                         why);
-        ClientCall call = channel.call(path, metadata, answers);
+        ClientCall call = channel.newCall(path, metadata, answers);
         call.sendLast(request);
         flights.put(id, new Flight(channel, call, span));
         onNetwork(channel, () -> channel.start(call));
     }
 
     @Override
-    public void release(Command.Release command) {
+    public void releaseReservation(Command.ReleaseReservation command) {
         GrpcChannel channel = channel(command.engine());
         if (channel == null) {
-            loop.post(r -> r.releaseEnded(loop.now(), command.id(), false));
+            loop.post(r -> r.releaseCompleted(loop.now(), command.releaseId(), false));
             return;
         }
         ClientCall call =
-                channel.call(
+                channel.newCall(
                         EngineApi.RELEASE,
-                        until(loop.now() + options.dialMicros() * 4),
+                        until(loop.now() + options.connectTimeoutMicros() * 4),
                         new Unheard() {
                             @Override
-                            public void closed(
+                            public void onClose(
                                     ClientCall c,
                                     Status status,
                                     Headers trailers,
-                                    ClientCall.End end) {
-                                boolean done = end == ClientCall.End.STATUS && status.isOk();
+                                    ClientCall.Termination end) {
+                                boolean done =
+                                        end == ClientCall.Termination.STATUS && status.isOk();
                                 loop.post(
                                         r -> {
-                                            releases.remove(command.id());
-                                            r.releaseEnded(loop.now(), command.id(), done);
+                                            releases.remove(command.releaseId());
+                                            r.releaseCompleted(
+                                                    loop.now(), command.releaseId(), done);
                                         });
                             }
                         });
         call.sendLast(
-                new ReleaseRequest(command.name(), command.state(), command.place(), command.upTo())
-                        .bytes());
-        releases.put(command.id(), new Flight(channel, call, null));
+                new ReleaseRequest(
+                                command.requestName(),
+                                command.prefillState(),
+                                command.decodeSlot(),
+                                command.upToAttempt())
+                        .toByteArray());
+        releases.put(command.releaseId(), new Flight(channel, call, null));
         onNetwork(channel, () -> channel.start(call));
     }
 
     @Override
     public void abandonRelease(Command.AbandonRelease command) {
-        Flight flight = releases.remove(command.id());
+        Flight flight = releases.remove(command.releaseId());
         if (flight != null) {
             onNetwork(flight.channel(), flight.call()::cancel);
         }
     }
 
     @Override
-    public void read(Command.Read o) {
+    public void startPrefill(Command.StartPrefill o) {
         PrefillRequest request =
                 new PrefillRequest(
-                        o.name(),
-                        o.call().clientId(),
+                        o.requestName(),
+                        o.request().clientRequestId(),
                         edge,
                         o.attempt().number(),
                         o.prompt(),
                         (int) o.promptTokens(),
-                        o.call().maxTokens(),
-                        o.call().cls());
+                        o.request().maxOutputTokens(),
+                        o.request().classIndex());
         fly(
                 o.attempt(),
                 o.engine(),
                 EngineApi.PREFILL,
-                o.call(),
-                o.name(),
-                o.until(),
-                request.bytes(),
-                o.why(),
+                o.request(),
+                o.requestName(),
+                o.deadlineMicros(),
+                request.toByteArray(),
+                o.reason(),
                 new Reading(o.attempt()));
     }
 
     @Override
-    public void write(Command.Write o) {
-        boolean alone = o.state() == null;
-        String readerAddress = alone ? "" : table.address(o.state().engine());
+    public void startDecode(Command.StartDecode o) {
+        boolean alone = o.prefillState() == null;
+        String readerAddress = alone ? "" : table.address(o.prefillState().engine());
         DecodeRequest request =
                 new DecodeRequest(
-                        o.name(),
-                        o.call().clientId(),
+                        o.requestName(),
+                        o.request().clientRequestId(),
                         edge,
                         o.attempt().number(),
-                        alone ? "" : o.state().state(),
+                        alone ? "" : o.prefillState().stateId(),
                         readerAddress,
                         alone ? o.prompt() : "",
                         (int) o.promptTokens(),
-                        o.call().maxTokens(),
-                        o.fromToken(),
-                        o.place(),
-                        o.call().cls());
+                        o.request().maxOutputTokens(),
+                        o.firstTokenIndex(),
+                        o.decodeSlot(),
+                        o.request().classIndex());
         fly(
                 o.attempt(),
                 o.engine(),
                 EngineApi.DECODE,
-                o.call(),
-                o.name(),
-                o.until(),
-                request.bytes(),
-                o.why(),
+                o.request(),
+                o.requestName(),
+                o.deadlineMicros(),
+                request.toByteArray(),
+                o.reason(),
                 new Writing(o.attempt()));
     }
 
     @Override
-    public void reserve(Command.Reserve o) {
+    public void reserveDecodeSlot(Command.ReserveDecodeSlot o) {
         GrpcChannel channel = channel(o.engine());
         if (channel == null) {
             return;
         }
         ClientCall call =
-                channel.call(
+                channel.newCall(
                         EngineApi.RESERVE,
-                        until(loop.now() + options.dialMicros()),
+                        until(loop.now() + options.connectTimeoutMicros()),
                         new Unheard() {
                             @Override
-                            public void message(ClientCall c, byte[] message, int wireBytes) {
+                            public void onMessage(ClientCall c, byte[] message, int wireBytes) {
                                 try {
                                     ReserveReply reply = ReserveReply.parse(message);
                                     loop.post(
                                             r ->
-                                                    r.placeAnswered(
+                                                    r.decodeSlotAnswered(
                                                             loop.now(),
-                                                            o.request(),
+                                                            o.requestId(),
                                                             o.engine(),
-                                                            reply.held(),
-                                                            reply.placeId()));
+                                                            reply.reserved(),
+                                                            reply.reservationId()));
                                 } catch (ProtoException e) {
                                     c.cancel();
                                 }
                             }
                         });
         call.sendLast(
-                new ReserveRequest(o.name(), (int) o.call().promptTokens(), o.call().maxTokens())
-                        .bytes());
+                new ReserveRequest(
+                                o.requestName(),
+                                (int) o.request().promptTokens(),
+                                o.request().maxOutputTokens())
+                        .toByteArray());
         onNetwork(channel, () -> channel.start(call));
     }
 
@@ -308,25 +320,30 @@
     }
 
     void stop() {
-        channels.values().forEach(c -> c.loop().execute(c::shut));
+        channels.values().forEach(c -> c.loop().execute(c::shutdown));
     }
 
-    private static Load load(Headers trailers) {
-        LoadReport r = EngineApi.load(trailers);
+    private static ServerLoad load(Headers trailers) {
+        LoadReport r = EngineApi.loadReport(trailers);
         return r == null
-                ? Load.NONE
-                : new Load(r.memoryShare(), r.waitingTokens(), r.held(), r.queued());
+                ? ServerLoad.NONE
+                : new ServerLoad(
+                        r.memoryUtilization(),
+                        r.queuedTokens(),
+                        r.inFlightRequests(),
+                        r.queuedRequests());
     }
 
     /** For calls whose answer tells nothing. */
     private static class Unheard implements ClientCall.Listener {
         @Override
-        public void message(ClientCall call, byte[] message, int wireBytes) {
-            call.credit(wireBytes);
+        public void onMessage(ClientCall call, byte[] message, int wireBytes) {
+            call.consumeBytes(wireBytes);
         }
 
         @Override
-        public void closed(ClientCall call, Status status, Headers trailers, ClientCall.End end) {
+        public void onClose(
+                ClientCall call, Status status, Headers trailers, ClientCall.Termination end) {
             // Told or not, nothing waits for it.
         }
     }
@@ -340,27 +357,28 @@
             this.id = id;
         }
 
-        abstract boolean done(long now, sorrelhoist.core.life.Router router, Load load);
+        abstract boolean done(long now, sorrelhoist.core.request.Router router, ServerLoad load);
 
         @Override
-        public void closed(ClientCall call, Status status, Headers trailers, ClientCall.End end) {
-            if (end == ClientCall.End.CANCELLED) {
+        public void onClose(
+                ClientCall call, Status status, Headers trailers, ClientCall.Termination end) {
+            if (end == ClientCall.Termination.CANCELLED) {
                 return; // the router gave it up, and knows
             }
-            Load load = load(trailers);
+            ServerLoad load = load(trailers);
             loop.post(
                     r -> {
                         Flight flight = flights.remove(id);
                         if (flight == null) {
                             return;
                         }
-                        boolean ok = end == ClientCall.End.STATUS && status.isOk();
+                        boolean ok = end == ClientCall.Termination.STATUS && status.isOk();
                         Outcome outcome = ok ? Outcome.ERROR : Outcomes.of(status, end);
                         boolean done = ok && done(loop.now(), r, load);
                         tracing.attemptEnded(flight.span(), done ? "DONE" : outcome.toString());
                         if (!done) {
                             boolean noState = Outcomes.isMissingState(status, end);
-                            r.attemptLost(loop.now(), id, outcome, noState ? 1 : 0, load);
+                            r.attemptFailed(loop.now(), id, outcome, noState ? 1 : 0, load);
                         }
                     });
         }
@@ -373,7 +391,7 @@
                         Flight flight = flights.remove(id);
                         if (flight != null) {
                             tracing.attemptEnded(flight.span(), "nonsense");
-                            r.attemptLost(loop.now(), id, Outcome.ERROR, 0, Load.NONE);
+                            r.attemptFailed(loop.now(), id, Outcome.ERROR, 0, ServerLoad.NONE);
                         }
                     });
         }
@@ -387,8 +405,8 @@
         }
 
         @Override
-        public void message(ClientCall call, byte[] message, int wireBytes) {
-            call.credit(wireBytes);
+        public void onMessage(ClientCall call, byte[] message, int wireBytes) {
+            call.consumeBytes(wireBytes);
             try {
                 reply = PrefillReply.parse(message);
             } catch (ProtoException e) {
@@ -397,11 +415,11 @@
         }
 
         @Override
-        boolean done(long now, sorrelhoist.core.life.Router router, Load load) {
+        boolean done(long now, sorrelhoist.core.request.Router router, ServerLoad load) {
             if (reply == null) {
                 return false;
             }
-            router.readDone(now, id, reply.stateId(), reply.keptTokens(), load);
+            router.prefillCompleted(now, id, reply.stateId(), reply.cachedTokens(), load);
             return true;
         }
     }
@@ -416,7 +434,7 @@
         }
 
         @Override
-        public void message(ClientCall call, byte[] message, int wireBytes) {
+        public void onMessage(ClientCall call, byte[] message, int wireBytes) {
             DecodeEvent event;
             try {
                 event = DecodeEvent.parse(message);
@@ -427,13 +445,13 @@
             if (finish != null) {
                 nonsense(call); // tokens after the end
             } else if (event.finish() != null) {
-                call.credit(wireBytes);
+                call.consumeBytes(wireBytes);
                 finish = event.finish();
             } else {
                 Runnable credit = () -> taken(call, wireBytes);
                 loop.post(
                         r ->
-                                r.token(
+                                r.tokenReceived(
                                         loop.now(),
                                         id,
                                         event.token().index(),
@@ -448,16 +466,16 @@
          */
         private void taken(ClientCall call, int wireBytes) {
             if (owed.addAndGet(wireBytes) >= CREDIT_AT) {
-                on.execute(() -> call.credit(owed.getAndSet(0)));
+                on.execute(() -> call.consumeBytes(owed.getAndSet(0)));
             }
         }
 
         @Override
-        boolean done(long now, sorrelhoist.core.life.Router router, Load load) {
+        boolean done(long now, sorrelhoist.core.request.Router router, ServerLoad load) {
             if (finish == null) {
                 return false;
             }
-            router.streamDone(now, id, finish.tokens(), finish.keptTokens(), load);
+            router.tokenStreamCompleted(now, id, finish.tokens(), finish.cachedTokens(), load);
             return true;
         }
     }
--- a/edge/src/main/java/sorrelhoist/edge/InferenceApi.java
+++ b/edge/src/main/java/sorrelhoist/edge/InferenceApi.java
@@ -5,14 +5,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import sorrelhoist.Reason;
-import sorrelhoist.core.life.Answer;
-import sorrelhoist.core.life.Call;
-import sorrelhoist.core.why.Words;
-import sorrelhoist.protocol.grpc.Code;
+import sorrelhoist.core.explain.ReasonFormatter;
+import sorrelhoist.core.request.InferenceRequest;
+import sorrelhoist.core.request.RequestResult;
 import sorrelhoist.protocol.grpc.GrpcServer;
 import sorrelhoist.protocol.grpc.ServerCall;
 import sorrelhoist.protocol.grpc.Status;
+import sorrelhoist.protocol.grpc.StatusCode;
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.inference.InferRequest;
 import sorrelhoist.protocol.inference.InferResponse;
@@ -20,6 +19,7 @@
 import sorrelhoist.protocol.inference.Parameter;
 import sorrelhoist.protocol.inference.Tensor;
 import sorrelhoist.protocol.protobuf.ProtoException;
+import sorrelhoist.routing.Reason;
 
 /** The Open Inference Protocol and gRPC's health protocol, as clients see them. */
 final class InferenceApi {
@@ -43,23 +43,32 @@
     GrpcServer server(int maxMessage) {
         String s = ModelMessages.SERVICE;
         return new GrpcServer(maxMessage)
-                .unary(s + "ServerLive", (call, m) -> answer(call, ModelMessages.yes(true)))
-                .unary(
+                .addUnaryMethod(
+                        s + "ServerLive",
+                        (call, m) -> answer(call, ModelMessages.booleanResponse(true)))
+                .addUnaryMethod(
                         s + "ServerReady",
-                        (call, m) -> answer(call, ModelMessages.yes(serving.getAsBoolean())))
-                .unary(
+                        (call, m) ->
+                                answer(call, ModelMessages.booleanResponse(serving.getAsBoolean())))
+                .addUnaryMethod(
                         s + "ModelReady",
-                        (call, m) -> ofModel(call, m, ModelMessages.yes(serving.getAsBoolean())))
-                .unary(
+                        (call, m) ->
+                                ofModel(
+                                        call,
+                                        m,
+                                        ModelMessages.booleanResponse(serving.getAsBoolean())))
+                .addUnaryMethod(
                         s + "ServerMetadata",
-                        (call, m) -> answer(call, ModelMessages.server("sorrelhoist", "0.2.0")))
-                .unary(
+                        (call, m) ->
+                                answer(call, ModelMessages.serverMetadata("sorrelhoist", "0.2.0")))
+                .addUnaryMethod(
                         s + "ModelMetadata",
-                        (call, m) -> ofModel(call, m, ModelMessages.model(settings.model())))
-                .on(s + "ModelInfer", call -> new Whole(call))
-                .on(s + "ModelStreamInfer", call -> new Streamed(call))
-                .unary(ModelMessages.HEALTH + "Check", this::health)
-                .on(ModelMessages.HEALTH + "Watch", call -> new Watch(call));
+                        (call, m) ->
+                                ofModel(call, m, ModelMessages.modelMetadata(settings.model())))
+                .addMethod(s + "ModelInfer", call -> new Whole(call))
+                .addMethod(s + "ModelStreamInfer", call -> new Streamed(call))
+                .addUnaryMethod(ModelMessages.HEALTH + "Check", this::health)
+                .addMethod(ModelMessages.HEALTH + "Watch", call -> new Watch(call));
     }
 
     private static void answer(ServerCall call, byte[] message) {
@@ -69,18 +78,18 @@
 
     private void ofModel(ServerCall call, byte[] request, byte[] message) {
         try {
-            String name = ModelMessages.name(request);
+            String name = ModelMessages.parseName(request);
             if (name.equals(settings.model())) {
                 answer(call, message);
             } else {
                 call.close(
                         new Status(
-                                Code.NOT_FOUND,
+                                StatusCode.NOT_FOUND,
                                 "no model \"" + name + "\": ask for \"" + settings.model() + "\""),
                         null);
             }
         } catch (ProtoException e) {
-            call.close(new Status(Code.INVALID_ARGUMENT, e.getMessage()), null);
+            call.close(new Status(StatusCode.INVALID_ARGUMENT, e.getMessage()), null);
         }
     }
 
@@ -90,14 +99,15 @@
 
     private void health(ServerCall call, byte[] request) {
         try {
-            String service = ModelMessages.name(request);
+            String service = ModelMessages.parseName(request);
             if (service.isEmpty() || ModelMessages.SERVICE.equals("/" + service + "/")) {
-                answer(call, ModelMessages.health(status()));
+                answer(call, ModelMessages.healthCheckResponse(status()));
             } else {
-                call.close(new Status(Code.NOT_FOUND, "no service \"" + service + "\""), null);
+                call.close(
+                        new Status(StatusCode.NOT_FOUND, "no service \"" + service + "\""), null);
             }
         } catch (ProtoException e) {
-            call.close(new Status(Code.INVALID_ARGUMENT, e.getMessage()), null);
+            call.close(new Status(StatusCode.INVALID_ARGUMENT, e.getMessage()), null);
         }
     }
 
@@ -114,7 +124,7 @@
         }
 
         @Override
-        public void message(byte[] message) {
+        public void onMessage(byte[] message) {
             run();
         }
 
@@ -126,7 +136,7 @@
             int now = status();
             if (now != told) {
                 told = now;
-                call.send(ModelMessages.health(now));
+                call.send(ModelMessages.healthCheckResponse(now));
             }
             call.executor().schedule(this, 1, java.util.concurrent.TimeUnit.SECONDS);
         }
@@ -145,11 +155,11 @@
         }
 
         @Override
-        public void message(byte[] message) {
+        public void onMessage(byte[] message) {
             if (submitted) {
                 end(
                         new Status(
-                                Code.INVALID_ARGUMENT,
+                                StatusCode.INVALID_ARGUMENT,
                                 "one request a call: open another call for the next"),
                         null);
                 loop.gone(this);
@@ -161,12 +171,13 @@
                 id = request.id();
                 int before = previousAttempts();
                 trace = tracing.request(call.headers(), before);
-                Call asked = requests.call(request, call.timeoutMicros(), before, trace);
+                InferenceRequest asked =
+                        requests.call(request, call.timeoutMicros(), before, trace);
                 loop.submit(asked, this);
             } catch (ProtoException e) {
                 end(
                         new Status(
-                                Code.INVALID_ARGUMENT,
+                                StatusCode.INVALID_ARGUMENT,
                                 "the request is no ModelInferRequest: " + e.getMessage()),
                         null);
             } catch (Requests.Bad e) {
@@ -175,14 +186,16 @@
         }
 
         @Override
-        public void halfClosed() {
+        public void onHalfClose() {
             if (!submitted) {
-                end(new Status(Code.INVALID_ARGUMENT, "the request's message is missing"), null);
+                end(
+                        new Status(StatusCode.INVALID_ARGUMENT, "the request's message is missing"),
+                        null);
             }
         }
 
         @Override
-        public void cancelled(String why) {
+        public void onCancel(String why) {
             if (!over) {
                 over = true;
                 tracing.requestEnded(trace, "Cancelled", null);
@@ -225,44 +238,45 @@
         }
 
         @Override
-        public void finish(Answer answer) {
+        public void finish(RequestResult answer) {
             call.executor()
                     .execute(
                             () -> {
                                 if (over) {
                                     return;
                                 }
-                                if (answer instanceof Answer.Served s) {
+                                if (answer instanceof RequestResult.Served s) {
                                     whole(s.tokens());
                                     end(Status.OK, null);
-                                } else if (answer instanceof Answer.Refused r) {
+                                } else if (answer instanceof RequestResult.Refused r) {
                                     Headers hint =
-                                            r.backoffMicros() <= 0
+                                            r.retryAfterMicros() <= 0
                                                     ? null
                                                     : new Headers()
                                                             .add(
                                                                     "grpc-retry-pushback-ms",
                                                                     Long.toString(
-                                                                            (r.backoffMicros()
+                                                                            (r.retryAfterMicros()
                                                                                             + 999)
                                                                                     / 1000));
                                     end(
                                             new Status(
-                                                    Code.RESOURCE_EXHAUSTED,
-                                                    Words.refusal(r.why(), r.backoffMicros())),
+                                                    StatusCode.RESOURCE_EXHAUSTED,
+                                                    ReasonFormatter.describeRejection(
+                                                            r.why(), r.retryAfterMicros())),
                                             hint,
                                             r.why());
-                                } else if (answer instanceof Answer.Stalled) {
+                                } else if (answer instanceof RequestResult.Stalled) {
                                     over = true;
                                     tracing.requestEnded(trace, "Stalled", null);
                                     call.abort();
-                                } else if (answer instanceof Answer.Failed f) {
+                                } else if (answer instanceof RequestResult.Failed f) {
                                     end(
                                             new Status(
-                                                    f.late()
-                                                            ? Code.DEADLINE_EXCEEDED
-                                                            : Code.UNAVAILABLE,
-                                                    f.why()),
+                                                    f.deadlineExceeded()
+                                                            ? StatusCode.DEADLINE_EXCEEDED
+                                                            : StatusCode.UNAVAILABLE,
+                                                    f.message()),
                                             null,
                                             f.reason());
                                 }
@@ -271,8 +285,8 @@
 
         Map<String, Parameter> closing(int tokens) {
             Map<String, Parameter> p = new LinkedHashMap<>();
-            p.put(InferResponse.FINAL, new Parameter(true));
-            p.put(InferResponse.TOKENS, new Parameter((long) tokens));
+            p.put(InferResponse.FINAL_RESPONSE, new Parameter(true));
+            p.put(InferResponse.OUTPUT_TOKENS, new Parameter((long) tokens));
             return p;
         }
     }
@@ -287,7 +301,7 @@
 
         @Override
         void give(String text, Runnable credit) {
-            call.send(InferResponse.piece(settings.model(), id, text).streamedBytes());
+            call.send(InferResponse.textChunk(settings.model(), id, text).toStreamResponseBytes());
             if (call.pendingBytes() <= HIGH_MARK) {
                 credit.run();
             } else {
@@ -300,7 +314,7 @@
         }
 
         @Override
-        public void writable() {
+        public void onReady() {
             if (!owed.isEmpty()) {
                 loop.blocked(this, false);
             }
@@ -313,7 +327,7 @@
         void whole(int tokens) {
             call.send(
                     new InferResponse(settings.model(), id, closing(tokens), List.of())
-                            .streamedBytes());
+                            .toStreamResponseBytes());
         }
     }
 
@@ -341,7 +355,7 @@
                                     List.of(
                                             Tensor.text(
                                                     InferResponse.TEXT_OUTPUT, text.toString())))
-                            .bytes());
+                            .toByteArray());
         }
     }
 }
--- a/edge/src/main/java/sorrelhoist/edge/Outcomes.java
+++ b/edge/src/main/java/sorrelhoist/edge/Outcomes.java
@@ -1,9 +1,9 @@
 package sorrelhoist.edge;
 
-import sorrelhoist.Routing.Outcome;
 import sorrelhoist.protocol.grpc.ClientCall;
-import sorrelhoist.protocol.grpc.Code;
 import sorrelhoist.protocol.grpc.Status;
+import sorrelhoist.protocol.grpc.StatusCode;
+import sorrelhoist.routing.Routing.Outcome;
 
 /**
  * What the end of an engine's call means to the decisions. Only what proves it is taken for never
@@ -12,7 +12,7 @@
 final class Outcomes {
     private Outcomes() {}
 
-    static Outcome of(Status status, ClientCall.End end) {
+    static Outcome of(Status status, ClientCall.Termination end) {
         return switch (end) {
             case NOT_SENT, UNPROCESSED -> Outcome.CONNECT_FAILED;
             case BROKEN -> Outcome.RESET;
@@ -27,7 +27,8 @@
     }
 
     /** {@return whether the engine found no state to fetch} */
-    static boolean isMissingState(Status status, ClientCall.End end) {
-        return end == ClientCall.End.STATUS && status.code() == Code.FAILED_PRECONDITION;
+    static boolean isMissingState(Status status, ClientCall.Termination end) {
+        return end == ClientCall.Termination.STATUS
+                && status.code() == StatusCode.FAILED_PRECONDITION;
     }
 }
--- a/edge/src/main/java/sorrelhoist/edge/PlannerLink.java
+++ b/edge/src/main/java/sorrelhoist/edge/PlannerLink.java
@@ -6,27 +6,27 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sorrelhoist.Routing.ListForm;
-import sorrelhoist.Routing.Load;
-import sorrelhoist.Routing.Outcome;
-import sorrelhoist.Routing.ServerState;
-import sorrelhoist.core.know.LearnPlan;
-import sorrelhoist.core.life.Command;
-import sorrelhoist.core.life.PlannerCommands;
 import sorrelhoist.core.members.EngineTable;
+import sorrelhoist.core.request.Command;
+import sorrelhoist.core.request.PlannerCommands;
+import sorrelhoist.core.statetransfer.DonorSelection;
 import sorrelhoist.core.time.Backoff;
 import sorrelhoist.protocol.grpc.ClientCall;
 import sorrelhoist.protocol.grpc.GrpcChannel;
 import sorrelhoist.protocol.grpc.Status;
 import sorrelhoist.protocol.hpack.Headers;
-import sorrelhoist.protocol.net.Net;
+import sorrelhoist.protocol.net.LoopbackTransport;
 import sorrelhoist.protocol.plan.EdgeMessage;
 import sorrelhoist.protocol.plan.Hello;
-import sorrelhoist.protocol.plan.Line;
 import sorrelhoist.protocol.plan.PlanEvent;
-import sorrelhoist.protocol.plan.ProbeAnswer;
+import sorrelhoist.protocol.plan.ProbeResult;
 import sorrelhoist.protocol.plan.Roster;
+import sorrelhoist.protocol.plan.RosterEntry;
 import sorrelhoist.protocol.protobuf.ProtoException;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * The edge's stream to its planner. While there is none, the edge goes on with what it was last
@@ -39,8 +39,8 @@
     private static final ServerState[] STATES = {
         ServerState.SERVING, ServerState.DRAINING, ServerState.GONE
     };
-    private static final ListForm[] FORMS = {
-        ListForm.UPDATE, ListForm.COMPLETE, ListForm.UNAVAILABLE
+    private static final ListUpdateKind[] FORMS = {
+        ListUpdateKind.UPDATE, ListUpdateKind.COMPLETE, ListUpdateKind.UNAVAILABLE
     };
 
     private final RouterLoop loop;
@@ -48,7 +48,7 @@
     private final GrpcChannel channel;
     private final EdgeSettings settings;
     private final long incarnation;
-    private final Consumer<List<LearnPlan.Peer>> peers;
+    private final Consumer<List<DonorSelection.Donor>> peers;
     private Hello hello;
     private final Backoff backoff;
     private ClientCall call;
@@ -62,26 +62,31 @@
             EngineTable table,
             EventLoop network,
             Runnable firstRoster,
-            Consumer<List<LearnPlan.Peer>> peers) {
+            Consumer<List<DonorSelection.Donor>> peers) {
         this.firstRoster = firstRoster;
         this.peers = peers;
         this.settings = settings;
         this.incarnation = incarnation;
         this.loop = loop;
         this.table = table;
-        this.channel = new GrpcChannel(network, settings.planner(), GrpcChannel.Options.PLAIN);
+        this.channel = new GrpcChannel(network, settings.planner(), GrpcChannel.Options.BACKGROUND);
         this.backoff = new Backoff(FIRST_WAIT, LONGEST_WAIT, settings.seed() ^ incarnation);
     }
 
     void start(int port) {
-        hello = new Hello(settings.name(), settings.zone(), incarnation, Net.LOOPBACK + ":" + port);
+        hello =
+                new Hello(
+                        settings.name(),
+                        settings.zone(),
+                        incarnation,
+                        LoopbackTransport.LOOPBACK + ":" + port);
         channel.loop().execute(this::attach);
     }
 
     private void attach() {
         if (!stopped) {
-            call = channel.call(PlanEvent.ATTACH, null, this);
-            call.send(new EdgeMessage.Greeting(hello).bytes());
+            call = channel.newCall(PlanEvent.ATTACH, null, this);
+            call.send(new EdgeMessage.Handshake(hello).toByteArray());
             channel.start(call);
         }
     }
@@ -91,23 +96,23 @@
                 .execute(
                         () -> {
                             stopped = true;
-                            channel.shut();
+                            channel.shutdown();
                         });
     }
 
     @Override
-    public void probe(Command.Probe command) {
-        send(new EdgeMessage.ProbeAsk(command.engine()));
+    public void probeEngine(Command.ProbeEngine command) {
+        send(new EdgeMessage.ProbeRequest(command.engine()));
     }
 
     @Override
-    public void tell(Command.Tell command) {
-        send(new EdgeMessage.Tell(command.to(), command.body()));
+    public void sendPeerMessage(Command.SendPeerMessage command) {
+        send(new EdgeMessage.RelayRequest(command.recipient(), command.body()));
     }
 
     @Override
-    public void fetchRoster(Command.FetchRoster command) {
-        send(new EdgeMessage.FetchAsk());
+    public void fetchEndpointList(Command.FetchEndpointList command) {
+        send(new EdgeMessage.RosterRequest());
     }
 
     private void send(EdgeMessage message) {
@@ -115,15 +120,15 @@
                 .execute(
                         () -> {
                             if (call != null && call.isSent() && !call.isClosed()) {
-                                call.send(message.bytes());
+                                call.send(message.toByteArray());
                             }
                         });
     }
 
     @Override
-    public void message(ClientCall c, byte[] message, int wireBytes) {
-        c.credit(wireBytes);
-        backoff.worked();
+    public void onMessage(ClientCall c, byte[] message, int wireBytes) {
+        c.consumeBytes(wireBytes);
+        backoff.reset();
         PlanEvent event;
         try {
             event = PlanEvent.parse(message);
@@ -134,36 +139,48 @@
             c.cancel();
             return;
         }
-        if (event.seat() != null && event.seat().routers() > 0) {
+        if (event.slot() != null && event.slot().replicaCount() > 0) {
             LOG.atInfo()
                     .addKeyValue("event", "seated")
-                    .addKeyValue("routers", event.seat().routers())
-                    .addKeyValue("self", event.seat().self())
+                    .addKeyValue("routers", event.slot().replicaCount())
+                    .addKeyValue("self", event.slot().index())
                     .log("seat");
-            loop.post(r -> r.seated(loop.now(), event.seat().routers(), event.seat().self()));
+            loop.post(
+                    r ->
+                            r.routerCountChanged(
+                                    loop.now(), event.slot().replicaCount(), event.slot().index()));
         } else if (event.roster() != null) {
             loop.post(r -> roster(event.roster()));
         } else if (event.probe() != null) {
-            ProbeAnswer p = event.probe();
-            Load load =
+            ProbeResult p = event.probe();
+            ServerLoad load =
                     p.answered()
-                            ? new Load(p.memoryShare(), p.waitingTokens(), p.held(), p.queued())
-                            : Load.NONE;
+                            ? new ServerLoad(
+                                    p.memoryUtilization(),
+                                    p.queuedTokens(),
+                                    p.inFlightRequests(),
+                                    p.queuedRequests())
+                            : ServerLoad.NONE;
             loop.post(
                     r ->
-                            r.probeAnswered(
+                            r.probeCompleted(
                                     loop.now(),
                                     p.engine(),
                                     p.answered() ? Outcome.DONE : Outcome.TIMED_OUT,
-                                    p.tookMicros(),
+                                    p.latencyMicros(),
                                     load));
         } else if (event.peers() != null) {
             peers.accept(
                     event.peers().peers().stream()
-                            .map(p -> new LearnPlan.Peer(p.edge(), p.zone(), p.address()))
+                            .map(p -> new DonorSelection.Donor(p.edge(), p.zone(), p.address()))
                             .toList());
-        } else if (event.news() != null) {
-            loop.post(r -> r.peerMessage(loop.now(), event.news().from(), event.news().body()));
+        } else if (event.peerMessage() != null) {
+            loop.post(
+                    r ->
+                            r.peerMessageReceived(
+                                    loop.now(),
+                                    event.peerMessage().sender(),
+                                    event.peerMessage().body()));
         }
     }
 
@@ -171,16 +188,16 @@
         if (roster.form() < 0 || roster.form() >= FORMS.length) {
             return;
         }
-        List<EngineTable.Entry> entries = roster.lines().stream().map(PlannerLink::entry).toList();
-        var servers = table.take(loop.now(), entries);
-        table.complaints()
-                .forEach(c -> LOG.atWarn().addKeyValue("event", "engine_left_out").log(c));
+        List<EngineTable.ListedEngine> entries =
+                roster.entries().stream().map(PlannerLink::entry).toList();
+        var servers = table.update(loop.now(), entries);
+        table.warnings().forEach(c -> LOG.atWarn().addKeyValue("event", "engine_left_out").log(c));
         LOG.atInfo()
                 .addKeyValue("event", "roster")
                 .addKeyValue("form", FORMS[roster.form()])
                 .addKeyValue("lines", servers.size())
                 .addKeyValue("epoch", roster.epoch())
-                .addKeyValue("known_for_us", roster.knownForMicros())
+                .addKeyValue("known_for_us", roster.ageMicros())
                 .log("roster");
         loop.members(FORMS[roster.form()], servers, loop.now());
         if (!servers.isEmpty()) {
@@ -189,8 +206,8 @@
         }
     }
 
-    private static EngineTable.Entry entry(Line l) {
-        return new EngineTable.Entry(
+    private static EngineTable.ListedEngine entry(RosterEntry l) {
+        return new EngineTable.ListedEngine(
                 l.id(),
                 l.zone(),
                 l.rack(),
@@ -198,16 +215,16 @@
                 STATES[Math.min(Math.max(0, l.state()), STATES.length - 1)],
                 l.size(),
                 l.incarnation(),
-                l.upForMicros(),
+                l.uptimeMicros(),
                 l.address());
     }
 
     @Override
-    public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End end) {
+    public void onClose(ClientCall c, Status status, Headers trailers, ClientCall.Termination end) {
         if (stopped) {
             return;
         }
-        long wait = backoff.failed();
+        long wait = backoff.nextDelayMicros();
         LOG.atWarn()
                 .addKeyValue("event", "planner_away")
                 .addKeyValue("retry_us", wait)
--- a/edge/src/main/java/sorrelhoist/edge/Refusals.java
+++ b/edge/src/main/java/sorrelhoist/edge/Refusals.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sorrelhoist.Reason;
-import sorrelhoist.core.life.Answer;
-import sorrelhoist.core.why.Words;
+import sorrelhoist.core.explain.ReasonFormatter;
+import sorrelhoist.core.request.RequestResult;
+import sorrelhoist.routing.Reason;
 
 /**
  * Says in the log why requests were not served: one line a second at most, with a count for each
@@ -21,8 +21,8 @@
     private long saidAt = Long.MIN_VALUE / 2;
 
     /** Takes note of a final answer; says what is due. */
-    void answered(long now, Answer answer) {
-        if (answer instanceof Answer.Refused || answer instanceof Answer.Failed) {
+    void answered(long now, RequestResult answer) {
+        if (answer instanceof RequestResult.Refused || answer instanceof RequestResult.Failed) {
             Reason why = answer.reason();
             counts.merge(why.kind(), 1, Integer::sum);
             last.put(why.kind(), why);
@@ -44,7 +44,7 @@
                     .log(
                             "not served since the last line: {}; mostly as {}",
                             counts,
-                            Words.lack(last.get(most)));
+                            ReasonFormatter.describeFailure(last.get(most)));
             saidAt = now;
             counts.clear();
             last.clear();
--- a/edge/src/main/java/sorrelhoist/edge/Requests.java
+++ b/edge/src/main/java/sorrelhoist/edge/Requests.java
@@ -5,10 +5,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.core.life.Call;
-import sorrelhoist.core.text.Tokens;
-import sorrelhoist.protocol.grpc.Code;
+import sorrelhoist.core.request.InferenceRequest;
+import sorrelhoist.core.text.TokenEstimator;
 import sorrelhoist.protocol.grpc.Status;
+import sorrelhoist.protocol.grpc.StatusCode;
 import sorrelhoist.protocol.inference.InferRequest;
 import sorrelhoist.protocol.inference.Parameter;
 import sorrelhoist.protocol.inference.Tensor;
@@ -21,7 +21,7 @@
         private static final long serialVersionUID = 1;
         private final transient Status status;
 
-        Bad(Code code, String what) {
+        Bad(StatusCode code, String what) {
             super(what, null, false, false);
             this.status = new Status(code, what);
         }
@@ -38,10 +38,11 @@
         this.settings = settings;
     }
 
-    Call call(InferRequest r, long timeoutMicros, int previousAttempts, Object trace) throws Bad {
+    InferenceRequest call(InferRequest r, long timeoutMicros, int previousAttempts, Object trace)
+            throws Bad {
         if (!r.modelName().equals(settings.model())) {
             throw new Bad(
-                    Code.NOT_FOUND,
+                    StatusCode.NOT_FOUND,
                     "no model \""
                             + cut(r.modelName())
                             + "\": ask for \""
@@ -57,7 +58,7 @@
                         settings.serving().defaultMaxTokens(),
                         1,
                         settings.serving().mostMaxTokens());
-        long tokens = Tokens.estimate(prompt);
+        long tokens = TokenEstimator.estimate(prompt);
         String prefix = text(p, "prefix");
         long prefixTokens = whole(p, "prefix_tokens", 0, 0, tokens);
         List<String> classes =
@@ -67,7 +68,7 @@
         if (r.id().length() > MAX_NAME) {
             throw bad("the request's id is longer than " + MAX_NAME + " characters");
         }
-        return new Call(
+        return new InferenceRequest(
                 r.id(),
                 name(p, "class", classes),
                 name(p, "tenant", tenants),
@@ -97,17 +98,17 @@
             throw bad(
                     "input \"text_input\" has datatype \"" + cut(t.datatype()) + "\": give BYTES");
         }
-        if (!r.raw().isEmpty() && r.raw().size() != r.inputs().size()) {
+        if (!r.rawContents().isEmpty() && r.rawContents().size() != r.inputs().size()) {
             throw bad(
                     "raw_input_contents has "
-                            + r.raw().size()
+                            + r.rawContents().size()
                             + " entries for "
                             + r.inputs().size()
                             + " inputs");
         }
         List<byte[]> elements;
         try {
-            elements = t.elements(r.raw().isEmpty() ? null : r.raw().get(at));
+            elements = t.elements(r.rawContents().isEmpty() ? null : r.rawContents().get(at));
         } catch (ProtoException e) {
             throw bad(e.getMessage());
         }
@@ -168,7 +169,7 @@
     }
 
     private static Bad bad(String what) {
-        return new Bad(Code.INVALID_ARGUMENT, what);
+        return new Bad(StatusCode.INVALID_ARGUMENT, what);
     }
 
     private static String cut(String text) {
--- a/edge/src/main/java/sorrelhoist/edge/RouterLoop.java
+++ b/edge/src/main/java/sorrelhoist/edge/RouterLoop.java
@@ -11,19 +11,19 @@
 import java.util.function.LongUnaryOperator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sorrelhoist.Knowledge;
-import sorrelhoist.Routing.ListForm;
-import sorrelhoist.Routing.Server;
-import sorrelhoist.Routing.ServerState;
-import sorrelhoist.core.life.Call;
-import sorrelhoist.core.life.Command;
-import sorrelhoist.core.life.CommandHandler;
-import sorrelhoist.core.life.EngineCommands;
-import sorrelhoist.core.life.PlannerCommands;
-import sorrelhoist.core.life.Router;
-import sorrelhoist.core.life.RouterSettings;
-import sorrelhoist.core.record.Tap;
-import sorrelhoist.core.sched.Background;
+import sorrelhoist.core.record.DecisionListener;
+import sorrelhoist.core.request.Command;
+import sorrelhoist.core.request.CommandHandler;
+import sorrelhoist.core.request.EngineCommands;
+import sorrelhoist.core.request.InferenceRequest;
+import sorrelhoist.core.request.PlannerCommands;
+import sorrelhoist.core.request.Router;
+import sorrelhoist.core.request.RouterSettings;
+import sorrelhoist.core.scheduling.BackgroundScheduler;
+import sorrelhoist.routing.Knowledge;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * The one thread on which a router decides, fed by a queue. Network threads hand in what they
@@ -46,14 +46,15 @@
     private final Map<String, Boolean> serving = new ConcurrentHashMap<>();
     private Commands commands;
     private Client arriving;
-    private final Background background = new Background(BACKGROUND_CPU, clock.now());
-    private final Map<Background.Job, LongUnaryOperator> jobs = new HashMap<>();
+    private final BackgroundScheduler background =
+            new BackgroundScheduler(BACKGROUND_CPU, clock.now());
+    private final Map<BackgroundScheduler.Job, LongUnaryOperator> jobs = new HashMap<>();
     private long backgroundBytes;
     private long armedFor = Long.MAX_VALUE;
     private volatile int open;
     private volatile boolean ready;
 
-    RouterLoop(RouterSettings settings, Tap tap) {
+    RouterLoop(RouterSettings settings, DecisionListener tap) {
         this.router = new Router(settings, this::carry, tap);
     }
 
@@ -92,16 +93,16 @@
                                 .log("an event could not be taken");
                     }
                     refusals.say(clock.now());
-                    open = router.open();
+                    open = router.openRequests();
                     arm();
                 });
     }
 
-    void submit(Call call, Client client) {
+    void submit(InferenceRequest call, Client client) {
         post(
                 r -> {
                     arriving = client;
-                    long number = r.arrived(clock.now(), call);
+                    long number = r.requestArrived(clock.now(), call);
                     if (arriving != null) {
                         clients.put(number, client);
                         numbers.put(client, number);
@@ -116,7 +117,7 @@
                     Long number = numbers.remove(client);
                     if (number != null) {
                         clients.remove(number);
-                        r.clientGone(clock.now(), number);
+                        r.clientDisconnected(clock.now(), number);
                     }
                 });
     }
@@ -131,7 +132,7 @@
                 r -> {
                     Long number = numbers.get(client);
                     if (number != null) {
-                        r.clientBlocked(clock.now(), number, blocked);
+                        r.clientBackpressureChanged(clock.now(), number, blocked);
                     }
                 });
     }
@@ -142,13 +143,13 @@
      * @param job its place
      * @param run runs one slice; takes the time, returns when it is due again
      */
-    void background(Background.Job job, LongUnaryOperator run) {
+    void background(BackgroundScheduler.Job job, LongUnaryOperator run) {
         thread.execute(
                 () -> {
-                    background.add(job, clock.now());
-                    background.due(job, clock.now(), Long.MAX_VALUE);
+                    background.register(job, clock.now());
+                    background.schedule(job, clock.now(), Long.MAX_VALUE);
                     jobs.put(job, run);
-                    wakeBackground(background.wakeAt(clock.now()));
+                    wakeBackground(background.nextWakeAt(clock.now()));
                 });
     }
 
@@ -158,9 +159,9 @@
     }
 
     /** On the router's thread: a job that was added has work now. */
-    void due(Background.Job job) {
-        background.due(job, clock.now(), Long.MAX_VALUE);
-        wakeBackground(background.wakeAt(clock.now()));
+    void due(BackgroundScheduler.Job job) {
+        background.schedule(job, clock.now(), Long.MAX_VALUE);
+        wakeBackground(background.nextWakeAt(clock.now()));
     }
 
     private void wakeBackground(long at) {
@@ -173,7 +174,8 @@
     }
 
     private void runBackground() {
-        Background.Slice slice = background.next(clock.now(), thread.pendingTasks() > 0);
+        BackgroundScheduler.Slice slice =
+                background.nextSlice(clock.now(), thread.pendingTasks() > 0);
         if (slice != null) {
             long start = System.nanoTime();
             long again = clock.now() + TimeUnit.SECONDS.toMicros(1);
@@ -186,10 +188,10 @@
                         .log("{} failed", slice.job().name());
             }
             long cost = (System.nanoTime() - start) / 1000;
-            background.ran(clock.now(), cost, backgroundBytes, again, Long.MAX_VALUE);
+            background.sliceFinished(clock.now(), cost, backgroundBytes, again, Long.MAX_VALUE);
             backgroundBytes = 0;
         }
-        wakeBackground(background.wakeAt(clock.now()));
+        wakeBackground(background.nextWakeAt(clock.now()));
     }
 
     /** On the router's thread: what is known. */
@@ -199,20 +201,20 @@
 
     /** On the router's thread: takes what was taught. */
     void learn(Knowledge taught, long age) {
-        router.learn(clock.now(), taught, age);
+        router.importKnowledge(clock.now(), taught, age);
     }
 
-    void members(ListForm form, List<Server> servers, long now) {
-        if (form == ListForm.COMPLETE) {
+    void members(ListUpdateKind form, List<Server> servers, long now) {
+        if (form == ListUpdateKind.COMPLETE) {
             serving.replaceAll((id, is) -> false);
         }
         servers.forEach(s -> serving.put(s.id(), s.state() == ServerState.SERVING));
-        router.members(now, form, servers);
-        ready |= form != ListForm.UNAVAILABLE;
+        router.endpointsUpdated(now, form, servers);
+        ready |= form != ListUpdateKind.UNAVAILABLE;
     }
 
     private void arm() {
-        long next = router.nextAlarm();
+        long next = router.nextTimerAt();
         if (next < armedFor) {
             armedFor = next;
             thread.schedule(
@@ -240,61 +242,61 @@
         }
 
         @Override
-        public void deliver(Command.Deliver command) {
-            Client client = clients.get(command.client());
+        public void deliverToken(Command.DeliverToken command) {
+            Client client = clients.get(command.clientId());
             if (client != null) {
-                client.token(command.index(), command.text(), (Runnable) command.ticket());
+                client.token(command.index(), command.text(), (Runnable) command.attachment());
             }
         }
 
         @Override
-        public void finish(Command.Finish command) {
-            Client client = clients.remove(command.client());
+        public void finishRequest(Command.FinishRequest command) {
+            Client client = clients.remove(command.clientId());
             if (client == null) {
                 client = arriving;
                 arriving = null;
             }
             numbers.remove(client);
-            refusals.answered(clock.now(), command.answer());
-            client.finish(command.answer());
+            refusals.answered(clock.now(), command.result());
+            client.finish(command.result());
         }
 
         @Override
-        public void log(Command.Log command) {
+        public void writeLog(Command.WriteLog command) {
             LOG.atInfo()
                     .addKeyValue("event", "decide")
-                    .addKeyValue("request", command.request())
+                    .addKeyValue("request", command.requestName())
                     .log(command.text());
         }
 
         @Override
-        public void violation(Command.Violation command) {
+        public void reportViolation(Command.ReportViolation command) {
             LOG.atWarn().addKeyValue("event", "violation").log(command.text());
         }
 
         @Override
-        public void read(Command.Read command) {
-            engines.read(command);
+        public void startPrefill(Command.StartPrefill command) {
+            engines.startPrefill(command);
         }
 
         @Override
-        public void write(Command.Write command) {
-            engines.write(command);
+        public void startDecode(Command.StartDecode command) {
+            engines.startDecode(command);
         }
 
         @Override
-        public void drop(Command.Drop command) {
-            engines.drop(command);
+        public void cancelAttempt(Command.CancelAttempt command) {
+            engines.cancelAttempt(command);
         }
 
         @Override
-        public void reserve(Command.Reserve command) {
-            engines.reserve(command);
+        public void reserveDecodeSlot(Command.ReserveDecodeSlot command) {
+            engines.reserveDecodeSlot(command);
         }
 
         @Override
-        public void release(Command.Release command) {
-            engines.release(command);
+        public void releaseReservation(Command.ReleaseReservation command) {
+            engines.releaseReservation(command);
         }
 
         @Override
@@ -303,28 +305,28 @@
         }
 
         @Override
-        public void releaseExpired(Command.ReleaseExpired command) {
-            engines.releaseExpired(command);
+        public void reportExpiredRelease(Command.ReportExpiredRelease command) {
+            engines.reportExpiredRelease(command);
         }
 
         @Override
-        public void closeIdle(Command.CloseIdle command) {
-            engines.closeIdle(command);
+        public void closeIdleConnections(Command.CloseIdleConnections command) {
+            engines.closeIdleConnections(command);
         }
 
         @Override
-        public void probe(Command.Probe command) {
-            planner.probe(command);
+        public void probeEngine(Command.ProbeEngine command) {
+            planner.probeEngine(command);
         }
 
         @Override
-        public void tell(Command.Tell command) {
-            planner.tell(command);
+        public void sendPeerMessage(Command.SendPeerMessage command) {
+            planner.sendPeerMessage(command);
         }
 
         @Override
-        public void fetchRoster(Command.FetchRoster command) {
-            planner.fetchRoster(command);
+        public void fetchEndpointList(Command.FetchEndpointList command) {
+            planner.fetchEndpointList(command);
         }
     }
 
--- a/edge/src/main/java/sorrelhoist/edge/Tracing.java
+++ b/edge/src/main/java/sorrelhoist/edge/Tracing.java
@@ -10,9 +10,9 @@
 import io.opentelemetry.context.Context;
 import io.opentelemetry.context.propagation.TextMapGetter;
 import java.util.List;
-import sorrelhoist.Reason;
-import sorrelhoist.core.why.Words;
+import sorrelhoist.core.explain.ReasonFormatter;
 import sorrelhoist.protocol.hpack.Headers;
+import sorrelhoist.routing.Reason;
 
 /**
  * A span for each request and one for each attempt, under the client's own trace (W3C Trace
@@ -76,7 +76,7 @@
             if (why != null) {
                 Span.fromContext(c)
                         .setAttribute(REASON, why.kind().toString())
-                        .setAttribute(WHY, Words.lack(why));
+                        .setAttribute(WHY, ReasonFormatter.describeFailure(why));
             }
             end(Span.fromContext(c), outcome, outcome.equals("Served"));
         }
@@ -107,7 +107,7 @@
                         .setAttribute(REASON, why.kind().toString())
                         .startSpan();
         if (span.isRecording()) {
-            span.setAttribute(WHY, Words.choice(why));
+            span.setAttribute(WHY, ReasonFormatter.describeSelection(why));
         }
         W3CTraceContextPropagator.getInstance()
                 .inject(c.with(span), metadata, (h, k, v) -> h.add(k, v));
--- a/edge/src/main/java/sorrelhoist/edge/past/PastStore.java
+++ b/edge/src/main/java/sorrelhoist/edge/past/PastStore.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sorrelhoist.core.know.PastFrames;
+import sorrelhoist.core.statetransfer.SnapshotLog;
 
 /**
  * A router's past on disk: a snapshot and a log of what was appended since. Each is on disk before
@@ -28,18 +28,18 @@
     }
 
     /** Reads all that is there. {@return whole frames of snapshot and log} */
-    public List<PastFrames.Frame> restore() throws IOException {
-        List<PastFrames.Frame> frames = new ArrayList<>(read(SNAPSHOT));
+    public List<SnapshotLog.Frame> restore() throws IOException {
+        List<SnapshotLog.Frame> frames = new ArrayList<>(read(SNAPSHOT));
         frames.addAll(read(LOG_FILE));
         return frames;
     }
 
-    private List<PastFrames.Frame> read(String name) throws IOException {
+    private List<SnapshotLog.Frame> read(String name) throws IOException {
         byte[] bytes = disk.read(name);
         if (bytes == null) {
             return List.of();
         }
-        PastFrames.Read r = PastFrames.read(bytes);
+        SnapshotLog.ReadResult r = SnapshotLog.read(bytes);
         if (r.fault() != null) {
             disk.rename(name, name + ASIDE);
             LOG.atWarn()
@@ -58,7 +58,7 @@
 
     /** Adds to the log. {@return bytes written} */
     public long append(long now, byte[] payload) throws IOException {
-        byte[] frame = PastFrames.frame(now, payload);
+        byte[] frame = SnapshotLog.encodeFrame(now, payload);
         if (!logOpen) {
             begin(LOG_FILE, null);
             logOpen = true;
@@ -77,7 +77,7 @@
 
     /** Writes everything anew, and begins a new log. {@return bytes written} */
     public long snapshot(long now, byte[] payload) throws IOException {
-        byte[] frame = PastFrames.frame(now, payload);
+        byte[] frame = SnapshotLog.encodeFrame(now, payload);
         begin(SNAPSHOT, frame);
         logOpen = false;
         begin(LOG_FILE, null);
@@ -87,7 +87,7 @@
 
     private void begin(String name, byte[] frame) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.writeBytes(PastFrames.header());
+        bytes.writeBytes(SnapshotLog.header());
         if (frame != null) {
             bytes.writeBytes(frame);
         }
--- a/edge/src/main/java/sorrelhoist/edge/past/PastWork.java
+++ b/edge/src/main/java/sorrelhoist/edge/past/PastWork.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sorrelhoist.Knowledge;
-import sorrelhoist.core.know.KnowledgeForm;
-import sorrelhoist.core.know.PastFrames;
-import sorrelhoist.core.know.PastKeeper;
+import sorrelhoist.core.statetransfer.KnowledgeCodec;
+import sorrelhoist.core.statetransfer.SnapshotLog;
+import sorrelhoist.core.statetransfer.SnapshotPolicy;
+import sorrelhoist.routing.Knowledge;
 
 /**
  * Reads a router's past at its start, and writes what it knows as it goes on; the disk has a thread
@@ -28,7 +28,7 @@
                         t.setDaemon(true);
                         return t;
                     });
-    private final PastKeeper keeper;
+    private final SnapshotPolicy keeper;
     private boolean complained;
 
     /**
@@ -39,17 +39,18 @@
      */
     public PastWork(Disk disk, long now) {
         this.store = new PastStore(disk);
-        this.keeper = new PastKeeper(now);
+        this.keeper = new SnapshotPolicy(now);
     }
 
     /**
      * {@return what is believed of the past, the newest first; empty where there is none or it
      * cannot be read}
      */
-    public List<PastKeeper.Memory> restore(long now) {
+    public List<SnapshotPolicy.RestoredSnapshot> restore(long now) {
         try {
-            List<PastFrames.Frame> frames = store.restore();
-            List<PastKeeper.Memory> believed = PastKeeper.believe(now, frames);
+            List<SnapshotLog.Frame> frames = store.restore();
+            List<SnapshotPolicy.RestoredSnapshot> believed =
+                    SnapshotPolicy.selectRestorable(now, frames);
             LOG.atInfo()
                     .addKeyValue("event", "past")
                     .addKeyValue("frames", frames.size())
@@ -66,30 +67,32 @@
 
     /** {@return how many keys what is due next should hold; 0 where nothing is due} */
     public int keysDue(long now) {
-        return switch (keeper.due(now)) {
-            case NOTHING -> 0;
-            case APPEND -> APPEND_KEYS;
-            case SNAPSHOT -> SNAPSHOT_KEYS;
+        return switch (keeper.kindDue(now)) {
+            case NONE -> 0;
+            case INCREMENTAL -> APPEND_KEYS;
+            case FULL -> SNAPSHOT_KEYS;
         };
     }
 
     /** {@return when something is due next} */
     public long nextAt() {
-        return keeper.nextAt();
+        return keeper.nextDueAt();
     }
 
     /** Writes what is due, on its own thread. */
     public void write(long now, Knowledge known) {
-        PastKeeper.Step step = keeper.due(now);
-        boolean all = step == PastKeeper.Step.SNAPSHOT;
-        keeper.wrote(now, step, all ? 0 : PastKeeper.APPEND_BYTES);
+        SnapshotPolicy.SnapshotKind step = keeper.kindDue(now);
+        boolean all = step == SnapshotPolicy.SnapshotKind.FULL;
+        keeper.snapshotWritten(now, step, all ? 0 : SnapshotPolicy.MAX_INCREMENTAL_BYTES);
         thread.execute(
                 () -> {
                     try {
                         byte[] bytes =
-                                KnowledgeForm.write(
+                                KnowledgeCodec.encode(
                                         known,
-                                        all ? PastKeeper.SNAPSHOT_BYTES : PastKeeper.APPEND_BYTES);
+                                        all
+                                                ? SnapshotPolicy.MAX_FULL_BYTES
+                                                : SnapshotPolicy.MAX_INCREMENTAL_BYTES);
                         if (all) {
                             store.snapshot(now, bytes);
                         } else {
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordFolder.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordFolder.java
@@ -8,12 +8,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import sorrelhoist.core.record.Chunks;
-import sorrelhoist.core.record.Shelf;
+import sorrelhoist.core.record.ChunkCodec;
+import sorrelhoist.core.record.SegmentRetention;
 
 /**
- * The files of a record in a folder: carries out what a {@link Shelf} says. Used by one thread at a
- * time.
+ * The files of a record in a folder: carries out what a {@link SegmentRetention} says. Used by one
+ * thread at a time.
  */
 public class RecordFolder {
     /** A file of this name asks for what is there to be kept. */
@@ -31,13 +31,13 @@
     }
 
     /** {@return the files that are there} */
-    public List<Shelf.Found> found() throws IOException {
-        List<Shelf.Found> all = new ArrayList<>();
+    public List<SegmentRetention.ExistingFile> found() throws IOException {
+        List<SegmentRetention.ExistingFile> all = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
             for (Path f : files.toList()) {
                 if (Files.isRegularFile(f)) {
                     all.add(
-                            new Shelf.Found(
+                            new SegmentRetention.ExistingFile(
                                     f.getFileName().toString(),
                                     Files.size(f),
                                     Files.getLastModifiedTime(f).toMillis() * 1000));
@@ -48,15 +48,16 @@
     }
 
     /** Carries out steps; chunk is what an Append writes. */
-    public void carry(List<Shelf.Step> steps, byte[] chunk) throws IOException {
-        for (Shelf.Step step : steps) {
-            if (step instanceof Shelf.Append a) {
+    public void carry(List<SegmentRetention.FileOperation> steps, byte[] chunk) throws IOException {
+        for (SegmentRetention.FileOperation step : steps) {
+            if (step instanceof SegmentRetention.Append a) {
                 append(a.name(), chunk);
-            } else if (step instanceof Shelf.Close c) {
+            } else if (step instanceof SegmentRetention.Close c) {
                 sync(c.name());
-            } else if (step instanceof Shelf.Remove r) {
+            } else if (step instanceof SegmentRetention.Delete r) {
                 Files.deleteIfExists(folder.resolve(r.name()));
-            } else if (step instanceof Shelf.Rename r && Files.exists(folder.resolve(r.from()))) {
+            } else if (step instanceof SegmentRetention.Rename r
+                    && Files.exists(folder.resolve(r.from()))) {
                 Files.move(
                         folder.resolve(r.from()),
                         folder.resolve(r.to()),
@@ -69,7 +70,11 @@
     protected void append(String name, byte[] chunk) throws IOException {
         Path file = folder.resolve(name);
         if (!Files.exists(file)) {
-            Files.write(file, Chunks.header(), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            Files.write(
+                    file,
+                    ChunkCodec.fileHeader(),
+                    StandardOpenOption.CREATE,
+                    StandardOpenOption.WRITE);
         }
         Files.write(file, chunk, StandardOpenOption.APPEND);
     }
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordWork.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordWork.java
@@ -10,12 +10,12 @@
 import java.util.function.LongConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sorrelhoist.core.life.RouterSettings;
-import sorrelhoist.core.record.Danger;
-import sorrelhoist.core.record.Entry;
+import sorrelhoist.core.record.AnomalyTrigger;
+import sorrelhoist.core.record.DecisionListener;
+import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.core.record.Recorder;
-import sorrelhoist.core.record.Shelf;
-import sorrelhoist.core.record.Tap;
+import sorrelhoist.core.record.SegmentRetention;
+import sorrelhoist.core.request.RouterSettings;
 
 /**
  * Records what a router decides. Chunks are made on the router's thread as things happen, handed on
@@ -31,9 +31,9 @@
     private static final int SLICE = 16; // chunks handed on at once
     private static final long STOP_MILLIS = 2000;
     private final RecordFolder folder;
-    private final Shelf shelf;
+    private final SegmentRetention shelf;
     private final Recorder recorder;
-    private final Danger danger;
+    private final AnomalyTrigger danger;
     private final ArrayDeque<byte[]> made = new ArrayDeque<>();
     private final AtomicLong pending = new AtomicLong();
     private final AtomicBoolean broken = new AtomicBoolean();
@@ -54,24 +54,28 @@
      * @param bounds of it
      * @param router what is recorded
      */
-    public RecordWork(RecordFolder folder, Shelf.Bounds bounds, RouterSettings router)
+    public RecordWork(RecordFolder folder, SegmentRetention.Limits bounds, RouterSettings router)
             throws IOException {
         this.folder = folder;
-        this.shelf = new Shelf(bounds, router.incarnation(), folder.found());
+        this.shelf = new SegmentRetention(bounds, router.incarnation(), folder.found());
         this.recorder =
                 new Recorder(
-                        new Entry.Started(
+                        new RecordEntry.Header(
                                 BUILD,
-                                router.name(),
+                                router.routerName(),
                                 router.incarnation(),
-                                router.decide(),
+                                router.routing(),
                                 router.seed()),
                         this::take);
-        this.danger = new Danger(recorder, router.decide().rules().releaseMicros(), this::keep);
+        this.danger =
+                new AnomalyTrigger(
+                        recorder,
+                        router.routing().serverLimits().reservationLimitMicros(),
+                        this::keep);
     }
 
     /** {@return what the router tells; on its thread} */
-    public Tap tap() {
+    public DecisionListener tap() {
         return danger;
     }
 
@@ -106,12 +110,12 @@
                 .addKeyValue("event", "record_kept")
                 .addKeyValue("why", why)
                 .log("the record is kept: {}", why);
-        recorder.mark(at, why);
+        recorder.addMarker(at, why);
         recorder.flush();
         while (slice(n -> {})) {
             // All that was made goes before the keeping.
         }
-        thread.execute(() -> carry(() -> folder.carry(shelf.keep(wall()), null)));
+        thread.execute(() -> carry(() -> folder.carry(shelf.preserveAll(wall()), null)));
     }
 
     private static long wall() {
@@ -126,9 +130,9 @@
         try {
             carry(
                     () -> {
-                        folder.carry(shelf.chunk(wall(), chunk.length), chunk);
+                        folder.carry(shelf.appendChunk(wall(), chunk.length), chunk);
                         if (folder.keepAsked()) {
-                            folder.carry(shelf.keep(wall()), null);
+                            folder.carry(shelf.preserveAll(wall()), null);
                             LOG.atInfo()
                                     .addKeyValue("event", "record_kept")
                                     .log("the record is kept, as was asked");
@@ -149,7 +153,7 @@
             }
         } catch (IOException e) {
             // What did not fit may have left half a chunk: nothing may follow it in that file.
-            shelf.broke();
+            shelf.writeFailed();
             if (!broken.getAndSet(true)) {
                 LOG.atWarn()
                         .addKeyValue("event", "record_unwritten")
@@ -175,7 +179,7 @@
         try {
             if (thread.awaitTermination(STOP_MILLIS, TimeUnit.MILLISECONDS)) {
                 // Alone now; what was lost just before is counted in this chunk.
-                recorder.mark(at, "the edge stopped");
+                recorder.addMarker(at, "the edge stopped");
                 recorder.flush();
                 made.forEach(this::write);
                 made.clear();
