--- a/protocol/src/main/java/sorrelhoist/protocol/engine/ReleaseRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/ReleaseRequest.java
@@ -9,10 +9,11 @@
  *
  * @param requestId the router's name for it, unique over all edges and tries
  * @param stateId the state's name at the engine that holds it
- * @param placeId the place's name
- * @param upTo where neither is named: the last attempt whose state is meant
+ * @param reservationId the place's name
+ * @param lastAttempt where neither is named: the last attempt whose state is meant
  */
-public record ReleaseRequest(String requestId, String stateId, String placeId, int upTo) {
+public record ReleaseRequest(
+        String requestId, String stateId, String reservationId, int lastAttempt) {
     /** {@return the message in these bytes} */
     public static ReleaseRequest parse(byte[] bytes) throws ProtoException {
         return read(new ProtoReader(bytes));
@@ -23,13 +24,13 @@
         String stateId = "";
         String placeId = "";
         int upTo = 0;
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> requestId = in.text();
-                case 2 -> stateId = in.text();
-                case 3 -> placeId = in.text();
-                case 4 -> upTo = in.count();
-                default -> in.skip();
+                case 1 -> requestId = in.readString();
+                case 2 -> stateId = in.readString();
+                case 3 -> placeId = in.readString();
+                case 4 -> upTo = in.readNonNegativeInt();
+                default -> in.skipField();
             }
         }
         return new ReleaseRequest(requestId, stateId, placeId, upTo);
@@ -37,14 +38,14 @@
 
     ProtoWriter write() {
         return new ProtoWriter()
-                .text(1, requestId)
-                .text(2, stateId)
-                .text(3, placeId)
-                .integer(4, upTo);
+                .writeString(1, requestId)
+                .writeString(2, stateId)
+                .writeString(3, reservationId)
+                .writeVarint(4, lastAttempt);
     }
 
     /** {@return its bytes} */
-    public byte[] bytes() {
-        return write().done();
+    public byte[] toByteArray() {
+        return write().toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/ReserveReply.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/ReserveReply.java
@@ -7,10 +7,10 @@
 /**
  * Whether a place is held.
  *
- * @param held whether it is held
- * @param placeId the place's name
+ * @param reserved whether it is held
+ * @param reservationId the place's name
  */
-public record ReserveReply(boolean held, String placeId) {
+public record ReserveReply(boolean reserved, String reservationId) {
     /** {@return the message in these bytes} */
     public static ReserveReply parse(byte[] bytes) throws ProtoException {
         return read(new ProtoReader(bytes));
@@ -19,22 +19,22 @@
     static ReserveReply read(ProtoReader in) throws ProtoException {
         boolean held = false;
         String placeId = "";
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> held = in.flag();
-                case 2 -> placeId = in.text();
-                default -> in.skip();
+                case 1 -> held = in.readBool();
+                case 2 -> placeId = in.readString();
+                default -> in.skipField();
             }
         }
         return new ReserveReply(held, placeId);
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().flag(1, held).text(2, placeId);
+        return new ProtoWriter().writeBool(1, reserved).writeString(2, reservationId);
     }
 
     /** {@return its bytes} */
-    public byte[] bytes() {
-        return write().done();
+    public byte[] toByteArray() {
+        return write().toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/ReserveRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/ReserveRequest.java
@@ -21,23 +21,26 @@
         String requestId = "";
         int promptTokens = 0;
         int maxTokens = 0;
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> requestId = in.text();
-                case 2 -> promptTokens = in.count();
-                case 3 -> maxTokens = in.count();
-                default -> in.skip();
+                case 1 -> requestId = in.readString();
+                case 2 -> promptTokens = in.readNonNegativeInt();
+                case 3 -> maxTokens = in.readNonNegativeInt();
+                default -> in.skipField();
             }
         }
         return new ReserveRequest(requestId, promptTokens, maxTokens);
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().text(1, requestId).integer(2, promptTokens).integer(3, maxTokens);
+        return new ProtoWriter()
+                .writeString(1, requestId)
+                .writeVarint(2, promptTokens)
+                .writeVarint(3, maxTokens);
     }
 
     /** {@return its bytes} */
-    public byte[] bytes() {
-        return write().done();
+    public byte[] toByteArray() {
+        return write().toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/Token.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/Token.java
@@ -19,22 +19,22 @@
     static Token read(ProtoReader in) throws ProtoException {
         int index = 0;
         String text = "";
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> index = in.count();
-                case 2 -> text = in.text();
-                default -> in.skip();
+                case 1 -> index = in.readNonNegativeInt();
+                case 2 -> text = in.readString();
+                default -> in.skipField();
             }
         }
         return new Token(index, text);
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().integer(1, index).text(2, text);
+        return new ProtoWriter().writeVarint(1, index).writeString(2, text);
     }
 
     /** {@return its bytes} */
-    public byte[] bytes() {
-        return write().done();
+    public byte[] toByteArray() {
+        return write().toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/ClientCall.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/ClientCall.java
@@ -6,12 +6,12 @@
 import sorrelhoist.protocol.http2.ErrorCode;
 import sorrelhoist.protocol.http2.Http2Connection;
 import sorrelhoist.protocol.http2.Http2Stream;
-import sorrelhoist.protocol.http2.StreamListener;
+import sorrelhoist.protocol.http2.Http2StreamListener;
 
 /** One call at its calling side. Every method is to be called on its channel's event loop. */
-public final class ClientCall implements StreamListener {
+public final class ClientCall implements Http2StreamListener {
     /** How a call came to its end. */
-    public enum End {
+    public enum Termination {
         /** The server closed it with a status. */
         STATUS,
         /** The stream or its connection broke; the server may have worked on it. */
@@ -35,16 +35,17 @@
          * @param call the call
          * @param headers the fields
          */
-        default void headers(ClientCall call, Headers headers) {}
+        default void onHeaders(ClientCall call, Headers headers) {}
 
         /**
-         * A message came. {@link ClientCall#credit} gives the server leave to send as much again.
+         * A message came. {@link ClientCall#consumeBytes} gives the server leave to send as much
+         * again.
          *
          * @param call the call
          * @param message the message
          * @param wireBytes what it took on the wire and is not yet credited
          */
-        void message(ClientCall call, byte[] message, int wireBytes);
+        void onMessage(ClientCall call, byte[] message, int wireBytes);
 
         /**
          * The call is over; told once, and nothing after it.
@@ -54,7 +55,7 @@
          * @param trailers the server's; empty where none came
          * @param end how it came about
          */
-        void closed(ClientCall call, Status status, Headers trailers, End end);
+        void onClose(ClientCall call, Status status, Headers trailers, Termination end);
     }
 
     private final String path;
@@ -91,7 +92,7 @@
         if (stream == null) {
             unsent.add(message);
         } else {
-            stream.data(GrpcServer.framed(message), false);
+            stream.writeData(GrpcServer.framed(message), false);
         }
     }
 
@@ -102,14 +103,14 @@
             halfClosed = true;
         } else if (!closed) {
             halfClosed = true;
-            stream.data(GrpcServer.framed(message), true);
+            stream.writeData(GrpcServer.framed(message), true);
         }
     }
 
     /** Says that no more messages follow. */
     public void halfClose() {
         if (!halfClosed && stream != null) {
-            stream.data(io.netty.buffer.Unpooled.EMPTY_BUFFER, true);
+            stream.writeData(io.netty.buffer.Unpooled.EMPTY_BUFFER, true);
         }
         halfClosed = true;
     }
@@ -120,7 +121,10 @@
             if (stream != null) {
                 stream.reset(ErrorCode.CANCEL);
             }
-            close(new Status(Code.CANCELLED, "cancelled here"), new Headers(), End.CANCELLED);
+            close(
+                    new Status(StatusCode.CANCELLED, "cancelled here"),
+                    new Headers(),
+                    Termination.CANCELLED);
         }
     }
 
@@ -135,9 +139,9 @@
     }
 
     /** Gives the server credit for bytes that were taken. */
-    public void credit(int wireBytes) {
+    public void consumeBytes(int wireBytes) {
         if (stream != null) {
-            stream.consumed(wireBytes);
+            stream.consumeBytes(wireBytes);
         }
     }
 
@@ -153,60 +157,61 @@
         if (metadata != null) {
             headers.addAll(metadata);
         }
-        stream = connection.open(headers, false, this);
+        stream = connection.openStream(headers, false, this);
         if (stream == null) {
             return false;
         }
         while (!unsent.isEmpty()) {
             byte[] next = unsent.poll();
-            stream.data(GrpcServer.framed(next), halfClosed && unsent.isEmpty());
+            stream.writeData(GrpcServer.framed(next), halfClosed && unsent.isEmpty());
         }
         return true;
     }
 
     void notSent(String why) {
-        close(new Status(Code.UNAVAILABLE, why), new Headers(), End.NOT_SENT);
+        close(new Status(StatusCode.UNAVAILABLE, why), new Headers(), Termination.NOT_SENT);
     }
 
-    private void close(Status status, Headers trailers, End end) {
+    private void close(Status status, Headers trailers, Termination end) {
         if (!closed) {
             closed = true;
-            listener.closed(this, status, trailers, end);
+            listener.onClose(this, status, trailers, end);
         }
     }
 
-    private void breakOff(Code code, String why) {
+    private void breakOff(StatusCode code, String why) {
         stream.reset(ErrorCode.PROTOCOL_ERROR);
-        close(new Status(code, why), new Headers(), End.BROKEN);
+        close(new Status(code, why), new Headers(), Termination.BROKEN);
     }
 
     @Override
-    public void headers(Headers headers, boolean end) {
+    public void onHeaders(Headers headers, boolean end) {
         if (closed) {
             return;
         }
         if (!answered) {
             answered = true;
             if (!"200".equals(headers.get(":status"))) {
-                breakOff(Code.UNKNOWN, "HTTP status " + headers.get(":status"));
+                breakOff(StatusCode.UNKNOWN, "HTTP status " + headers.get(":status"));
                 return;
             }
-            listener.headers(this, headers);
+            listener.onHeaders(this, headers);
         }
         if (!end) {
             return;
         }
         String status = headers.get("grpc-status");
         if (status == null) {
-            breakOff(Code.UNKNOWN, "the call ended without grpc-status");
+            breakOff(StatusCode.UNKNOWN, "the call ended without grpc-status");
         } else if (reader.isPartial()) {
-            breakOff(Code.INTERNAL, "the call ended in the middle of a message");
+            breakOff(StatusCode.INTERNAL, "the call ended in the middle of a message");
         } else {
             close(
                     new Status(
-                            Code.parse(status), Status.decodeMessage(headers.get("grpc-message"))),
+                            StatusCode.parse(status),
+                            Status.decodeMessage(headers.get("grpc-message"))),
                     headers,
-                    End.STATUS);
+                    Termination.STATUS);
             if (!stream.isHalfClosed()) {
                 // The answer came before all was sent: what is left has no reader. A stream that
                 // has ended on both
@@ -217,7 +222,7 @@
     }
 
     @Override
-    public void data(ByteBuf data, boolean end) {
+    public void onData(ByteBuf data, boolean end) {
         Status bad =
                 reader.read(
                         data,
@@ -225,7 +230,7 @@
                             int owed = wireBytes - early;
                             early = 0;
                             if (!closed) {
-                                listener.message(this, message, owed);
+                                listener.onMessage(this, message, owed);
                             }
                         });
         if (closed) {
@@ -234,21 +239,21 @@
         if (bad != null) {
             breakOff(bad.code(), bad.message());
         } else if (end) {
-            breakOff(Code.UNKNOWN, "the call ended without trailers");
+            breakOff(StatusCode.UNKNOWN, "the call ended without trailers");
         } else if (reader.partialBytes() > early) {
             // A message may be longer than the window: its beginning is credited before it is
             // whole.
-            stream.consumed(reader.partialBytes() - early);
+            stream.consumeBytes(reader.partialBytes() - early);
             early = reader.partialBytes();
         }
     }
 
     @Override
-    public void reset(ErrorCode code, boolean unprocessed, String why) {
+    public void onReset(ErrorCode code, boolean unprocessed, String why) {
         if (unprocessed) {
-            close(new Status(Code.UNAVAILABLE, why), new Headers(), End.UNPROCESSED);
+            close(new Status(StatusCode.UNAVAILABLE, why), new Headers(), Termination.UNPROCESSED);
         } else {
-            close(new Status(Code.UNAVAILABLE, why), new Headers(), End.BROKEN);
+            close(new Status(StatusCode.UNAVAILABLE, why), new Headers(), Termination.BROKEN);
         }
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcChannel.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcChannel.java
@@ -8,32 +8,32 @@
 import sorrelhoist.protocol.http2.ErrorCode;
 import sorrelhoist.protocol.http2.Http2Connection;
 import sorrelhoist.protocol.http2.Http2Limits;
-import sorrelhoist.protocol.net.Connecting;
-import sorrelhoist.protocol.net.Net;
+import sorrelhoist.protocol.net.ConnectionAttempt;
+import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
  * Connections to one address, opened as calls need them. All of it runs on one event loop; {@link
  * #loop} tells which. A connection counts as open when the peer's HTTP/2 settings have come: a
  * socket that a hanging process still accepts is no connection.
  */
-public final class GrpcChannel implements Http2Connection.Watcher {
+public final class GrpcChannel implements Http2Connection.Listener {
     /**
      * How connections are kept.
      *
      * @param maxConnections open at once
-     * @param dialMicros until an attempt to connect fails
-     * @param idleMicros after which a connection without calls is closed
-     * @param maxMessage bytes that one message of the server's may have
+     * @param connectTimeoutMicros until an attempt to connect fails
+     * @param idleTimeoutMicros after which a connection without calls is closed
+     * @param maxMessageBytes bytes that one message of the server's may have
      * @param limits what the server may cost
      */
     public record Options(
             int maxConnections,
-            long dialMicros,
-            long idleMicros,
-            int maxMessage,
+            long connectTimeoutMicros,
+            long idleTimeoutMicros,
+            int maxMessageBytes,
             Http2Limits limits) {
         /** One connection, for background traffic. */
-        public static final Options PLAIN =
+        public static final Options BACKGROUND =
                 new Options(1, 1_000_000, 60_000_000, 4 << 20, Http2Limits.CLIENT);
     }
 
@@ -43,7 +43,7 @@
     private final List<Http2Connection> open = new ArrayList<>();
     private final List<Http2Connection> dialing = new ArrayList<>();
     private final ArrayDeque<ClientCall> queued = new ArrayDeque<>();
-    private boolean shut;
+    private boolean shutdown;
     private boolean idleWatched;
     private long lastCall;
 
@@ -58,7 +58,7 @@
         this.loop = loop;
         this.address = address;
         this.options = options;
-        Net.parse(address);
+        LoopbackTransport.parseAddress(address);
     }
 
     /** {@return the event loop on which everything here is to be called} */
@@ -72,14 +72,14 @@
     }
 
     /** {@return connections now open} */
-    public int connections() {
+    public int openConnections() {
         return open.size();
     }
 
     /** Starts a call: at once, or when a connection is there. */
     public void start(ClientCall call) {
         lastCall = System.nanoTime();
-        if (shut) {
+        if (shutdown) {
             call.notSent("the channel is shut");
             return;
         }
@@ -90,17 +90,18 @@
     }
 
     /** {@return a new call with this channel's limit on messages} */
-    public ClientCall call(
+    public ClientCall newCall(
             String path,
             sorrelhoist.protocol.hpack.Headers metadata,
             ClientCall.Listener listener) {
-        return new ClientCall(path, metadata, options.maxMessage(), listener);
+        return new ClientCall(path, metadata, options.maxMessageBytes(), listener);
     }
 
     private boolean open(ClientCall call) {
         Http2Connection least = null;
         for (Http2Connection c : open) {
-            if (c.canOpen() && (least == null || c.openStreams() < least.openStreams())) {
+            if (c.canOpenStream()
+                    && (least == null || c.openStreamCount() < least.openStreamCount())) {
                 least = c;
             }
         }
@@ -109,7 +110,7 @@
 
     /** One connection is dialled at a time, and only while calls wait for it. */
     private void dialMore() {
-        if (shut
+        if (shutdown
                 || queued.isEmpty()
                 || !dialing.isEmpty()
                 || open.size() >= options.maxConnections()) {
@@ -117,8 +118,8 @@
         }
         Http2Connection connection = Http2Connection.client(options.limits(), this);
         dialing.add(connection);
-        Connecting attempt =
-                Net.connect(loop, address, options.dialMicros(), connection)
+        ConnectionAttempt attempt =
+                LoopbackTransport.connect(loop, address, options.connectTimeoutMicros(), connection)
                         .onFailure(
                                 why ->
                                         dialFailed(
@@ -134,7 +135,7 @@
                         attempt.close();
                     }
                 },
-                options.dialMicros(),
+                options.connectTimeoutMicros(),
                 TimeUnit.MICROSECONDS);
     }
 
@@ -152,7 +153,7 @@
     }
 
     @Override
-    public void ready(Http2Connection connection) {
+    public void onReady(Http2Connection connection) {
         if (dialing.remove(connection)) {
             open.add(connection);
             drainQueue();
@@ -169,7 +170,7 @@
     }
 
     @Override
-    public void streamEnded(Http2Connection connection) {
+    public void onStreamClosed(Http2Connection connection) {
         lastCall = System.nanoTime();
         if (!queued.isEmpty()) {
             loop.execute(this::drainQueue);
@@ -177,13 +178,13 @@
     }
 
     @Override
-    public void draining(Http2Connection connection) {
+    public void onGoAway(Http2Connection connection) {
         open.remove(connection);
         drainQueue();
     }
 
     @Override
-    public void closed(Http2Connection connection, String why) {
+    public void onClosed(Http2Connection connection, String why) {
         open.remove(connection);
         dialFailed(connection, address + ": " + why);
         if (!queued.isEmpty()) {
@@ -192,20 +193,20 @@
     }
 
     private void watchIdle() {
-        if (!idleWatched && options.idleMicros() > 0) {
+        if (!idleWatched && options.idleTimeoutMicros() > 0) {
             idleWatched = true;
             loop.schedule(
                     () -> {
                         idleWatched = false;
                         if (System.nanoTime() - lastCall
-                                >= TimeUnit.MICROSECONDS.toNanos(options.idleMicros())) {
+                                >= TimeUnit.MICROSECONDS.toNanos(options.idleTimeoutMicros())) {
                             closeIdle();
                         }
                         if (!open.isEmpty()) {
                             watchIdle();
                         }
                     },
-                    options.idleMicros(),
+                    options.idleTimeoutMicros(),
                     TimeUnit.MICROSECONDS);
         }
     }
@@ -213,7 +214,7 @@
     /** Closes connections that carry no call. */
     public void closeIdle() {
         for (Http2Connection c : new ArrayList<>(open)) {
-            if (c.openStreams() == 0) {
+            if (c.openStreamCount() == 0) {
                 open.remove(c);
                 c.close(ErrorCode.NO_ERROR, "idle");
             }
@@ -221,8 +222,8 @@
     }
 
     /** Ends all connections and calls. */
-    public void shut() {
-        shut = true;
+    public void shutdown() {
+        shutdown = true;
         List<ClientCall> lost = new ArrayList<>(queued);
         queued.clear();
         lost.forEach(c -> c.notSent("the channel is shut"));
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcServer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcServer.java
@@ -9,12 +9,12 @@
 import sorrelhoist.protocol.http2.ErrorCode;
 import sorrelhoist.protocol.http2.Http2Connection;
 import sorrelhoist.protocol.http2.Http2Stream;
-import sorrelhoist.protocol.http2.StreamListener;
+import sorrelhoist.protocol.http2.Http2StreamListener;
 
 /** gRPC over HTTP/2 at the serving side: finds a call's method, and refuses what is no gRPC. */
-public final class GrpcServer implements Http2Connection.Acceptor {
+public final class GrpcServer implements Http2Connection.StreamAcceptor {
     /** One method. */
-    public interface Method {
+    public interface MethodHandler {
         /**
          * A call began.
          *
@@ -25,7 +25,7 @@
     }
 
     private static final ByteBufAllocator ALLOC = PooledByteBufAllocator.DEFAULT;
-    private final Map<String, Method> methods = new HashMap<>();
+    private final Map<String, MethodHandler> methods = new HashMap<>();
     private final int maxMessage;
 
     /**
@@ -44,13 +44,13 @@
      * @param method its implementation
      * @return this
      */
-    public GrpcServer on(String path, Method method) {
+    public GrpcServer addMethod(String path, MethodHandler method) {
         methods.put(path, method);
         return this;
     }
 
     /** A method that takes one message and is done with it when the message has come whole. */
-    public interface Unary {
+    public interface UnaryHandler {
         /** Takes the request; the call is closed now or later. */
         void call(ServerCall call, byte[] request);
     }
@@ -62,29 +62,31 @@
      * @param method its implementation
      * @return this
      */
-    public GrpcServer unary(String path, Unary method) {
-        return on(
+    public GrpcServer addUnaryMethod(String path, UnaryHandler method) {
+        return addMethod(
                 path,
                 call ->
                         new ServerCall.Listener() {
                             private byte[] request;
 
                             @Override
-                            public void message(byte[] message) {
+                            public void onMessage(byte[] message) {
                                 if (request != null) {
                                     call.close(
-                                            new Status(Code.INVALID_ARGUMENT, "send one message"),
+                                            new Status(
+                                                    StatusCode.INVALID_ARGUMENT,
+                                                    "send one message"),
                                             null);
                                 }
                                 request = message;
                             }
 
                             @Override
-                            public void halfClosed() {
+                            public void onHalfClose() {
                                 if (request == null) {
                                     call.close(
                                             new Status(
-                                                    Code.INVALID_ARGUMENT,
+                                                    StatusCode.INVALID_ARGUMENT,
                                                     "the request's message is missing"),
                                             null);
                                 } else {
@@ -95,31 +97,31 @@
     }
 
     @Override
-    public StreamListener opened(Http2Stream stream, Headers headers, boolean end) {
-        long timeout = Timeouts.NONE;
+    public Http2StreamListener accept(Http2Stream stream, Headers headers, boolean end) {
+        long timeout = GrpcTimeout.NONE;
         Status bad = null;
         try {
-            timeout = Timeouts.parse(headers.get("grpc-timeout"));
+            timeout = GrpcTimeout.parse(headers.get("grpc-timeout"));
         } catch (IllegalArgumentException e) {
-            bad = new Status(Code.INVALID_ARGUMENT, e.getMessage());
+            bad = new Status(StatusCode.INVALID_ARGUMENT, e.getMessage());
         }
         ServerCall call = new ServerCall(stream, headers, timeout, maxMessage);
         if (!headers.get("content-type", "").startsWith("application/grpc")) {
-            stream.headers(new Headers().add(":status", "415"), true);
+            stream.writeHeaders(new Headers().add(":status", "415"), true);
             return new Deaf();
         }
-        Method method = methods.get(call.path());
+        MethodHandler method = methods.get(call.path());
         if (bad == null && !"POST".equals(headers.get(":method"))) {
-            bad = new Status(Code.INTERNAL, "gRPC calls are POST requests");
+            bad = new Status(StatusCode.INTERNAL, "gRPC calls are POST requests");
         } else if (bad == null && !"identity".equals(headers.get("grpc-encoding", "identity"))) {
             bad =
                     new Status(
-                            Code.UNIMPLEMENTED,
+                            StatusCode.UNIMPLEMENTED,
                             "grpc-encoding \""
                                     + headers.get("grpc-encoding")
                                     + "\" is not taken: send identity");
         } else if (bad == null && method == null) {
-            bad = new Status(Code.UNIMPLEMENTED, "no method " + call.path());
+            bad = new Status(StatusCode.UNIMPLEMENTED, "no method " + call.path());
         }
         if (bad != null) {
             call.close(bad, null);
@@ -127,7 +129,7 @@
         }
         call.listener(method.open(call));
         if (end) {
-            call.headers(new Headers(), true);
+            call.onHeaders(new Headers(), true);
         }
         return call;
     }
@@ -140,19 +142,19 @@
     }
 
     /** For streams that were answered before they were read. */
-    private static final class Deaf implements StreamListener {
+    private static final class Deaf implements Http2StreamListener {
         @Override
-        public void headers(Headers headers, boolean end) {
+        public void onHeaders(Headers headers, boolean end) {
             // Nobody reads it.
         }
 
         @Override
-        public void data(ByteBuf data, boolean end) {
+        public void onData(ByteBuf data, boolean end) {
             // Nobody reads it.
         }
 
         @Override
-        public void reset(ErrorCode code, boolean unprocessed, String why) {
+        public void onReset(ErrorCode code, boolean unprocessed, String why) {
             // It was answered.
         }
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/Timeouts.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcTimeout.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** The grpc-timeout header: at most eight digits and a unit. */
-public final class Timeouts {
+public final class GrpcTimeout {
     /** No time-out was given. */
     public static final long NONE = -1;
 
     private static final int DIGITS = 8;
 
-    private Timeouts() {}
+    private GrpcTimeout() {}
 
     /**
      * Reads the header.
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/MessageReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/MessageReader.java
@@ -32,7 +32,7 @@
                 }
                 if (prefix[0] != 0) {
                     return new Status(
-                            Code.UNIMPLEMENTED,
+                            StatusCode.UNIMPLEMENTED,
                             "compressed messages are not taken: send identity encoding");
                 }
                 long length =
@@ -42,7 +42,7 @@
                                 | prefix[4] & 0xFF;
                 if (length > maxMessage) {
                     return new Status(
-                            Code.RESOURCE_EXHAUSTED,
+                            StatusCode.RESOURCE_EXHAUSTED,
                             "a message of " + length + " bytes: send at most " + maxMessage);
                 }
                 body = new byte[(int) length];
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/ServerCall.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/ServerCall.java
@@ -5,23 +5,23 @@
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.http2.ErrorCode;
 import sorrelhoist.protocol.http2.Http2Stream;
-import sorrelhoist.protocol.http2.StreamListener;
+import sorrelhoist.protocol.http2.Http2StreamListener;
 
 /** One call at its serving side. Every method is to be called on {@link #executor}. */
-public final class ServerCall implements StreamListener {
+public final class ServerCall implements Http2StreamListener {
     /** What the method's implementation is told, on the call's executor. */
     public interface Listener {
         /** A message of the client's. */
-        void message(byte[] message);
+        void onMessage(byte[] message);
 
         /** The client sends no more. */
-        default void halfClosed() {}
+        default void onHalfClose() {}
 
         /** The call is over before it was closed here: the client left, or its connection broke. */
-        default void cancelled(String why) {}
+        default void onCancel(String why) {}
 
         /** What waits for the client has fallen to a low mark. */
-        default void writable() {}
+        default void onReady() {}
     }
 
     private final Http2Stream stream;
@@ -53,7 +53,7 @@
         return headers;
     }
 
-    /** {@return the client's grpc-timeout in microseconds, or {@link Timeouts#NONE}} */
+    /** {@return the client's grpc-timeout in microseconds, or {@link GrpcTimeout#NONE}} */
     public long timeoutMicros() {
         return timeoutMicros;
     }
@@ -80,11 +80,11 @@
         }
         if (!answered) {
             answered = true;
-            stream.headers(
+            stream.writeHeaders(
                     new Headers().add(":status", "200").add("content-type", "application/grpc"),
                     false);
         }
-        stream.data(GrpcServer.framed(message), false);
+        stream.writeData(GrpcServer.framed(message), false);
     }
 
     /**
@@ -109,7 +109,7 @@
         if (trailers != null) {
             last.addAll(trailers);
         }
-        stream.headers(last, true);
+        stream.writeHeaders(last, true);
     }
 
     /**
@@ -122,13 +122,13 @@
     }
 
     @Override
-    public void headers(Headers trailers, boolean end) {
+    public void onHeaders(Headers trailers, boolean end) {
         ended();
     }
 
     @Override
-    public void data(ByteBuf data, boolean end) {
-        stream.consumed(data.readableBytes());
+    public void onData(ByteBuf data, boolean end) {
+        stream.consumeBytes(data.readableBytes());
         if (closed) {
             return;
         }
@@ -137,16 +137,16 @@
                         data,
                         (message, size) -> {
                             if (!closed) {
-                                listener.message(message);
+                                listener.onMessage(message);
                             }
                         });
         if (bad == null && end && reader.isPartial()) {
-            bad = new Status(Code.INVALID_ARGUMENT, "the last message is cut short");
+            bad = new Status(StatusCode.INVALID_ARGUMENT, "the last message is cut short");
         }
         if (bad != null) {
             Listener told = listener;
             close(bad, null);
-            told.cancelled(bad.message());
+            told.onCancel(bad.message());
         } else if (end) {
             ended();
         }
@@ -154,22 +154,22 @@
 
     private void ended() {
         if (!closed) {
-            listener.halfClosed();
+            listener.onHalfClose();
         }
     }
 
     @Override
-    public void reset(ErrorCode code, boolean unprocessed, String why) {
+    public void onReset(ErrorCode code, boolean unprocessed, String why) {
         if (!closed) {
             closed = true;
-            listener.cancelled(why);
+            listener.onCancel(why);
         }
     }
 
     @Override
-    public void writable() {
+    public void onWritable() {
         if (!closed) {
-            listener.writable();
+            listener.onReady();
         }
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/Status.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/Status.java
@@ -8,13 +8,13 @@
  * @param code the code
  * @param message for people; may be empty
  */
-public record Status(Code code, String message) {
+public record Status(StatusCode code, String message) {
     /** All went well. */
-    public static final Status OK = new Status(Code.OK, "");
+    public static final Status OK = new Status(StatusCode.OK, "");
 
     /** {@return whether all went well} */
     public boolean isOk() {
-        return code == Code.OK;
+        return code == StatusCode.OK;
     }
 
     /** {@return the message as the grpc-message trailer carries it: percent-encoded UTF-8} */
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/Code.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/StatusCode.java
@@ -1,7 +1,7 @@
 package sorrelhoist.protocol.grpc;
 
 /** The status codes of gRPC, in their numbers' order. */
-public enum Code {
+public enum StatusCode {
     OK,
     CANCELLED,
     UNKNOWN,
@@ -20,10 +20,10 @@
     DATA_LOSS,
     UNAUTHENTICATED;
 
-    private static final Code[] ALL = values();
+    private static final StatusCode[] ALL = values();
 
     /** {@return the code of a trailer's value; UNKNOWN for what is none} */
-    public static Code parse(String value) {
+    public static StatusCode parse(String value) {
         try {
             int number = Integer.parseInt(value);
             return number >= 0 && number < ALL.length ? ALL[number] : UNKNOWN;
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpBody.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpBodyDecoder.java
@@ -1,13 +1,13 @@
 package sorrelhoist.protocol.http1;
 
 import io.netty.buffer.ByteBuf;
-import sorrelhoist.protocol.http1.HttpParser.BadMessage;
+import sorrelhoist.protocol.http1.HttpMessageDecoder.HttpDecodeException;
 
 /**
  * Reads one message's content part by part as its bytes come (RFC 9112, sections 6 and 7); keeps
  * none of it.
  */
-public final class HttpBody {
+public final class HttpBodyDecoder {
     private enum At {
         LENGTH,
         CHUNK_SIZE,
@@ -20,16 +20,16 @@
 
     private static final int MAX_LINES = 16 << 10;
     private static final int MAX_DIGITS = 7; // of a chunk's size: 256 MiB
-    private final long length;
+    private final long declaredLength;
     private final LineReader lines =
             new LineReader(
                     MAX_LINES, "more than " + MAX_LINES + " bytes in place of a chunk", this::look);
     private At at;
     private long left;
 
-    private HttpBody(At at, long length) {
+    private HttpBodyDecoder(At at, long length) {
         this.at = at;
-        this.length = length;
+        this.declaredLength = length;
         this.left = Math.max(0, length);
     }
 
@@ -37,37 +37,37 @@
      * Finds out how a message is framed.
      *
      * @param head the message's head
-     * @throws BadMessage where its framing could be read in two ways, or not at all
+     * @throws HttpDecodeException where its framing could be read in two ways, or not at all
      */
-    public static HttpBody of(HttpHead head) throws BadMessage {
+    public static HttpBodyDecoder forHead(HttpHead head) throws HttpDecodeException {
         String length = head.header("content-length");
         String coding = head.header("transfer-encoding");
         if (coding != null) {
             if (length != null || !coding.equalsIgnoreCase("chunked")) {
-                throw new BadMessage(
+                throw new HttpDecodeException(
                         400, "transfer-encoding has to be chunked, without content-length");
             }
-            return new HttpBody(At.CHUNK_SIZE, -1);
+            return new HttpBodyDecoder(At.CHUNK_SIZE, -1);
         }
         if (length != null) {
             if (!length.matches("[0-9]{1,9}")) {
-                throw new BadMessage(400, "content-length is no number");
+                throw new HttpDecodeException(400, "content-length is no number");
             }
             long size = Long.parseLong(length);
-            return new HttpBody(size == 0 ? At.ENDED : At.LENGTH, size);
+            return new HttpBodyDecoder(size == 0 ? At.ENDED : At.LENGTH, size);
         }
         int status = head.status();
         boolean none = status == 0 || status == 204 || status == 304 || status < 200;
-        return new HttpBody(none ? At.ENDED : At.TO_CLOSE, none ? 0 : -1);
+        return new HttpBodyDecoder(none ? At.ENDED : At.TO_CLOSE, none ? 0 : -1);
     }
 
     /** {@return bytes as declared, or -1 where the message does not say} */
-    public long length() {
-        return length;
+    public long declaredLength() {
+        return declaredLength;
     }
 
     /** {@return whether all has come} */
-    public boolean ended() {
+    public boolean isComplete() {
         return at == At.ENDED;
     }
 
@@ -83,7 +83,7 @@
      * @return the next part, as a slice that lives as long as {@code in}; null where more bytes are
      *     needed or all ended
      */
-    public ByteBuf next(ByteBuf in) throws BadMessage {
+    public ByteBuf next(ByteBuf in) throws HttpDecodeException {
         while (at != At.ENDED && in.isReadable()) {
             if (at == At.LENGTH || at == At.CHUNK || at == At.TO_CLOSE) {
                 int part =
@@ -105,10 +105,10 @@
         return null;
     }
 
-    private void look(StringBuilder line) throws BadMessage {
+    private void look(StringBuilder line) throws HttpDecodeException {
         char last = line.charAt(line.length() - 1);
         if (at == At.CHUNK_SIZE && !maySize(line) || at == At.CHUNK_END && last != '\r') {
-            throw new BadMessage(400, "a chunk's size is no number, or does not fit");
+            throw new HttpDecodeException(400, "a chunk's size is no number, or does not fit");
         }
     }
 
@@ -130,14 +130,14 @@
         return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F';
     }
 
-    private void take(String whole) throws BadMessage {
+    private void take(String whole) throws HttpDecodeException {
         if (at == At.CHUNK_SIZE) {
             left = size(whole);
             at = left == 0 ? At.TRAILERS : At.CHUNK;
             lines.more();
         } else if (at == At.CHUNK_END) {
             if (!whole.isEmpty()) {
-                throw new BadMessage(400, "a chunk is longer than it said");
+                throw new HttpDecodeException(400, "a chunk is longer than it said");
             }
             at = At.CHUNK_SIZE;
         } else if (whole.isEmpty()) {
@@ -145,13 +145,13 @@
         }
     }
 
-    private static long size(String whole) throws BadMessage {
+    private static long size(String whole) throws HttpDecodeException {
         int semicolon = whole.indexOf(';');
         String size = (semicolon < 0 ? whole : whole.substring(0, semicolon)).strip();
         if (size.isEmpty()
                 || size.length() > MAX_DIGITS
                 || !size.chars().allMatch(c -> hex((char) c))) {
-            throw new BadMessage(400, "a chunk's size is no number");
+            throw new HttpDecodeException(400, "a chunk's size is no number");
         }
         return Long.parseLong(size, 16);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpClient.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpClient.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import sorrelhoist.protocol.net.Net;
+import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
  * Calls an HTTP/1.1 server: one connection a request, which is enough for a registry asked once a
@@ -28,7 +28,7 @@
     public HttpClient(EventLoop loop, String address) {
         this.loop = loop;
         this.address = address;
-        Net.parse(address);
+        LoopbackTransport.parseAddress(address);
     }
 
     /**
@@ -40,7 +40,9 @@
      */
     public CompletableFuture<HttpMessage> send(HttpMessage request, long timeoutMicros) {
         CompletableFuture<HttpMessage> result = new CompletableFuture<>();
-        var attempt = Net.connect(loop, address, timeoutMicros, new Handler(request, result));
+        var attempt =
+                LoopbackTransport.connect(
+                        loop, address, timeoutMicros, new Handler(request, result));
         attempt.onFailure(result::completeExceptionally);
         loop.schedule(
                 () -> {
@@ -62,7 +64,7 @@
     private final class Handler extends ChannelInboundHandlerAdapter {
         private final HttpMessage request;
         private final CompletableFuture<HttpMessage> result;
-        private final HttpParser parser = new HttpParser(false, MAX_BODY);
+        private final HttpMessageDecoder parser = new HttpMessageDecoder(false, MAX_BODY);
 
         Handler(HttpMessage request, CompletableFuture<HttpMessage> result) {
             this.request = request;
@@ -83,7 +85,7 @@
                     result.complete(response);
                     ctx.close();
                 }
-            } catch (HttpParser.BadMessage e) {
+            } catch (HttpMessageDecoder.HttpDecodeException e) {
                 result.completeExceptionally(e);
                 ctx.close();
             } finally {
@@ -93,7 +95,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            HttpMessage last = parser.atClose();
+            HttpMessage last = parser.completeAtClose();
             if (last != null) {
                 result.complete(last);
             }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHead.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHead.java
@@ -24,7 +24,7 @@
     }
 
     /** {@return whether another message may follow on the connection (RFC 9112, section 9.3)} */
-    public boolean keepsAlive() {
+    public boolean isKeepAlive() {
         String connection = header("connection");
         return connection == null || !connection.toLowerCase(Locale.ROOT).contains("close");
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadParser.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadDecoder.java
@@ -4,14 +4,14 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import sorrelhoist.protocol.http1.HttpParser.BadMessage;
+import sorrelhoist.protocol.http1.HttpMessageDecoder.HttpDecodeException;
 
 /**
  * Parses heads of HTTP/1.1 messages (RFC 9112, sections 2 to 5) however their bytes are cut. What
  * two readers could take for two different things is refused: bare line feeds, white space before a
  * colon, content-length twice.
  */
-public final class HttpHeadParser {
+public final class HttpHeadDecoder {
     private static final String RESPONSE = "HTTP/1.";
     private static final int MAX_START_LINES =
             4; // empty lines before a message (RFC 9112, section 2.2)
@@ -30,26 +30,26 @@
      * @param requests whether requests are expected, or responses
      * @param maxHead bytes of one head at most
      */
-    public HttpHeadParser(boolean requests, int maxHead) {
+    public HttpHeadDecoder(boolean requests, int maxHead) {
         this.requests = requests;
         this.lines =
                 new LineReader(maxHead, "a head of more than " + maxHead + " bytes", this::look);
     }
 
     /** {@return whether bytes of a head have come that is not whole yet} */
-    public boolean begun() {
+    public boolean hasPartialHead() {
         return lines.begun();
     }
 
     /** {@return the next whole head, or null where more bytes are needed} */
-    public HttpHead next(ByteBuf in) throws BadMessage {
+    public HttpHead next(ByteBuf in) throws HttpDecodeException {
         for (String whole = lines.next(in); whole != null; whole = lines.next(in)) {
             if (!started) {
                 if (!whole.isEmpty()) {
                     startLine(whole);
                     started = true;
                 } else if (++empty > MAX_START_LINES) {
-                    throw new BadMessage(400, "empty lines in place of a message");
+                    throw new HttpDecodeException(400, "empty lines in place of a message");
                 }
             } else if (!whole.isEmpty()) {
                 field(whole);
@@ -65,9 +65,9 @@
         return null;
     }
 
-    private void look(StringBuilder line) throws BadMessage {
+    private void look(StringBuilder line) throws HttpDecodeException {
         if (!started && !mayBegin(line)) {
-            throw new BadMessage(400, "the first line is no HTTP/1.1");
+            throw new HttpDecodeException(400, "the first line is no HTTP/1.1");
         }
     }
 
@@ -82,7 +82,7 @@
                 : last >= RESPONSE.length() || line.charAt(last) == RESPONSE.charAt(last);
     }
 
-    private void startLine(String whole) throws BadMessage {
+    private void startLine(String whole) throws HttpDecodeException {
         String[] parts = whole.split(" ", 3);
         boolean fits =
                 requests
@@ -94,7 +94,7 @@
                                 && version(parts[0])
                                 && parts[1].matches("[1-5][0-9][0-9]");
         if (!fits) {
-            throw new BadMessage(400, "the first line is no HTTP/1.1");
+            throw new HttpDecodeException(400, "the first line is no HTTP/1.1");
         }
         method = requests ? parts[0] : "";
         target = requests ? parts[1] : "";
@@ -105,17 +105,17 @@
         return text.equals("HTTP/1.1") || text.equals("HTTP/1.0");
     }
 
-    private void field(String whole) throws BadMessage {
+    private void field(String whole) throws HttpDecodeException {
         int colon = whole.indexOf(':');
         String name = colon <= 0 ? "" : whole.substring(0, colon).toLowerCase(Locale.ROOT);
         if (!isToken(name)) {
-            throw new BadMessage(400, "a field name with a forbidden character");
+            throw new HttpDecodeException(400, "a field name with a forbidden character");
         }
         String value = whole.substring(colon + 1).strip();
         if (name.equals("content-length")
                 && headers.containsKey(name)
                 && !headers.get(name).equals(value)) {
-            throw new BadMessage(400, "two values of content-length");
+            throw new HttpDecodeException(400, "two values of content-length");
         }
         headers.merge(name, value, (a, b) -> name.equals("content-length") ? a : a + ", " + b);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessage.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessage.java
@@ -43,7 +43,7 @@
     }
 
     /** {@return a value of the target's query, or null} */
-    public String query(String name) {
+    public String queryParameter(String name) {
         int query = target.indexOf('?');
         if (query < 0) {
             return null;
@@ -59,7 +59,7 @@
     }
 
     /** {@return the content as text} */
-    public String text() {
+    public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpParser.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessageDecoder.java
@@ -8,13 +8,13 @@
  * two different things is refused: bare line feeds in the head, white space before a colon,
  * content-length beside chunked.
  */
-public final class HttpParser {
+public final class HttpMessageDecoder {
     /** What was wrong with a message, and the status that says so. */
-    public static final class BadMessage extends Exception {
+    public static final class HttpDecodeException extends Exception {
         private static final long serialVersionUID = 1;
         private final int status;
 
-        BadMessage(int status, String message) {
+        HttpDecodeException(int status, String message) {
             super(message, null, false, false);
             this.status = status;
         }
@@ -27,10 +27,10 @@
 
     private static final int MAX_HEAD = 16 << 10;
     private final int maxBody;
-    private final HttpHeadParser heads;
+    private final HttpHeadDecoder heads;
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
     private HttpHead head;
-    private HttpBody body;
+    private HttpBodyDecoder body;
 
     /**
      * Makes a parser.
@@ -38,20 +38,20 @@
      * @param requests whether requests are expected, or responses
      * @param maxBody bytes of content taken at most
      */
-    public HttpParser(boolean requests, int maxBody) {
-        this.heads = new HttpHeadParser(requests, MAX_HEAD);
+    public HttpMessageDecoder(boolean requests, int maxBody) {
+        this.heads = new HttpHeadDecoder(requests, MAX_HEAD);
         this.maxBody = maxBody;
     }
 
     /** {@return the next whole message, or null where more bytes are needed} */
-    public HttpMessage next(ByteBuf in) throws BadMessage {
+    public HttpMessage next(ByteBuf in) throws HttpDecodeException {
         if (head == null) {
             head = heads.next(in);
             if (head == null) {
                 return null;
             }
-            body = HttpBody.of(head);
-            grow(body.length());
+            body = HttpBodyDecoder.forHead(head);
+            grow(body.declaredLength());
         }
         for (ByteBuf part = body.next(in); part != null; part = body.next(in)) {
             grow(part.readableBytes());
@@ -59,17 +59,17 @@
             part.readBytes(bytes);
             content.writeBytes(bytes);
         }
-        return body.ended() ? done() : null;
+        return body.isComplete() ? done() : null;
     }
 
     /** {@return the message that ends with its connection, or null where there is none} */
-    public HttpMessage atClose() {
+    public HttpMessage completeAtClose() {
         return head != null && body.endsWithConnection() ? done() : null;
     }
 
-    private void grow(long more) throws BadMessage {
+    private void grow(long more) throws HttpDecodeException {
         if (content.size() + more > maxBody) {
-            throw new BadMessage(413, "content of more than " + maxBody + " bytes");
+            throw new HttpDecodeException(413, "content of more than " + maxBody + " bytes");
         }
     }
 
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpServer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpServerHandler.java
@@ -7,26 +7,26 @@
 import java.util.function.Consumer;
 
 /** Serves HTTP/1.1 on one connection, one request after the other. */
-public final class HttpServer extends ChannelInboundHandlerAdapter {
+public final class HttpServerHandler extends ChannelInboundHandlerAdapter {
     private static final int MAX_BODY = 1 << 20;
 
     /** Takes requests. */
-    public interface Service {
+    public interface RequestHandler {
         /**
          * Takes a request.
          *
          * @param request whole
          * @param answer takes the response, now or later, on any thread; once
          */
-        void take(HttpMessage request, Consumer<HttpMessage> answer);
+        void handle(HttpMessage request, Consumer<HttpMessage> answer);
     }
 
-    private final HttpParser parser = new HttpParser(true, MAX_BODY);
-    private final Service service;
+    private final HttpMessageDecoder parser = new HttpMessageDecoder(true, MAX_BODY);
+    private final RequestHandler service;
     private boolean over;
 
     /** Makes the handler of one connection. */
-    public HttpServer(Service service) {
+    public HttpServerHandler(RequestHandler service) {
         this.service = service;
     }
 
@@ -39,11 +39,11 @@
                     m = over ? null : parser.next(in)) {
                 HttpMessage request = m;
                 over |= !request.keepsAlive();
-                service.take(
+                service.handle(
                         request,
                         response -> ctx.executor().execute(() -> answer(ctx, request, response)));
             }
-        } catch (HttpParser.BadMessage e) {
+        } catch (HttpMessageDecoder.HttpDecodeException e) {
             over = true;
             HttpMessage refusal =
                     HttpMessage.response(e.status(), "text/plain", e.getMessage() + "\n");
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/LineReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/LineReader.java
@@ -1,7 +1,7 @@
 package sorrelhoist.protocol.http1;
 
 import io.netty.buffer.ByteBuf;
-import sorrelhoist.protocol.http1.HttpParser.BadMessage;
+import sorrelhoist.protocol.http1.HttpMessageDecoder.HttpDecodeException;
 
 /**
  * Reads lines that end with CR LF however their bytes are cut, within a bound that several lines
@@ -19,7 +19,7 @@
      * follow it.
      */
     interface Look {
-        void at(StringBuilder line) throws BadMessage;
+        void at(StringBuilder line) throws HttpDecodeException;
     }
 
     /**
@@ -46,11 +46,11 @@
     }
 
     /** {@return the next line without its end, or null where more bytes are needed} */
-    String next(ByteBuf in) throws BadMessage {
+    String next(ByteBuf in) throws HttpDecodeException {
         while (in.isReadable()) {
             char c = (char) in.readUnsignedByte();
             if (++bytes > most) {
-                throw new BadMessage(431, over);
+                throw new HttpDecodeException(431, over);
             }
             if (c == '\n') {
                 return ended();
@@ -61,10 +61,10 @@
         return null;
     }
 
-    private String ended() throws BadMessage {
+    private String ended() throws HttpDecodeException {
         int end = line.length() - 1;
         if (end < 0 || line.charAt(end) != '\r') {
-            throw new BadMessage(400, "a line has to end with CR LF");
+            throw new HttpDecodeException(400, "a line has to end with CR LF");
         }
         String whole = line.substring(0, end);
         line.setLength(0);
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
@@ -29,7 +29,7 @@
  */
 public final class Http2Connection extends ChannelInboundHandlerAdapter {
     /** Makes listeners for the streams that a client opens. */
-    public interface Acceptor {
+    public interface StreamAcceptor {
         /**
          * A client opened a stream.
          *
@@ -38,22 +38,22 @@
          * @param end whether the client's side has ended with it
          * @return who is told of the rest
          */
-        StreamListener opened(Http2Stream stream, Headers headers, boolean end);
+        Http2StreamListener accept(Http2Stream stream, Headers headers, boolean end);
     }
 
     /** Follows a connection's life, on its event loop. */
-    public interface Watcher {
+    public interface Listener {
         /** The peer's settings came: it speaks HTTP/2. */
-        default void ready(Http2Connection connection) {}
+        default void onReady(Http2Connection connection) {}
 
         /** The peer takes no new streams; those open go on. */
-        default void draining(Http2Connection connection) {}
+        default void onGoAway(Http2Connection connection) {}
 
         /** A stream ended: there is room for another. */
-        default void streamEnded(Http2Connection connection) {}
+        default void onStreamClosed(Http2Connection connection) {}
 
         /** The connection is gone, all its streams were told. */
-        default void closed(Http2Connection connection, String why) {}
+        default void onClosed(Http2Connection connection, String why) {}
     }
 
     private static final int TURN = 4 << 10;
@@ -63,8 +63,8 @@
 
     private final boolean server;
     private final Http2Limits limits;
-    private final Acceptor acceptor;
-    private final Watcher watcher;
+    private final StreamAcceptor acceptor;
+    private final Listener watcher;
     private final FrameReader reader = new FrameReader(Frames.DEFAULT_FRAME);
     private final HpackEncoder encoder = new HpackEncoder();
     private final HpackDecoder decoder;
@@ -94,7 +94,7 @@
     private String why = "the peer closed the connection";
 
     private Http2Connection(
-            boolean server, Http2Limits limits, Acceptor acceptor, Watcher watcher) {
+            boolean server, Http2Limits limits, StreamAcceptor acceptor, Listener watcher) {
         this.server = server;
         this.limits = limits;
         this.acceptor = acceptor;
@@ -113,7 +113,8 @@
      * @param watcher follows the connection
      * @return a handler for one channel
      */
-    public static Http2Connection server(Http2Limits limits, Acceptor acceptor, Watcher watcher) {
+    public static Http2Connection server(
+            Http2Limits limits, StreamAcceptor acceptor, Listener watcher) {
         return new Http2Connection(true, limits, acceptor, watcher);
     }
 
@@ -124,7 +125,7 @@
      * @param watcher follows the connection
      * @return a handler for one channel
      */
-    public static Http2Connection client(Http2Limits limits, Watcher watcher) {
+    public static Http2Connection client(Http2Limits limits, Listener watcher) {
         return new Http2Connection(false, limits, null, watcher);
     }
 
@@ -134,7 +135,7 @@
     }
 
     /** {@return open streams} */
-    public int openStreams() {
+    public int openStreamCount() {
         return streams.size();
     }
 
@@ -153,8 +154,8 @@
         return settingsSeen;
     }
 
-    /** {@return whether {@link #open} would give a stream now} */
-    public boolean canOpen() {
+    /** {@return whether {@link #openStream} would give a stream now} */
+    public boolean canOpenStream() {
         return ctx != null
                 && !failed
                 && !draining
@@ -171,16 +172,16 @@
      * @param headers the request's list, pseudo-headers first
      * @param end whether nothing follows it
      * @param listener who is told of the answer
-     * @return the stream, or null where {@link #canOpen} is false
+     * @return the stream, or null where {@link #canOpenStream} is false
      */
-    public Http2Stream open(Headers headers, boolean end, StreamListener listener) {
-        if (!canOpen()) {
+    public Http2Stream openStream(Headers headers, boolean end, Http2StreamListener listener) {
+        if (!canOpenStream()) {
             return null;
         }
         Http2Stream s = new Http2Stream(this, streams.next(), peer.window(), limits.streamWindow());
         s.listener = listener;
         streams.put(s);
-        s.headers(headers, end);
+        s.writeHeaders(headers, end);
         return s;
     }
 
@@ -189,7 +190,7 @@
      * on, and the connection closes with the last. Streams already on their way are still taken
      * (RFC 9113 section 6.8).
      */
-    public void drain() {
+    public void shutdownGracefully() {
         if (draining || failed || ctx == null) {
             return;
         }
@@ -227,7 +228,11 @@
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         ctx = context;
-        guard = new RateGuard(limits.abusePerSecond(), limits.abuseBurst(), System.nanoTime());
+        guard =
+                new RateGuard(
+                        limits.floodPointsPerSecond(),
+                        limits.floodPointsBurst(),
+                        System.nanoTime());
         if (context.channel().isActive()) {
             greet();
         }
@@ -333,10 +338,10 @@
                 }
                 Http2Stream s = streams.get(e.stream());
                 if (s != null) {
-                    StreamListener listener = s.listener;
+                    Http2StreamListener listener = s.listener;
                     resetStream(s, e.code());
                     if (listener != null) {
-                        listener.reset(e.code(), false, e.getMessage());
+                        listener.onReset(e.code(), false, e.getMessage());
                     }
                 } else {
                     streams.rememberReset(e.stream());
@@ -370,7 +375,8 @@
         if (!watching) {
             watching = true;
             ctx.executor()
-                    .schedule(this::lookForStall, limits.stallMicros(), TimeUnit.MICROSECONDS);
+                    .schedule(
+                            this::lookForStall, limits.stallTimeoutMicros(), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -380,7 +386,7 @@
             return;
         }
         if (System.nanoTime() - partialSince
-                >= TimeUnit.MICROSECONDS.toNanos(limits.stallMicros())) {
+                >= TimeUnit.MICROSECONDS.toNanos(limits.stallTimeoutMicros())) {
             close(
                     settingsSeen ? ErrorCode.ENHANCE_YOUR_CALM : ErrorCode.SETTINGS_TIMEOUT,
                     "a preface, header block or frame took too long to come whole");
@@ -399,7 +405,7 @@
             block = null;
         }
         endStreams(ErrorCode.CONNECT_ERROR);
-        watcher.closed(this, why);
+        watcher.onClosed(this, why);
         context.fireChannelInactive();
     }
 
@@ -421,7 +427,7 @@
         for (Http2Stream s : streams.all()) {
             drop(s);
             if (s.listener != null) {
-                s.listener.reset(code, false, why);
+                s.listener.onReset(code, false, why);
             }
         }
         turns.clear();
@@ -511,18 +517,20 @@
         if (!watchingStuck && !failed) {
             watchingStuck = true;
             ctx.executor()
-                    .schedule(this::lookForStuck, limits.stallMicros(), TimeUnit.MICROSECONDS);
+                    .schedule(
+                            this::lookForStuck, limits.stallTimeoutMicros(), TimeUnit.MICROSECONDS);
         }
     }
 
     private void lookForStuck() {
         watchingStuck = false;
-        long before = System.nanoTime() - TimeUnit.MICROSECONDS.toNanos(limits.stallMicros());
+        long before =
+                System.nanoTime() - TimeUnit.MICROSECONDS.toNanos(limits.stallTimeoutMicros());
         for (Http2Stream s : new ArrayList<>(turns)) {
             if (!s.closed && s.isEnding() && s.movedAt <= before) {
-                StreamListener listener = s.listener;
+                Http2StreamListener listener = s.listener;
                 resetStream(s, ErrorCode.CANCEL);
-                listener.reset(
+                listener.onReset(
                         ErrorCode.CANCEL, false, "the peer did not take the end of its answer");
             }
         }
@@ -562,7 +570,7 @@
                 s.queued = false;
             }
             if (!s.closed && s.fellLow()) {
-                s.listener.writable();
+                s.listener.onWritable();
             }
         }
     }
@@ -620,7 +628,7 @@
     private void drop(Http2Stream s) {
         if (streams.remove(s)) {
             s.drop();
-            watcher.streamEnded(this);
+            watcher.onStreamClosed(this);
             closeIfDrained();
         }
     }
@@ -680,7 +688,7 @@
             }
             s.remoteEnded = end;
             s.owed += bytes - payload.readableBytes();
-            s.listener.data(payload, end);
+            s.listener.onData(payload, end);
             finish(s);
         }
 
@@ -754,7 +762,7 @@
             if (!informational) {
                 s.headersSeen = true;
                 s.remoteEnded = end;
-                s.listener.headers(headers, end);
+                s.listener.onHeaders(headers, end);
                 finish(s);
             }
         }
@@ -774,7 +782,7 @@
             s.remoteEnded = end;
             s.headersSeen = true;
             streams.put(s);
-            s.listener = acceptor.opened(s, headers, end);
+            s.listener = acceptor.accept(s, headers, end);
             finish(s);
         }
 
@@ -807,7 +815,7 @@
             }
             if (s != null) {
                 drop(s);
-                s.listener.reset(
+                s.listener.onReset(
                         code,
                         code == ErrorCode.REFUSED_STREAM,
                         "the peer reset the stream: " + code);
@@ -826,7 +834,7 @@
             }
             write(Frames.settingsAck(ctx.alloc()));
             if (first) {
-                watcher.ready(Http2Connection.this);
+                watcher.onReady(Http2Connection.this);
             }
             sendWaiting();
         }
@@ -877,7 +885,7 @@
                 for (Http2Stream s : streams.all()) {
                     if (s.id > lastStream) {
                         drop(s);
-                        s.listener.reset(
+                        s.listener.onReset(
                                 ErrorCode.REFUSED_STREAM,
                                 true,
                                 "the peer took no more streams: " + code);
@@ -885,7 +893,7 @@
                 }
             }
             if (first) {
-                watcher.draining(Http2Connection.this);
+                watcher.onGoAway(Http2Connection.this);
             }
             closeIfDrained();
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
@@ -9,9 +9,10 @@
  *     take
  * @param streamWindow bytes that a stream may send before it is given credit, 1 to 2^31 - 1
  * @param connectionWindow the same for all streams together, 65,535 to 2^31 - 1
- * @param abusePerSecond points that frames without use may cost a second; see {@link RateGuard}
- * @param abuseBurst points that may be saved up
- * @param stallMicros how long a preface, a header block or one frame may take to come whole
+ * @param floodPointsPerSecond points that frames without use may cost a second; see {@link
+ *     RateGuard}
+ * @param floodPointsBurst points that may be saved up
+ * @param stallTimeoutMicros how long a preface, a header block or one frame may take to come whole
  * @param maxOutboundBytes bytes that may wait for a peer that does not read
  */
 public record Http2Limits(
@@ -19,9 +20,9 @@
         int maxHeaderOctets,
         int streamWindow,
         int connectionWindow,
-        int abusePerSecond,
-        int abuseBurst,
-        long stallMicros,
+        int floodPointsPerSecond,
+        int floodPointsBurst,
+        long stallTimeoutMicros,
         int maxOutboundBytes) {
     /** For connections that clients open. */
     public static final Http2Limits SERVER =
@@ -41,9 +42,9 @@
                 maxHeaderOctets,
                 streamWindow,
                 connectionWindow,
-                abusePerSecond,
-                abuseBurst,
-                stallMicros,
+                floodPointsPerSecond,
+                floodPointsBurst,
+                stallTimeoutMicros,
                 maxOutboundBytes);
     }
 
@@ -54,14 +55,14 @@
                 maxHeaderOctets,
                 bytes,
                 connectionWindow,
-                abusePerSecond,
-                abuseBurst,
-                stallMicros,
+                floodPointsPerSecond,
+                floodPointsBurst,
+                stallTimeoutMicros,
                 maxOutboundBytes);
     }
 
     /** {@return the same with other points for abuse} */
-    public Http2Limits withAbuse(int perSecond, int burst) {
+    public Http2Limits withFloodPoints(int perSecond, int burst) {
         return new Http2Limits(
                 maxStreams,
                 maxHeaderOctets,
@@ -69,19 +70,19 @@
                 connectionWindow,
                 perSecond,
                 burst,
-                stallMicros,
+                stallTimeoutMicros,
                 maxOutboundBytes);
     }
 
     /** {@return the same with another time for a frame to come whole} */
-    public Http2Limits withStall(long micros) {
+    public Http2Limits withStallTimeout(long micros) {
         return new Http2Limits(
                 maxStreams,
                 maxHeaderOctets,
                 streamWindow,
                 connectionWindow,
-                abusePerSecond,
-                abuseBurst,
+                floodPointsPerSecond,
+                floodPointsBurst,
                 micros,
                 maxOutboundBytes);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
@@ -6,12 +6,12 @@
 
 /** One stream of a connection. Every method is to be called on the connection's event loop. */
 public final class Http2Stream {
-    /** {@link StreamListener#writable} is told when no more than this waits. */
+    /** {@link Http2StreamListener#onWritable} is told when no more than this waits. */
     static final int LOW_MARK = 8 << 10;
 
     final Http2Connection connection;
     final int id;
-    StreamListener listener;
+    Http2StreamListener listener;
     long sendWindow;
     long receiveWindow;
     int owed;
@@ -60,7 +60,7 @@
      * @param headers the fields
      * @param end whether this side ends with it; trailers always do
      */
-    public void headers(Headers headers, boolean end) {
+    public void writeHeaders(Headers headers, boolean end) {
         if (closed || endAsked) {
             return;
         }
@@ -79,7 +79,7 @@
      * @param data released in any case
      * @param end whether this side ends with it
      */
-    public void data(ByteBuf data, boolean end) {
+    public void writeData(ByteBuf data, boolean end) {
         if (closed || endAsked) {
             data.release();
             return;
@@ -96,11 +96,11 @@
     }
 
     /**
-     * Gives the peer credit for bytes that were taken out of {@link StreamListener#data}.
+     * Gives the peer credit for bytes that were taken out of {@link Http2StreamListener#onData}.
      *
      * @param bytes how many
      */
-    public void consumed(int bytes) {
+    public void consumeBytes(int bytes) {
         if (!closed && !remoteEnded) {
             owed += bytes;
             connection.creditStream(this);
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamListener.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2StreamListener.java
@@ -4,22 +4,23 @@
 import sorrelhoist.protocol.hpack.Headers;
 
 /** What a stream's user is told, on the connection's event loop and in the order of the wire. */
-public interface StreamListener {
+public interface Http2StreamListener {
     /**
      * A header list came: the response's, or trailers.
      *
      * @param headers the fields
      * @param end whether the peer's side of the stream ends with it
      */
-    void headers(Headers headers, boolean end);
+    void onHeaders(Headers headers, boolean end);
 
     /**
-     * Data came. The user gives credit for it with {@link Http2Stream#consumed}, at once or later.
+     * Data came. The user gives credit for it with {@link Http2Stream#consumeBytes}, at once or
+     * later.
      *
      * @param data valid during the call only
      * @param end whether the peer's side of the stream ends with it
      */
-    void data(ByteBuf data, boolean end);
+    void onData(ByteBuf data, boolean end);
 
     /**
      * The stream ended before both sides had finished; nothing follows. Not called for what this
@@ -30,8 +31,8 @@
      *     section 8.7)
      * @param why for logs
      */
-    void reset(ErrorCode code, boolean unprocessed, String why);
+    void onReset(ErrorCode code, boolean unprocessed, String why);
 
     /** What waited to be sent has fallen to the stream's low mark. */
-    default void writable() {}
+    default void onWritable() {}
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/InferRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/InferRequest.java
@@ -15,7 +15,7 @@
  * @param id the client's name for it; may be empty
  * @param parameters further wishes
  * @param inputs input tensors
- * @param raw raw contents, one for each input, or none at all
+ * @param rawContents raw contents, one for each input, or none at all
  */
 public record InferRequest(
         String modelName,
@@ -23,7 +23,7 @@
         String id,
         Map<String, Parameter> parameters,
         List<Tensor> inputs,
-        List<byte[]> raw) {
+        List<byte[]> rawContents) {
     /** Name of the input tensor that holds the prompt. */
     public static final String TEXT_INPUT = "text_input";
 
@@ -36,26 +36,30 @@
         Map<String, Parameter> parameters = Parameter.none();
         List<Tensor> inputs = new ArrayList<>();
         List<byte[]> raw = new ArrayList<>();
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> model = in.text();
-                case 2 -> version = in.text();
-                case 3 -> id = in.text();
-                case 4 -> Parameter.read(in.message(), parameters);
-                case 5 -> inputs.add(Tensor.read(in.message()));
-                case 7 -> raw.add(in.bytes());
-                default -> in.skip();
+                case 1 -> model = in.readString();
+                case 2 -> version = in.readString();
+                case 3 -> id = in.readString();
+                case 4 -> Parameter.read(in.readMessage(), parameters);
+                case 5 -> inputs.add(Tensor.read(in.readMessage()));
+                case 7 -> raw.add(in.readBytes());
+                default -> in.skipField();
             }
         }
         return new InferRequest(model, version, id, parameters, inputs, raw);
     }
 
     /** {@return its bytes} */
-    public byte[] bytes() {
-        ProtoWriter out = new ProtoWriter(256).text(1, modelName).text(2, modelVersion).text(3, id);
+    public byte[] toByteArray() {
+        ProtoWriter out =
+                new ProtoWriter(256)
+                        .writeString(1, modelName)
+                        .writeString(2, modelVersion)
+                        .writeString(3, id);
         Parameter.write(parameters, 4, out);
-        inputs.forEach(t -> out.message(5, t.write()));
-        raw.forEach(r -> out.always(7, r));
-        return out.done();
+        inputs.forEach(t -> out.writeMessage(5, t.write()));
+        rawContents.forEach(r -> out.writeBytesAlways(7, r));
+        return out.toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/InferResponse.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/InferResponse.java
@@ -22,13 +22,13 @@
     public static final String TEXT_OUTPUT = "text_output";
 
     /** Name of the parameter that marks a stream's last response, as Triton has it. */
-    public static final String FINAL = "triton_final_response";
+    public static final String FINAL_RESPONSE = "triton_final_response";
 
     /** Name of the parameter that holds how many tokens the answer has. */
-    public static final String TOKENS = "output_tokens";
+    public static final String OUTPUT_TOKENS = "output_tokens";
 
     /** {@return one piece of an answer} */
-    public static InferResponse piece(String model, String id, String text) {
+    public static InferResponse textChunk(String model, String id, String text) {
         return new InferResponse(model, id, Map.of(), List.of(Tensor.text(TEXT_OUTPUT, text)));
     }
 
@@ -44,7 +44,7 @@
 
     /** {@return whether it is marked as the last} */
     public boolean isFinal() {
-        Parameter p = parameters.get(FINAL);
+        Parameter p = parameters.get(FINAL_RESPONSE);
         return p != null && Boolean.TRUE.equals(p.value());
     }
 
@@ -54,14 +54,14 @@
     }
 
     /** {@return the response inside a ModelStreamInferResponse} */
-    public static InferResponse parseStreamed(byte[] bytes) throws ProtoException {
+    public static InferResponse parseStreamResponse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         InferResponse response = new InferResponse("", "", Map.of(), List.of());
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             if (f == 2) {
-                response = read(in.message());
+                response = read(in.readMessage());
             } else {
-                in.skip();
+                in.skipField();
             }
         }
         return response;
@@ -72,32 +72,32 @@
         String id = "";
         Map<String, Parameter> parameters = Parameter.none();
         List<Tensor> outputs = new ArrayList<>();
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> model = in.text();
-                case 3 -> id = in.text();
-                case 4 -> Parameter.read(in.message(), parameters);
-                case 5 -> outputs.add(Tensor.read(in.message()));
-                default -> in.skip();
+                case 1 -> model = in.readString();
+                case 3 -> id = in.readString();
+                case 4 -> Parameter.read(in.readMessage(), parameters);
+                case 5 -> outputs.add(Tensor.read(in.readMessage()));
+                default -> in.skipField();
             }
         }
         return new InferResponse(model, id, parameters, outputs);
     }
 
     private ProtoWriter write() {
-        ProtoWriter out = new ProtoWriter(128).text(1, modelName).text(3, id);
+        ProtoWriter out = new ProtoWriter(128).writeString(1, modelName).writeString(3, id);
         Parameter.write(parameters, 4, out);
-        outputs.forEach(t -> out.message(5, t.write()));
+        outputs.forEach(t -> out.writeMessage(5, t.write()));
         return out;
     }
 
     /** {@return its bytes} */
-    public byte[] bytes() {
-        return write().done();
+    public byte[] toByteArray() {
+        return write().toByteArray();
     }
 
     /** {@return the bytes of a ModelStreamInferResponse that holds it} */
-    public byte[] streamedBytes() {
-        return new ProtoWriter(160).message(2, write()).done();
+    public byte[] toStreamResponseBytes() {
+        return new ProtoWriter(160).writeMessage(2, write()).toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/ModelMessages.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/ModelMessages.java
@@ -22,46 +22,46 @@
     private ModelMessages() {}
 
     /** {@return the bytes of ServerLiveResponse, ServerReadyResponse or ModelReadyResponse} */
-    public static byte[] yes(boolean value) {
-        return new ProtoWriter(2).flag(1, value).done();
+    public static byte[] booleanResponse(boolean value) {
+        return new ProtoWriter(2).writeBool(1, value).toByteArray();
     }
 
     /** {@return the bytes of a HealthCheckResponse} */
-    public static byte[] health(int status) {
-        return new ProtoWriter(2).integer(1, status).done();
+    public static byte[] healthCheckResponse(int status) {
+        return new ProtoWriter(2).writeVarint(1, status).toByteArray();
     }
 
     /**
      * {@return field 1: the name in ModelReadyRequest and ModelMetadataRequest, the service in a
      * health check}
      */
-    public static String name(byte[] bytes) throws ProtoException {
+    public static String parseName(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         String name = "";
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             if (f == 1) {
-                name = in.text();
+                name = in.readString();
             } else {
-                in.skip();
+                in.skipField();
             }
         }
         return name;
     }
 
     /** {@return the bytes of a ServerMetadataResponse} */
-    public static byte[] server(String name, String version) {
-        return new ProtoWriter().text(1, name).text(2, version).done();
+    public static byte[] serverMetadata(String name, String version) {
+        return new ProtoWriter().writeString(1, name).writeString(2, version).toByteArray();
     }
 
     /** {@return the bytes of a ModelMetadataResponse: text in, text out} */
-    public static byte[] model(String name) {
+    public static byte[] modelMetadata(String name) {
         return new ProtoWriter()
-                .text(1, name)
-                .text(2, "1")
-                .text(3, "sorrelhoist")
-                .message(4, tensor(InferRequest.TEXT_INPUT))
-                .message(5, tensor(InferResponse.TEXT_OUTPUT))
-                .done();
+                .writeString(1, name)
+                .writeString(2, "1")
+                .writeString(3, "sorrelhoist")
+                .writeMessage(4, tensor(InferRequest.TEXT_INPUT))
+                .writeMessage(5, tensor(InferResponse.TEXT_OUTPUT))
+                .toByteArray();
     }
 
     private static ProtoWriter tensor(String name) {
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/Parameter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/Parameter.java
@@ -15,11 +15,11 @@
     static void read(ProtoReader entry, Map<String, Parameter> into) throws ProtoException {
         String key = "";
         Parameter value = new Parameter(null);
-        for (int f = entry.next(); f != 0; f = entry.next()) {
+        for (int f = entry.nextField(); f != 0; f = entry.nextField()) {
             switch (f) {
-                case 1 -> key = entry.text();
-                case 2 -> value = read(entry.message());
-                default -> entry.skip();
+                case 1 -> key = entry.readString();
+                case 2 -> value = read(entry.readMessage());
+                default -> entry.skipField();
             }
         }
         into.put(key, value);
@@ -27,13 +27,13 @@
 
     private static Parameter read(ProtoReader in) throws ProtoException {
         Object value = null;
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> value = in.flag();
-                case 2, 5 -> value = in.integer();
-                case 3 -> value = in.text();
-                case 4 -> value = in.real();
-                default -> in.skip();
+                case 1 -> value = in.readBool();
+                case 2, 5 -> value = in.readVarint();
+                case 3 -> value = in.readString();
+                case 4 -> value = in.readDouble();
+                default -> in.skipField();
             }
         }
         return new Parameter(value);
@@ -46,15 +46,17 @@
                     // one was chosen.
                     ProtoWriter value = new ProtoWriter(16);
                     if (p.value instanceof Boolean b) {
-                        value.chosen(1, b ? 1 : 0);
+                        value.writeVarintAlways(1, b ? 1 : 0);
                     } else if (p.value instanceof Long l) {
-                        value.chosen(2, l);
+                        value.writeVarintAlways(2, l);
                     } else if (p.value instanceof String s) {
-                        value.always(3, s.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+                        value.writeBytesAlways(
+                                3, s.getBytes(java.nio.charset.StandardCharsets.UTF_8));
                     } else if (p.value instanceof Double d) {
-                        value.real(4, d);
+                        value.writeDouble(4, d);
                     }
-                    out.message(field, new ProtoWriter().text(1, key).message(2, value));
+                    out.writeMessage(
+                            field, new ProtoWriter().writeString(1, key).writeMessage(2, value));
                 });
     }
 
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/Tensor.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/Tensor.java
@@ -30,13 +30,13 @@
         String datatype = "";
         List<Long> shape = new ArrayList<>();
         List<byte[]> contents = new ArrayList<>();
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> name = in.text();
-                case 2 -> datatype = in.text();
+                case 1 -> name = in.readString();
+                case 2 -> datatype = in.readString();
                 case 3 -> shape(in, shape);
-                case 5 -> contents(in.message(), contents);
-                default -> in.skip();
+                case 5 -> contents(in.readMessage(), contents);
+                default -> in.skipField();
             }
         }
         return new Tensor(name, datatype, shape, contents);
@@ -44,36 +44,36 @@
 
     private static void shape(ProtoReader in, List<Long> shape) throws ProtoException {
         if (!in.isPacked()) {
-            shape.add(in.integer());
+            shape.add(in.readVarint());
             return;
         }
-        ProtoReader packed = in.message();
+        ProtoReader packed = in.readMessage();
         while (!packed.atEnd()) {
-            shape.add(packed.packed());
+            shape.add(packed.readPackedVarint());
         }
     }
 
     private static void contents(ProtoReader in, List<byte[]> contents) throws ProtoException {
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             if (f == 8) {
-                contents.add(in.bytes());
+                contents.add(in.readBytes());
             } else {
-                in.skip();
+                in.skipField();
             }
         }
     }
 
     ProtoWriter write() {
-        ProtoWriter out = new ProtoWriter(96).text(1, name).text(2, datatype);
+        ProtoWriter out = new ProtoWriter(96).writeString(1, name).writeString(2, datatype);
         if (!shape.isEmpty()) {
             ProtoWriter packed = new ProtoWriter(16);
-            shape.forEach(packed::raw);
-            out.message(3, packed);
+            shape.forEach(packed::writePackedVarint);
+            out.writeMessage(3, packed);
         }
         if (!contents.isEmpty()) {
             ProtoWriter held = new ProtoWriter(64);
-            contents.forEach(c -> held.always(8, c));
-            out.message(5, held);
+            contents.forEach(c -> held.writeBytesAlways(8, c));
+            out.writeMessage(5, held);
         }
         return out;
     }
@@ -115,11 +115,11 @@
     @Override
     public boolean equals(Object other) {
         return other instanceof Tensor t
-                && java.util.Arrays.equals(t.write().done(), write().done());
+                && java.util.Arrays.equals(t.write().toByteArray(), write().toByteArray());
     }
 
     @Override
     public int hashCode() {
-        return java.util.Arrays.hashCode(write().done());
+        return java.util.Arrays.hashCode(write().toByteArray());
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/net/BlockingWaits.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/BlockingWaits.java
@@ -25,9 +25,9 @@
     private static final InternalLogger LOGGER =
             InternalLoggerFactory.getInstance(BlockingWaits.class);
     private final IoHandler handler;
-    private final ReadDelay readDelay;
+    private final ReadDelayEstimator readDelay;
 
-    BlockingWaits(IoHandler handler, ReadDelay readDelay) {
+    BlockingWaits(IoHandler handler, ReadDelayEstimator readDelay) {
         this.handler = handler;
         this.readDelay = readDelay;
     }
@@ -43,7 +43,7 @@
      * @param factory the other one
      * @param readDelay told of each pass of the loop, where there is only one; or null
      */
-    static IoHandlerFactory around(IoHandlerFactory factory, ReadDelay readDelay) {
+    static IoHandlerFactory around(IoHandlerFactory factory, ReadDelayEstimator readDelay) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
@@ -118,7 +118,7 @@
     }
 
     /** The event loop's view of its next timer, rounded up. */
-    private record RoundedContext(IoHandlerContext context, ReadDelay readDelay)
+    private record RoundedContext(IoHandlerContext context, ReadDelayEstimator readDelay)
             implements IoHandlerContext {
         @Override
         public boolean canBlock() {
--- a/protocol/src/main/java/sorrelhoist/protocol/net/Connecting.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/ConnectionAttempt.java
@@ -10,23 +10,23 @@
  * made the attempt, also where the system had no socket for it. (Netty's own future tells of that
  * on another thread, and its channel throws when it is closed.)
  */
-public final class Connecting {
+public final class ConnectionAttempt {
     private final EventLoop loop;
     private final ChannelFuture attempt;
     private final Throwable noSocket;
 
-    private Connecting(EventLoop loop, ChannelFuture attempt, Throwable noSocket) {
+    private ConnectionAttempt(EventLoop loop, ChannelFuture attempt, Throwable noSocket) {
         this.loop = loop;
         this.attempt = attempt;
         this.noSocket = noSocket;
     }
 
-    static Connecting on(EventLoop loop, ChannelFuture attempt) {
-        return new Connecting(loop, attempt, null);
+    static ConnectionAttempt on(EventLoop loop, ChannelFuture attempt) {
+        return new ConnectionAttempt(loop, attempt, null);
     }
 
-    static Connecting withoutSocket(EventLoop loop, Throwable why) {
-        return new Connecting(loop, null, why);
+    static ConnectionAttempt withoutSocket(EventLoop loop, Throwable why) {
+        return new ConnectionAttempt(loop, null, why);
     }
 
     /**
@@ -35,7 +35,7 @@
      * @param failed told why, on the event loop, in a later task
      * @return this
      */
-    public Connecting onFailure(Consumer<Throwable> failed) {
+    public ConnectionAttempt onFailure(Consumer<Throwable> failed) {
         if (attempt == null) {
             loop.execute(() -> failed.accept(noSocket));
         } else {
--- a/protocol/src/main/java/sorrelhoist/protocol/net/Net.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/LoopbackTransport.java
@@ -20,14 +20,14 @@
 import java.util.function.Supplier;
 
 /** Netty's sockets, on loopback addresses alone (127.0.0.0/8). */
-public final class Net {
+public final class LoopbackTransport {
     /** The address that is listened on where none is given. */
     public static final String LOOPBACK = "127.0.0.1";
 
-    private Net() {}
+    private LoopbackTransport() {}
 
     /** {@return event loops of daemon threads} */
-    public static EventLoopGroup loops(int threads, String name) {
+    public static EventLoopGroup newEventLoops(int threads, String name) {
         return new MultiThreadIoEventLoopGroup(
                 threads,
                 new DefaultThreadFactory(name, true),
@@ -41,7 +41,7 @@
      * @param readDelay told of each of its passes
      * @return a group of that loop alone
      */
-    public static EventLoopGroup loop(String name, ReadDelay readDelay) {
+    public static EventLoopGroup newEventLoop(String name, ReadDelayEstimator readDelay) {
         return new MultiThreadIoEventLoopGroup(
                 1,
                 new DefaultThreadFactory(name, true),
@@ -66,7 +66,7 @@
      * Listens on one loopback address.
      *
      * @param loops for the listener and its connections
-     * @param address from {@link #parse}
+     * @param address from {@link #parseAddress}
      * @param handler makes the handler of each connection
      * @return the listener
      * @throws IOException where the address cannot be had
@@ -108,12 +108,12 @@
      * {@return for how many nanoseconds a connection may have waited because accepting failed; 0
      * for not at all}
      */
-    public static long waitedForAccept(Channel accepted) {
+    public static long acceptDelayNanos(Channel accepted) {
         return AcceptErrors.waitedNanos(accepted);
     }
 
     /** {@return the port of a listener} */
-    public static int port(Channel listener) {
+    public static int localPort(Channel listener) {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
@@ -126,16 +126,16 @@
      * @param handler the connection's handler
      * @return the attempt
      */
-    public static Connecting connect(
+    public static ConnectionAttempt connect(
             EventLoop loop, String address, long timeoutMicros, ChannelHandler handler) {
-        InetSocketAddress to = parse(address);
+        InetSocketAddress to = parseAddress(address);
         NioSocketChannel channel;
         try {
             channel = new NioSocketChannel();
         } catch (ChannelException e) {
-            return Connecting.withoutSocket(loop, e);
+            return ConnectionAttempt.withoutSocket(loop, e);
         }
-        return Connecting.on(
+        return ConnectionAttempt.on(
                 loop,
                 new Bootstrap()
                         .group(loop)
@@ -155,7 +155,7 @@
      * @return the same
      * @throws IllegalArgumentException where it is none, or leads elsewhere
      */
-    public static InetSocketAddress parse(String address) {
+    public static InetSocketAddress parseAddress(String address) {
         int colon = address == null ? -1 : address.lastIndexOf(':');
         String host = colon < 0 ? "" : address.substring(0, colon);
         boolean local = host.equals("localhost");
--- a/protocol/src/main/java/sorrelhoist/protocol/net/ReadDelay.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/ReadDelayEstimator.java
@@ -8,7 +8,7 @@
  * them, they have just come. Time in which the whole process was not run is not seen. Used on the
  * loop's thread alone.
  */
-public final class ReadDelay {
+public final class ReadDelayEstimator {
     private static final long WAITED_NANOS = 500_000;
     private long lookedFrom = System.nanoTime();
     private long foundAt = lookedFrom;
@@ -26,7 +26,7 @@
     }
 
     /** {@return the most nanoseconds that bytes which are read now can have lain there} */
-    public long nanos() {
+    public long maxDelayNanos() {
         boolean waited = foundAt - lookedFrom >= WAITED_NANOS;
         return System.nanoTime() - (waited ? foundAt : foundBefore);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/EdgeMessage.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/EdgeMessage.java
@@ -11,82 +11,83 @@
      *
      * @param hello who it is
      */
-    record Greeting(Hello hello) implements EdgeMessage {}
+    record Handshake(Hello hello) implements EdgeMessage {}
 
     /**
      * Asks for a probe.
      *
      * @param engine of which engine
      */
-    record ProbeAsk(String engine) implements EdgeMessage {}
+    record ProbeRequest(String engine) implements EdgeMessage {}
 
     /**
      * A message to other routers.
      *
-     * @param to a router's number; -1 for all
+     * @param recipient a router's number; -1 for all
      * @param body the message
      */
-    record Tell(int to, String body) implements EdgeMessage {}
+    record RelayRequest(int recipient, String body) implements EdgeMessage {}
 
     /** Asks for the whole roster. */
-    record FetchAsk() implements EdgeMessage {}
+    record RosterRequest() implements EdgeMessage {}
 
     /** {@return the message in these bytes, or null where it is of a kind not known yet} */
     static EdgeMessage parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         EdgeMessage message = null;
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> message = new Greeting(Hello.read(in.message()));
-                case 2 -> message = probe(in.message());
-                case 3 -> message = tell(in.message());
+                case 1 -> message = new Handshake(Hello.read(in.readMessage()));
+                case 2 -> message = probe(in.readMessage());
+                case 3 -> message = tell(in.readMessage());
                 case 4 -> {
-                    in.skip();
-                    message = new FetchAsk();
+                    in.skipField();
+                    message = new RosterRequest();
                 }
-                default -> in.skip();
+                default -> in.skipField();
             }
         }
         return message;
     }
 
-    private static ProbeAsk probe(ProtoReader in) throws ProtoException {
+    private static ProbeRequest probe(ProtoReader in) throws ProtoException {
         String engine = "";
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             if (f == 1) {
-                engine = in.text();
+                engine = in.readString();
             } else {
-                in.skip();
+                in.skipField();
             }
         }
-        return new ProbeAsk(engine);
+        return new ProbeRequest(engine);
     }
 
-    private static Tell tell(ProtoReader in) throws ProtoException {
+    private static RelayRequest tell(ProtoReader in) throws ProtoException {
         long to = 0;
         String body = "";
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> to = in.signed();
-                case 2 -> body = in.text();
-                default -> in.skip();
+                case 1 -> to = in.readZigZag();
+                case 2 -> body = in.readString();
+                default -> in.skipField();
             }
         }
-        return new Tell((int) to, body);
+        return new RelayRequest((int) to, body);
     }
 
     /** {@return its bytes} */
-    default byte[] bytes() {
+    default byte[] toByteArray() {
         ProtoWriter out = new ProtoWriter(64);
-        if (this instanceof Greeting g) {
-            out.message(1, g.hello().write());
-        } else if (this instanceof ProbeAsk p) {
-            out.message(2, new ProtoWriter().text(1, p.engine()));
-        } else if (this instanceof Tell t) {
-            out.message(3, new ProtoWriter().signed(1, t.to()).text(2, t.body()));
+        if (this instanceof Handshake g) {
+            out.writeMessage(1, g.hello().write());
+        } else if (this instanceof ProbeRequest p) {
+            out.writeMessage(2, new ProtoWriter().writeString(1, p.engine()));
+        } else if (this instanceof RelayRequest t) {
+            out.writeMessage(
+                    3, new ProtoWriter().writeZigZag(1, t.recipient()).writeString(2, t.body()));
         } else {
-            out.message(4, new ProtoWriter());
+            out.writeMessage(4, new ProtoWriter());
         }
-        return out.done();
+        return out.toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/Hello.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/Hello.java
@@ -23,13 +23,13 @@
         String zone = "";
         long incarnation = 0;
         String address = "";
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> edge = in.text();
-                case 2 -> zone = in.text();
-                case 3 -> incarnation = in.integer();
-                case 4 -> address = in.text();
-                default -> in.skip();
+                case 1 -> edge = in.readString();
+                case 2 -> zone = in.readString();
+                case 3 -> incarnation = in.readVarint();
+                case 4 -> address = in.readString();
+                default -> in.skipField();
             }
         }
         return new Hello(edge, zone, incarnation, address);
@@ -37,14 +37,14 @@
 
     ProtoWriter write() {
         return new ProtoWriter()
-                .text(1, edge)
-                .text(2, zone)
-                .integer(3, incarnation)
-                .text(4, address);
+                .writeString(1, edge)
+                .writeString(2, zone)
+                .writeVarint(3, incarnation)
+                .writeString(4, address);
     }
 
     /** {@return its bytes} */
-    public byte[] bytes() {
-        return write().done();
+    public byte[] toByteArray() {
+        return write().toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/Peer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/Peer.java
@@ -21,23 +21,23 @@
         String edge = "";
         String zone = "";
         String address = "";
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> edge = in.text();
-                case 2 -> zone = in.text();
-                case 3 -> address = in.text();
-                default -> in.skip();
+                case 1 -> edge = in.readString();
+                case 2 -> zone = in.readString();
+                case 3 -> address = in.readString();
+                default -> in.skipField();
             }
         }
         return new Peer(edge, zone, address);
     }
 
     ProtoWriter write() {
-        return new ProtoWriter().text(1, edge).text(2, zone).text(3, address);
+        return new ProtoWriter().writeString(1, edge).writeString(2, zone).writeString(3, address);
     }
 
     /** {@return its bytes} */
-    public byte[] bytes() {
-        return write().done();
+    public byte[] toByteArray() {
+        return write().toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/Peers.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/PeerList.java
@@ -11,22 +11,22 @@
  *
  * @param peers all of them
  */
-public record Peers(List<Peer> peers) {
-    static Peers read(ProtoReader in) throws ProtoException {
+public record PeerList(List<Peer> peers) {
+    static PeerList read(ProtoReader in) throws ProtoException {
         List<Peer> peers = new ArrayList<>();
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             if (f == 1) {
-                peers.add(Peer.read(in.message()));
+                peers.add(Peer.read(in.readMessage()));
             } else {
-                in.skip();
+                in.skipField();
             }
         }
-        return new Peers(peers);
+        return new PeerList(peers);
     }
 
     ProtoWriter write() {
         ProtoWriter out = new ProtoWriter();
-        peers.forEach(p -> out.message(1, p.write()));
+        peers.forEach(p -> out.writeMessage(1, p.write()));
         return out;
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/PlanEvent.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/PlanEvent.java
@@ -7,18 +7,23 @@
 /**
  * What a planner tells an edge: one of these is not null.
  *
- * @param seat its place among its peers
+ * @param slot its place among its peers
  * @param roster engines
  * @param probe how a probe ended
- * @param news another router's message
+ * @param peerMessage another router's message
  * @param peers the other edges
  */
-public record PlanEvent(Seat seat, Roster roster, ProbeAnswer probe, News news, Peers peers) {
+public record PlanEvent(
+        ReplicaSlot slot,
+        Roster roster,
+        ProbeResult probe,
+        PeerMessage peerMessage,
+        PeerList peers) {
     /** Path of the stream between edge and planner. */
     public static final String ATTACH = "/sorrelhoist.plan.v1.Planner/Attach";
 
     /** {@return an event of this seat} */
-    public static PlanEvent of(Seat seat) {
+    public static PlanEvent of(ReplicaSlot seat) {
         return new PlanEvent(seat, null, null, null, null);
     }
 
@@ -28,17 +33,17 @@
     }
 
     /** {@return an event of this probe} */
-    public static PlanEvent of(ProbeAnswer probe) {
+    public static PlanEvent of(ProbeResult probe) {
         return new PlanEvent(null, null, probe, null, null);
     }
 
     /** {@return an event of this news} */
-    public static PlanEvent of(News news) {
+    public static PlanEvent of(PeerMessage news) {
         return new PlanEvent(null, null, null, news, null);
     }
 
     /** {@return an event of these peers} */
-    public static PlanEvent of(Peers peers) {
+    public static PlanEvent of(PeerList peers) {
         return new PlanEvent(null, null, null, null, peers);
     }
 
@@ -48,33 +53,33 @@
     public static PlanEvent parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         PlanEvent event = new PlanEvent(null, null, null, null, null);
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> event = of(Seat.read(in.message()));
-                case 2 -> event = of(Roster.read(in.message()));
-                case 3 -> event = of(ProbeAnswer.read(in.message()));
-                case 4 -> event = of(News.read(in.message()));
-                case 5 -> event = of(Peers.read(in.message()));
-                default -> in.skip();
+                case 1 -> event = of(ReplicaSlot.read(in.readMessage()));
+                case 2 -> event = of(Roster.read(in.readMessage()));
+                case 3 -> event = of(ProbeResult.read(in.readMessage()));
+                case 4 -> event = of(PeerMessage.read(in.readMessage()));
+                case 5 -> event = of(PeerList.read(in.readMessage()));
+                default -> in.skipField();
             }
         }
         return event;
     }
 
     /** {@return its bytes} */
-    public byte[] bytes() {
+    public byte[] toByteArray() {
         ProtoWriter out = new ProtoWriter(256);
-        if (seat != null) {
-            out.message(1, seat.write());
+        if (slot != null) {
+            out.writeMessage(1, slot.write());
         } else if (roster != null) {
-            out.message(2, roster.write());
+            out.writeMessage(2, roster.write());
         } else if (probe != null) {
-            out.message(3, probe.write());
+            out.writeMessage(3, probe.write());
         } else if (peers != null) {
-            out.message(5, peers.write());
+            out.writeMessage(5, peers.write());
         } else {
-            out.message(4, news.write());
+            out.writeMessage(4, peerMessage.write());
         }
-        return out.done();
+        return out.toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/Roster.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/Roster.java
@@ -10,11 +10,11 @@
  * The roster, whole or in part.
  *
  * @param form {@link #UPDATE}, {@link #COMPLETE} or {@link #UNAVAILABLE}
- * @param lines engines
+ * @param entries engines
  * @param epoch grows with every change of the plan
- * @param knownForMicros how long ago the planner learned of it
+ * @param ageMicros how long ago the planner learned of it
  */
-public record Roster(int form, List<Line> lines, long epoch, long knownForMicros) {
+public record Roster(int form, List<RosterEntry> entries, long epoch, long ageMicros) {
     /** Lines that changed. */
     public static final int UPDATE = 0;
 
@@ -26,24 +26,24 @@
 
     static Roster read(ProtoReader in) throws ProtoException {
         int form = 0;
-        List<Line> lines = new ArrayList<>();
+        List<RosterEntry> lines = new ArrayList<>();
         long epoch = 0;
         long known = 0;
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             switch (f) {
-                case 1 -> form = in.count();
-                case 2 -> lines.add(Line.read(in.message()));
-                case 3 -> epoch = in.integer();
-                case 4 -> known = in.integer();
-                default -> in.skip();
+                case 1 -> form = in.readNonNegativeInt();
+                case 2 -> lines.add(RosterEntry.read(in.readMessage()));
+                case 3 -> epoch = in.readVarint();
+                case 4 -> known = in.readVarint();
+                default -> in.skipField();
             }
         }
         return new Roster(form, lines, epoch, known);
     }
 
     ProtoWriter write() {
-        ProtoWriter out = new ProtoWriter(256).integer(1, form);
-        lines.forEach(l -> out.message(2, l.write()));
-        return out.integer(3, epoch).integer(4, knownForMicros);
+        ProtoWriter out = new ProtoWriter(256).writeVarint(1, form);
+        entries.forEach(l -> out.writeMessage(2, l.write()));
+        return out.writeVarint(3, epoch).writeVarint(4, ageMicros);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoReader.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads one message of the protobuf wire format, field by field: call {@link #next}, then the
- * reading method of the field's type, or {@link #skip}. Nested messages are read by a reader of
- * their own over the same bytes.
+ * Reads one message of the protobuf wire format, field by field: call {@link #nextField}, then the
+ * reading method of the field's type, or {@link #skipField}. Nested messages are read by a reader
+ * of their own over the same bytes.
  */
 public final class ProtoReader {
     /** Messages within messages, at most. */
@@ -38,7 +38,7 @@
     }
 
     /** {@return the next field's number, or 0 at the end} */
-    public int next() throws ProtoException {
+    public int nextField() throws ProtoException {
         if (at == end) {
             return field = 0;
         }
@@ -52,20 +52,20 @@
     }
 
     /** {@return a field of type int32, int64, uint32, uint64 or enum} */
-    public long integer() throws ProtoException {
+    public long readVarint() throws ProtoException {
         need(VARINT);
         return varint();
     }
 
     /** {@return a field of type sint32 or sint64} */
-    public long signed() throws ProtoException {
-        long raw = integer();
+    public long readZigZag() throws ProtoException {
+        long raw = readVarint();
         return raw >>> 1 ^ -(raw & 1);
     }
 
     /** {@return a field that must lie from 0 to 2^31 - 1} */
-    public int count() throws ProtoException {
-        long value = integer();
+    public int readNonNegativeInt() throws ProtoException {
+        long value = readVarint();
         if (value < 0 || value > Integer.MAX_VALUE) {
             throw new ProtoException("field " + field + " is out of range: " + value);
         }
@@ -73,18 +73,18 @@
     }
 
     /** {@return a field of type bool} */
-    public boolean flag() throws ProtoException {
-        return integer() != 0;
+    public boolean readBool() throws ProtoException {
+        return readVarint() != 0;
     }
 
     /** {@return a field of type double} */
-    public double real() throws ProtoException {
+    public double readDouble() throws ProtoException {
         need(FIXED64);
         return Double.longBitsToDouble(fixed(8));
     }
 
     /** {@return a field of type string; it has to be UTF-8} */
-    public String text() throws ProtoException {
+    public String readString() throws ProtoException {
         need(BYTES);
         int size = size();
         int from = at;
@@ -106,7 +106,7 @@
     }
 
     /** {@return a field of type bytes, copied} */
-    public byte[] bytes() throws ProtoException {
+    public byte[] readBytes() throws ProtoException {
         need(BYTES);
         int size = size();
         at += size;
@@ -114,7 +114,7 @@
     }
 
     /** {@return a reader of a nested message, or of a packed field} */
-    public ProtoReader message() throws ProtoException {
+    public ProtoReader readMessage() throws ProtoException {
         need(BYTES);
         if (depth >= MAX_DEPTH) {
             throw new ProtoException("messages nested more than " + MAX_DEPTH + " deep");
@@ -135,12 +135,12 @@
     }
 
     /** {@return the next value of a packed field of varints} */
-    public long packed() throws ProtoException {
+    public long readPackedVarint() throws ProtoException {
         return varint();
     }
 
     /** Passes over the field, whatever it is. */
-    public void skip() throws ProtoException {
+    public void skipField() throws ProtoException {
         switch (type) {
             case VARINT -> varint();
             case FIXED64 -> fixed(8);
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
@@ -22,7 +22,7 @@
     }
 
     /** Writes a field of type int32, int64, uint32, uint64 or enum. */
-    public ProtoWriter integer(int field, long value) {
+    public ProtoWriter writeVarint(int field, long value) {
         if (value != 0) {
             tag(field, 0);
             varint(value);
@@ -31,24 +31,24 @@
     }
 
     /** Writes a varint field also where it is 0: for members of a oneof. */
-    public ProtoWriter chosen(int field, long value) {
+    public ProtoWriter writeVarintAlways(int field, long value) {
         tag(field, 0);
         varint(value);
         return this;
     }
 
     /** Writes a field of type sint32 or sint64. */
-    public ProtoWriter signed(int field, long value) {
-        return integer(field, value << 1 ^ value >> 63);
+    public ProtoWriter writeZigZag(int field, long value) {
+        return writeVarint(field, value << 1 ^ value >> 63);
     }
 
     /** Writes a field of type bool. */
-    public ProtoWriter flag(int field, boolean value) {
-        return integer(field, value ? 1 : 0);
+    public ProtoWriter writeBool(int field, boolean value) {
+        return writeVarint(field, value ? 1 : 0);
     }
 
     /** Writes a field of type double. */
-    public ProtoWriter real(int field, double value) {
+    public ProtoWriter writeDouble(int field, double value) {
         if (Double.doubleToRawLongBits(value) != 0) {
             tag(field, 1);
             long bits = Double.doubleToRawLongBits(value);
@@ -61,22 +61,22 @@
     }
 
     /** Writes a field of type string. */
-    public ProtoWriter text(int field, String value) {
+    public ProtoWriter writeString(int field, String value) {
         return value == null || value.isEmpty()
                 ? this
-                : always(field, value.getBytes(StandardCharsets.UTF_8));
+                : writeBytesAlways(field, value.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Writes a field of type bytes. */
-    public ProtoWriter bytes(int field, byte[] value) {
-        return value.length == 0 ? this : always(field, value);
+    public ProtoWriter writeBytes(int field, byte[] value) {
+        return value.length == 0 ? this : writeBytesAlways(field, value);
     }
 
     /**
      * Writes a field of type bytes or string, or a nested message, also where it is empty: in lists
      * and oneofs.
      */
-    public ProtoWriter always(int field, byte[] value) {
+    public ProtoWriter writeBytesAlways(int field, byte[] value) {
         tag(field, 2);
         varint(value.length);
         room(value.length);
@@ -86,7 +86,7 @@
     }
 
     /** Writes a nested message. */
-    public ProtoWriter message(int field, ProtoWriter value) {
+    public ProtoWriter writeMessage(int field, ProtoWriter value) {
         tag(field, 2);
         varint(value.size);
         room(value.size);
@@ -96,13 +96,13 @@
     }
 
     /** Writes a bare varint, as packed fields hold them. */
-    public ProtoWriter raw(long value) {
+    public ProtoWriter writePackedVarint(long value) {
         varint(value);
         return this;
     }
 
     /** {@return the bytes so far} */
-    public byte[] done() {
+    public byte[] toByteArray() {
         return Arrays.copyOf(data, size);
     }
 
--- a/protocol/src/test/java/sorrelhoist/protocol/bench/CodecBench.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/bench/CodecBench.java
@@ -64,8 +64,8 @@
                                             InferRequest.TEXT_INPUT,
                                             "where is the pallet for dock seven? ".repeat(40))),
                             List.of())
-                    .bytes();
-    private final byte[] token = new DecodeEvent(new Token(17, "willow17 "), null).bytes();
+                    .toByteArray();
+    private final byte[] token = new DecodeEvent(new Token(17, "willow17 "), null).toByteArray();
     private ByteBuf block;
 
     /** Fills the tables, as they are on a connection in use. */
@@ -118,7 +118,7 @@
     /** A client's token. */
     @Benchmark
     public byte[] tokenEncode() {
-        return InferResponse.piece("sorrel", "request-1", "willow17 ").streamedBytes();
+        return InferResponse.textChunk("sorrel", "request-1", "willow17 ").toStreamResponseBytes();
     }
 
     /** Runs them. */
--- a/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
@@ -10,7 +10,7 @@
 import sorrelhoist.protocol.hpack.HpackDecoder;
 import sorrelhoist.protocol.hpack.HpackException;
 import sorrelhoist.protocol.http1.HttpMessage;
-import sorrelhoist.protocol.http1.HttpParser;
+import sorrelhoist.protocol.http1.HttpMessageDecoder;
 import sorrelhoist.protocol.http2.Fuzzed;
 import sorrelhoist.protocol.inference.InferRequest;
 import sorrelhoist.protocol.inference.InferResponse;
@@ -58,7 +58,7 @@
         try {
             switch (which) {
                 case 0 -> InferRequest.parse(bytes);
-                case 1 -> InferResponse.parseStreamed(bytes);
+                case 1 -> InferResponse.parseStreamResponse(bytes);
                 case 2 -> PlanEvent.parse(bytes);
                 case 3 -> DecodeEvent.parse(bytes);
                 case 4 -> DecodeRequest.parse(bytes);
@@ -70,13 +70,14 @@
                 }
                 default -> http(bytes, random);
             }
-        } catch (ProtoException | HpackException | HttpParser.BadMessage e) {
+        } catch (ProtoException | HpackException | HttpMessageDecoder.HttpDecodeException e) {
             return bytes.length;
         }
         return bytes.length;
     }
 
-    private static void http(byte[] noise, SplittableRandom random) throws HttpParser.BadMessage {
+    private static void http(byte[] noise, SplittableRandom random)
+            throws HttpMessageDecoder.HttpDecodeException {
         String text =
                 "POST /a HTTP/1.1\r\nhost: h\r\n"
                         + (random.nextBoolean()
@@ -86,7 +87,7 @@
         for (int i = random.nextInt(4); i > 0 && noise.length > 0; i--) {
             bytes[random.nextInt(bytes.length)] = noise[random.nextInt(noise.length)];
         }
-        HttpParser parser = new HttpParser(true, 1000);
+        HttpMessageDecoder parser = new HttpMessageDecoder(true, 1000);
         ByteBuf in = Unpooled.wrappedBuffer(bytes);
         for (HttpMessage m = parser.next(in); m != null; m = parser.next(in)) {
             m.path();
--- a/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcChannelTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcChannelTest.java
@@ -19,7 +19,7 @@
 import sorrelhoist.protocol.http2.ErrorCode;
 import sorrelhoist.protocol.http2.Http2Connection;
 import sorrelhoist.protocol.http2.Http2Limits;
-import sorrelhoist.protocol.net.Net;
+import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
  * Connections of a channel over real sockets: opened as needed, capped, closed when idle, and what
@@ -27,7 +27,7 @@
  */
 class GrpcChannelTest {
     private static final String PATH = "/s/m";
-    private final EventLoopGroup loops = Net.loops(1, "channel-test");
+    private final EventLoopGroup loops = LoopbackTransport.newEventLoops(1, "channel-test");
     private final Set<Http2Connection> accepted = ConcurrentHashMap.newKeySet();
     private final List<ServerCall> held = new ArrayList<>();
     private Channel listener;
@@ -36,7 +36,7 @@
     private GrpcChannel channel(int streams, int connections, long idleMicros) throws Exception {
         GrpcServer server =
                 new GrpcServer(1000)
-                        .unary(
+                        .addUnaryMethod(
                                 PATH,
                                 (call, message) -> {
                                     if (message.length > 0) {
@@ -47,27 +47,27 @@
                                     }
                                 });
         listener =
-                Net.listen(
+                LoopbackTransport.listen(
                         loops,
                         0,
                         () ->
                                 Http2Connection.server(
                                         limits.withMaxStreams(streams),
                                         server,
-                                        new Http2Connection.Watcher() {
+                                        new Http2Connection.Listener() {
                                             @Override
-                                            public void ready(Http2Connection c) {
+                                            public void onReady(Http2Connection c) {
                                                 accepted.add(c);
                                             }
 
                                             @Override
-                                            public void closed(Http2Connection c, String why) {
+                                            public void onClosed(Http2Connection c, String why) {
                                                 accepted.remove(c);
                                             }
                                         }));
         return new GrpcChannel(
                 loops.next(),
-                Net.LOOPBACK + ":" + Net.port(listener),
+                LoopbackTransport.LOOPBACK + ":" + LoopbackTransport.localPort(listener),
                 new GrpcChannel.Options(
                         connections, 200_000, idleMicros, 1000, Http2Limits.CLIENT));
     }
@@ -80,33 +80,35 @@
 
     @Test
     void aBusyClientIsNoFlood() throws Exception {
-        limits = limits.withAbuse(1, 60);
+        limits = limits.withFloodPoints(1, 60);
         GrpcChannel channel = channel(100, 1, 0);
         for (int i = 0; i < 400; i++) {
             assertEquals(
-                    ClientCall.End.STATUS, start(channel, 0).get(5, TimeUnit.SECONDS), "call " + i);
+                    ClientCall.Termination.STATUS,
+                    start(channel, 0).get(5, TimeUnit.SECONDS),
+                    "call " + i);
         }
         assertEquals(1, accepted.size());
     }
 
-    private CompletableFuture<ClientCall.End> start(GrpcChannel channel, int size) {
-        CompletableFuture<ClientCall.End> end = new CompletableFuture<>();
+    private CompletableFuture<ClientCall.Termination> start(GrpcChannel channel, int size) {
+        CompletableFuture<ClientCall.Termination> end = new CompletableFuture<>();
         ClientCall call =
-                channel.call(
+                channel.newCall(
                         PATH,
                         null,
                         new ClientCall.Listener() {
                             @Override
-                            public void message(ClientCall c, byte[] message, int wireBytes) {
-                                c.credit(wireBytes);
+                            public void onMessage(ClientCall c, byte[] message, int wireBytes) {
+                                c.consumeBytes(wireBytes);
                             }
 
                             @Override
-                            public void closed(
+                            public void onClose(
                                     ClientCall c,
                                     Status status,
                                     Headers trailers,
-                                    ClientCall.End how) {
+                                    ClientCall.Termination how) {
                                 end.complete(how);
                             }
                         });
@@ -130,7 +132,7 @@
     @Test
     void connectionsOpenAsStreamsRunOutAndNoFurtherThanTheCap() throws Exception {
         GrpcChannel channel = channel(2, 3, 0);
-        List<CompletableFuture<ClientCall.End>> all = new ArrayList<>();
+        List<CompletableFuture<ClientCall.Termination>> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             all.add(start(channel, 1));
         }
@@ -140,16 +142,16 @@
         await(() -> heldCalls() == 8);
         loops.next().execute(() -> List.copyOf(held).forEach(c -> c.close(Status.OK, null)));
         for (var end : all) {
-            assertEquals(ClientCall.End.STATUS, end.get(5, TimeUnit.SECONDS));
+            assertEquals(ClientCall.Termination.STATUS, end.get(5, TimeUnit.SECONDS));
         }
     }
 
     @Test
     void idleConnectionsAreClosedAndOpenedAgain() throws Exception {
         GrpcChannel channel = channel(10, 2, 50_000);
-        assertEquals(ClientCall.End.STATUS, start(channel, 0).get(5, TimeUnit.SECONDS));
+        assertEquals(ClientCall.Termination.STATUS, start(channel, 0).get(5, TimeUnit.SECONDS));
         await(accepted::isEmpty);
-        assertEquals(ClientCall.End.STATUS, start(channel, 0).get(5, TimeUnit.SECONDS));
+        assertEquals(ClientCall.Termination.STATUS, start(channel, 0).get(5, TimeUnit.SECONDS));
     }
 
     @Test
@@ -158,11 +160,14 @@
         var running = start(channel, 1);
         await(() -> heldCalls() == 1);
         Http2Connection first = accepted.iterator().next();
-        loops.next().execute(first::drain);
-        await(() -> CompletableFuture.supplyAsync(channel::connections, loops.next()).join() == 0);
-        assertEquals(ClientCall.End.STATUS, start(channel, 0).get(5, TimeUnit.SECONDS));
+        loops.next().execute(first::shutdownGracefully);
+        await(
+                () ->
+                        CompletableFuture.supplyAsync(channel::openConnections, loops.next()).join()
+                                == 0);
+        assertEquals(ClientCall.Termination.STATUS, start(channel, 0).get(5, TimeUnit.SECONDS));
         loops.next().execute(() -> held.get(0).close(Status.OK, null));
-        assertEquals(ClientCall.End.STATUS, running.get(5, TimeUnit.SECONDS));
+        assertEquals(ClientCall.Termination.STATUS, running.get(5, TimeUnit.SECONDS));
         await(() -> !accepted.contains(first));
     }
 
@@ -173,19 +178,19 @@
         await(() -> heldCalls() == 1);
         loops.next()
                 .execute(() -> accepted.iterator().next().close(ErrorCode.INTERNAL_ERROR, "test"));
-        assertEquals(ClientCall.End.BROKEN, running.get(5, TimeUnit.SECONDS));
+        assertEquals(ClientCall.Termination.BROKEN, running.get(5, TimeUnit.SECONDS));
     }
 
     @Test
     void aSocketThatSpeaksNoHttp2IsNoConnection() throws Exception {
-        listener = Net.listen(loops, 0, ChannelInboundHandlerAdapter::new);
+        listener = LoopbackTransport.listen(loops, 0, ChannelInboundHandlerAdapter::new);
         GrpcChannel channel =
                 new GrpcChannel(
                         loops.next(),
-                        Net.LOOPBACK + ":" + Net.port(listener),
+                        LoopbackTransport.LOOPBACK + ":" + LoopbackTransport.localPort(listener),
                         new GrpcChannel.Options(2, 100_000, 0, 1000, Http2Limits.CLIENT));
-        assertEquals(ClientCall.End.NOT_SENT, start(channel, 1).get(5, TimeUnit.SECONDS));
+        assertEquals(ClientCall.Termination.NOT_SENT, start(channel, 1).get(5, TimeUnit.SECONDS));
         listener.close().sync();
-        assertEquals(ClientCall.End.NOT_SENT, start(channel, 1).get(5, TimeUnit.SECONDS));
+        assertEquals(ClientCall.Termination.NOT_SENT, start(channel, 1).get(5, TimeUnit.SECONDS));
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcPartsTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcPartsTest.java
@@ -16,18 +16,18 @@
 class GrpcPartsTest {
     @Test
     void timeoutsAreReadAndWrittenInEveryUnit() {
-        assertEquals(Timeouts.NONE, Timeouts.parse(null));
-        assertEquals(4_000_000, Timeouts.parse("4S"));
-        assertEquals(250_000, Timeouts.parse("250m"));
-        assertEquals(7, Timeouts.parse("7u"));
-        assertEquals(1, Timeouts.parse("1n"));
-        assertEquals(60_000_000, Timeouts.parse("1M"));
-        assertEquals(3_600_000_000L, Timeouts.parse("1H"));
+        assertEquals(GrpcTimeout.NONE, GrpcTimeout.parse(null));
+        assertEquals(4_000_000, GrpcTimeout.parse("4S"));
+        assertEquals(250_000, GrpcTimeout.parse("250m"));
+        assertEquals(7, GrpcTimeout.parse("7u"));
+        assertEquals(1, GrpcTimeout.parse("1n"));
+        assertEquals(60_000_000, GrpcTimeout.parse("1M"));
+        assertEquals(3_600_000_000L, GrpcTimeout.parse("1H"));
         for (String bad : new String[] {"", "S", "4", "4x", "-4S", "123456789S", "4 S"}) {
-            assertThrows(IllegalArgumentException.class, () -> Timeouts.parse(bad), bad);
+            assertThrows(IllegalArgumentException.class, () -> GrpcTimeout.parse(bad), bad);
         }
         for (long micros : new long[] {1, 99_999_999, 100_000_000, 86_400_000_000L}) {
-            long read = Timeouts.parse(Timeouts.format(micros));
+            long read = GrpcTimeout.parse(GrpcTimeout.format(micros));
             assertEquals(micros, read, micros / 1000.0);
         }
     }
@@ -35,12 +35,12 @@
     @Test
     void messagesOfStatusesSurviveTheWire() {
         String text = "100 % — größer\nals \"gut\"";
-        String coded = new Status(Code.INTERNAL, text).encodedMessage();
+        String coded = new Status(StatusCode.INTERNAL, text).encodedMessage();
         assertEquals(text, Status.decodeMessage(coded));
         assertEquals(coded, coded.replaceAll("[^ -~]", ""));
         assertEquals("50%", Status.decodeMessage("50%"));
-        assertEquals(Code.UNKNOWN, Code.parse("x"));
-        assertEquals(Code.UNAVAILABLE, Code.parse("14"));
+        assertEquals(StatusCode.UNKNOWN, StatusCode.parse("x"));
+        assertEquals(StatusCode.UNAVAILABLE, StatusCode.parse("14"));
     }
 
     @Test
@@ -71,12 +71,12 @@
         MessageReader reader = new MessageReader(1000);
         assertNotNull(reader.read(Unpooled.buffer().writeByte(0).writeInt(1001), (m, s) -> {}));
         assertEquals(
-                Code.UNIMPLEMENTED,
+                StatusCode.UNIMPLEMENTED,
                 new MessageReader(1000)
                         .read(Unpooled.buffer().writeByte(1).writeInt(1), (m, s) -> {})
                         .code());
         assertEquals(
-                Code.RESOURCE_EXHAUSTED,
+                StatusCode.RESOURCE_EXHAUSTED,
                 new MessageReader(1000)
                         .read(Unpooled.buffer().writeByte(0).writeInt(-1), (m, s) -> {})
                         .code());
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyTest.java
@@ -12,16 +12,17 @@
 import org.junit.jupiter.api.Test;
 
 class HttpBodyTest {
-    private static HttpBody body(int status, Map<String, String> headers)
-            throws HttpParser.BadMessage {
-        return HttpBody.of(new HttpHead("", "", status, headers));
+    private static HttpBodyDecoder body(int status, Map<String, String> headers)
+            throws HttpMessageDecoder.HttpDecodeException {
+        return HttpBodyDecoder.forHead(new HttpHead("", "", status, headers));
     }
 
-    private static HttpBody chunked() throws HttpParser.BadMessage {
+    private static HttpBodyDecoder chunked() throws HttpMessageDecoder.HttpDecodeException {
         return body(200, Map.of("transfer-encoding", "chunked"));
     }
 
-    private static String read(HttpBody body, ByteBuf in) throws HttpParser.BadMessage {
+    private static String read(HttpBodyDecoder body, ByteBuf in)
+            throws HttpMessageDecoder.HttpDecodeException {
         StringBuilder all = new StringBuilder();
         for (ByteBuf part = body.next(in); part != null; part = body.next(in)) {
             all.append(part.toString(StandardCharsets.US_ASCII));
@@ -37,12 +38,12 @@
     void partsComeAsTheyArriveHoweverTheBytesAreCut() throws Exception {
         String wire = "4;x=y\r\nabcd\r\n3\r\nefg\r\n0\r\nt: u\r\n\r\nHTTP";
         for (int cut = 0; cut <= wire.length(); cut++) {
-            HttpBody body = chunked();
+            HttpBodyDecoder body = chunked();
             ByteBuf second = bytes(wire.substring(cut));
             String got = read(body, bytes(wire.substring(0, cut)));
             got += read(body, second);
             assertEquals("abcdefg", got);
-            assertTrue(body.ended());
+            assertTrue(body.isComplete());
             assertTrue(
                     cut > wire.length() - 4
                             || second.toString(StandardCharsets.US_ASCII).equals("HTTP"));
@@ -51,11 +52,11 @@
 
     @Test
     void aLengthIsReadToItsEndAndNoFurther() throws Exception {
-        HttpBody body = body(202, Map.of("content-length", "3"));
+        HttpBodyDecoder body = body(202, Map.of("content-length", "3"));
         ByteBuf in = bytes("abcHTTP/1.1");
         assertEquals("abc", read(body, in));
-        assertTrue(body.ended() && in.readableBytes() == 8);
-        assertTrue(body(204, Map.of()).ended());
+        assertTrue(body.isComplete() && in.readableBytes() == 8);
+        assertTrue(body(204, Map.of()).isComplete());
         assertTrue(body(200, Map.of()).endsWithConnection());
     }
 
@@ -63,12 +64,15 @@
     void spoiltFramingIsSaidAndNeverHeld() throws Exception {
         for (String bad :
                 new String[] {"xyz\r\n", "-1\r\n", "\r\n", "c0000000\r\n", "2\r\nabc\r\n", "4\n"}) {
-            HttpBody body = chunked();
-            assertThrows(HttpParser.BadMessage.class, () -> read(body, bytes(bad)), bad);
+            HttpBodyDecoder body = chunked();
+            assertThrows(
+                    HttpMessageDecoder.HttpDecodeException.class,
+                    () -> read(body, bytes(bad)),
+                    bad);
         }
-        HttpBody endless = chunked();
+        HttpBodyDecoder endless = chunked();
         assertThrows(
-                HttpParser.BadMessage.class,
+                HttpMessageDecoder.HttpDecodeException.class,
                 () -> {
                     for (int i = 0; i < 100; i++) {
                         read(endless, bytes(i == 0 ? "1;" : "x".repeat(1000)));
@@ -76,7 +80,7 @@
                 });
         for (String length : new String[] {"-1", "+1", "1x", "", "9999999999", "5, 5"}) {
             assertThrows(
-                    HttpParser.BadMessage.class,
+                    HttpMessageDecoder.HttpDecodeException.class,
                     () -> body(200, Map.of("content-length", length)),
                     length);
         }
@@ -86,25 +90,31 @@
     @Test
     void noiseIsSaidAtOnceWithoutALineFeed() throws Exception {
         for (String noise : new String[] {"\u0007", "ICY", "HTTP/2", "http/1.1", " HTTP/1.1"}) {
-            HttpHeadParser heads = new HttpHeadParser(false, 1000);
-            assertThrows(HttpParser.BadMessage.class, () -> heads.next(bytes(noise)), noise);
+            HttpHeadDecoder heads = new HttpHeadDecoder(false, 1000);
+            assertThrows(
+                    HttpMessageDecoder.HttpDecodeException.class,
+                    () -> heads.next(bytes(noise)),
+                    noise);
         }
         for (String noise : new String[] {"x", "-", "12345678", "1\u0007", "2\r\nabc"}) {
-            HttpBody body = chunked();
-            assertThrows(HttpParser.BadMessage.class, () -> read(body, bytes(noise)), noise);
+            HttpBodyDecoder body = chunked();
+            assertThrows(
+                    HttpMessageDecoder.HttpDecodeException.class,
+                    () -> read(body, bytes(noise)),
+                    noise);
         }
         assertEquals(
                 200,
-                new HttpHeadParser(false, 1000)
+                new HttpHeadDecoder(false, 1000)
                         .next(bytes("\r\nHTTP/1.1 200 OK\r\n\r\n"))
                         .status());
     }
 
     @Test
     void aHeadThatDoesNotEndIsBounded() {
-        HttpHeadParser heads = new HttpHeadParser(false, 1000);
+        HttpHeadDecoder heads = new HttpHeadDecoder(false, 1000);
         assertThrows(
-                HttpParser.BadMessage.class,
+                HttpMessageDecoder.HttpDecodeException.class,
                 () -> {
                     for (int i = 0; i < 100; i++) {
                         assertFalse(
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpParserTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpParserTest.java
@@ -34,15 +34,22 @@
     }
 
     @Test
-    void requestsAreTheSameWhereverTheyAreCut() throws HttpParser.BadMessage {
+    void requestsAreTheSameWhereverTheyAreCut() throws HttpMessageDecoder.HttpDecodeException {
         for (int piece = 1; piece <= TWO.length(); piece++) {
-            HttpParser parser = new HttpParser(true, 1000);
+            HttpMessageDecoder parser = new HttpMessageDecoder(true, 1000);
             List<String> got = new ArrayList<>();
             ByteBuf all = bytes(TWO);
             while (all.isReadable()) {
                 ByteBuf in = all.readSlice(Math.min(piece, all.readableBytes()));
                 for (HttpMessage m = parser.next(in); m != null; m = parser.next(in)) {
-                    got.add(m.method() + " " + m.path() + " " + m.query("x") + " " + m.text());
+                    got.add(
+                            m.method()
+                                    + " "
+                                    + m.path()
+                                    + " "
+                                    + m.queryParameter("x")
+                                    + " "
+                                    + m.bodyText());
                 }
             }
             assertEquals(List.of("POST /a 1 2 hello", "PUT /b null abcde"), got);
@@ -50,12 +57,12 @@
     }
 
     @Test
-    void responsesEndByLengthChunksOrClose() throws HttpParser.BadMessage {
-        HttpParser parser = new HttpParser(false, 1000);
+    void responsesEndByLengthChunksOrClose() throws HttpMessageDecoder.HttpDecodeException {
+        HttpMessageDecoder parser = new HttpMessageDecoder(false, 1000);
         assertEquals(204, parser.next(bytes("HTTP/1.1 204 No Content\r\n\r\n")).status());
         assertNull(parser.next(bytes("HTTP/1.0 200 OK\r\n\r\nall of")));
         assertNull(parser.next(bytes(" it")));
-        assertEquals("all of it", parser.atClose().text());
+        assertEquals("all of it", parser.completeAtClose().bodyText());
     }
 
     @Test
@@ -79,9 +86,9 @@
         };
         for (String text : bad) {
             assertThrows(
-                    HttpParser.BadMessage.class,
+                    HttpMessageDecoder.HttpDecodeException.class,
                     () -> {
-                        HttpParser p = new HttpParser(true, 1000);
+                        HttpMessageDecoder p = new HttpMessageDecoder(true, 1000);
                         ByteBuf in = bytes(text);
                         p.next(in);
                         p.next(in);
@@ -92,13 +99,13 @@
 
     @Property(tries = 300, seed = "42")
     void anyBytesAreParsedOrRefused(@ForAll byte[] noise) {
-        HttpParser p = new HttpParser(true, 1000);
+        HttpMessageDecoder p = new HttpMessageDecoder(true, 1000);
         try {
             ByteBuf in = Unpooled.wrappedBuffer(noise);
             for (HttpMessage m = p.next(in); m != null; m = p.next(in)) {
                 assertEquals(0, m.status());
             }
-        } catch (HttpParser.BadMessage e) {
+        } catch (HttpMessageDecoder.HttpDecodeException e) {
             assertEquals(4, e.status() / 100);
         }
     }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/FrameBench.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/FrameBench.java
@@ -92,7 +92,7 @@
     /** Opens the stream that the tokens use. */
     public FrameBench() {
         pair.pump();
-        pair.opened.get(0).headers(new Headers().add(":status", "200"), false);
+        pair.opened.get(0).writeHeaders(new Headers().add(":status", "200"), false);
         pair.pump();
         for (int i = 0; i < TOKENS; i++) {
             frames.writeMedium(64).writeByte(Frames.DATA).writeByte(0).writeInt(1).writeZero(64);
@@ -114,7 +114,7 @@
     public int carryTokens() {
         Http2Stream server = pair.opened.get(0);
         for (int i = 0; i < TOKENS; i++) {
-            server.data(pair.server.allocate(64).writeZero(64), false);
+            server.writeData(pair.server.allocate(64).writeZero(64), false);
         }
         pair.pump();
         pair.events.clear();
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
@@ -74,7 +74,7 @@
             }
             byte[] message =
                     new InferRequest("m", "", "id", java.util.Map.of(), List.of(), List.of())
-                            .bytes();
+                            .toByteArray();
             frames.add(
                     frame(
                             Frames.DATA,
@@ -154,19 +154,20 @@
     public int feed() {
         GrpcServer server =
                 new GrpcServer(10_000)
-                        .on(
+                        .addMethod(
                                 "/s/m",
                                 call ->
                                         new ServerCall.Listener() {
                                             @Override
-                                            public void message(byte[] message) {
+                                            public void onMessage(byte[] message) {
                                                 try {
                                                     InferRequest.parse(message);
                                                     call.send(message);
                                                 } catch (ProtoException e) {
                                                     call.close(
                                                             new Status(
-                                                                    sorrelhoist.protocol.grpc.Code
+                                                                    sorrelhoist.protocol.grpc
+                                                                            .StatusCode
                                                                             .INVALID_ARGUMENT,
                                                                     e.getMessage()),
                                                             null);
@@ -174,13 +175,13 @@
                                             }
 
                                             @Override
-                                            public void halfClosed() {
+                                            public void onHalfClose() {
                                                 call.close(Status.OK, null);
                                             }
                                         });
         Http2Connection connection =
                 Http2Connection.server(
-                        Http2Limits.SERVER, server, new Http2Connection.Watcher() {});
+                        Http2Limits.SERVER, server, new Http2Connection.Listener() {});
         EmbeddedChannel channel = new EmbeddedChannel(connection);
         byte[] bytes = damaged();
         int at = 0;
@@ -199,8 +200,8 @@
         channel.checkException();
         channel.close();
         channel.runPendingTasks();
-        if (connection.openStreams() != 0) {
-            throw new AssertionError(connection.openStreams() + " streams left");
+        if (connection.openStreamCount() != 0) {
+            throw new AssertionError(connection.openStreamCount() + " streams left");
         }
         channel.releaseInbound();
         channel.releaseOutbound();
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Http2ConnectionTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Http2ConnectionTest.java
@@ -34,12 +34,12 @@
     void aRequestIsAnsweredWithDataAndTrailersInOrder() {
         Pair p = new Pair();
         Http2Stream s = p.open(false);
-        s.data(bytes(10), true);
+        s.writeData(bytes(10), true);
         p.pump();
         Http2Stream served = p.opened.get(0);
-        served.headers(OK, false);
-        served.data(bytes(20), false);
-        served.headers(new Headers().add("grpc-status", "0"), true);
+        served.writeHeaders(OK, false);
+        served.writeData(bytes(20), false);
+        served.writeHeaders(new Headers().add("grpc-status", "0"), true);
         p.pump();
         assertEquals(
                 List.of(
@@ -49,8 +49,8 @@
                         "client data 20 false",
                         "client headers [HeaderField[name=grpc-status, value=0]] true"),
                 p.events);
-        assertEquals(0, p.client.openStreams());
-        assertEquals(0, p.server.openStreams());
+        assertEquals(0, p.client.openStreamCount());
+        assertEquals(0, p.server.openStreamCount());
     }
 
     @Test
@@ -65,14 +65,14 @@
         Pair p = new Pair(Http2Limits.SERVER, Http2Limits.CLIENT, piece);
         Http2Stream a = p.open(false);
         Http2Stream b = p.open(true);
-        a.data(bytes(300), false);
-        a.data(bytes(5), true);
+        a.writeData(bytes(300), false);
+        a.writeData(bytes(5), true);
         p.pump();
         for (Http2Stream s : List.copyOf(p.opened)) {
-            s.headers(
+            s.writeHeaders(
                     new Headers().add(":status", "200").add("some-field", "v".repeat(200)), false);
-            s.data(bytes(2000), false);
-            s.headers(new Headers().add("t", "1"), true);
+            s.writeData(bytes(2000), false);
+            s.writeHeaders(new Headers().add("t", "1"), true);
         }
         p.pump();
         return p.events.stream().map(e -> e.replaceAll(" data \\d+", " data")).distinct().toList();
@@ -86,19 +86,19 @@
         Http2Stream other = p.open(true);
         p.pump();
         Http2Stream served = p.opened.get(0);
-        served.headers(OK, false);
-        served.data(bytes(5000), true);
+        served.writeHeaders(OK, false);
+        served.writeData(bytes(5000), true);
         p.pump();
         assertEquals(1000, sum(p.events, "client data"));
         assertEquals(4000, served.pendingBytes());
-        p.opened.get(1).headers(OK, false);
-        p.opened.get(1).data(bytes(900), true);
+        p.opened.get(1).writeHeaders(OK, false);
+        p.opened.get(1).writeData(bytes(900), true);
         p.pump();
         assertEquals(1900, sum(p.events, "client data"));
-        slow.consumed(1000);
+        slow.consumeBytes(1000);
         p.pump();
         assertEquals(2900, sum(p.events, "client data"));
-        other.consumed(900);
+        other.consumeBytes(900);
         p.pump();
         assertTrue(other.isClosed(), "the stream beside the slow one is served to its end");
         assertFalse(slow.isClosed());
@@ -124,11 +124,11 @@
         p.pump();
         Http2Stream bulk = p.opened.get(0);
         Http2Stream small = p.opened.get(1);
-        bulk.headers(OK, false);
-        small.headers(OK, false);
-        bulk.data(bytes(1_000_000), false);
+        bulk.writeHeaders(OK, false);
+        small.writeHeaders(OK, false);
+        bulk.writeData(bytes(1_000_000), false);
         for (int i = 0; i < 200; i++) {
-            small.data(bytes(100), false);
+            small.writeData(bytes(100), false);
         }
         assertTrue(bulk.pendingBytes() > 0);
         p.pump();
@@ -174,12 +174,12 @@
         Pair p = new Pair();
         p.open(true);
         p.pump();
-        p.server.drain();
+        p.server.shutdownGracefully();
         p.pump();
         assertNull(p.open(true));
         assertTrue(p.serverChannel.isOpen());
-        p.opened.get(0).headers(OK, false);
-        p.opened.get(0).data(bytes(5), true);
+        p.opened.get(0).writeHeaders(OK, false);
+        p.opened.get(0).writeData(bytes(5), true);
         p.pump();
         assertTrue(p.events.contains("client data 5 true"));
         assertFalse(p.serverChannel.isOpen());
@@ -210,7 +210,7 @@
                     Http2Connection.server(
                             limits,
                             (stream, headers, end) -> p.new Log("server", stream),
-                            new Http2Connection.Watcher() {});
+                            new Http2Connection.Listener() {});
             channel = new EmbeddedChannel(c);
             send(Unpooled.copiedBuffer(Frames.PREFACE, StandardCharsets.US_ASCII));
             frame(Frames.SETTINGS, 0, 0);
@@ -391,15 +391,15 @@
 
     @Test
     void creditThatComesAfterTheEndCostsABusyClientNothing() {
-        Pair p = new Pair(Http2Limits.SERVER.withAbuse(1, 50), Http2Limits.CLIENT, 0);
+        Pair p = new Pair(Http2Limits.SERVER.withFloodPoints(1, 50), Http2Limits.CLIENT, 0);
         p.autoCredit = false;
         for (int i = 0; i < 300; i++) {
             p.open(true);
             p.pump();
             Http2Stream s = p.opened.get(i);
-            s.headers(new Headers().add(":status", "200"), false);
+            s.writeHeaders(new Headers().add(":status", "200"), false);
             for (int k = 0; k < 8; k++) {
-                s.data(io.netty.buffer.Unpooled.wrappedBuffer(new byte[20]), k == 7);
+                s.writeData(io.netty.buffer.Unpooled.wrappedBuffer(new byte[20]), k == 7);
             }
             p.pump();
             // Some clients end a stream once more instead of crediting the last frame.
@@ -451,7 +451,7 @@
                         Http2Connection.server(
                                 Http2Limits.SERVER,
                                 (stream, headers, end) -> null,
-                                new Http2Connection.Watcher() {}));
+                                new Http2Connection.Listener() {}));
         channel.writeInbound(
                 Unpooled.copiedBuffer("GET / HTTP/1.1\r\n\r\n", StandardCharsets.US_ASCII));
         channel.runPendingTasks();
@@ -460,7 +460,7 @@
 
     @Test
     void aHeaderBlockThatNeverEndsCostsTheConnectionInTime() throws InterruptedException {
-        Raw raw = new Raw(Http2Limits.SERVER.withStall(20_000));
+        Raw raw = new Raw(Http2Limits.SERVER.withStallTimeout(20_000));
         raw.frame(Frames.HEADERS, 0, 1, 0x82);
         long bound = System.nanoTime() + 5_000_000_000L;
         while (raw.channel.isOpen() && System.nanoTime() < bound) {
@@ -475,16 +475,16 @@
     void anAnswerThatItsClientNeverTakesIsGivenUpInTimeAndOthersAreNot() {
         Pair p =
                 new Pair(
-                        Http2Limits.SERVER.withStall(20_000),
+                        Http2Limits.SERVER.withStallTimeout(20_000),
                         Http2Limits.CLIENT.withStreamWindow(100),
                         0);
         p.autoCredit = false;
         p.open(true);
         p.open(true);
         p.pump();
-        p.opened.forEach(s -> s.headers(OK, false));
-        p.opened.get(0).data(bytes(500), true);
-        p.opened.get(1).data(bytes(500), false);
+        p.opened.forEach(s -> s.writeHeaders(OK, false));
+        p.opened.get(0).writeData(bytes(500), true);
+        p.opened.get(1).writeData(bytes(500), false);
         p.pump();
         long bound = System.nanoTime() + 5_000_000_000L;
         while (!p.events.contains("client reset CANCEL false") && System.nanoTime() < bound) {
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
@@ -38,8 +38,8 @@
                             events.add("server opened " + stream.id() + " " + headers + " " + end);
                             return new Log("server", stream);
                         },
-                        new Http2Connection.Watcher() {});
-        client = Http2Connection.client(clientLimits, new Http2Connection.Watcher() {});
+                        new Http2Connection.Listener() {});
+        client = Http2Connection.client(clientLimits, new Http2Connection.Listener() {});
         serverChannel = new EmbeddedChannel(server);
         clientChannel = new EmbeddedChannel(client);
         pump();
@@ -51,7 +51,7 @@
 
     Http2Stream open(boolean end) {
         Log log = new Log("client", null);
-        Http2Stream s = client.open(REQUEST, end, log);
+        Http2Stream s = client.openStream(REQUEST, end, log);
         log.stream = s;
         return s;
     }
@@ -78,7 +78,7 @@
         return moved;
     }
 
-    final class Log implements StreamListener {
+    final class Log implements Http2StreamListener {
         private final String side;
         private Http2Stream stream;
 
@@ -88,14 +88,14 @@
         }
 
         @Override
-        public void headers(Headers headers, boolean end) {
+        public void onHeaders(Headers headers, boolean end) {
             events.add(side + " headers " + headers + " " + end);
         }
 
         @Override
-        public void data(ByteBuf data, boolean end) {
+        public void onData(ByteBuf data, boolean end) {
             if (autoCredit) {
-                stream.consumed(data.readableBytes());
+                stream.consumeBytes(data.readableBytes());
             }
             if (side.equals("client")) {
                 order.add(new int[] {stream.id(), data.readableBytes()});
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public void reset(ErrorCode code, boolean unprocessed, String why) {
+        public void onReset(ErrorCode code, boolean unprocessed, String why) {
             events.add(side + " reset " + code + " " + unprocessed);
         }
     }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/StreamAccountingTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/StreamAccountingTest.java
@@ -43,9 +43,9 @@
                         int size = random.nextInt(2500);
                         if (!s.isClosed()) {
                             if (!sent.containsKey(s.id())) {
-                                s.headers(new Headers().add(":status", "200"), false);
+                                s.writeHeaders(new Headers().add(":status", "200"), false);
                             }
-                            s.data(Unpooled.wrappedBuffer(new byte[size]), false);
+                            s.writeData(Unpooled.wrappedBuffer(new byte[size]), false);
                             sent.merge(s.id(), size, Integer::sum);
                         }
                     }
@@ -82,8 +82,8 @@
                         });
         p.opened.forEach(s -> s.reset(ErrorCode.CANCEL));
         p.pump();
-        assertEquals(0, p.client.openStreams());
-        assertEquals(0, p.server.openStreams());
+        assertEquals(0, p.client.openStreamCount());
+        assertEquals(0, p.server.openStreamCount());
     }
 
     private static Map<Integer, Integer> got(Pair p) {
@@ -107,7 +107,7 @@
             Pair p, Map<Integer, Http2Stream> clients, Map<Integer, Integer> credited, int id) {
         int owed = got(p).getOrDefault(id, 0) - credited.getOrDefault(id, 0);
         if (owed > 0 && !clients.get(id).isClosed()) {
-            clients.get(id).consumed(owed);
+            clients.get(id).consumeBytes(owed);
             credited.merge(id, owed, Integer::sum);
         }
     }
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/ProtoTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/ProtoTest.java
@@ -17,9 +17,9 @@
 import sorrelhoist.protocol.inference.Parameter;
 import sorrelhoist.protocol.inference.Tensor;
 import sorrelhoist.protocol.plan.EdgeMessage;
-import sorrelhoist.protocol.plan.Line;
 import sorrelhoist.protocol.plan.PlanEvent;
 import sorrelhoist.protocol.plan.Roster;
+import sorrelhoist.protocol.plan.RosterEntry;
 
 /** Messages come back as they went; what is no message is refused and nothing worse. */
 class ProtoTest {
@@ -42,7 +42,7 @@
 
     @Test
     void aRequestComesBackWithDefaultsOfItsOneofs() throws ProtoException {
-        assertEquals(REQUEST, InferRequest.parse(REQUEST.bytes()));
+        assertEquals(REQUEST, InferRequest.parse(REQUEST.toByteArray()));
     }
 
     @Test
@@ -65,14 +65,15 @@
                         text.getBytes(java.nio.charset.StandardCharsets.UTF_8),
                         java.nio.charset.StandardCharsets.UTF_8);
         DecodeRequest r = new DecodeRequest(s, s, "e", n, s, s, s, n, n, n, s, n);
-        assertEquals(r, DecodeRequest.parse(r.bytes()));
+        assertEquals(r, DecodeRequest.parse(r.toByteArray()));
         DecodeEvent e = new DecodeEvent(new Token(n, s), null);
-        assertEquals(e, DecodeEvent.parse(e.bytes()));
+        assertEquals(e, DecodeEvent.parse(e.toByteArray()));
         PlanEvent p =
-                PlanEvent.of(new Roster(1, List.of(new Line(s, s, s, s, 2, d, b, b, s)), b, b));
-        assertEquals(p, PlanEvent.parse(p.bytes()));
-        EdgeMessage t = new EdgeMessage.Tell(a, s);
-        assertEquals(t, EdgeMessage.parse(t.bytes()));
+                PlanEvent.of(
+                        new Roster(1, List.of(new RosterEntry(s, s, s, s, 2, d, b, b, s)), b, b));
+        assertEquals(p, PlanEvent.parse(p.toByteArray()));
+        EdgeMessage t = new EdgeMessage.RelayRequest(a, s);
+        assertEquals(t, EdgeMessage.parse(t.toByteArray()));
     }
 
     @Property(tries = 500, seed = "42")
@@ -87,7 +88,7 @@
 
     @Test
     void cutAndHostileMessagesAreRefused() {
-        byte[] whole = REQUEST.bytes();
+        byte[] whole = REQUEST.toByteArray();
         int refused = 0;
         for (int cut = 1; cut < whole.length; cut++) {
             byte[] part = java.util.Arrays.copyOf(whole, cut);
--- a/standin/src/main/java/sorrelhoist/standin/engine/Control.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/EngineControl.java
@@ -7,25 +7,25 @@
 /**
  * The one method by which a stand-in engine is told what to suffer: a line of text in, a line out.
  */
-public final class Control {
+public final class EngineControl {
     /** Its path. */
     public static final String PATH = "/sorrelhoist.standin.v1.Control/Do";
 
-    private Control() {}
+    private EngineControl() {}
 
     /** {@return the bytes of a line} */
-    public static byte[] bytes(String line) {
-        return new ProtoWriter().text(1, line).done();
+    public static byte[] encode(String line) {
+        return new ProtoWriter().writeString(1, line).toByteArray();
     }
 
     static String parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         String line = "";
-        for (int f = in.next(); f != 0; f = in.next()) {
+        for (int f = in.nextField(); f != 0; f = in.nextField()) {
             if (f == 1) {
-                line = in.text();
+                line = in.readString();
             } else {
-                in.skip();
+                in.skipField();
             }
         }
         return line;
--- a/standin/src/main/java/sorrelhoist/standin/engine/Engine.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/EngineStandIn.java
@@ -14,15 +14,15 @@
 import java.util.concurrent.TimeUnit;
 import sorrelhoist.protocol.engine.*;
 import sorrelhoist.protocol.grpc.ClientCall;
-import sorrelhoist.protocol.grpc.Code;
 import sorrelhoist.protocol.grpc.GrpcChannel;
 import sorrelhoist.protocol.grpc.GrpcServer;
 import sorrelhoist.protocol.grpc.ServerCall;
 import sorrelhoist.protocol.grpc.Status;
+import sorrelhoist.protocol.grpc.StatusCode;
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.http2.Http2Connection;
 import sorrelhoist.protocol.http2.Http2Limits;
-import sorrelhoist.protocol.net.Net;
+import sorrelhoist.protocol.net.LoopbackTransport;
 import sorrelhoist.protocol.protobuf.ProtoException;
 import sorrelhoist.standin.Trace;
 
@@ -30,7 +30,7 @@
  * A stand-in for an engine: reads prompts and writes answers in steps, a step taking longer the
  * more it reads and writes; slots, queue and memory are bounded. Everything runs on one event loop.
  */
-public final class Engine {
+public final class EngineStandIn {
     private static final long SWEEP = 500_000;
     private final EngineSettings s;
     private final EventLoop loop;
@@ -60,7 +60,7 @@
      * @param settings what it is
      * @param loops its event loops, of which it takes one
      */
-    public Engine(EngineSettings settings, EventLoopGroup loops) throws IOException {
+    public EngineStandIn(EngineSettings settings, EventLoopGroup loops) throws IOException {
         this.s = settings;
         this.loops = loops;
         this.loop = loops.next();
@@ -78,25 +78,26 @@
      * What happens instead of ending the process where it is told to die; for engines inside a
      * test.
      */
-    public Engine dies(Runnable how) {
+    public EngineStandIn onCrash(Runnable how) {
         death = how;
         return this;
     }
 
     /** Listens and registers. {@return this} */
-    public Engine start() throws IOException {
+    public EngineStandIn start() throws IOException {
         GrpcServer server =
                 new GrpcServer(4 << 20)
-                        .on(EngineApi.PREFILL, this::prefill)
-                        .on(EngineApi.DECODE, this::decode)
-                        .unary(EngineApi.RESERVE, this::reserve)
-                        .unary(EngineApi.RELEASE, this::release)
-                        .unary(EngineApi.PROBE, (call, m) -> reply(call, report().bytes()))
-                        .unary(EngineApi.FETCH, this::fetch)
-                        .unary(Control.PATH, this::control);
-        Http2Limits limits = Http2Limits.SERVER.withAbuse(50_000, 100_000);
+                        .addMethod(EngineApi.PREFILL, this::prefill)
+                        .addMethod(EngineApi.DECODE, this::decode)
+                        .addUnaryMethod(EngineApi.RESERVE, this::reserve)
+                        .addUnaryMethod(EngineApi.RELEASE, this::release)
+                        .addUnaryMethod(
+                                EngineApi.PROBE, (call, m) -> reply(call, report().toByteArray()))
+                        .addUnaryMethod(EngineApi.FETCH, this::fetch)
+                        .addUnaryMethod(EngineControl.PATH, this::control);
+        Http2Limits limits = Http2Limits.SERVER.withFloodPoints(50_000, 100_000);
         listener =
-                Net.listen(
+                LoopbackTransport.listen(
                         loops,
                         s.port(),
                         () ->
@@ -109,7 +110,7 @@
                                                         Http2Connection.server(
                                                                 limits,
                                                                 server,
-                                                                new Http2Connection.Watcher() {}));
+                                                                new Http2Connection.Listener() {}));
                                     }
                                 });
         trace.line(
@@ -137,7 +138,9 @@
                 "warmSends",
                 s.warmSendsPerSecond());
         if (!s.registry().isEmpty()) {
-            registration = new Registration(s, loop, Net.LOOPBACK, port(), startedAt / 1000, valve);
+            registration =
+                    new Registration(
+                            s, loop, LoopbackTransport.LOOPBACK, port(), startedAt / 1000, valve);
             registration.start();
         }
         loop.schedule(this::sweep, SWEEP, TimeUnit.MICROSECONDS);
@@ -146,7 +149,7 @@
 
     /** {@return the port it listens on} */
     public int port() {
-        return Net.port(listener);
+        return LoopbackTransport.localPort(listener);
     }
 
     /** Stops listening and forgets everything, as a process that dies does. */
@@ -159,7 +162,7 @@
                     }
                     listener.close();
                     valve.open();
-                    others.values().forEach(GrpcChannel::shut);
+                    others.values().forEach(GrpcChannel::shutdown);
                 });
     }
 
@@ -168,11 +171,11 @@
 
     private void reply(ServerCall call, byte[] message) {
         call.send(message);
-        call.close(Status.OK, EngineApi.loadTrailer(report()));
+        call.close(Status.OK, EngineApi.loadReportTrailers(report()));
     }
 
-    private void refuse(ServerCall call, Code code, String why) {
-        call.close(new Status(code, why), EngineApi.loadTrailer(report()));
+    private void refuse(ServerCall call, StatusCode code, String why) {
+        call.close(new Status(code, why), EngineApi.loadReportTrailers(report()));
     }
 
     private LoadReport report() {
@@ -220,19 +223,19 @@
             private boolean taken;
 
             @Override
-            public void message(byte[] message) {
+            public void onMessage(byte[] message) {
                 try {
                     if (!taken) {
                         taken = true;
                         take.take(message, call);
                     }
                 } catch (ProtoException e) {
-                    refuse(call, Code.INVALID_ARGUMENT, e.getMessage());
+                    refuse(call, StatusCode.INVALID_ARGUMENT, e.getMessage());
                 }
             }
 
             @Override
-            public void cancelled(String why) {
+            public void onCancel(String why) {
                 cancelled.run();
             }
         };
@@ -264,10 +267,10 @@
                                     : "this engine reads no prompts";
                     if (full != null) {
                         endRead(r, "full");
-                        refuse(c, Code.RESOURCE_EXHAUSTED, full);
+                        refuse(c, StatusCode.RESOURCE_EXHAUSTED, full);
                     } else if (faults.errorNow(Trace.now())) {
                         endRead(r, "error");
-                        refuse(c, Code.INTERNAL, "told to fail");
+                        refuse(c, StatusCode.INTERNAL, "told to fail");
                     } else {
                         job[0] =
                                 new Jobs.Read(
@@ -309,7 +312,7 @@
                             "cls",
                             r.requestClass(),
                             "from",
-                            r.fromToken(),
+                            r.firstTokenIndex(),
                             "state",
                             r.stateId());
                     String full =
@@ -317,19 +320,19 @@
                                     ? "this engine writes no answers"
                                     : full(writes.size() + waiting.size(), r.promptTokens());
                     boolean alone = r.stateId().isEmpty();
-                    Jobs.Place place = places.remove(r.placeId());
+                    Jobs.Place place = places.remove(r.reservationId());
                     if (full != null && place == null) {
                         endWrite(r, "full", 0);
-                        refuse(c, Code.RESOURCE_EXHAUSTED, full);
+                        refuse(c, StatusCode.RESOURCE_EXHAUSTED, full);
                     } else if (alone && !s.readsItself() && !s.reads()) {
                         endWrite(r, "no state", 0);
                         refuse(
                                 c,
-                                Code.FAILED_PRECONDITION,
+                                StatusCode.FAILED_PRECONDITION,
                                 "no state to fetch, and this engine reads no prompts");
                     } else if (faults.errorNow(Trace.now())) {
                         endWrite(r, "error", 0);
-                        refuse(c, Code.INTERNAL, "told to fail");
+                        refuse(c, StatusCode.INTERNAL, "told to fail");
                     } else {
                         job[0] = new Jobs.Write(c, r, faults.loseNow(Trace.now()));
                         waiting.add(job[0]);
@@ -373,27 +376,27 @@
                         new Jobs.Place(
                                 id, r.requestId(), r.promptTokens() + r.maxTokens(), Trace.now()));
             }
-            reply(call, new ReserveReply(free, id).bytes());
+            reply(call, new ReserveReply(free, id).toByteArray());
         } catch (ProtoException e) {
-            refuse(call, Code.INVALID_ARGUMENT, e.getMessage());
+            refuse(call, StatusCode.INVALID_ARGUMENT, e.getMessage());
         }
     }
 
     private void release(ServerCall call, byte[] message) {
         try {
             ReleaseRequest r = ReleaseRequest.parse(message);
-            boolean any = places.remove(r.placeId()) != null;
+            boolean any = places.remove(r.reservationId()) != null;
             for (Jobs.State state : List.copyOf(states.values())) {
                 boolean meant =
-                        r.stateId().isEmpty() && r.placeId().isEmpty()
+                        r.stateId().isEmpty() && r.reservationId().isEmpty()
                                 ? state.request().equals(r.requestId())
-                                        && state.attempt() <= r.upTo()
+                                        && state.attempt() <= r.lastAttempt()
                                 : state.id().equals(r.stateId());
                 any |= meant && free(state.id(), "released") != null;
             }
-            reply(call, new ReleaseReply(any).bytes());
+            reply(call, new ReleaseReply(any).toByteArray());
         } catch (ProtoException e) {
-            refuse(call, Code.INVALID_ARGUMENT, e.getMessage());
+            refuse(call, StatusCode.INVALID_ARGUMENT, e.getMessage());
         }
     }
 
@@ -409,15 +412,15 @@
         try {
             Jobs.State state = free(FetchRequest.parse(message).stateId(), "fetched");
             if (state == null) {
-                refuse(call, Code.NOT_FOUND, "no such state");
+                refuse(call, StatusCode.NOT_FOUND, "no such state");
             } else {
                 reply(
                         call,
                         new FetchReply(state.tokens(), state.digest(), s.zone() + "/" + s.rack())
-                                .bytes());
+                                .toByteArray());
             }
         } catch (ProtoException e) {
-            refuse(call, Code.INVALID_ARGUMENT, e.getMessage());
+            refuse(call, StatusCode.INVALID_ARGUMENT, e.getMessage());
         }
     }
 
@@ -501,7 +504,7 @@
                 r.request.clientId(),
                 "state",
                 state.id());
-        reply(r.call, new PrefillReply(state.id(), r.kept).bytes());
+        reply(r.call, new PrefillReply(state.id(), r.kept).toByteArray());
     }
 
     private void admit() {
@@ -524,18 +527,18 @@
     private void fetch(Jobs.Write w) {
         GrpcChannel reader =
                 others.computeIfAbsent(
-                        w.request.stateAt(),
-                        a -> new GrpcChannel(loop, a, GrpcChannel.Options.PLAIN));
+                        w.request.stateAddress(),
+                        a -> new GrpcChannel(loop, a, GrpcChannel.Options.BACKGROUND));
         ClientCall call =
-                reader.call(
+                reader.newCall(
                         EngineApi.FETCH,
                         null,
                         new ClientCall.Listener() {
                             private FetchReply reply;
 
                             @Override
-                            public void message(ClientCall c, byte[] message, int wireBytes) {
-                                c.credit(wireBytes);
+                            public void onMessage(ClientCall c, byte[] message, int wireBytes) {
+                                c.consumeBytes(wireBytes);
                                 try {
                                     reply = FetchReply.parse(message);
                                 } catch (ProtoException e) {
@@ -544,11 +547,11 @@
                             }
 
                             @Override
-                            public void closed(
+                            public void onClose(
                                     ClientCall c,
                                     Status status,
                                     Headers trailers,
-                                    ClientCall.End end) {
+                                    ClientCall.Termination end) {
                                 if (!writes.contains(w)) {
                                     return;
                                 }
@@ -557,7 +560,7 @@
                                     endWrite(w.request, "no state", 0);
                                     refuse(
                                             w.call,
-                                            Code.FAILED_PRECONDITION,
+                                            StatusCode.FAILED_PRECONDITION,
                                             "the state cannot be fetched: " + status.message());
                                     return;
                                 }
@@ -574,7 +577,7 @@
                                         TimeUnit.MICROSECONDS);
                             }
                         });
-        call.sendLast(new FetchRequest(w.request.stateId(), s.id()).bytes());
+        call.sendLast(new FetchRequest(w.request.stateId(), s.id()).toByteArray());
         reader.start(call);
     }
 
@@ -592,7 +595,7 @@
                     "cls",
                     w.request.requestClass(),
                     "from",
-                    w.request.fromToken());
+                    w.request.firstTokenIndex());
         }
         if (w.lost) {
             writes.remove(w);
@@ -605,13 +608,13 @@
         if (w.next < w.total) {
             w.call.send(
                     new DecodeEvent(new Token(w.next, Words.token(w.digest, w.next)), null)
-                            .bytes());
+                            .toByteArray());
             w.next++;
         }
         if (w.next >= w.total) {
             writes.remove(w);
             endWrite(w.request, "done", w.next);
-            reply(w.call, new DecodeEvent(null, new Finish(w.next, 0)).bytes());
+            reply(w.call, new DecodeEvent(null, new Finish(w.next, 0)).toByteArray());
         }
     }
 
@@ -633,12 +636,12 @@
     private void control(ServerCall call, byte[] message) {
         String result;
         try {
-            result = suffer(Control.parse(message));
+            result = suffer(EngineControl.parse(message));
         } catch (ProtoException | IllegalArgumentException e) {
-            refuse(call, Code.INVALID_ARGUMENT, "bad command: " + e.getMessage());
+            refuse(call, StatusCode.INVALID_ARGUMENT, "bad command: " + e.getMessage());
             return;
         }
-        reply(call, Control.bytes(result));
+        reply(call, EngineControl.encode(result));
     }
 
     /** {@return what was done} */
--- a/standin/src/main/java/sorrelhoist/standin/engine/Jobs.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/Jobs.java
@@ -47,7 +47,7 @@
             this.call = call;
             this.request = request;
             this.lost = lost;
-            this.next = request.fromToken();
+            this.next = request.firstTokenIndex();
         }
 
         int tokens() {
--- a/standin/src/main/java/sorrelhoist/standin/registry/Registry.java
+++ b/standin/src/main/java/sorrelhoist/standin/registry/RegistryStandIn.java
@@ -19,8 +19,8 @@
 import java.util.function.Consumer;
 import javax.xml.stream.XMLStreamException;
 import sorrelhoist.protocol.http1.HttpMessage;
-import sorrelhoist.protocol.http1.HttpServer;
-import sorrelhoist.protocol.net.Net;
+import sorrelhoist.protocol.http1.HttpServerHandler;
+import sorrelhoist.protocol.net.LoopbackTransport;
 import sorrelhoist.standin.Trace;
 
 /**
@@ -28,7 +28,7 @@
  * with leases that expire and deltas with their hash code; and a control path by which it is told
  * to lag, hang, err or list nothing.
  */
-public final class Registry {
+public final class RegistryStandIn {
     /**
      * What it is.
      *
@@ -63,7 +63,7 @@
     private long emptyUntil;
 
     /** Makes a registry; {@link #start} starts it. */
-    public Registry(Settings settings, EventLoopGroup loops) throws IOException {
+    public RegistryStandIn(Settings settings, EventLoopGroup loops) throws IOException {
         this.settings = settings;
         this.loops = loops;
         this.loop = loops.next();
@@ -73,13 +73,13 @@
     }
 
     /** Listens. {@return this} */
-    public Registry start() throws IOException {
+    public RegistryStandIn start() throws IOException {
         listener =
-                Net.listen(
+                LoopbackTransport.listen(
                         loops,
                         settings.port(),
                         () ->
-                                new HttpServer(
+                                new HttpServerHandler(
                                         (request, answer) ->
                                                 loop.execute(() -> take(request, answer))));
         loop.scheduleAtFixedRate(
@@ -90,7 +90,7 @@
 
     /** {@return the port it listens on} */
     public int port() {
-        return Net.port(listener);
+        return LoopbackTransport.localPort(listener);
     }
 
     /** Stops listening. */
@@ -101,7 +101,7 @@
     private void take(HttpMessage request, Consumer<HttpMessage> answer) {
         long now = Trace.now();
         if (request.path().equals("/control")) {
-            answer.accept(control(request.query("do"), now));
+            answer.accept(control(request.queryParameter("do"), now));
         } else if (now < hangUntil) {
             loop.schedule(() -> take(request, answer), hangUntil - now, TimeUnit.MICROSECONDS);
         } else if (now < errUntil) {
@@ -159,7 +159,7 @@
                 return one(request, lease);
             }
             case "PUT 3" -> {
-                String said = request.query("status");
+                String said = request.queryParameter("status");
                 Lease renewed = lease.renewed(now);
                 leases.put(key(lease), renewed);
                 if (said != null && !said.equals(lease.status())) {
@@ -173,7 +173,7 @@
                 return HttpMessage.response(200, "", "");
             }
             case "PUT 4" -> {
-                String value = request.query("value");
+                String value = request.queryParameter("value");
                 if (!status || value == null) {
                     return HttpMessage.response(400, "text/plain", "give status?value=STATUS\n");
                 }
@@ -186,9 +186,9 @@
                 changed(
                         "MODIFIED",
                         lease.with(
-                                request.query("value") == null
+                                request.queryParameter("value") == null
                                         ? lease.status()
-                                        : request.query("value"),
+                                        : request.queryParameter("value"),
                                 null,
                                 now));
                 return HttpMessage.response(200, "", "");
@@ -204,7 +204,8 @@
         boolean isXml =
                 request.header("content-type") != null
                         && request.header("content-type").contains("xml");
-        var root = isXml ? XmlInstance.parse(request.text()) : json.readTree(request.text());
+        var root =
+                isXml ? XmlInstance.parse(request.bodyText()) : json.readTree(request.bodyText());
         if (!(root.get("instance") instanceof ObjectNode info)) {
             throw new IllegalArgumentException("an object \"instance\" is missing");
         }
--- a/standin/src/test/java/sorrelhoist/standin/RegistryTest.java
+++ b/standin/src/test/java/sorrelhoist/standin/RegistryTest.java
@@ -15,22 +15,24 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.protocol.http1.HttpClient;
 import sorrelhoist.protocol.http1.HttpMessage;
-import sorrelhoist.protocol.net.Net;
-import sorrelhoist.standin.registry.Registry;
+import sorrelhoist.protocol.net.LoopbackTransport;
+import sorrelhoist.standin.registry.RegistryStandIn;
 
 /**
  * Eureka's REST operations as published, in JSON and XML, and what the stand-in can be told to
  * suffer.
  */
 class RegistryTest {
-    private final EventLoopGroup loops = Net.loops(1, "registry-test");
-    private Registry registry;
+    private final EventLoopGroup loops = LoopbackTransport.newEventLoops(1, "registry-test");
+    private RegistryStandIn registry;
     private HttpClient http;
 
     @BeforeEach
     void start() throws Exception {
-        registry = new Registry(new Registry.Settings(0, 20_000, 30_000_000, ""), loops).start();
-        http = new HttpClient(loops.next(), Net.LOOPBACK + ":" + registry.port());
+        registry =
+                new RegistryStandIn(new RegistryStandIn.Settings(0, 20_000, 30_000_000, ""), loops)
+                        .start();
+        http = new HttpClient(loops.next(), LoopbackTransport.LOOPBACK + ":" + registry.port());
     }
 
     @AfterEach
@@ -119,7 +121,7 @@
                                         new byte[0]),
                                 3_000_000)
                         .get(5, TimeUnit.SECONDS)
-                        .text();
+                        .bodyText();
         assertTrue(listed.contains("<apps__hashcode>UP_1_</apps__hashcode>"), listed);
         assertTrue(listed.contains("<port enabled=\"true\">99</port>"), listed);
         assertEquals(
