--- /dev/null
+++ b/decide/src/main/java/sorrelhoist/routing/InputValidator.java
@@ -0,0 +1,126 @@
+package sorrelhoist.routing;
+
+import java.util.List;
+import java.util.Objects;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.Capabilities;
+import sorrelhoist.routing.Routing.RequestClass;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Seated;
+import sorrelhoist.routing.Routing.ServerKind;
+import sorrelhoist.routing.Routing.ServerLimits;
+
+/**
+ * Rejects settings with which no router could keep its rules, and input that cannot be; decides
+ * nothing.
+ */
+final class InputValidator {
+    private InputValidator() {}
+
+    /**
+     * {@return the settings}
+     *
+     * @throws IllegalArgumentException where one is missing or inconsistent
+     */
+    static RoutingSettings validSettings(RoutingSettings settings) {
+        require(settings != null, "settings");
+        require(settings.routers() > 0, "routers");
+        require(settings.self() >= 0, "self");
+        require(settings.loadReportMode() != null, "reports");
+        require(hasNoNull(settings.classes()) && !settings.classes().isEmpty(), "classes");
+        require(hasNoNull(settings.tenants()), "tenants");
+        require(hasNoNull(settings.serverKinds()) && !settings.serverKinds().isEmpty(), "kinds");
+        require(isValid(settings.capabilities()), "limits");
+        require(isValid(settings.serverLimits()), "rules");
+        for (RequestClass requestClass : settings.classes()) {
+            require(isValid(requestClass), "classes");
+        }
+        for (ServerKind kind : settings.serverKinds()) {
+            require(kind.role() != null, "kinds");
+        }
+        return settings;
+    }
+
+    private static boolean isValid(Capabilities capabilities) {
+        return capabilities != null
+                && capabilities.maxAttempts() > 0
+                && capabilities.maxBackoffMicros() >= 0;
+    }
+
+    private static boolean isValid(ServerLimits limits) {
+        return limits != null
+                && limits.reservationLimitMicros() > 0
+                && limits.coldCapacityShare() > 0
+                && limits.warmUpMicros() >= 0
+                && limits.overloadMultiple() > 0
+                && limits.overloadMicros() > 0;
+    }
+
+    private static boolean isValid(RequestClass requestClass) {
+        return requestClass.latencyObjectiveMicros() > 0
+                && requestClass.idempotency() != null
+                && requestClass.idempotencyScope() != null;
+    }
+
+    private static boolean hasNoNull(List<?> list) {
+        return list != null && list.stream().noneMatch(Objects::isNull);
+    }
+
+    private static void require(boolean holds, String setting) {
+        if (!holds) {
+            throw new IllegalArgumentException("setting missing or inconsistent: " + setting);
+        }
+    }
+
+    /**
+     * {@return the settings with another number of routers: shares of the fleet follow from now on}
+     */
+    static RoutingSettings reseated(RoutingSettings settings, Seated event) {
+        return validSettings(
+                new RoutingSettings(
+                        event.routers(),
+                        event.self(),
+                        settings.zone(),
+                        settings.subscribesToDiscovery(),
+                        settings.overQuotaPriorityWeight(),
+                        settings.loadReportMode(),
+                        settings.classes(),
+                        settings.tenants(),
+                        settings.serverKinds(),
+                        settings.capabilities(),
+                        settings.serverLimits()));
+    }
+
+    /**
+     * {@return the time}
+     *
+     * @throws IllegalArgumentException where it lies before the last one
+     */
+    static long monotonicTime(long before, long time) {
+        if (time < before) {
+            throw new IllegalArgumentException(
+                    "the clock went back from "
+                            + before
+                            + " to "
+                            + time
+                            + ": pass one monotonic clock to every call");
+        }
+        return time;
+    }
+
+    /**
+     * Checks that a request can be taken in.
+     *
+     * @throws IllegalArgumentException where its class is unknown or its id is in use
+     */
+    static void checkArrival(Arrived event, RoutingSettings settings, boolean inUse) {
+        if (event.cls() < 0 || event.cls() >= settings.classes().size()) {
+            throw new IllegalArgumentException(
+                    "class " + event.cls() + " is not in the settings' classes");
+        }
+        if (inUse) {
+            throw new IllegalArgumentException(
+                    "request " + event.id() + " is open: give each try a new id");
+        }
+    }
+}
--- a/decide/src/main/java/sorrelhoist/routing/RoutingPolicy.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingPolicy.java
@@ -39,14 +39,10 @@
             60_000_000; // an unused key is forgotten: evicted, or of the past
     private static final int MAX_KEYS =
             20_000; // bounds the table whatever clients send: 1.2 KB each
-    private static final double FIT_DECAY = 0.98; // of a past pair in a learnt line: about 50 count
     private static final double FIT_CLIP =
             3; // a time teaches no more than this multiple of the expected
     private static final double DENSE_GAP =
             200_000; // between arrivals, so that a line turns over within H
-    private static final double[] FIRST_LINE = {
-        1000, 30_000, 60
-    }; // made-up: tokens, time, time a token
     // ---- Constants: health and time-outs
     // ------------------------------------------------------------------
     private static final double OUTCOME_WEIGHT =
@@ -68,8 +64,6 @@
             40; // of the time it took to say so: a slow refusal is dear
     private static final double FAILURES_TOLD =
             2; // by others and not faded, beyond the peers': set aside
-    private static final double LAG_FADE =
-            1_500_000; // in which a lag that was felt fades to a third
     private static final double CUT_SHARE =
             0.6; // of the remaining time for an attempt, so that another fits
     private static final double CUT_FACTOR =
@@ -119,14 +113,14 @@
     private final LinkedHashMap<String, Key> keys = new LinkedHashMap<>(256, 0.75f, true);
     private final Map<Role, List<Peer>> serving = new EnumMap<>(Role.class);
     private final Map<Integer, Double> spill = new TreeMap<>();
-    private final Map<Integer, Felt> links = new TreeMap<>();
+    private final Map<Integer, DecayingDelay> links = new TreeMap<>();
     private final SlowStart slowStart = new SlowStart();
-    private final List<Line> readLines = new ArrayList<>();
-    private final List<Line> paces = new ArrayList<>();
-    private final Line firstTokens = new Line(FIT_DECAY, FIRST_LINE);
-    private final Felt readLag = new Felt();
-    private final Felt firstLag = new Felt();
-    private final Line answers = new Line(FIT_DECAY, FIRST_LINE);
+    private final List<DecayedRegression> readLines = new ArrayList<>();
+    private final List<DecayedRegression> paces = new ArrayList<>();
+    private final DecayedRegression firstTokens = new DecayedRegression();
+    private final DecayingDelay readLag = new DecayingDelay();
+    private final DecayingDelay firstLag = new DecayingDelay();
+    private final DecayedRegression answers = new DecayedRegression();
     private final double[] tenantSaved;
     private final long[] tenantAt;
     private long now = Long.MIN_VALUE;
@@ -135,7 +129,7 @@
     private double probes;
     private double bytes;
     private final Map<String, Peer> byTag = new TreeMap<>();
-    private final Map<String, News.Item> news = new LinkedHashMap<>();
+    private final Map<String, GossipCodec.Item> news = new LinkedHashMap<>();
     private double gap = DENSE_GAP;
     private long arrivedAt;
     private int waiting;
@@ -149,10 +143,10 @@
 
     /** Knows nothing yet but its settings; complains of one that is missing or inconsistent. */
     public RoutingPolicy(RoutingSettings settings, long seed) {
-        this.settings = SettingsCheck.checked(settings);
+        this.settings = InputValidator.validSettings(settings);
         this.random = new SplittableRandom(seed);
-        settings.serverKinds().forEach(k -> readLines.add(new Line(FIT_DECAY, FIRST_LINE)));
-        settings.serverKinds().forEach(k -> paces.add(new Line(FIT_DECAY, FIRST_LINE)));
+        settings.serverKinds().forEach(k -> readLines.add(new DecayedRegression()));
+        settings.serverKinds().forEach(k -> paces.add(new DecayedRegression()));
         tenantSaved = new double[settings.tenants().size()];
         tenantAt = new long[settings.tenants().size()];
         retries = RETRIES_SAVED / settings.routers();
@@ -168,7 +162,7 @@
     public List<Action> onEvent(long time, Event event) {
         Objects.requireNonNull(
                 event, "give an event; to pass time alone, ask for a Timer and report it");
-        now = SettingsCheck.monotonic(now, time);
+        now = InputValidator.monotonicTime(now, time);
         out = new ArrayList<>();
         if (startedAt < 0) {
             startedAt = now;
@@ -194,7 +188,7 @@
         } else if (event instanceof PeerMessage e) {
             told(e.body());
         } else if (event instanceof Seated e) {
-            settings = SettingsCheck.reseated(settings, e);
+            settings = InputValidator.reseated(settings, e);
         }
         return out;
     }
@@ -229,7 +223,7 @@
             // there.
             all.stream()
                     .filter(p -> overdue(p) >= 4 * TELL_LAG && overdue(p) % (4 * TELL_LAG) < TICK)
-                    .forEach(p -> tell(p, News.LAG, 0, (long) overdue(p) / 1000));
+                    .forEach(p -> tell(p, GossipCodec.DELAY, 0, (long) overdue(p) / 1000));
             slowStart.measure(role, all, settings, now, now - startedAt);
         }
         var old = keys.entrySet().iterator();
@@ -357,7 +351,7 @@
     }
 
     private double readTime(Peer p, long tokens) {
-        return readLines.get(p.kind).at(tokens);
+        return readLines.get(p.kind).micros(tokens);
     }
 
     /**
@@ -367,7 +361,7 @@
     private Peer shifted(Peer chosen, List<Peer> readers) {
         Peer lightest = Collections.min(readers, Comparator.comparingDouble(p -> p.load));
         double heaviest = readers.stream().mapToDouble(p -> p.load).max().orElse(0);
-        double bound = SHIFT_THRESHOLD * lightest.load + readLines.get(chosen.kind).mean();
+        double bound = SHIFT_THRESHOLD * lightest.load + readLines.get(chosen.kind).meanMicros();
         boolean shift = chosen.load >= heaviest && chosen.load > bound;
         by = shift ? Kind.SHIFTED : by;
         return shift ? lightest : chosen;
@@ -388,7 +382,7 @@
                                         .thenComparing((a, b) -> nearer(r, a, b) ? -1 : 1))
                         .limit(2)
                         .toList();
-        double bound = chosen.behind - readLines.get(chosen.kind).mean();
+        double bound = chosen.behind - readLines.get(chosen.kind).meanMicros();
         boolean jammed = SHIFT_THRESHOLD * soonest.get(0).behind < bound;
         by = jammed ? Kind.UNJAMMED : by;
         Peer taken = jammed ? soonest.get(0) : chosen;
@@ -414,10 +408,10 @@
      * be read in time.
      */
     private double paced(Peer p, Request r) {
-        Line pace = paces.get(p.kind);
-        double queue = late(p) + pace.at(missed(p, r));
+        DecayedRegression pace = paces.get(p.kind);
+        double queue = late(p) + pace.micros(missed(p, r));
         for (Attempt a : p.waiting.values()) {
-            queue += a.sentAt > p.provenAt ? pace.at(a.missed) : 0;
+            queue += a.sentAt > p.provenAt ? pace.micros(a.missed) : 0;
         }
         return queue;
     }
@@ -435,8 +429,8 @@
         return Math.max(faded(p.lag), overdue(p));
     }
 
-    private double faded(Felt felt) {
-        return felt == null || felt.lag == 0 ? 0 : felt.lag * Math.exp((felt.at - now) / LAG_FADE);
+    private double faded(DecayingDelay felt) {
+        return felt == null ? 0 : felt.at(now);
     }
 
     /**
@@ -539,12 +533,12 @@
     // -------------------------------------------------------------------------------------
 
     private void arrived(Arrived a) {
-        SettingsCheck.arrival(a, settings, requests.containsKey(a.id()));
+        InputValidator.checkArrival(a, settings, requests.containsKey(a.id()));
         Request r = new Request(a, settings.classes().get(a.cls()), now);
         requests.put(a.id(), r);
         waiting++;
         arrivals++;
-        gap += (1 - FIT_DECAY) * (Math.min(LOAD_WINDOW, now - arrivedAt) - gap);
+        gap += (1 - DecayedRegression.DECAY) * (Math.min(LOAD_WINDOW, now - arrivedAt) - gap);
         arrivedAt = now;
         if (find(a.prefix()) != null) {
             find(a.prefix()).uses++;
@@ -647,7 +641,7 @@
         long missed = missed(p, r);
         Attempt a = new Attempt(r.sends++, p, read, missed, now);
         r.attempt = a;
-        a.cost = read ? readTime(p, missed) : firstTokens.at(r.prompt());
+        a.cost = read ? readTime(p, missed) : firstTokens.micros(r.prompt());
         a.expected = a.cost + (read ? queued(p) : 0);
         double present = a.cost + faded(read ? readLag : firstLag);
         long patience = (long) Math.max(CUT_SHARE * (r.deadline - now), CUT_FACTOR * present);
@@ -862,13 +856,17 @@
                 if (e.note() != 1) { // for others there may be room
                     long pause = (long) Math.max(FULL_PAUSE, FULL_TIMES * e.tookMicros());
                     a.peer.fullUntil.put(r.payer(), now + pause);
-                    tell(a.peer, News.FULL, r.payer(), pause / 1000);
+                    tell(a.peer, GossipCodec.FULL, r.payer(), pause / 1000);
                 }
             }
             case ERROR, TIMED_OUT, RESET, CONNECT_FAILED -> {
                 boolean unreached = e.outcome() == Outcome.CONNECT_FAILED;
                 a.peer.bad = unreached ? 1 : a.peer.bad;
-                tell(a.peer, unreached ? News.UNREACHABLE : News.FAILED, 0, settings.zone());
+                tell(
+                        a.peer,
+                        unreached ? GossipCodec.UNREACHABLE : GossipCodec.FAILED,
+                        0,
+                        settings.zone());
                 heard(a.peer, false, 1);
                 if (e.outcome() == Outcome.TIMED_OUT && a.sentAt > a.peer.provenAt) {
                     fit(
@@ -910,7 +908,7 @@
             if (p.good >= TRIALS) {
                 p.aside = false;
                 p.bad = 0;
-                tell(p, News.WELL, 0, settings.zone());
+                tell(p, GossipCodec.RECOVERED, 0, settings.zone());
             }
         }
     }
@@ -929,8 +927,8 @@
      * they learn what servers need, clipped, and jams fade as lags in seconds, not with the next
      * fifty requests.
      */
-    private double fit(Line line, long tokens, long took) {
-        double expected = line.at(tokens);
+    private double fit(DecayedRegression line, long tokens, long took) {
+        double expected = line.micros(tokens);
         line.learn(tokens, dense() ? took : Math.min(took, FIT_CLIP * expected));
         return took / expected;
     }
@@ -956,15 +954,15 @@
         if (dense() && near) {
             return;
         }
-        Felt felt = near ? a.peer.lag : links.computeIfAbsent(fromCell, c -> new Felt());
-        felt.lag = Math.max(0, took - a.expected);
-        felt.at = now;
-        Felt pool = a.read ? readLag : firstLag;
-        double jam = dense() ? 0 : Math.min(felt.lag, r.aim);
-        pool.lag += (1 - Math.exp((pool.at - now) / LAG_FADE)) * (jam - pool.lag);
-        pool.at = now;
-        if (near && felt.lag >= TELL_LAG) {
-            tell(a.peer, News.LAG, 0, (long) felt.lag / 1000);
+        DecayingDelay felt =
+                near ? a.peer.lag : links.computeIfAbsent(fromCell, c -> new DecayingDelay());
+        double delay = Math.max(0, took - a.expected);
+        felt.set(delay, now);
+        DecayingDelay pool = a.read ? readLag : firstLag;
+        double jam = dense() ? 0 : Math.min(delay, r.aim);
+        pool.approach(jam, now);
+        if (near && delay >= TELL_LAG) {
+            tell(a.peer, GossipCodec.DELAY, 0, (long) delay / 1000);
         }
     }
 
@@ -980,13 +978,13 @@
      * receiver allows. All of it is a hint that fades; a false one costs locality, never a rule.
      */
     private void tell(Peer p, char kind, int payer, long value) {
-        news.put(Hash.tag(p.id), new News.Item(kind, payer, value));
-        String body = News.write(news);
+        news.put(Hash.tag(p.id), new GossipCodec.Item(kind, payer, value));
+        String body = GossipCodec.write(news);
         double price = body.length() * (settings.routers() - 1.0);
         if (settings.capabilities().gossip()
                 && price > 0
                 && price <= bytes
-                && (kind != News.LAG || !dense())) {
+                && (kind != GossipCodec.DELAY || !dense())) {
             bytes -= price;
             act(new Tell(-1, body));
             news.clear();
@@ -997,7 +995,7 @@
 
     private void told(String body) {
         int payers = State.PAYERS * settings.classes().size();
-        News.read(body)
+        GossipCodec.read(body)
                 .forEach(
                         (tag, item) -> {
                             Peer p = byTag.get(tag);
@@ -1006,11 +1004,11 @@
                             boolean ill =
                                     p != null
                                             && !p.aside
-                                            && (item.kind() == News.UNREACHABLE
+                                            && (item.kind() == GossipCodec.UNREACHABLE
                                                     ? item.value() == settings.zone()
-                                                    : item.kind() == News.FAILED
+                                                    : item.kind() == GossipCodec.FAILED
                                                             && !dense()
-                                                            && p.ill.again(now, LAG_FADE)
+                                                            && p.ill.increment(now)
                                                                     > FAILURES_TOLD
                                                                             + SLOW
                                                                                     * median(
@@ -1018,9 +1016,8 @@
                                                                                             q ->
                                                                                                     faded(
                                                                                                             q.ill)));
-                            if (p != null && item.kind() == News.LAG) {
-                                p.lag.lag = item.value() * 1000.0;
-                                p.lag.at = now;
+                            if (p != null && item.kind() == GossipCodec.DELAY) {
+                                p.lag.set(item.value() * 1000.0, now);
                             } else if (ill) {
                                 p.bad = 1;
                                 heard(p, false, 1);
@@ -1028,15 +1025,15 @@
                                 p.trialAt = now + random.nextLong(p.trialWait); // not all at once
                             } else if (p != null
                                     && p.aside
-                                    && item.kind() == News.WELL
+                                    && item.kind() == GossipCodec.RECOVERED
                                     && item.value() == settings.zone()) {
                                 p.aside = false;
                                 p.bad = Math.min(p.bad, FAILING);
-                                p.ill.lag = 0;
+                                p.ill.clear();
                             } else if (p != null
-                                    && item.kind() == News.FULL
-                                    && item.payer() < payers) {
-                                p.fullUntil.put(item.payer(), now + item.value() * 1000);
+                                    && item.kind() == GossipCodec.FULL
+                                    && item.classTenantKey() < payers) {
+                                p.fullUntil.put(item.classTenantKey(), now + item.value() * 1000);
                             }
                         });
     }
@@ -1075,7 +1072,10 @@
                                         new Knowledge.ServerHealth(
                                                 p.id, p.since, p.bad, p.slow, p.heard)));
         return new Knowledge(
-                some, health, readLines.stream().map(Line::sums).toList(), firstTokens.sums());
+                some,
+                health,
+                readLines.stream().map(DecayedRegression::sums).toList(),
+                firstTokens.sums());
     }
 
     /**
@@ -1120,9 +1120,10 @@
         return peers.containsKey(id) && peers.get(id).since == since;
     }
 
-    private static void adopt(Line own, Knowledge.RegressionSums taught, double trust) {
+    private static void adopt(
+            DecayedRegression own, Knowledge.RegressionSums taught, double trust) {
         double pairs = trust * Math.min(TAUGHT_PAIRS, taught.weight());
-        if (taught.sound() && pairs > own.pairs()) {
+        if (taught.sound() && pairs > own.weight()) {
             own.adopt(taught, pairs);
         }
     }
@@ -1222,7 +1223,7 @@
                                 readTime(reader, missed(reader, r)) + faded(readLag));
         double[] lags = writers.stream().mapToDouble(this::overdue).sorted().toArray();
         double lag = Math.max(faded(firstLag), lags.length == 0 ? 0 : lags[lags.length / 3]);
-        double expected = read + firstTokens.at(r.prompt()) + lag;
+        double expected = read + firstTokens.micros(r.prompt()) + lag;
         boolean spare = waiting - random.nextDouble() <= ALWAYS_IN / settings.routers();
         // After a loss of servers many come for the rest of broken answers, with all their text to
         // read; the
@@ -1233,7 +1234,7 @@
         Kind kind = over ? Kind.DOOR_SHARE : less ? Kind.DOOR_LESS_WORTH : Kind.DOOR;
         return spare || expected <= limit
                 ? null
-                : Reason.door(kind, expected, limit, read, firstTokens.at(r.prompt()), lag);
+                : Reason.door(kind, expected, limit, read, firstTokens.micros(r.prompt()), lag);
     }
 
     /** Each router sees its part of a tenant's requests and grants that part of the share. */
--- a/decide/src/main/java/sorrelhoist/routing/State.java
+++ b/decide/src/main/java/sorrelhoist/routing/State.java
@@ -45,8 +45,8 @@
         long trialAt;
         long trialWait;
         final Map<Integer, Long> fullUntil = new TreeMap<>();
-        final Felt lag = new Felt();
-        final Felt ill = new Felt();
+        final DecayingDelay lag = new DecayingDelay();
+        final DecayingDelay ill = new DecayingDelay();
         double behind;
         long probedAt;
         long provenAt = Long.MIN_VALUE;
@@ -82,19 +82,6 @@
         }
     }
 
-    /** Time beyond the expected, and when it was felt. */
-    static final class Felt {
-        double lag;
-        long at;
-
-        /** One more of what is counted here; {@return how many have not faded} */
-        double again(long now, double fade) {
-            lag = 1 + lag * Math.exp((at - now) / fade);
-            at = now;
-            return lag;
-        }
-    }
-
     /** A key of the prefix table. */
     static final class Key {
         final String name;
