--- /dev/null
+++ b/decide/src/main/java/sorrelhoist/routing/CandidateFilter.java
@@ -0,0 +1,108 @@
+package sorrelhoist.routing;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import sorrelhoist.routing.Reason.Kind;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.Role;
+
+/** Finds the endpoints that may take a request now. */
+final class CandidateFilter {
+    /** Share of a role that stays a candidate whatever its health: the fault may be common. */
+    private static final double MIN_CANDIDATE_SHARE = 0.34;
+
+    private final RoutingContext context;
+    private final EndpointTable endpoints;
+    private final OutlierDetector outliers;
+    private final SlowStart slowStart;
+    private final ArrivalRate arrivals;
+
+    CandidateFilter(
+            RoutingContext context,
+            EndpointTable endpoints,
+            OutlierDetector outliers,
+            SlowStart slowStart,
+            ArrivalRate arrivals) {
+        this.context = context;
+        this.endpoints = endpoints;
+        this.outliers = outliers;
+        this.slowStart = slowStart;
+        this.arrivals = arrivals;
+    }
+
+    /**
+     * {@return endpoints of a role that may take this request, by id; ejected ones only to keep the
+     * floor}
+     */
+    List<Endpoint> candidates(Role role, TrackedRequest request) {
+        List<Endpoint> all = endpoints.serving(role, endpoint -> allows(request, endpoint));
+        List<Endpoint> fit =
+                new ArrayList<>(all.stream().filter(endpoint -> !endpoint.health.ejected).toList());
+        int floor = Math.max(Math.min(1, all.size()), (int) (MIN_CANDIDATE_SHARE * all.size()));
+        if (fit.size() < floor) {
+            all.stream()
+                    .filter(endpoint -> endpoint.health.ejected)
+                    .sorted(Comparator.comparingDouble(endpoint -> endpoint.health.failureRate))
+                    .limit(floor - fit.size())
+                    .forEach(fit::add);
+            fit.sort(Comparator.comparing(endpoint -> endpoint.id));
+        }
+        int key = request.classTenantKey();
+        long now = context.now();
+        List<Endpoint> untried =
+                Endpoints.preferring(fit, endpoint -> !request.failedEndpoints.contains(endpoint));
+        return Endpoints.preferring(
+                untried, endpoint -> endpoint.backoffUntil.getOrDefault(key, 0L) <= now);
+    }
+
+    /**
+     * Finds an ejected endpoint whose recovery probe is due. The probe is a request that can afford
+     * a retry.
+     *
+     * @return the endpoint, its next wait begun; null where none is due
+     */
+    Selection recoveryProbe(Role role, TrackedRequest request) {
+        boolean idempotent = request.requestClass.idempotency() == Idempotency.SAFE;
+        if (!request.failedEndpoints.isEmpty() || role == Role.WRITE && !idempotent) {
+            return null;
+        }
+        List<Endpoint> due =
+                endpoints.serving(
+                        role,
+                        endpoint ->
+                                outliers.isRecoveryProbeDue(endpoint) && allows(request, endpoint));
+        if (due.isEmpty()) {
+            return null;
+        }
+        outliers.recordRecoveryProbe(due.get(0));
+        return new Selection(due.get(0), Kind.TRIAL, Double.NaN, null, Double.NaN);
+    }
+
+    /** {@return what keeps a role's endpoints from a request for which none could be found} */
+    Kind unavailability(Role role, TrackedRequest request) {
+        List<Endpoint> all = endpoints.serving(role);
+        if (all.isEmpty()) {
+            return endpoints.isDraining(role) ? Kind.DRAINING : Kind.NO_SERVER;
+        }
+        boolean repeatable =
+                all.stream()
+                        .anyMatch(
+                                endpoint ->
+                                        IdempotencyGuard.mayRunAt(
+                                                request, endpoint, context.now()));
+        return repeatable ? Kind.COLD : Kind.REPEAT_UNSAFE;
+    }
+
+    private boolean allows(TrackedRequest request, Endpoint endpoint) {
+        return IdempotencyGuard.mayRunAt(request, endpoint, context.now())
+                && slowStartAllows(endpoint);
+    }
+
+    private boolean slowStartAllows(Endpoint endpoint) {
+        int peers = endpoints.servingPeersOf(endpoint).size();
+        Role role = endpoints.roleOf(endpoint);
+        return slowStart.allows(
+                endpoint, role, context.settings(), arrivals.meanGapMicros(), peers, context.now());
+    }
+}
--- /dev/null
+++ b/decide/src/main/java/sorrelhoist/routing/GossipReceiver.java
@@ -0,0 +1,79 @@
+package sorrelhoist.routing;
+
+import sorrelhoist.routing.GossipCodec.Item;
+
+/** Takes in what other routers tell of endpoints. */
+final class GossipReceiver {
+    /** Failures told of and not faded, beyond what the endpoint's peers have, that eject it. */
+    private static final double EJECTING_FAILURES = 2;
+
+    private static final long MICROS_PER_MILLI = 1000;
+
+    private final RoutingContext context;
+    private final ArrivalRate arrivals;
+    private final EndpointTable endpoints;
+    private final OutlierDetector outliers;
+
+    GossipReceiver(
+            RoutingContext context,
+            ArrivalRate arrivals,
+            EndpointTable endpoints,
+            OutlierDetector outliers) {
+        this.context = context;
+        this.arrivals = arrivals;
+        this.endpoints = endpoints;
+        this.outliers = outliers;
+    }
+
+    /** Takes in one message; items about unknown endpoints are skipped. */
+    void receive(String body) {
+        GossipCodec.read(body)
+                .forEach(
+                        (tag, item) -> {
+                            Endpoint endpoint = endpoints.byTag(tag);
+                            if (endpoint != null) {
+                                apply(item, endpoint);
+                            }
+                        });
+    }
+
+    private void apply(Item item, Endpoint endpoint) {
+        long now = context.now();
+        int keys = TrackedRequest.classTenantKey(context.settings().classes().size(), 0);
+        boolean ejects = ejects(item, endpoint);
+        if (item.kind() == GossipCodec.DELAY) {
+            endpoint.queueingDelay.set(item.value() * (double) MICROS_PER_MILLI, now);
+        } else if (ejects) {
+            outliers.ejectOnGossip(endpoint);
+        } else if (item.kind() == GossipCodec.RECOVERED
+                && endpoint.health.ejected
+                && isOwnZone(item)) {
+            outliers.reinstateOnGossip(endpoint);
+        } else if (item.kind() == GossipCodec.FULL && item.classTenantKey() < keys) {
+            endpoint.backoffUntil.put(item.classTenantKey(), now + item.value() * MICROS_PER_MILLI);
+        }
+    }
+
+    /**
+     * Others' failures count where own requests are sparse, while fresh and beyond what all have.
+     */
+    private boolean ejects(Item item, Endpoint endpoint) {
+        if (endpoint.health.ejected) {
+            return false;
+        }
+        if (item.kind() == GossipCodec.UNREACHABLE) {
+            return isOwnZone(item);
+        }
+        if (item.kind() != GossipCodec.FAILED || arrivals.isDense()) {
+            return false;
+        }
+        long now = context.now();
+        double failures = endpoint.health.gossipedFailures.increment(now);
+        double median = outliers.median(endpoint, health -> health.gossipedFailures.at(now));
+        return failures > EJECTING_FAILURES + OutlierDetector.MAX_LATENCY_RATIO * median;
+    }
+
+    private boolean isOwnZone(Item item) {
+        return item.value() == context.settings().zone();
+    }
+}
--- /dev/null
+++ b/decide/src/main/java/sorrelhoist/routing/PrefillSelector.java
@@ -0,0 +1,178 @@
+package sorrelhoist.routing;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.List;
+import sorrelhoist.routing.Reason.Kind;
+
+/**
+ * Chooses the endpoint that reads a prompt: the cheapest that likely has more of it cached than
+ * not, else the cheapest of all by load, evictions and missed tokens; a prompt that was never seen
+ * goes by hash.
+ */
+final class PrefillSelector {
+    /** Multiple by which two loads, or two completions, may lie apart. */
+    private static final double MAX_IMBALANCE = 2;
+
+    /** Own sends per endpoint within the load window that loads need to be judged. */
+    private static final int MIN_SENDS_PER_ENDPOINT = 3;
+
+    /** Expected holders of a prefix, for each endpoint that its share of arrivals would fill. */
+    private static final double HOLDERS_PER_FULL_ENDPOINT = 3;
+
+    private final RoutingContext context;
+    private final ArrivalRate arrivals;
+    private final PrefixTable prefixes;
+    private final ServiceTimes serviceTimes;
+    private final CompletionEstimator completions;
+
+    PrefillSelector(
+            RoutingContext context,
+            ArrivalRate arrivals,
+            PrefixTable prefixes,
+            ServiceTimes serviceTimes,
+            CompletionEstimator completions) {
+        this.context = context;
+        this.arrivals = arrivals;
+        this.prefixes = prefixes;
+        this.serviceTimes = serviceTimes;
+        this.completions = completions;
+    }
+
+    /** {@return one of the candidates, which may not be empty} */
+    Selection select(TrackedRequest request, List<Endpoint> candidates) {
+        candidates.forEach(endpoint -> endpoint.history.refreshLoad(context.now()));
+        int sends = candidates.stream().mapToInt(endpoint -> endpoint.history.size()).sum();
+        boolean loadsKnown = sends >= MIN_SENDS_PER_ENDPOINT * candidates.size();
+        CachedPrefix session = prefixes.find(request.session());
+        CachedPrefix prefix = prefixes.find(request.prefix());
+        if (prefix != null && !loadsKnown) {
+            markExpectedHolders(prefix, request, candidates);
+        }
+        for (CachedPrefix entry : new CachedPrefix[] {session, prefix}) {
+            List<Endpoint> holders =
+                    Endpoints.preferring(candidates, endpoint -> hasMost(entry, endpoint, request));
+            if (hasMost(entry, holders.get(0), request)) {
+                Endpoint chosen = cheapest(holders, request, session, prefix);
+                Endpoint lighter = loadsKnown ? shifted(chosen, candidates) : chosen;
+                Kind kind = lighter == chosen ? Kind.KEPT : Kind.SHIFTED;
+                return unjammed(lighter, kind, request, candidates);
+            }
+        }
+        if (prefix == null && session == null) {
+            String key = request.prefix() != null ? request.prefix() : request.tieBreakKey();
+            return unjammed(Endpoints.byHash(key, candidates), Kind.UNSEEN, request, candidates);
+        }
+        Endpoint chosen = cheapest(candidates, request, session, prefix);
+        return unjammed(chosen, Kind.CHEAPEST, request, candidates);
+    }
+
+    private boolean hasMost(CachedPrefix entry, Endpoint endpoint, TrackedRequest request) {
+        return 2 * prefixes.cachedTokens(entry, endpoint, request) > request.promptTokens();
+    }
+
+    /**
+     * Exception. Acts while own sends are too few to show loads. The first endpoints by hash, as
+     * many as a prefix's share of arrivals would fill, are its likely holders; guards against many
+     * routers piling on one. Harm: a text is read and cached more often.
+     */
+    private void markExpectedHolders(
+            CachedPrefix prefix, TrackedRequest request, List<Endpoint> candidates) {
+        double filled =
+                HOLDERS_PER_FULL_ENDPOINT
+                        * prefix.uses
+                        / (arrivals.arrivals() + 1)
+                        * candidates.size();
+        int expected = (int) Math.min(candidates.size(), 1 + filled);
+        if (prefix.expectedHolders < expected) {
+            prefix.expectedHolders = expected;
+            List<Endpoint> ranked = new ArrayList<>(candidates);
+            ranked.sort(Comparator.comparingLong(endpoint -> -Hash.of(prefix.name, endpoint.id)));
+            long tokens = request.arrival.prefixTokens();
+            ranked.subList(0, expected)
+                    .forEach(endpoint -> prefixes.addHolder(request.prefix(), tokens, endpoint));
+        }
+    }
+
+    private Endpoint cheapest(
+            List<Endpoint> candidates,
+            TrackedRequest request,
+            CachedPrefix session,
+            CachedPrefix prefix) {
+        Endpoint best = null;
+        double lowest = Double.MAX_VALUE;
+        for (Endpoint endpoint : candidates) {
+            long cached =
+                    Math.max(
+                            prefixes.cachedTokens(session, endpoint, request),
+                            prefixes.cachedTokens(prefix, endpoint, request));
+            double cost = cost(endpoint, request.promptTokens() - cached);
+            boolean wins = best == null || cost < lowest;
+            if (wins || cost == lowest && Endpoints.winsTie(request, endpoint, best)) {
+                lowest = cost;
+                best = endpoint;
+            }
+        }
+        return best;
+    }
+
+    private double cost(Endpoint endpoint, long missedTokens) {
+        return endpoint.history.refreshLoad(context.now())
+                + prefixes.evictionCost(endpoint, missedTokens)
+                + serviceTimes.prefillMicros(endpoint, missedTokens);
+    }
+
+    /**
+     * Moves a prefill from the heaviest endpoint to the lightest while their loads lie too far
+     * apart.
+     */
+    private Endpoint shifted(Endpoint chosen, List<Endpoint> candidates) {
+        Endpoint lightest =
+                Collections.min(
+                        candidates,
+                        Comparator.comparingDouble(endpoint -> endpoint.history.load()));
+        double heaviest =
+                candidates.stream()
+                        .mapToDouble(endpoint -> endpoint.history.load())
+                        .max()
+                        .orElse(0);
+        double load = chosen.history.load();
+        double bound =
+                MAX_IMBALANCE * lightest.history.load() + serviceTimes.meanPrefillMicros(chosen);
+        return load >= heaviest && load > bound ? lightest : chosen;
+    }
+
+    /**
+     * Exception. Acts when what is in flight at the chosen endpoint, and its queueing delay, end
+     * later than twice the soonest endpoint's and one mean prefill. Guards against a jam that own
+     * loads do not show: a hot prefix, a slow or hanging endpoint, other routers' traffic. Harm: a
+     * text is read and cached twice.
+     */
+    private Selection unjammed(
+            Endpoint chosen, Kind kind, TrackedRequest request, List<Endpoint> candidates) {
+        candidates.forEach(
+                endpoint -> endpoint.estimatedDelay = completions.completion(endpoint, request));
+        List<Endpoint> soonest =
+                candidates.stream()
+                        .sorted(
+                                Comparator.<Endpoint>comparingDouble(
+                                                endpoint -> endpoint.estimatedDelay)
+                                        .thenComparing(
+                                                (a, b) ->
+                                                        Endpoints.winsTie(request, a, b) ? -1 : 1))
+                        .limit(2)
+                        .toList();
+        double bound = chosen.estimatedDelay - serviceTimes.meanPrefillMicros(chosen);
+        boolean jammed = MAX_IMBALANCE * soonest.get(0).estimatedDelay < bound;
+        Endpoint selected = jammed ? soonest.get(0) : chosen;
+        Endpoint runnerUp =
+                soonest.stream().filter(endpoint -> endpoint != selected).findFirst().orElse(null);
+        return new Selection(
+                selected,
+                jammed ? Kind.UNJAMMED : kind,
+                selected.estimatedDelay,
+                runnerUp,
+                runnerUp == null ? Double.MAX_VALUE : runnerUp.estimatedDelay);
+    }
+}
--- /dev/null
+++ b/decide/src/main/java/sorrelhoist/routing/RequestLifecycle.java
@@ -0,0 +1,149 @@
+package sorrelhoist.routing;
+
+import sorrelhoist.routing.Reason.Kind;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.AttemptEnded;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.Routing.Timer;
+
+/**
+ * Follows each request from its arrival through its attempts to its end, and decides on retries.
+ */
+final class RequestLifecycle {
+    private final RoutingContext context;
+    private final RequestTable requests;
+    private final StageDispatcher stages;
+    private final OutcomeRecorder outcomes;
+    private final RetryBudget retries;
+    private final RequestConclusion conclusion;
+
+    RequestLifecycle(
+            RoutingContext context,
+            RequestTable requests,
+            StageDispatcher stages,
+            OutcomeRecorder outcomes,
+            RetryBudget retries,
+            RequestConclusion conclusion) {
+        this.context = context;
+        this.requests = requests;
+        this.stages = stages;
+        this.outcomes = outcomes;
+        this.retries = retries;
+        this.conclusion = conclusion;
+    }
+
+    /** A request came: its deadline is set, and it goes to its first stage. */
+    void onArrival(Arrived event) {
+        TrackedRequest request =
+                new TrackedRequest(
+                        event, context.settings().classes().get(event.cls()), context.now());
+        requests.add(request);
+        retries.recordArrival();
+        context.emit(new Timer(Math.max(0, event.budgetMicros()), event.id()));
+        stages.advance(request);
+    }
+
+    /** A request's timer fell due: its deadline, or the next look for a decode endpoint. */
+    void onTimer(long id) {
+        TrackedRequest request = requests.find(id);
+        if (request == null) {
+            return;
+        }
+        boolean awaited = !request.answered && !request.streaming;
+        if (awaited && context.now() >= request.deadline) {
+            stages.giveUpAtDeadline(request);
+        } else if (request.isWaiting()) {
+            stages.advance(request);
+        }
+    }
+
+    /** The answer has begun. */
+    void onStreamStarted(StreamStarted event) {
+        TrackedRequest request = requests.findInFlight(event.id(), event.attempt());
+        if (request != null) {
+            request.streaming = true;
+            requests.settle(request);
+            outcomes.recordFirstToken(request, request.attempt, event);
+        }
+    }
+
+    /** An attempt ended: the request is answered, goes to its next stage, or is retried. */
+    void onAttemptEnded(AttemptEnded event) {
+        TrackedRequest request = requests.findInFlight(event.id(), event.attempt());
+        if (request == null) {
+            return;
+        }
+        Attempt attempt = request.attempt;
+        request.attempt = null;
+        boolean unreached = !attempt.prefill && event.outcome() == Outcome.CONNECT_FAILED;
+        if (!unreached) {
+            // While a decode endpoint could not even be reached, the state that waits has waited
+            // on.
+            request.idleSince = context.now();
+        }
+        attempt.endpoint.inFlight.ended(request.id, attempt);
+        attempt.endpoint.update(event.report());
+        request.answered |= event.ended() || request.streaming || event.outcome() == Outcome.DONE;
+        outcomes.recordOutcome(request, attempt, event);
+        if (request.answered) {
+            conclusion.finish(request);
+        } else if (event.outcome() == Outcome.READ) {
+            request.prefilledAt = attempt.endpoint;
+            stages.advance(request);
+        } else {
+            retry(request, attempt, event);
+        }
+    }
+
+    private void retry(TrackedRequest request, Attempt attempt, AttemptEnded event) {
+        Outcome outcome = event.outcome();
+        boolean free = outcome == Outcome.CONNECT_FAILED || outcome == Outcome.FULL;
+        boolean neverRan = attempt.prefill || free || outcome == Outcome.SKIPPED;
+        if (!neverRan && request.mayHaveRunAt == null) {
+            request.mayHaveRunAt = attempt.endpoint;
+            request.mayHaveRunFrom = attempt.sentAt;
+        }
+        request.failedEndpoints.add(attempt.endpoint);
+        dropLostState(request, attempt, event);
+        request.rejected = outcome == Outcome.FULL;
+        if (IdempotencyGuard.forbidsRetry(request)) {
+            conclusion.giveUp(request, Reason.of(Kind.REPEAT_UNSAFE));
+        } else if (!free && retries.isExhausted()) {
+            double available = retries.available();
+            conclusion.giveUp(request, Reason.compared(Kind.REPEAT_BUDGET, available, 1));
+        } else {
+            if (!free) {
+                retries.spend();
+            }
+            stages.advance(request);
+        }
+    }
+
+    /** Sends a request back to its prefill where its state is lost, or is likely to be. */
+    private void dropLostState(TrackedRequest request, Attempt attempt, AttemptEnded event) {
+        Outcome outcome = event.outcome();
+        boolean waitsTooLong = context.now() + event.tookMicros() > stages.stateKeptUntil(request);
+        if (outcome == Outcome.FULL && event.note() == OutcomeRecorder.NO_STATE_TO_FETCH) {
+            request.prefilledAt = null;
+            request.failedEndpoints.remove(attempt.endpoint);
+        } else if (outcome == Outcome.ERROR
+                || outcome == Outcome.RESET
+                || outcome == Outcome.CONNECT_FAILED && waitsTooLong) {
+            // What broke off has mostly fetched the state: the next decode endpoint would read it
+            // all,
+            // slowing others. And a state may not wait for one more such connection. A prefill
+            // endpoint
+            // has the text cached and is quick; harm: a state that still waits is read twice.
+            request.prefilledAt = null;
+        }
+    }
+
+    /** The client left: nothing is owed any more. */
+    void onClientGone(long id) {
+        TrackedRequest request = requests.find(id);
+        if (request != null) {
+            conclusion.conclude(request, Reason.of(Kind.CLIENT_GONE));
+        }
+    }
+}
--- a/decide/src/main/java/sorrelhoist/routing/SlowStart.java
+++ b/decide/src/main/java/sorrelhoist/routing/SlowStart.java
@@ -4,83 +4,110 @@
 import sorrelhoist.routing.Routing.Role;
 import sorrelhoist.routing.Routing.RoutingSettings;
 import sorrelhoist.routing.Routing.ServerLimits;
-import sorrelhoist.routing.State.Peer;
 
 /**
- * Slow start: how much a server that has just started may be sent. Starts are told on this router's
- * own clock; whoever tells them translates other machines' clocks.
+ * Slow start: how much an endpoint that is warming up may be sent. Starts are given on this
+ * router's own clock; whoever gives them translates other machines' clocks.
  */
 final class SlowStart {
+    /** Start of a process that is warm already. */
     static final long LONG_AGO = Long.MIN_VALUE;
-    private static final int SERVED_WINDOWS =
-            4; // of the rule, over which what was served is counted
-    private static final double SAFETY =
-            0.8; // of what the rule would bear: others' sends are unseen
-    private static final double TURNS = 0.5; // a router's turns at a cold server, knowing nothing
-    private static final double UNEVEN = 2; // multiple of the mean that one server may get
 
-    private final double[] mostServed = new double[Role.values().length];
+    /** Windows of the limits over which answers are counted. */
+    private static final int ANSWER_WINDOWS = 4;
+
+    /** Share used of what the limits allow: others' sends are unseen. */
+    private static final double SAFETY = 0.8;
+
+    /** A router's turns at a cold endpoint while nothing is known of capacities. */
+    private static final double TURNS = 0.5;
+
+    /** Multiple of the mean that one endpoint may get. */
+    private static final double UNEVENNESS = 2;
+
+    private static final int DRAW_SHIFT = 11;
+    private static final double DRAW_UNIT = 0x1p-53;
+
+    // By role: the most that one endpoint has answered within one window, in the mean of its role.
+    private final double[] mostAnswered = new double[Role.values().length];
 
     /**
-     * A start that lies ahead counts as now: no server is held cold for longer than the rules say.
+     * {@return the start; one that lies ahead is now: nothing is cold for longer than the limits
+     * say}
      */
-    static long startedAt(long told, long now) {
-        return told <= 0 ? LONG_AGO : Math.min(told, now);
+    static long startedAt(long since, long now) {
+        return since <= 0 ? LONG_AGO : Math.min(since, now);
     }
 
-    private static boolean isWarm(Peer p, long now, long coldMicros) {
-        return p.startedAt == LONG_AGO || now - p.startedAt >= coldMicros;
+    private static boolean isWarm(Endpoint endpoint, long now, long warmUpMicros) {
+        return endpoint.startedAt == LONG_AGO || now - endpoint.startedAt >= warmUpMicros;
     }
 
     /**
-     * Counts what the servers of a role have served: the most is what a warm one can do at least.
+     * Counts what the endpoints of a role have answered: the most is what a warm one can do at
+     * least.
      *
-     * @param role the servers'
-     * @param servers of that role that take work
-     * @param settings with the rules and the number of routers
-     * @param now this router's clock
-     * @param age for how long this router runs
+     * @param role the endpoints'
+     * @param endpoints of that role that serve
+     * @param settings with the limits and the number of routers
+     * @param now this router's clock, in microseconds
+     * @param uptime for how long this router has been running, in microseconds
      */
-    void measure(Role role, List<Peer> servers, RoutingSettings settings, long now, long age) {
+    void measure(
+            Role role, List<Endpoint> endpoints, RoutingSettings settings, long now, long uptime) {
         long window = settings.serverLimits().overloadMicros();
-        double served =
-                servers.stream().mapToLong(p -> p.servedSince(now - SERVED_WINDOWS * window)).sum();
-        double passed = Math.min(SERVED_WINDOWS, age / (double) window);
-        double chance = 2 * Math.sqrt(served / settings.routers()); // evens out over the routers
-        double sure = (served - chance) / Math.max(1, passed) / Math.max(1, servers.size());
-        mostServed[role.ordinal()] = Math.max(mostServed[role.ordinal()], sure);
+        long from = now - ANSWER_WINDOWS * window;
+        double answered =
+                endpoints.stream().mapToLong(endpoint -> endpoint.history.answersSince(from)).sum();
+        double windows = Math.min(ANSWER_WINDOWS, uptime / (double) window);
+        // Two standard deviations; it evens out over the routers.
+        double chance = 2 * Math.sqrt(answered / settings.routers());
+        double certain = (answered - chance) / Math.max(1, windows) / Math.max(1, endpoints.size());
+        mostAnswered[role.ordinal()] = Math.max(mostAnswered[role.ordinal()], certain);
     }
 
     /**
-     * Whether a server may be sent one more request. A cold server's capacity is not told. A warm
-     * one can do at least the most that this router has had served by its role's servers in the
-     * mean, less what chance adds to a small count. All routers granting that part of theirs, the
-     * sum stays under the rule's multiple. A part under one is drawn for: in each window so many
-     * routers may send one that, at twice the mean sends to a server of the role (placement lets
-     * loads lie no further apart), their sum is that of the parts. Each draws for itself, so their
-     * windows need not begin together.
+     * Decides whether an endpoint may be sent one more request. A cold endpoint's capacity is not
+     * known. A warm one can do at least the most that this router has had answered by its role's
+     * endpoints in the mean, less what chance adds to a small count. All routers granting that part
+     * of theirs, the sum stays under the limits' multiple. A part under one is drawn for: in each
+     * window so many routers may send one that, at twice the mean sends to an endpoint of the role
+     * (placement lets loads lie no further apart), their sum is that of the parts. Each draws for
+     * itself, so their windows need not begin together.
      *
-     * @param p the server
+     * @param endpoint where to
      * @param role its role
-     * @param settings with the rules, the number of routers and this one's
-     * @param gap mean time between two requests that arrive here
-     * @param alike how many servers of the role there are
-     * @param now this router's clock
+     * @param settings with the limits, the number of routers and this one's
+     * @param meanGapMicros mean time between two requests that arrive here
+     * @param peers how many endpoints of the role there are
+     * @param now this router's clock, in microseconds
      */
-    boolean allows(Peer p, Role role, RoutingSettings settings, double gap, int alike, long now) {
-        ServerLimits rules = settings.serverLimits();
-        if (isWarm(p, now, rules.warmUpMicros())) {
+    boolean allows(
+            Endpoint endpoint,
+            Role role,
+            RoutingSettings settings,
+            double meanGapMicros,
+            int peers,
+            long now) {
+        ServerLimits limits = settings.serverLimits();
+        if (isWarm(endpoint, now, limits.warmUpMicros())) {
             return true;
         }
-        double most = mostServed[role.ordinal()];
-        double bearable = SAFETY * rules.overloadMultiple() * rules.coldCapacityShare() * most;
+        double most = mostAnswered[role.ordinal()];
+        double bearable = SAFETY * limits.overloadMultiple() * limits.coldCapacityShare() * most;
         if (bearable >= 1) {
-            return p.sentSince(now - rules.overloadMicros()) + 1 <= bearable;
+            return endpoint.history.sentAfter(now - limits.overloadMicros()) + 1 <= bearable;
         }
-        double mean = Math.max(most, rules.overloadMicros() / gap / alike);
-        double share = Math.max(bearable / UNEVEN / mean, 1 / TURNS / settings.routers());
-        long window = now / rules.overloadMicros();
-        double draw = (Hash.of(p.id + window, "" + settings.self()) >>> 11) * 0x1p-53;
-        return draw < share && p.sentSince(window * rules.overloadMicros() - 1) == 0;
+        double mean = Math.max(most, limits.overloadMicros() / meanGapMicros / peers);
+        double share = Math.max(bearable / UNEVENNESS / mean, 1 / TURNS / settings.routers());
+        long window = now / limits.overloadMicros();
+        double draw = draw(endpoint.id + window, settings.self());
+        return draw < share
+                && endpoint.history.sentAfter(window * limits.overloadMicros() - 1) == 0;
+    }
+
+    /** {@return a number from 0 to 1 that is the same for equal arguments} */
+    private static double draw(String key, int router) {
+        return (Hash.of(key, "" + router) >>> DRAW_SHIFT) * DRAW_UNIT;
     }
 }
--- /dev/null
+++ b/decide/src/main/java/sorrelhoist/routing/StageDispatcher.java
@@ -0,0 +1,126 @@
+package sorrelhoist.routing;
+
+import java.util.List;
+import sorrelhoist.routing.Reason.Kind;
+import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.Routing.Timer;
+
+/** Takes a request one stage further: to its prefill, its decode, or a mixed endpoint. */
+final class StageDispatcher {
+    /** Pause between looks for a decode endpoint while a state waits. */
+    private static final long DECODE_POLL_MICROS = 20_000;
+
+    /** Share of the reservation limit for that; the rest is for late ticks. */
+    private static final double MAX_RESERVATION_SHARE = 0.5;
+
+    private final RoutingContext context;
+    private final CandidateFilter filter;
+    private final AdmissionController admission;
+    private final PrefillSelector prefillSelector;
+    private final DecodeSelector decodeSelector;
+    private final AttemptSender sender;
+    private final RequestConclusion conclusion;
+
+    StageDispatcher(
+            RoutingContext context,
+            CandidateFilter filter,
+            AdmissionController admission,
+            PrefillSelector prefillSelector,
+            DecodeSelector decodeSelector,
+            AttemptSender sender,
+            RequestConclusion conclusion) {
+        this.context = context;
+        this.filter = filter;
+        this.admission = admission;
+        this.prefillSelector = prefillSelector;
+        this.decodeSelector = decodeSelector;
+        this.sender = sender;
+        this.conclusion = conclusion;
+    }
+
+    /** Takes a request with no attempt in flight one stage further, or gives it up at once. */
+    void advance(TrackedRequest request) {
+        int left = context.settings().capabilities().maxAttempts() - request.attempts;
+        if (context.now() >= request.deadline) {
+            giveUpAtDeadline(request);
+        } else if (left < 1) {
+            Kind kind = request.rejected ? Kind.TOLD_FULL : Kind.ATTEMPTS;
+            int made = request.attempts;
+            conclusion.giveUp(request, Reason.compared(kind, made, made + left));
+        } else if (request.prefilledAt != null) {
+            sendToDecode(request);
+        } else {
+            sendToPrefill(request, left);
+        }
+    }
+
+    /** The client's time is up. */
+    void giveUpAtDeadline(TrackedRequest request) {
+        long elapsed = context.now() - request.arrivedAt;
+        long budget = request.deadline - request.arrivedAt;
+        conclusion.giveUp(request, Reason.compared(Kind.DEADLINE, elapsed, budget));
+    }
+
+    private void sendToPrefill(TrackedRequest request, int attemptsLeft) {
+        // A prefill needs a second attempt for the decode.
+        boolean canSplit = attemptsLeft > 1;
+        List<Endpoint> prefill = canSplit ? filter.candidates(Role.READ, request) : List.of();
+        List<Endpoint> decode = filter.candidates(Role.WRITE, request);
+        List<Endpoint> mixed = filter.candidates(Role.BOTH, request);
+        Selection selected = prefill.isEmpty() ? null : prefillSelector.select(request, prefill);
+        Reason rejection = request.attempts == 0 ? admit(request, prefill, selected, decode) : null;
+        if (rejection != null) {
+            conclusion.giveUp(request, rejection);
+        } else if (decodeSelector.goesToMixed(prefill, decode, mixed)) {
+            sender.sendDecode(request, decodeSelector.lighterOfTwo(mixed).as(Kind.MIXED));
+        } else if (selected != null) {
+            Selection probe = filter.recoveryProbe(Role.READ, request);
+            sender.sendPrefill(request, probe != null ? probe : selected);
+        } else if (context.settings().capabilities().decodersMayPrefill() && !decode.isEmpty()) {
+            // A decode endpoint that reads is slow and slows others, but answers.
+            Selection reading = decodeSelector.lighterOfTwo(decode).as(Kind.WRITER_READS);
+            sender.sendDecode(request, reading);
+        } else {
+            Role lacking = canSplit ? Role.READ : Role.WRITE;
+            conclusion.giveUp(request, Reason.of(filter.unavailability(lacking, request)));
+        }
+    }
+
+    private Reason admit(
+            TrackedRequest request,
+            List<Endpoint> prefill,
+            Selection selected,
+            List<Endpoint> decode) {
+        Endpoint endpoint = selected == null ? null : selected.endpoint();
+        return admission.rejection(request, prefill, endpoint, decode);
+    }
+
+    private void sendToDecode(TrackedRequest request) {
+        List<Endpoint> pure = filter.candidates(Role.WRITE, request);
+        List<Endpoint> decode = pure.isEmpty() ? filter.candidates(Role.BOTH, request) : pure;
+        Selection probe = filter.recoveryProbe(Role.WRITE, request);
+        Selection selected =
+                probe != null ? probe : decodeSelector.select(request.prefilledAt, decode);
+        if (selected != null) {
+            sender.sendDecode(request, selected);
+        } else if (context.now() + DECODE_POLL_MICROS < stateKeptUntil(request)) {
+            context.emit(new Timer(DECODE_POLL_MICROS, request.id));
+        } else {
+            giveUpState(request);
+        }
+    }
+
+    private void giveUpState(TrackedRequest request) {
+        Kind unavailability = filter.unavailability(Role.WRITE, request);
+        Kind kind = unavailability == Kind.NO_SERVER ? Kind.HELD_TOO_LONG : unavailability;
+        long idle = context.now() - request.idleSince;
+        double limit = stateKeptUntil(request) - request.idleSince;
+        conclusion.giveUp(request, Reason.compared(kind, idle, limit));
+    }
+
+    /** {@return until when a request's state may wait at its prefill endpoint} */
+    double stateKeptUntil(TrackedRequest request) {
+        long limit = context.settings().serverLimits().reservationLimitMicros();
+        return request.idleSince + MAX_RESERVATION_SHARE * limit;
+    }
+}
--- a/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
@@ -6,7 +6,19 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.AttemptEnded;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.Routing.TimerFired;
 
 /**
  * A router of one's own in a few lines, as the README describes it: a loop that feeds events and
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/FaultHandlingTest.java
@@ -0,0 +1,236 @@
+package sorrelhoist.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static sorrelhoist.routing.Fixtures.RELEASE;
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.ended;
+import static sorrelhoist.routing.Fixtures.fleet;
+import static sorrelhoist.routing.Fixtures.plain;
+import static sorrelhoist.routing.Fixtures.reader;
+import static sorrelhoist.routing.Fixtures.request;
+import static sorrelhoist.routing.Fixtures.send;
+import static sorrelhoist.routing.Fixtures.settings;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Cancel;
+import sorrelhoist.routing.Routing.ClientGone;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.Release;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.Routing.TimerFired;
+
+/**
+ * What one router does when attempts fail; each test is named after the failure it guards against.
+ */
+class FaultHandlingTest extends SingleRouterTest {
+    @Test
+    void aRefusedConnectIsRetriedElsewhereAtOnce() {
+        Send s = arrive(1, "a", null, 1000, 0);
+        Send again = send(decide.onEvent(now + 300, ended(s, 0, Outcome.CONNECT_FAILED, 300, 0)));
+        assertNotEquals(s.server(), again.server());
+    }
+
+    /**
+     * While connections to writers do not come up, what was read waits on; a second wait would pin
+     * it.
+     */
+    @Test
+    void aStateIsReadAnewRatherThanPinnedWhileWritersCannotBeReached() {
+        Send w = read(arrive(1, "a", null, 1000, 0), 0);
+        assertEquals(1, w.id());
+        assertTrue(w.server().startsWith("w"));
+        now += 20_000;
+        Send quick = send(decide.onEvent(now, ended(w, 1, Outcome.CONNECT_FAILED, 20_000, 0)));
+        assertTrue(
+                quick.server().startsWith("w"),
+                "a refused connection costs the state next to no time");
+        now += 240_000;
+        Send anew = send(decide.onEvent(now, ended(quick, 2, Outcome.CONNECT_FAILED, 240_000, 0)));
+        assertTrue(
+                anew.server().startsWith("r"),
+                anew + ": the same wait again would hold the state for too long");
+        Send last = send(decide.onEvent(now + 50_000, ended(anew, 3, Outcome.READ, 50_000, 900)));
+        assertTrue(last.server().startsWith("w"));
+    }
+
+    /**
+     * The deadline is for the first token; a stream that has begun is neither refused nor cut by
+     * it.
+     */
+    @Test
+    void theDeadlineStopsWithTheFirstToken() {
+        Send w = read(arrive(1, "a", null, 1000, 0), 0);
+        decide.onEvent(now, new StreamStarted(1, 1, w.server(), 20_000));
+        assertEquals(List.of(), decide.onEvent(now + 5 * SECOND, new TimerFired(1)));
+    }
+
+    @Test
+    void aBlackHoleLeavesTimeForAnotherAttempt() {
+        Send s = arrive(1, "a", null, 1000, 0);
+        assertTrue(s.cutAt() - now < 3 * SECOND, "cut after " + (s.cutAt() - now));
+        now = s.cutAt();
+        assertNotEquals(
+                s.server(),
+                send(decide.onEvent(now, ended(s, 0, Outcome.TIMED_OUT, 0, 0))).server());
+    }
+
+    @Test
+    void aFastFailerThatLooksIdleIsSetAside() {
+        int hits = 0;
+        for (int i = 0; i < 40; i++) {
+            Send s = arrive(i, "s" + i, null, 1000, 0);
+            now += 40_000;
+            if (s.server().equals("r1")) {
+                hits++;
+                s = send(decide.onEvent(now, ended(s, 0, Outcome.ERROR, 1000, 0)));
+                answer(s, 1, 30_000);
+            } else {
+                answer(s, 0, 30_000);
+            }
+        }
+        assertTrue(hits >= 1 && hits <= 6, "hits " + hits);
+    }
+
+    @Test
+    void aSlowReaderIsSetAsideAndComesBack() {
+        int slowHits = 0;
+        for (int i = 0; i < 60; i++) {
+            now += 50_000;
+            Send s = arrive(i, "s" + i, null, 1000, 0);
+            boolean slow = s.server().equals("r1");
+            slowHits += slow && i >= 30 ? 1 : 0;
+            answer(s, 0, slow ? 900_000 : 40_000);
+        }
+        assertTrue(slowHits <= 4, "sent " + slowHits);
+        int later = 0;
+        for (int i = 60; i < 300; i++) {
+            now += 50_000;
+            Send s = arrive(i, "s" + i, null, 1000, 0);
+            later += s.server().equals("r1") ? 1 : 0;
+            answer(s, 0, 40_000);
+        }
+        assertTrue(later > 8, "came back with " + later);
+    }
+
+    @Test
+    void aFaultCommonToAllLeavesCandidates() {
+        int sends = 0;
+        for (int i = 0; i < 80; i++) {
+            now += 100_000;
+            List<Action> actions = decide.onEvent(now, request(i, "s" + i, null, 1000, 0));
+            for (int n = 0; !all(actions, Send.class).isEmpty(); n++) {
+                sends++;
+                actions = decide.onEvent(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
+            }
+        }
+        assertTrue(sends >= 80, "sends " + sends);
+    }
+
+    @Test
+    void aRetryStormIsBounded() {
+        int sends = 0;
+        for (int i = 0; i < 200; i++) {
+            now += 20_000;
+            List<Action> actions = decide.onEvent(now, request(i, "s" + i, null, 1000, 0));
+            for (int n = 0; !all(actions, Send.class).isEmpty(); n++) {
+                sends++;
+                actions = decide.onEvent(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
+            }
+        }
+        assertTrue(sends < 270, "sends " + sends);
+    }
+
+    @Test
+    void aStateIsLetGoWhenNoWriterIsThere() {
+        RoutingPolicy d = start(plain(), List.of(reader("r1", 0)));
+        Send s = send(d.onEvent(now, request(1, "a", null, 1000, 0)));
+        List<Action> actions =
+                new ArrayList<>(d.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
+        long until = now;
+        while (all(actions, Release.class).isEmpty()) {
+            until += all(actions, Timer.class).get(0).delayMicros();
+            actions = d.onEvent(until, new TimerFired(1));
+        }
+        assertTrue(until - now < RELEASE);
+        assertEquals(1, all(actions, Refuse.class).size());
+    }
+
+    @Test
+    void aStateReadForADepartedClientIsLetGo() {
+        Send s = arrive(1, "a", null, 1000, 0);
+        assertEquals(1, all(decide.onEvent(now, new ClientGone(1)), Cancel.class).size());
+        assertEquals(
+                List.of(new Release(1)), decide.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
+    }
+
+    @Test
+    void aLostStateIsReadAgain() {
+        Send w = read(arrive(1, "a", null, 1000, 0), 0);
+        Send again = send(decide.onEvent(now, ended(w, 1, Outcome.FULL, 500, 1)));
+        assertTrue(again.server().startsWith("r"));
+    }
+
+    @Test
+    void anUnsafeRequestThatMayHaveRunFails() {
+        RoutingPolicy d =
+                start(
+                        settings(Idempotency.UNSAFE, IdempotencyScope.ALL, false, List.of()),
+                        fleet());
+        Send s = send(d.onEvent(now, request(1, "a", null, 1000, 0)));
+        Send w = send(d.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
+        List<Action> actions = d.onEvent(now, ended(w, 1, Outcome.RESET, 500, 0));
+        assertEquals(1, all(actions, Fail.class).size());
+        assertTrue(all(actions, Send.class).isEmpty() && all(actions, Refuse.class).isEmpty());
+    }
+
+    @Test
+    void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
+        RoutingPolicy d =
+                start(
+                        settings(Idempotency.KEYED, IdempotencyScope.CELL, false, List.of()),
+                        fleet());
+        Send s = send(d.onEvent(now, request(1, "a", null, 1000, 0)));
+        Send w = send(d.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
+        Send again = send(d.onEvent(now, ended(w, 1, Outcome.ERROR, 500, 0)));
+        Set<String> cell =
+                w.server().matches("w[12]")
+                        ? Set.of("r1", "r2", "w1", "w2")
+                        : Set.of("r3", "r4", "w3", "w4");
+        assertTrue(cell.contains(again.server()));
+        Send write = send(d.onEvent(now, ended(again, 2, Outcome.READ, 40_000, 0)));
+        assertTrue(write.server().startsWith("w") && cell.contains(write.server()));
+    }
+
+    /**
+     * Spoilt answers: the writer had fetched the state, and another had to read the whole prompt by
+     * itself.
+     */
+    @Test
+    void afterAnAnswerThatBrokeOffThePromptIsReadAnewAtAReader() {
+        for (Outcome broke : List.of(Outcome.ERROR, Outcome.RESET)) {
+            RoutingPolicy d =
+                    start(
+                            settings(Idempotency.SAFE, IdempotencyScope.ALL, true, List.of()),
+                            fleet());
+            Send read = send(d.onEvent(now, request(1, "s", null, 3000, 0)));
+            Send write = send(d.onEvent(now, ended(read, 0, Outcome.READ, 10_000, 0)));
+            Send again = send(d.onEvent(now, ended(write, 1, broke, 10_000, 0)));
+            assertEquals(read.server(), again.server(), "the one that has kept the text");
+            Send other = send(d.onEvent(now, ended(again, 2, Outcome.READ, 10_000, 3000)));
+            assertTrue(other.server().startsWith("w") && !other.server().equals(write.server()));
+        }
+    }
+}
--- a/decide/src/test/java/sorrelhoist/routing/Fixtures.java
+++ b/decide/src/test/java/sorrelhoist/routing/Fixtures.java
@@ -2,7 +2,18 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.AttemptEnded;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.Routing.Tenant;
 
 /** Small settings, servers and events for the module's tests. */
 final class Fixtures {
@@ -12,51 +23,27 @@
     private Fixtures() {}
 
     static RoutingSettings settings(
-            Idempotency repeat, IdempotencyScope scope, boolean writersRead, List<Tenant> tenants) {
-        return settings(
-                repeat, scope, writersRead, tenants, false, LoadReportMode.NONE, false, true, 5);
+            Idempotency idempotency,
+            IdempotencyScope scope,
+            boolean decodersMayPrefill,
+            List<Tenant> tenants) {
+        SettingsBuilder builder = new SettingsBuilder();
+        builder.idempotency = idempotency;
+        builder.idempotencyScope = scope;
+        builder.decodersMayPrefill = decodersMayPrefill;
+        builder.tenants = tenants;
+        return builder.build();
     }
 
-    static RoutingSettings settings(
-            Idempotency repeat,
-            IdempotencyScope scope,
-            boolean writersRead,
-            List<Tenant> tenants,
-            boolean asks,
-            LoadReportMode reports,
-            boolean probes,
-            boolean cancel,
-            int attempts) {
-        return new RoutingSettings(
-                2,
-                0,
-                0,
-                asks,
-                0.1,
-                reports,
-                List.of(
-                        new RequestClass(SECOND, 40_000, 1, repeat, scope, 2 * SECOND),
-                        new RequestClass(800_000, 40_000, 3, repeat, scope, 2 * SECOND)),
-                tenants,
-                List.of(
-                        new ServerKind(Role.READ, 200_000),
-                        new ServerKind(Role.WRITE, 150_000),
-                        new ServerKind(Role.BOTH, 150_000)),
-                new Capabilities(
-                        attempts,
-                        cancel,
-                        probes,
-                        true,
-                        2 * SECOND,
-                        writersRead,
-                        asks,
-                        0.003,
-                        0.003),
-                new ServerLimits(0.26, 12 * SECOND, 3, 3 * SECOND, RELEASE));
+    /** Settings whose routers may send each other messages. */
+    static RoutingSettings gossiping() {
+        SettingsBuilder builder = new SettingsBuilder();
+        builder.connected = true;
+        return builder.build();
     }
 
     static RoutingSettings plain() {
-        return settings(Idempotency.SAFE, IdempotencyScope.ALL, false, List.of());
+        return new SettingsBuilder().build();
     }
 
     static Server reader(String id, int cell) {
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
@@ -0,0 +1,186 @@
+package sorrelhoist.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.ended;
+import static sorrelhoist.routing.Fixtures.request;
+import static sorrelhoist.routing.Fixtures.send;
+import static sorrelhoist.routing.FleetWorld.fleet;
+import static sorrelhoist.routing.FleetWorld.part;
+import static sorrelhoist.routing.FleetWorld.routers;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.PeerMessage;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Tell;
+
+/** What many routers over one fleet learn from what others tell. */
+class FleetGossipTest {
+    /** {@return how many reads a reader got in the six seconds after it fell silent} */
+    private static long sentToSilent(int n, boolean told) {
+        FleetWorld world = new FleetWorld(n, fleet(10, 10));
+        world.told = told;
+        world.silent = "r3";
+        world.silentFrom = 20 * SECOND;
+        Random random = new Random(n);
+        for (int id = 0; id < 75 * 26; id++) {
+            world.later(
+                    SECOND + (long) (random.nextDouble() * 25 * SECOND),
+                    random.nextInt(n),
+                    request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
+        }
+        world.play(26 * SECOND);
+        return world.mostWithin("r3", 20 * SECOND, 26 * SECOND, 6 * SECOND);
+    }
+
+    /**
+     * Each alone finds out by a request of its own that is lost, and sees too few to find out soon.
+     */
+    @Test
+    void aReaderThatFallsSilentIsToldOfBeforeItsAttemptsAreCut() {
+        long alone = sentToSilent(100, false);
+        long told = sentToSilent(100, true);
+        assertTrue(
+                told < 0.6 * alone,
+                told + " reads sent to a silent reader, " + alone + " where none tells");
+    }
+
+    /**
+     * {@return how many attempts failed in 20 s at these, at 75 requests a second by 100 routers}
+     */
+    private static int failures(boolean told, Set<String> failing) {
+        FleetWorld world = new FleetWorld(100, fleet(10, 10));
+        world.told = told;
+        world.failing = failing;
+        Random random = new Random(5);
+        for (int id = 0; id < 75 * 20; id++) {
+            world.later(
+                    SECOND + (long) (random.nextDouble() * 20 * SECOND),
+                    random.nextInt(100),
+                    request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
+        }
+        world.play(22 * SECOND);
+        return world.failures;
+    }
+
+    /**
+     * A failure costs a request that may not be repeated; each router alone would need two at each
+     * such server.
+     */
+    @Test
+    void aServerThatFailsFastIsSetAsideByWhatOthersTell() {
+        int alone = failures(false, Set.of("w13"));
+        int told = failures(true, Set.of("w13"));
+        assertTrue(told < 0.5 * alone, told + " failures, " + alone + " where none tells");
+    }
+
+    /**
+     * Whoever finds it well tells: the others, who wait much longer for their own trial, send there
+     * again.
+     */
+    @Test
+    void aServerThatIsWellAgainSoonHasItsShare() {
+        FleetWorld world = new FleetWorld(100, fleet(10, 10));
+        world.failing = Set.of("w13");
+        world.failingUntil = 12 * SECOND;
+        Random random = new Random(6);
+        for (int id = 0; id < 75 * 30; id++) {
+            world.later(
+                    SECOND + (long) (random.nextDouble() * 30 * SECOND),
+                    random.nextInt(100),
+                    request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
+        }
+        world.play(31 * SECOND);
+        long sick =
+                world.sends.get("w13").stream()
+                        .filter(t -> t > 6 * SECOND && t < 12 * SECOND)
+                        .count();
+        long well =
+                world.sends.get("w13").stream()
+                        .filter(t -> t > 21 * SECOND && t < 31 * SECOND)
+                        .count();
+        assertTrue(sick <= 20, sick + " sent in six seconds to a server that fails, of about 45");
+        assertTrue(well >= 35, well + " sent in ten seconds once it was well, of about 75");
+    }
+
+    /**
+     * Half of the writers fail: the others must not be set aside for what is told of them by
+     * mistake or chance.
+     */
+    @Test
+    void whatIsToldOfManyServersLeavesTheSoundOnesInUse() {
+        int alone = failures(false, Set.of("w10", "w12", "w14", "w16", "w18"));
+        int told = failures(true, Set.of("w10", "w12", "w14", "w16", "w18"));
+        assertTrue(told <= alone, told + " failures, " + alone + " where none tells");
+    }
+
+    @Test
+    void aLagThatOneRouterFeltIsPassedOverByAnother() {
+        List<RoutingPolicy> two = routers(2, fleet(4, 4));
+        Send s = send(two.get(0).onEvent(SECOND, request(1, "a", "p", 1000, 900)));
+        List<Action> after =
+                two.get(0).onEvent(3 * SECOND, ended(s, 0, Outcome.READ, 2 * SECOND, 0));
+        for (int id = 2; all(after, Tell.class).isEmpty() && id < 40; id++) {
+            after = two.get(0).onEvent(3 * SECOND, request(id, "b" + id, null, 100, 0));
+            Send t = send(after);
+            after = two.get(0).onEvent(3 * SECOND, ended(t, 0, Outcome.FULL, 1000, 0));
+        }
+        Tell told = all(after, Tell.class).get(0);
+        assertTrue(told.body().length() <= 256);
+        assertEquals(
+                s.server(),
+                send(two.get(1).onEvent(3 * SECOND, request(90, "c", "p", 1000, 900))).server());
+        two.get(1).onEvent(3 * SECOND, new PeerMessage(0, told.body()));
+        assertNotEquals(
+                s.server(),
+                send(two.get(1).onEvent(3 * SECOND, request(91, "d", "p", 1000, 900))).server());
+    }
+
+    @Test
+    void foreignMessagesAreSurvived() {
+        RoutingPolicy d = routers(2, fleet(2, 2)).get(0);
+        Random random = new Random(1);
+        for (int i = 0; i < 2000; i++) {
+            StringBuilder body = new StringBuilder();
+            for (int n = random.nextInt(300); n > 0; n--) {
+                body.append("0:lxf. z9\u00e9\n".charAt(random.nextInt(11)));
+            }
+            d.onEvent(i, new PeerMessage(random.nextInt(9), body.toString()));
+        }
+        assertFalse(all(d.onEvent(SECOND, request(1, "a", null, 1000, 0)), Send.class).isEmpty());
+    }
+
+    @Test
+    void aServerThatIsFullForOneClassStillTakesTheOthers() {
+        RoutingPolicy d = new RoutingPolicy(part(2, 0), 1);
+        d.onEvent(0, new Members(ListUpdateKind.RESTORED, fleet(2, 2)));
+        Send s = send(d.onEvent(SECOND, request(1, "a", "p", 1000, 900)));
+        Send elsewhere = send(d.onEvent(SECOND + 200_000, ended(s, 0, Outcome.FULL, 200_000, 0)));
+        assertNotEquals(s.server(), elsewhere.server());
+        d.onEvent(SECOND + 300_000, ended(elsewhere, 1, Outcome.READ, 100_000, 0));
+        long now = 3 * SECOND;
+        Arrived other = new Arrived(2, 1, 0, "b", "p", 1000, 900, 200, 4 * SECOND);
+        Arrived same = new Arrived(3, 0, 0, "c", "p", 1000, 900, 200, 4 * SECOND);
+        assertEquals(elsewhere.server(), send(d.onEvent(now, same)).server());
+        List<String> forOther = new ArrayList<>();
+        for (int i = 0; i < 12; i++) {
+            Arrived a = new Arrived(10 + i, 1, 0, "x" + i, null, 3000, 0, 200, 4 * SECOND);
+            all(d.onEvent(now, a), Send.class).forEach(sent -> forOther.add(sent.server()));
+        }
+        assertTrue(forOther.contains(s.server()), "" + forOther);
+        assertFalse(all(d.onEvent(now, other), Send.class).isEmpty());
+    }
+}
--- a/decide/src/test/java/sorrelhoist/routing/FleetTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetTest.java
@@ -1,201 +1,42 @@
 package sorrelhoist.routing;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static sorrelhoist.routing.Fixtures.*;
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.ended;
+import static sorrelhoist.routing.Fixtures.reader;
+import static sorrelhoist.routing.Fixtures.request;
+import static sorrelhoist.routing.Fixtures.send;
+import static sorrelhoist.routing.Fixtures.with;
+import static sorrelhoist.routing.Fixtures.writer;
+import static sorrelhoist.routing.FleetWorld.fleet;
+import static sorrelhoist.routing.FleetWorld.part;
+import static sorrelhoist.routing.FleetWorld.routers;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerLimits;
+import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.Routing.StreamStarted;
 
 /** Many routers over one fleet, each of which sees only its part. */
 class FleetTest {
-    private static RoutingSettings part(int routers, int self) {
-        RoutingSettings s = settings(Idempotency.SAFE, IdempotencyScope.ALL, false, List.of());
-        Capabilities l = s.capabilities();
-        return new RoutingSettings(
-                routers,
-                self,
-                0,
-                false,
-                0.1,
-                LoadReportMode.NONE,
-                s.classes(),
-                List.of(),
-                s.serverKinds(),
-                new Capabilities(
-                        5, true, false, true, l.maxBackoffMicros(), false, true, 0.003, 0.003),
-                s.serverLimits());
-    }
-
-    private static List<RoutingPolicy> routers(int n, List<Server> fleet) {
-        List<RoutingPolicy> all = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            all.add(new RoutingPolicy(part(n, i), 31 + i));
-            all.get(i).onEvent(0, new Members(ListUpdateKind.RESTORED, fleet));
-        }
-        return all;
-    }
-
-    private static List<Server> fleet(int readers, int writers) {
-        List<Server> fleet = new ArrayList<>();
-        for (int i = 0; i < readers + writers; i++) {
-            fleet.add(i < readers ? reader("r" + i, i % 4) : writer("w" + i, i % 4));
-        }
-        return fleet;
-    }
-
-    /** A world with one clock: each read takes 60 ms, a first token 40 ms, an answer a second. */
-    private static final class World {
-        record Due(long at, long order, int router, Event event) {}
-
-        final Map<String, List<Long>> sends = new TreeMap<>();
-        final PriorityQueue<Due> due =
-                new PriorityQueue<>(
-                        (a, b) ->
-                                a.at != b.at
-                                        ? Long.compare(a.at, b.at)
-                                        : Long.compare(a.order, b.order));
-        final Map<Long, Integer> attempts = new TreeMap<>();
-        final List<RoutingPolicy> routers;
-
-        /** Sends to these fail at once. */
-        Set<String> failing = Set.of();
-
-        long failingUntil = Long.MAX_VALUE;
-        int failures;
-
-        /** Reads sent there from this time on are never answered. */
-        String silent = "";
-
-        boolean told = true;
-        long silentFrom = Long.MAX_VALUE;
-        long order;
-
-        /** Starts the routers in it, so that their own timers run, too. */
-        World(int n, List<Server> fleet) {
-            routers = new ArrayList<>();
-            for (int i = 0; i < n; i++) {
-                routers.add(new RoutingPolicy(part(n, i), 31 + i));
-                later(0, i, new Members(ListUpdateKind.RESTORED, fleet));
-            }
-        }
-
-        void later(long at, int router, Event event) {
-            due.add(new Due(at, order++, router, event));
-        }
-
-        void play(long end) {
-            while (!due.isEmpty() && due.peek().at < end) {
-                Due d = due.poll();
-                for (Action a : routers.get(d.router).onEvent(d.at, d.event)) {
-                    take(d.at, d.router, a);
-                }
-            }
-        }
-
-        void take(long now, int router, Action action) {
-            if (action instanceof Timer t) {
-                later(now + Math.max(1, t.delayMicros()), router, new TimerFired(t.token()));
-            } else if (action instanceof Tell t && told) {
-                for (int i = 0; i < routers.size(); i++) {
-                    if (i != router) {
-                        later(now + 5000, i, new PeerMessage(router, t.body()));
-                    }
-                }
-            } else if (action instanceof Send s) {
-                sends.computeIfAbsent(s.server(), id -> new ArrayList<>()).add(now);
-                int n = attempts.merge(s.id(), 1, Integer::sum) - 1;
-                if (s.server().equals(silent) && now >= silentFrom) {
-                    later(
-                            s.cutAt(),
-                            router,
-                            new AttemptEnded(
-                                    s.id(),
-                                    n,
-                                    s.server(),
-                                    Outcome.TIMED_OUT,
-                                    s.cutAt() - now,
-                                    false,
-                                    0,
-                                    ServerLoad.NONE));
-                } else if (failing.contains(s.server()) && now < failingUntil) {
-                    failures++;
-                    later(
-                            now + 2000,
-                            router,
-                            new AttemptEnded(
-                                    s.id(),
-                                    n,
-                                    s.server(),
-                                    Outcome.ERROR,
-                                    2000,
-                                    false,
-                                    0,
-                                    ServerLoad.NONE));
-                } else if (s.server().startsWith("r")) {
-                    later(
-                            now + 60_000,
-                            router,
-                            new AttemptEnded(
-                                    s.id(),
-                                    n,
-                                    s.server(),
-                                    Outcome.READ,
-                                    60_000,
-                                    false,
-                                    0,
-                                    ServerLoad.NONE));
-                } else {
-                    later(now + 40_000, router, new StreamStarted(s.id(), n, s.server(), 40_000));
-                    later(
-                            now + SECOND,
-                            router,
-                            new AttemptEnded(
-                                    s.id(),
-                                    n,
-                                    s.server(),
-                                    Outcome.DONE,
-                                    SECOND,
-                                    true,
-                                    0,
-                                    ServerLoad.NONE));
-                }
-            }
-        }
-
-        long mostWithin(String server, long from, long to, long window) {
-            ArrayDeque<Long> held = new ArrayDeque<>();
-            long most = 0;
-            for (long t : sends.getOrDefault(server, List.of())) {
-                if (t >= from && t < to) {
-                    held.add(t);
-                    while (held.peek() <= t - window) {
-                        held.poll();
-                    }
-                    most = Math.max(most, held.size());
-                }
-            }
-            return most;
-        }
-    }
-
     @ParameterizedTest
     @ValueSource(ints = {2, 50, 150})
     void allRoutersTogetherDoNotPushAColdServerOver(int n) {
         List<Server> fleet = fleet(10, 10);
-        World world = new World(n, fleet);
+        FleetWorld world = new FleetWorld(n, fleet);
         Random random = new Random(n);
         long start = 30 * SECOND;
         for (int id = 0; id < 150 * 44; id++) {
@@ -233,104 +74,6 @@
         }
     }
 
-    /** {@return how many reads a reader got in the six seconds after it fell silent} */
-    private static long sentToSilent(int n, boolean told) {
-        World world = new World(n, fleet(10, 10));
-        world.told = told;
-        world.silent = "r3";
-        world.silentFrom = 20 * SECOND;
-        Random random = new Random(n);
-        for (int id = 0; id < 75 * 26; id++) {
-            world.later(
-                    SECOND + (long) (random.nextDouble() * 25 * SECOND),
-                    random.nextInt(n),
-                    request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
-        }
-        world.play(26 * SECOND);
-        return world.mostWithin("r3", 20 * SECOND, 26 * SECOND, 6 * SECOND);
-    }
-
-    /**
-     * Each alone finds out by a request of its own that is lost, and sees too few to find out soon.
-     */
-    @Test
-    void aReaderThatFallsSilentIsToldOfBeforeItsAttemptsAreCut() {
-        long alone = sentToSilent(100, false);
-        long told = sentToSilent(100, true);
-        assertTrue(
-                told < 0.6 * alone,
-                told + " reads sent to a silent reader, " + alone + " where none tells");
-    }
-
-    /**
-     * {@return how many attempts failed in 20 s at these, at 75 requests a second by 100 routers}
-     */
-    private static int failures(boolean told, Set<String> failing) {
-        World world = new World(100, fleet(10, 10));
-        world.told = told;
-        world.failing = failing;
-        Random random = new Random(5);
-        for (int id = 0; id < 75 * 20; id++) {
-            world.later(
-                    SECOND + (long) (random.nextDouble() * 20 * SECOND),
-                    random.nextInt(100),
-                    request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
-        }
-        world.play(22 * SECOND);
-        return world.failures;
-    }
-
-    /**
-     * A failure costs a request that may not be repeated; each router alone would need two at each
-     * such server.
-     */
-    @Test
-    void aServerThatFailsFastIsSetAsideByWhatOthersTell() {
-        int alone = failures(false, Set.of("w13"));
-        int told = failures(true, Set.of("w13"));
-        assertTrue(told < 0.5 * alone, told + " failures, " + alone + " where none tells");
-    }
-
-    /**
-     * Whoever finds it well tells: the others, who wait much longer for their own trial, send there
-     * again.
-     */
-    @Test
-    void aServerThatIsWellAgainSoonHasItsShare() {
-        World world = new World(100, fleet(10, 10));
-        world.failing = Set.of("w13");
-        world.failingUntil = 12 * SECOND;
-        Random random = new Random(6);
-        for (int id = 0; id < 75 * 30; id++) {
-            world.later(
-                    SECOND + (long) (random.nextDouble() * 30 * SECOND),
-                    random.nextInt(100),
-                    request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
-        }
-        world.play(31 * SECOND);
-        long sick =
-                world.sends.get("w13").stream()
-                        .filter(t -> t > 6 * SECOND && t < 12 * SECOND)
-                        .count();
-        long well =
-                world.sends.get("w13").stream()
-                        .filter(t -> t > 21 * SECOND && t < 31 * SECOND)
-                        .count();
-        assertTrue(sick <= 20, sick + " sent in six seconds to a server that fails, of about 45");
-        assertTrue(well >= 35, well + " sent in ten seconds once it was well, of about 75");
-    }
-
-    /**
-     * Half of the writers fail: the others must not be set aside for what is told of them by
-     * mistake or chance.
-     */
-    @Test
-    void whatIsToldOfManyServersLeavesTheSoundOnesInUse() {
-        int alone = failures(false, Set.of("w10", "w12", "w14", "w16", "w18"));
-        int told = failures(true, Set.of("w10", "w12", "w14", "w16", "w18"));
-        assertTrue(told <= alone, told + " failures, " + alone + " where none tells");
-    }
-
     /**
      * A restarted reader is worth a quarter of a warm one from the start: it must not stand idle
      * until it is warm.
@@ -338,7 +81,7 @@
     @Test
     void aColdServerGetsItsPartAlsoWhereEachRouterSeesItSeldom() {
         List<Server> fleet = fleet(25, 25);
-        World world = new World(100, fleet);
+        FleetWorld world = new FleetWorld(100, fleet);
         Random random = new Random(8);
         long start = 25 * SECOND;
         for (int id = 0; id < 75 * 37; id++) {
@@ -374,7 +117,7 @@
     void routersThatKnowNothingSendAColdFleetLittle(int n) {
         List<Server> cold =
                 fleet(10, 10).stream().map(s -> with(s, ServerState.SERVING, SECOND)).toList();
-        World world = new World(n, cold);
+        FleetWorld world = new FleetWorld(n, cold);
         Random random = new Random(n);
         for (int id = 0; id < 150 * 8; id++) {
             world.later(
@@ -414,7 +157,7 @@
 
     @Test
     void manyRoutersDoNotPileAHotPrefixOnOneReader() {
-        World world = new World(100, fleet(10, 10));
+        FleetWorld world = new FleetWorld(100, fleet(10, 10));
         Random random = new Random(3);
         for (int id = 0; id < 3000; id++) {
             world.later(
@@ -449,7 +192,7 @@
                         writer("w1", 1),
                         writer("w2", 1),
                         writer("w3", 1));
-        World world = new World(40, skewed);
+        FleetWorld world = new FleetWorld(40, skewed);
         Random random = new Random(5);
         for (int id = 0; id < 2000; id++) {
             world.later(
@@ -508,61 +251,4 @@
         }
         assertTrue(served >= 12, "served " + served);
     }
-
-    @Test
-    void aLagThatOneRouterFeltIsPassedOverByAnother() {
-        List<RoutingPolicy> two = routers(2, fleet(4, 4));
-        Send s = send(two.get(0).onEvent(SECOND, request(1, "a", "p", 1000, 900)));
-        List<Action> after =
-                two.get(0).onEvent(3 * SECOND, ended(s, 0, Outcome.READ, 2 * SECOND, 0));
-        for (int id = 2; all(after, Tell.class).isEmpty() && id < 40; id++) {
-            after = two.get(0).onEvent(3 * SECOND, request(id, "b" + id, null, 100, 0));
-            Send t = send(after);
-            after = two.get(0).onEvent(3 * SECOND, ended(t, 0, Outcome.FULL, 1000, 0));
-        }
-        Tell told = all(after, Tell.class).get(0);
-        assertTrue(told.body().length() <= 256);
-        assertEquals(
-                s.server(),
-                send(two.get(1).onEvent(3 * SECOND, request(90, "c", "p", 1000, 900))).server());
-        two.get(1).onEvent(3 * SECOND, new PeerMessage(0, told.body()));
-        assertNotEquals(
-                s.server(),
-                send(two.get(1).onEvent(3 * SECOND, request(91, "d", "p", 1000, 900))).server());
-    }
-
-    @Test
-    void foreignMessagesAreSurvived() {
-        RoutingPolicy d = routers(2, fleet(2, 2)).get(0);
-        Random random = new Random(1);
-        for (int i = 0; i < 2000; i++) {
-            StringBuilder body = new StringBuilder();
-            for (int n = random.nextInt(300); n > 0; n--) {
-                body.append("0:lxf. z9\u00e9\n".charAt(random.nextInt(11)));
-            }
-            d.onEvent(i, new PeerMessage(random.nextInt(9), body.toString()));
-        }
-        assertFalse(all(d.onEvent(SECOND, request(1, "a", null, 1000, 0)), Send.class).isEmpty());
-    }
-
-    @Test
-    void aServerThatIsFullForOneClassStillTakesTheOthers() {
-        RoutingPolicy d = new RoutingPolicy(part(2, 0), 1);
-        d.onEvent(0, new Members(ListUpdateKind.RESTORED, fleet(2, 2)));
-        Send s = send(d.onEvent(SECOND, request(1, "a", "p", 1000, 900)));
-        Send elsewhere = send(d.onEvent(SECOND + 200_000, ended(s, 0, Outcome.FULL, 200_000, 0)));
-        assertNotEquals(s.server(), elsewhere.server());
-        d.onEvent(SECOND + 300_000, ended(elsewhere, 1, Outcome.READ, 100_000, 0));
-        long now = 3 * SECOND;
-        Arrived other = new Arrived(2, 1, 0, "b", "p", 1000, 900, 200, 4 * SECOND);
-        Arrived same = new Arrived(3, 0, 0, "c", "p", 1000, 900, 200, 4 * SECOND);
-        assertEquals(elsewhere.server(), send(d.onEvent(now, same)).server());
-        List<String> forOther = new ArrayList<>();
-        for (int i = 0; i < 12; i++) {
-            Arrived a = new Arrived(10 + i, 1, 0, "x" + i, null, 3000, 0, 200, 4 * SECOND);
-            all(d.onEvent(now, a), Send.class).forEach(sent -> forOther.add(sent.server()));
-        }
-        assertTrue(forOther.contains(s.server()), "" + forOther);
-        assertFalse(all(d.onEvent(now, other), Send.class).isEmpty());
-    }
 }
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/FleetWorld.java
@@ -0,0 +1,164 @@
+package sorrelhoist.routing;
+
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.ended;
+import static sorrelhoist.routing.Fixtures.fleet;
+import static sorrelhoist.routing.Fixtures.reader;
+import static sorrelhoist.routing.Fixtures.settings;
+import static sorrelhoist.routing.Fixtures.writer;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.TreeMap;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Capabilities;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.LoadReportMode;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.PeerMessage;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.Routing.Tell;
+import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.Routing.TimerFired;
+
+/** A world with one clock: each read takes 60 ms, a first token 40 ms, an answer a second. */
+final class FleetWorld {
+    static RoutingSettings part(int routers, int self) {
+        RoutingSettings s = settings(Idempotency.SAFE, IdempotencyScope.ALL, false, List.of());
+        Capabilities l = s.capabilities();
+        return new RoutingSettings(
+                routers,
+                self,
+                0,
+                false,
+                0.1,
+                LoadReportMode.NONE,
+                s.classes(),
+                List.of(),
+                s.serverKinds(),
+                new Capabilities(
+                        5, true, false, true, l.maxBackoffMicros(), false, true, 0.003, 0.003),
+                s.serverLimits());
+    }
+
+    static List<RoutingPolicy> routers(int n, List<Server> fleet) {
+        List<RoutingPolicy> all = new ArrayList<>();
+        for (int i = 0; i < n; i++) {
+            all.add(new RoutingPolicy(part(n, i), 31 + i));
+            all.get(i).onEvent(0, new Members(ListUpdateKind.RESTORED, fleet));
+        }
+        return all;
+    }
+
+    static List<Server> fleet(int readers, int writers) {
+        List<Server> fleet = new ArrayList<>();
+        for (int i = 0; i < readers + writers; i++) {
+            fleet.add(i < readers ? reader("r" + i, i % 4) : writer("w" + i, i % 4));
+        }
+        return fleet;
+    }
+
+    record Due(long at, long order, int router, Event event) {}
+
+    final Map<String, List<Long>> sends = new TreeMap<>();
+    final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.order, b.order));
+    final Map<Long, Integer> attempts = new TreeMap<>();
+    final List<RoutingPolicy> routers;
+
+    /** Sends to these fail at once. */
+    Set<String> failing = Set.of();
+
+    long failingUntil = Long.MAX_VALUE;
+    int failures;
+
+    /** Reads sent there from this time on are never answered. */
+    String silent = "";
+
+    boolean told = true;
+    long silentFrom = Long.MAX_VALUE;
+    long order;
+
+    /** Starts the routers in it, so that their own timers run, too. */
+    FleetWorld(int n, List<Server> fleet) {
+        routers = new ArrayList<>();
+        for (int i = 0; i < n; i++) {
+            routers.add(new RoutingPolicy(part(n, i), 31 + i));
+            later(0, i, new Members(ListUpdateKind.RESTORED, fleet));
+        }
+    }
+
+    void later(long at, int router, Event event) {
+        due.add(new Due(at, order++, router, event));
+    }
+
+    void play(long end) {
+        while (!due.isEmpty() && due.peek().at < end) {
+            Due d = due.poll();
+            for (Action a : routers.get(d.router).onEvent(d.at, d.event)) {
+                take(d.at, d.router, a);
+            }
+        }
+    }
+
+    void take(long now, int router, Action action) {
+        if (action instanceof Timer t) {
+            later(now + Math.max(1, t.delayMicros()), router, new TimerFired(t.token()));
+        } else if (action instanceof Tell t && told) {
+            for (int i = 0; i < routers.size(); i++) {
+                if (i != router) {
+                    later(now + 5000, i, new PeerMessage(router, t.body()));
+                }
+            }
+        } else if (action instanceof Send s) {
+            takeSend(now, router, s);
+        }
+    }
+
+    private void takeSend(long now, int router, Send s) {
+        sends.computeIfAbsent(s.server(), id -> new ArrayList<>()).add(now);
+        int n = attempts.merge(s.id(), 1, Integer::sum) - 1;
+        if (s.server().equals(silent) && now >= silentFrom) {
+            later(s.cutAt(), router, ended(s, n, Outcome.TIMED_OUT, s.cutAt() - now, 0));
+        } else if (failing.contains(s.server()) && now < failingUntil) {
+            failures++;
+            later(now + 2000, router, ended(s, n, Outcome.ERROR, 2000, 0));
+        } else if (s.server().startsWith("r")) {
+            later(now + 60_000, router, ended(s, n, Outcome.READ, 60_000, 0));
+        } else {
+            later(now + 40_000, router, new StreamStarted(s.id(), n, s.server(), 40_000));
+            later(now + SECOND, router, ended(s, n, Outcome.DONE, SECOND, 0));
+        }
+    }
+
+    long mostWithin(String server, long from, long to, long window) {
+        ArrayDeque<Long> held = new ArrayDeque<>();
+        long most = 0;
+        for (long t : sends.getOrDefault(server, List.of())) {
+            if (t >= from && t < to) {
+                held.add(t);
+                while (held.peek() <= t - window) {
+                    held.poll();
+                }
+                most = Math.max(most, held.size());
+            }
+        }
+        return most;
+    }
+}
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/InFlightAttemptsTest.java
@@ -0,0 +1,28 @@
+package sorrelhoist.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import org.junit.jupiter.api.Test;
+
+class InFlightAttemptsTest {
+    private final PolicyParts parts = new PolicyParts();
+    private final InFlightAttempts inFlight = parts.endpoint("w1").inFlight;
+
+    @Test
+    void theOldestAwaitedAttemptIsOverdueUntilALaterOneIsAnswered() {
+        Attempt first = parts.start(parts.request(1, "a", null, 10, 0), "w1", false, 1000);
+        parts.pass(500);
+        Attempt second = parts.start(parts.request(2, "b", null, 10, 0), "w1", false, 1000);
+        assertEquals(2000, inFlight.awaitedMicros());
+        assertEquals(2000, inFlight.tokens());
+        assertEquals(4000, inFlight.overdueMicros(first.sentAt + 5000));
+        inFlight.provenBy(second);
+        inFlight.answered(2);
+        assertFalse(inFlight.isCurrent(first));
+        assertEquals(0, inFlight.overdueMicros(first.sentAt + 5000), "lost, not late");
+        inFlight.ended(2, second);
+        assertEquals(1, inFlight.count());
+        assertEquals(1000, inFlight.tokens());
+    }
+}
--- a/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
@@ -3,11 +3,23 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static sorrelhoist.routing.Fixtures.*;
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.ended;
+import static sorrelhoist.routing.Fixtures.fleet;
+import static sorrelhoist.routing.Fixtures.plain;
+import static sorrelhoist.routing.Fixtures.reader;
+import static sorrelhoist.routing.Fixtures.request;
+import static sorrelhoist.routing.Fixtures.send;
+import static sorrelhoist.routing.Fixtures.with;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.ClientGone;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.ServerState;
 
 /** What one router has learnt serves another; what is stale, replaced or false costs no rule. */
 class KnowledgeTest {
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
@@ -0,0 +1,207 @@
+package sorrelhoist.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.ended;
+import static sorrelhoist.routing.Fixtures.fleet;
+import static sorrelhoist.routing.Fixtures.plain;
+import static sorrelhoist.routing.Fixtures.request;
+import static sorrelhoist.routing.Fixtures.send;
+import static sorrelhoist.routing.Fixtures.settings;
+import static sorrelhoist.routing.Fixtures.with;
+import static sorrelhoist.routing.Fixtures.writer;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Reserve;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.Routing.TimerFired;
+
+/**
+ * Where one router sends reads and answers; each test is named after the failure it guards against.
+ */
+class PlacementTest extends SingleRouterTest {
+    @Test
+    void aSessionIsReadWhereItsTextIsKept() {
+        String first = serve(1, "a", null, 1000, 0, 0);
+        for (int turn = 2; turn < 6; turn++) {
+            now += 11 * SECOND;
+            assertEquals(first, serve(turn, "a", null, 1000 + 100 * turn, 0, 1000));
+        }
+    }
+
+    @Test
+    void routersAgreeOnTheReaderOfAnUnseenPrefix() {
+        Set<String> readers = new HashSet<>();
+        for (int i = 0; i < 20; i++) {
+            String prefix = "p" + i;
+            RoutingPolicy other = new RoutingPolicy(plain(), 1000 + i);
+            other.onEvent(0, new Members(ListUpdateKind.RESTORED, fleet()));
+            String here =
+                    send(start(plain(), fleet())
+                                    .onEvent(10 * SECOND, request(1, "x", prefix, 900, 800)))
+                            .server();
+            assertEquals(here, send(other.onEvent(0, request(1, "y", prefix, 900, 800))).server());
+            readers.add(here);
+        }
+        assertTrue(readers.size() > 2, "the hash should spread keys: " + readers);
+    }
+
+    @Test
+    void anUnmatchedRestExploresTheLightestReader() {
+        String holder = serve(1, "a", "p", 4000, 1000, 0);
+        assertNotEquals(holder, arrive(2, "b", "p", 4000, 1000).server());
+    }
+
+    @Test
+    void exploitTrafficOfTheHeaviestReaderShifts() {
+        String home = serve(1, "s0", "p", 1000, 900, 0);
+        Set<String> readers = new HashSet<>();
+        for (int i = 2; i < 60; i++) {
+            readers.add(serve(i, "s" + i, "p", 1400, 900, 900));
+        }
+        assertTrue(readers.contains(home) && readers.size() > 1, "only " + readers);
+    }
+
+    @Test
+    void theWriterIsChosenNearTheReaderAfterTheRead() {
+        for (int i = 0; i < 30; i++) {
+            List<Action> onArrival = decide.onEvent(now, request(i, "s" + i, null, 800, 0));
+            Send s = send(onArrival);
+            assertTrue(all(onArrival, Reserve.class).isEmpty());
+            String w = answer(s, 0, 50_000);
+            boolean near = List.of("r1", "r2").contains(s.server());
+            assertTrue(
+                    List.of(near ? "w1" : "w3", near ? "w2" : "w4").contains(w), s + " then " + w);
+        }
+    }
+
+    @Test
+    void aRestartForgetsWhatTheServerKept() {
+        Send first = arrive(1, "a", null, 4000, 0);
+        answer(first, 0, 50_000);
+        Server home =
+                fleet().stream()
+                        .filter(s -> s.id().equals(first.server()))
+                        .findFirst()
+                        .orElseThrow();
+        decide.onEvent(
+                now,
+                new Members(ListUpdateKind.UPDATE, List.of(with(home, ServerState.SERVING, now))));
+        now += 13 * SECOND;
+        decide.onEvent(now, new TimerFired(99));
+        Set<String> readers = new HashSet<>();
+        for (int i = 2; i < 6; i++) {
+            readers.add(arrive(i, "a" + i, null, 4000, 0).server());
+        }
+        assertTrue(readers.size() > 1);
+    }
+
+    @Test
+    void aColdServerIsNotPushedOver() {
+        List<Server> cold =
+                fleet().stream()
+                        .map(s -> s.id().equals("r1") ? with(s, ServerState.SERVING, now) : s)
+                        .toList();
+        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, cold));
+        int sent = 0;
+        for (int i = 0; i < 30; i++) {
+            now += 100_000;
+            Send s = arrive(i, "s" + i, null, 1000, 0);
+            sent += s.server().equals("r1") ? 1 : 0;
+            answer(s, 0, 40_000);
+        }
+        assertTrue(sent <= 4, "sent " + sent);
+    }
+
+    @Test
+    void writersThatReadAnswerWhenNoReaderIsLeft() {
+        List<Server> writers = List.of(writer("w1", 0));
+        assertEquals(
+                "w1",
+                send(start(
+                                        settings(
+                                                Idempotency.SAFE,
+                                                IdempotencyScope.ALL,
+                                                true,
+                                                List.of()),
+                                        writers)
+                                .onEvent(now, request(1, "a", null, 1000, 0)))
+                        .server());
+        assertTrue(
+                all(
+                                start(plain(), writers)
+                                        .onEvent(now, request(1, "a", null, 1000, 0)),
+                                Send.class)
+                        .isEmpty());
+    }
+
+    @Test
+    void mixedServersTakeTheirShareWhole() {
+        List<Server> fleet = new ArrayList<>(fleet());
+        fleet.add(new Server("m1", 0, 2, 0, ServerState.SERVING, 8, 0));
+        RoutingPolicy d = start(plain(), fleet);
+        int mixed = 0;
+        for (int i = 0; i < 100; i++) {
+            now += 100_000;
+            Send s = send(d.onEvent(now, request(i, "s" + i, null, 100, 0)));
+            mixed += s.server().equals("m1") ? 1 : 0;
+            Outcome outcome = s.server().equals("m1") ? Outcome.DONE : Outcome.READ;
+            for (Send w : all(d.onEvent(now, ended(s, 0, outcome, 10_000, 0)), Send.class)) {
+                d.onEvent(now, ended(w, 1, Outcome.DONE, 10_000, 0));
+            }
+        }
+        assertTrue(mixed > 25 && mixed < 75, "mixed " + mixed);
+    }
+
+    @Test
+    void aWriterWhoseFirstTokensHangIsPassedOver() {
+        Set<String> hanging = new HashSet<>();
+        for (int i = 0; i < 4; i++) {
+            hanging.add(read(arrive(i, "s" + i, null, 1000, 0), 0).server());
+        }
+        now += 700_000;
+        for (int i = 4; i < 12 && hanging.size() < 4; i++) {
+            List<Send> sends =
+                    all(decide.onEvent(now, request(i, "s" + i, null, 1000, 0)), Send.class);
+            for (Send s : sends) {
+                assertFalse(hanging.contains(answer(s, 0, 50_000)));
+            }
+        }
+    }
+
+    @Test
+    void aJammedReaderIsPassedOverThoughItKeepsTheText() {
+        String home = serve(1, "a", null, 1000, 0, 0);
+        now += 11 * SECOND;
+        assertEquals(home, arrive(2, "a", null, 1100, 0).server());
+        now += 900_000;
+        assertNotEquals(home, arrive(3, "a", null, 1200, 0).server());
+    }
+
+    @Test
+    void aLostAnswerIsNotTakenForAJam() {
+        String home = serve(1, "a", null, 1000, 0, 0);
+        now += 11 * SECOND;
+        assertEquals(home, arrive(2, "a", null, 1100, 0).server());
+        now += 50_000;
+        answer(arrive(3, "a", null, 1150, 0), 0, 50_000);
+        now += 900_000;
+        assertEquals(home, arrive(4, "a", null, 1200, 0).server());
+    }
+}
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/PolicyParts.java
@@ -0,0 +1,91 @@
+package sorrelhoist.routing;
+
+import java.util.List;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Server;
+
+/**
+ * The parts of a policy wired by hand, for tests of single parts; its clock starts at ten seconds.
+ */
+final class PolicyParts {
+    static final long START = 10 * Fixtures.SECOND;
+
+    final RoutingContext context;
+    final ArrivalRate arrivals = new ArrivalRate();
+    final SlowStart slowStart = new SlowStart();
+    final RequestTable requests = new RequestTable();
+    final ServiceTimes serviceTimes;
+    final PrefixTable prefixes;
+    final EndpointTable endpoints;
+    final GossipSender gossip;
+    final QueueingDelays delays;
+    final OutlierDetector outliers;
+    final CompletionEstimator completions;
+    final CandidateFilter filter;
+
+    PolicyParts() {
+        this(Fixtures.plain(), Fixtures.fleet());
+    }
+
+    PolicyParts(RoutingSettings settings, List<Server> servers) {
+        context = new RoutingContext(settings, 7);
+        serviceTimes = new ServiceTimes(settings.serverKinds().size(), arrivals);
+        prefixes = new PrefixTable(context, serviceTimes);
+        endpoints = new EndpointTable(context, prefixes);
+        gossip = new GossipSender(context, arrivals);
+        delays = new QueueingDelays(context, arrivals, gossip);
+        outliers = new OutlierDetector(context, endpoints, gossip);
+        completions = new CompletionEstimator(serviceTimes, delays, prefixes);
+        filter = new CandidateFilter(context, endpoints, outliers, slowStart, arrivals);
+        context.beginEvent(START);
+        endpoints.update(new Members(ListUpdateKind.COMPLETE, servers));
+    }
+
+    Endpoint endpoint(String id) {
+        return endpoints.byId(id);
+    }
+
+    /** Lets time pass; the actions so far are dropped. */
+    void pass(long micros) {
+        context.beginEvent(context.now() + micros);
+    }
+
+    /** Has requests arrive so fast that they count as dense. */
+    void makeDense() {
+        for (int i = 0; i < 100; i++) {
+            arrivals.recordArrival(context.now());
+        }
+    }
+
+    TrackedRequest request(long id, String session, String prefix, long prompt, long shared) {
+        RoutingSettings settings = context.settings();
+        return new TrackedRequest(
+                Fixtures.request(id, session, prefix, prompt, shared),
+                settings.classes().get(0),
+                context.now());
+    }
+
+    /** Puts an attempt of a request in flight that should take so long. */
+    Attempt start(TrackedRequest request, String id, boolean prefill, double serviceMicros) {
+        Attempt.Estimate estimate = new Attempt.Estimate(serviceMicros, serviceMicros);
+        Attempt attempt =
+                new Attempt(
+                        request.attempts++,
+                        endpoint(id),
+                        prefill,
+                        100,
+                        prefill ? 0 : 1000,
+                        context.now(),
+                        estimate);
+        request.attempt = attempt;
+        attempt.endpoint.inFlight.started(request.id, attempt);
+        return attempt;
+    }
+
+    <T extends Action> List<T> actions(Class<T> type) {
+        return Fixtures.all(context.actions(), type);
+    }
+}
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
@@ -0,0 +1,347 @@
+package sorrelhoist.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static sorrelhoist.routing.Fixtures.RELEASE;
+import static sorrelhoist.routing.Fixtures.SECOND;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.TreeMap;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.AttemptEnded;
+import sorrelhoist.routing.Routing.Cancel;
+import sorrelhoist.routing.Routing.ClientGone;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Probe;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.Release;
+import sorrelhoist.routing.Routing.RequestClass;
+import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.Routing.TimerFired;
+
+/** A world that draws legal events and checks every action against the rules. */
+final class RandomHistory {
+    private static final long STEP = 4_000;
+    private static final long SLACK = 16_000;
+    private static final long LENGTH = 60 * SECOND;
+
+    /** One request as the world sees it. */
+    private static final class Open {
+        final Arrived arrived;
+        final long deadline;
+        final Map<Integer, Send> out = new TreeMap<>();
+        final Map<Integer, Long> endsAt = new TreeMap<>();
+        int sends;
+        boolean over;
+        boolean streaming;
+        boolean state;
+        long freeSince;
+        Server mayHaveRun;
+        long mayHaveRunSentAt;
+
+        Open(Arrived a, long now) {
+            arrived = a;
+            deadline = now + a.budgetMicros();
+        }
+    }
+
+    final RoutingSettings settings;
+    final Random random;
+    final RoutingPolicy decide;
+    final Map<String, Server> servers = new TreeMap<>();
+    final Map<Long, Open> requests = new TreeMap<>();
+    final TreeMap<Long, List<Long>> timers = new TreeMap<>();
+    final Map<String, ArrayDeque<Long>> recentSends = new TreeMap<>();
+    final Map<Integer, Integer> mostSent = new TreeMap<>();
+    final StringBuilder log = new StringBuilder();
+    long now = 100 * SECOND;
+    long nextId = 1;
+    int served;
+    int refused;
+    int failed;
+
+    RandomHistory(RoutingSettings settings, int seed) {
+        this.settings = settings;
+        this.random = new Random(seed);
+        this.decide = new RoutingPolicy(settings, seed);
+        for (int i = 0; i < 12; i++) {
+            int kind = i < 5 ? 0 : i < 10 ? 1 : 2;
+            put(new Server("s" + i, i % 2, kind, i % 4, ServerState.SERVING, 1, 0));
+        }
+        give(new Members(ListUpdateKind.RESTORED, List.copyOf(servers.values())));
+    }
+
+    void put(Server s) {
+        servers.put(s.id(), s);
+    }
+
+    void play() {
+        for (long end = now + LENGTH; now < end || !requests.isEmpty(); now += STEP) {
+            fireTimers();
+            endAttempts();
+            if (now < end) {
+                arrivals();
+                changeList();
+            }
+            check();
+            assertTrue(now < end + 60 * SECOND, "requests never end");
+        }
+    }
+
+    void arrivals() {
+        if (random.nextInt(12) > 0) {
+            return;
+        }
+        String session = random.nextInt(10) == 0 ? null : "a" + random.nextInt(40);
+        String prefix = random.nextInt(4) == 0 ? null : "p" + random.nextInt(6);
+        long prompt = 50 + random.nextInt(6000);
+        Arrived a =
+                new Arrived(
+                        nextId++,
+                        random.nextInt(2),
+                        random.nextInt(2),
+                        session,
+                        prefix,
+                        prompt,
+                        prefix == null ? 0 : prompt / 2,
+                        200,
+                        random.nextInt(20) == 0 ? 0 : SECOND / 2 + random.nextInt(3_000_000));
+        requests.put(a.id(), new Open(a, now));
+        give(a);
+    }
+
+    void changeList() {
+        if (random.nextInt(400) > 0) {
+            return;
+        }
+        Server s = servers.get("s" + random.nextInt(12));
+        ServerState state = ServerState.values()[random.nextInt(3)];
+        boolean restart = s.state() != ServerState.SERVING && state == ServerState.SERVING;
+        put(
+                new Server(
+                        s.id(),
+                        s.zone(),
+                        s.kind(),
+                        s.cell(),
+                        state,
+                        s.size(),
+                        restart ? now : s.since()));
+        if (random.nextInt(4) == 0) {
+            give(new Members(ListUpdateKind.UNAVAILABLE, List.of()));
+        }
+        boolean whole = random.nextBoolean();
+        give(
+                new Members(
+                        whole ? ListUpdateKind.COMPLETE : ListUpdateKind.UPDATE,
+                        whole ? List.copyOf(servers.values()) : List.of(servers.get(s.id()))));
+    }
+
+    void fireTimers() {
+        while (!timers.isEmpty() && timers.firstKey() <= now) {
+            timers.pollFirstEntry().getValue().forEach(token -> give(new TimerFired(token)));
+        }
+    }
+
+    void endAttempts() {
+        for (Open r : List.copyOf(requests.values())) {
+            for (int n : List.copyOf(r.endsAt.keySet())) {
+                if (r.endsAt.get(n) <= now) {
+                    end(r, n);
+                }
+            }
+            if (!r.over && !r.streaming && random.nextInt(3000) == 0) {
+                r.over = true;
+                give(new ClientGone(r.arrived.id()));
+            }
+        }
+    }
+
+    void end(Open r, int n) {
+        Send s = r.out.get(n);
+        Role role = settings.serverKinds().get(servers.get(s.server()).kind()).role();
+        Outcome outcome = draw(role);
+        boolean late = s.cutAt() <= now || r.deadline <= now;
+        if (!r.streaming && late) {
+            outcome = Outcome.TIMED_OUT;
+        } else if (role != Role.READ && !r.streaming && !r.over && outcome == Outcome.DONE) {
+            r.streaming = true;
+            r.state = false;
+            r.endsAt.put(n, now + random.nextInt(2_000_000));
+            give(new StreamStarted(r.arrived.id(), n, s.server(), 1000));
+            return;
+        }
+        r.out.remove(n);
+        r.endsAt.remove(n);
+        r.freeSince = now;
+        r.state |= outcome == Outcome.READ;
+        long note = outcome == Outcome.FULL && role != Role.READ && random.nextBoolean() ? 1 : 0;
+        r.state &= note == 0;
+        if (role != Role.READ
+                && outcome != Outcome.FULL
+                && outcome != Outcome.CONNECT_FAILED
+                && r.mayHaveRun == null) {
+            r.mayHaveRun = servers.get(s.server());
+        }
+        if (!r.over && (outcome == Outcome.DONE || r.streaming)) {
+            r.over = true;
+            served++;
+        }
+        giveEnd(r, n, outcome, note, s.server());
+    }
+
+    private void giveEnd(Open r, int n, Outcome outcome, long note, String server) {
+        long took = 1000 + random.nextInt(300_000);
+        ServerLoad load = ServerLoad.NONE;
+        if (!random.nextBoolean()) {
+            load = new ServerLoad(random.nextDouble(), random.nextInt(9000), 1, Double.NaN);
+        }
+        long id = r.arrived.id();
+        give(new AttemptEnded(id, n, server, outcome, took, r.over, note, load));
+    }
+
+    Outcome draw(Role role) {
+        if (random.nextInt(5) > 0) {
+            return role == Role.READ ? Outcome.READ : Outcome.DONE;
+        }
+        return List.of(
+                        Outcome.ERROR,
+                        Outcome.FULL,
+                        Outcome.CONNECT_FAILED,
+                        Outcome.RESET,
+                        Outcome.TIMED_OUT)
+                .get(random.nextInt(5));
+    }
+
+    void give(Event event) {
+        for (Action a : decide.onEvent(now, event)) {
+            log.append(now).append(a).append('\n');
+            take(a);
+        }
+    }
+
+    void take(Action action) {
+        if (action instanceof Send a) {
+            sent(a);
+        } else if (action instanceof Refuse a) {
+            Open r = answered(a.id());
+            assertTrue(mayRefuse(r), "refused though it may have run");
+            refused++;
+        } else if (action instanceof Fail a) {
+            answered(a.id());
+            failed++;
+        } else if (action instanceof Release a) {
+            requests.get(a.id()).state = false;
+        } else if (action instanceof Cancel a) {
+            assertTrue(settings.capabilities().cancel());
+            requests.get(a.id()).endsAt.computeIfPresent(a.attempt(), (n, t) -> now + STEP);
+        } else if (action instanceof Timer a) {
+            timers.computeIfAbsent(now + Math.max(1, a.delayMicros()), t -> new ArrayList<>())
+                    .add(a.token());
+        } else if (action instanceof Probe) {
+            assertTrue(settings.capabilities().probes());
+        }
+    }
+
+    void sent(Send a) {
+        Open r = requests.get(a.id());
+        Server s = servers.get(a.server());
+        assertTrue(r != null && !r.over, "sent after the end");
+        assertTrue(r.out.isEmpty(), "two attempts at once");
+        assertTrue(r.sends < settings.capabilities().maxAttempts(), "too many attempts");
+        assertEquals(ServerState.SERVING, s.state(), "sent to a server that drains or is gone");
+        if (r.mayHaveRun != null && settings.classes().get(0).idempotency() != Idempotency.SAFE) {
+            assertEquals(Idempotency.KEYED, settings.classes().get(0).idempotency());
+            assertTrue(
+                    now < r.mayHaveRunSentAt + settings.classes().get(0).idempotencyWindowMicros());
+            IdempotencyScope scope = settings.classes().get(0).idempotencyScope();
+            assertTrue(
+                    scope == IdempotencyScope.ALL
+                            || scope == IdempotencyScope.ZONE && s.zone() == r.mayHaveRun.zone()
+                            || scope == IdempotencyScope.CELL && s.cell() == r.mayHaveRun.cell(),
+                    "sent outside its group");
+        }
+        if (r.mayHaveRun == null) {
+            r.mayHaveRunSentAt = now;
+        }
+        checkCold(s);
+        r.out.put(r.sends, a);
+        long natural = now + random.nextInt(random.nextInt(10) == 0 ? 5_000_000 : 200_000);
+        r.endsAt.put(
+                r.sends++,
+                Math.max(now + STEP, Math.min(natural, Math.min(a.cutAt(), r.deadline))));
+    }
+
+    /**
+     * A cold server gets single requests, or the rule's multiple of its share of what a warm one
+     * has had.
+     */
+    void checkCold(Server s) {
+        ArrayDeque<Long> sends = recentSends.computeIfAbsent(s.id(), id -> new ArrayDeque<>());
+        sends.add(now);
+        sends.removeIf(t -> t <= now - settings.serverLimits().overloadMicros());
+        if (s.since() == 0 || now - s.since() >= settings.serverLimits().warmUpMicros()) {
+            mostSent.merge(s.kind(), sends.size(), Math::max);
+            return;
+        }
+        long sinceStart = sends.stream().filter(t -> t >= s.since()).count();
+        double bearable =
+                settings.serverLimits().overloadMultiple()
+                        * settings.serverLimits().coldCapacityShare()
+                        * mostSent.getOrDefault(s.kind(), 0);
+        assertTrue(sinceStart <= Math.max(1, bearable), s.id() + " cold got " + sinceStart);
+    }
+
+    Open answered(long id) {
+        Open r = requests.get(id);
+        assertTrue(r != null && !r.over, "a second final answer");
+        assertTrue(now <= r.deadline + SLACK, "answered too late");
+        r.over = true;
+        return r;
+    }
+
+    boolean mayRefuse(Open r) {
+        RequestClass c = settings.classes().get(r.arrived.cls());
+        boolean writing =
+                r.out.values().stream()
+                        .anyMatch(
+                                s ->
+                                        settings.serverKinds()
+                                                        .get(servers.get(s.server()).kind())
+                                                        .role()
+                                                != Role.READ);
+        return c.idempotency() == Idempotency.SAFE
+                || r.mayHaveRun == null && !writing
+                || c.idempotency() == Idempotency.KEYED
+                        && c.idempotencyScope() == IdempotencyScope.ALL;
+    }
+
+    void check() {
+        for (Open r : List.copyOf(requests.values())) {
+            assertTrue(r.over || r.streaming || now <= r.deadline + SLACK, "no answer in time");
+            assertTrue(
+                    !r.state || !r.out.isEmpty() || now - r.freeSince <= RELEASE,
+                    "a state left pinned");
+            if (r.over && r.out.isEmpty() && !r.state) {
+                requests.remove(r.arrived.id());
+            }
+        }
+    }
+}
--- a/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
@@ -6,7 +6,29 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.routing.Reason.Kind;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.AttemptEnded;
+import sorrelhoist.routing.Routing.Cancel;
+import sorrelhoist.routing.Routing.Capabilities;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.LoadReportMode;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.RequestClass;
+import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerLimits;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.Routing.TimerFired;
 
 /** Each final answer and each send says what settled it, with the figures that were compared. */
 class ReasonTest {
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/RequestLifecycleTest.java
@@ -0,0 +1,62 @@
+package sorrelhoist.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static sorrelhoist.routing.Fixtures.SECOND;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Cancel;
+import sorrelhoist.routing.Routing.ClientGone;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Release;
+import sorrelhoist.routing.Routing.Send;
+
+class RequestLifecycleTest {
+    private final RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 7);
+    private long now = SECOND;
+
+    RequestLifecycleTest() {
+        policy.onEvent(now, new Members(ListUpdateKind.COMPLETE, Fixtures.fleet()));
+    }
+
+    private List<Action> arrive(long id) {
+        return policy.onEvent(now, Fixtures.request(id, "s" + id, null, 1000, 0));
+    }
+
+    private List<Action> end(Send send, int attempt, Outcome outcome, long note) {
+        now += 10_000;
+        return policy.onEvent(now, Fixtures.ended(send, attempt, outcome, 10_000, note));
+    }
+
+    @Test
+    void aRequestIsPrefilledDecodedAndReleased() {
+        Send prefill = Fixtures.send(arrive(1));
+        Send decode = Fixtures.send(end(prefill, 0, Outcome.READ, 0));
+        assertTrue(prefill.server().startsWith("r") && decode.server().startsWith("w"));
+        assertEquals(List.of(), end(prefill, 0, Outcome.READ, 0), "an outcome told twice");
+        assertEquals(List.of(new Release(1)), end(decode, 1, Outcome.DONE, 0));
+    }
+
+    @Test
+    void aLostStateIsPrefilledAnewAndAWaitingOneIsNot() {
+        Send decode = Fixtures.send(end(Fixtures.send(arrive(1)), 0, Outcome.READ, 0));
+        Send other = Fixtures.send(end(decode, 1, Outcome.FULL, 0));
+        assertTrue(other.server().startsWith("w"), "full: its state waits on");
+        Send anew = Fixtures.send(end(other, 2, Outcome.FULL, 1));
+        assertTrue(anew.server().startsWith("r"), "no state was there to fetch");
+    }
+
+    @Test
+    void aRequestWhoseClientLeftIsCancelledAndForgotten() {
+        Send prefill = Fixtures.send(arrive(1));
+        Reason gone = Reason.of(Reason.Kind.CLIENT_GONE);
+        assertEquals(List.of(new Cancel(1, 0, gone)), policy.onEvent(now, new ClientGone(1)));
+        assertEquals(List.of(new Release(1)), end(prefill, 0, Outcome.CANCELLED, 0));
+        assertFalse(arrive(1).isEmpty(), "its id is free again");
+    }
+}
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
@@ -0,0 +1,241 @@
+package sorrelhoist.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.ended;
+import static sorrelhoist.routing.Fixtures.fleet;
+import static sorrelhoist.routing.Fixtures.gossiping;
+import static sorrelhoist.routing.Fixtures.plain;
+import static sorrelhoist.routing.Fixtures.request;
+import static sorrelhoist.routing.Fixtures.settings;
+import static sorrelhoist.routing.Fixtures.with;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.ClientGone;
+import sorrelhoist.routing.Routing.Follow;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.LoadReportMode;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.PeerMessage;
+import sorrelhoist.routing.Routing.Probe;
+import sorrelhoist.routing.Routing.ProbeAnswered;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Seated;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.Routing.Tenant;
+import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.Routing.TimerFired;
+
+/**
+ * Admission, membership and misuse at one router; each test is named after the failure it guards
+ * against.
+ */
+class RoutingPolicyTest extends SingleRouterTest {
+    @Test
+    void aDrainIsObeyedAtOnce() {
+        List<Server> draining =
+                fleet().stream()
+                        .map(
+                                s ->
+                                        s.id().equals("r1") || s.id().equals("w1")
+                                                ? with(s, ServerState.DRAINING, 0)
+                                                : s)
+                        .toList();
+        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, draining));
+        for (int i = 0; i < 40; i++) {
+            Send s = arrive(i, "s" + i, null, 1000, 0);
+            assertNotEquals("r1", s.server());
+            assertNotEquals("w1", answer(s, 0, 50_000));
+        }
+    }
+
+    @Test
+    void anEmptyListRefusesAtOnceWithAHint() {
+        RoutingPolicy d = start(plain(), List.of());
+        List<Refuse> refused = all(d.onEvent(now, request(1, null, null, 1000, 0)), Refuse.class);
+        assertEquals(1, refused.size());
+        assertTrue(refused.get(0).backoffMicros() > 0);
+    }
+
+    @Test
+    void aTenantBeyondItsShareMakesRoomFirst() {
+        RoutingPolicy d =
+                start(
+                        settings(
+                                Idempotency.SAFE,
+                                IdempotencyScope.ALL,
+                                false,
+                                List.of(new Tenant(2), new Tenant(50))),
+                        fleet());
+        int[] refused = new int[2];
+        for (int i = 0; i < 200; i++) {
+            now += 10_000;
+            Arrived a = new Arrived(i, 0, i % 2, "s" + i, null, 3000, 0, 200, 4 * SECOND);
+            refused[i % 2] += all(d.onEvent(now, a), Refuse.class).size();
+        }
+        assertTrue(refused[0] > refused[1], refused[0] + " against " + refused[1]);
+    }
+
+    @Test
+    void aFailedCallToDiscoveryIsRepeatedLater() {
+        RoutingPolicy d = new RoutingPolicy(gossiping(), 1);
+        assertTrue(
+                d.onEvent(now, new Members(ListUpdateKind.RESTORED, fleet()))
+                        .contains(new Follow(true)));
+        Timer again =
+                all(d.onEvent(now, new Members(ListUpdateKind.UNAVAILABLE, List.of())), Timer.class)
+                        .get(0);
+        assertTrue(
+                d.onEvent(now + again.delayMicros(), new TimerFired(again.token()))
+                        .contains(new Follow(true)));
+    }
+
+    @Test
+    void probesAreSentOnlyWhereAllowedAndNeeded() {
+        SettingsBuilder probing = new SettingsBuilder();
+        probing.loadReportMode = LoadReportMode.IN_PROBES;
+        probing.probes = true;
+        RoutingSettings pull = probing.build();
+        for (RoutingSettings s : List.of(pull, plain())) {
+            RoutingPolicy d = new RoutingPolicy(s, 1);
+            Timer tick =
+                    all(d.onEvent(now, new Members(ListUpdateKind.RESTORED, fleet())), Timer.class)
+                            .get(0);
+            for (int i = 0; i < 20; i++) {
+                d.onEvent(now, request(i, "s" + i, null, 1000, 0));
+            }
+            List<Action> later = d.onEvent(now + tick.delayMicros(), new TimerFired(tick.token()));
+            assertEquals(s == pull, !all(later, Probe.class).isEmpty());
+        }
+    }
+
+    @Test
+    void whatWouldComeLateIsRefusedAtOnce() {
+        int refused = 0;
+        for (int i = 0; i < 100; i++) {
+            refused +=
+                    all(decide.onEvent(now, request(i, "s" + i, null, 3000, 0)), Refuse.class)
+                            .size();
+        }
+        assertTrue(refused > 50 && refused < 96, "refused " + refused);
+    }
+
+    /**
+     * A crash of servers breaks many answers at once: by the first aim alone their clients were
+     * turned away.
+     */
+    @Test
+    void whoComesForTheRestOfAnAnswerIsLetInBeyondTheAimButNotWithoutEnd() {
+        int[] refused = new int[2];
+        for (int kind = 0; kind < 2; kind++) {
+            RoutingPolicy d = start(plain(), fleet());
+            for (int i = 0; i < 100; i++) {
+                Arrived a =
+                        new Arrived(i, 0, 0, "s" + i, null, 3000, 0, 200, 4 * SECOND, kind == 1);
+                refused[kind] += all(d.onEvent(now, a), Refuse.class).size();
+            }
+        }
+        assertTrue(
+                refused[1] > 0 && refused[1] < refused[0] - 10,
+                refused[1] + " against " + refused[0]);
+    }
+
+    /**
+     * Workers come and go under new ids all day: what is known of those that left must not add up.
+     */
+    @Test
+    void workersThatLeftForGoodLeaveNothingBehind() {
+        List<Server> present = new ArrayList<>(fleet());
+        for (int i = 0; i < 400; i++) {
+            now += 5 * SECOND;
+            Server old = present.remove(0);
+            Server fresh =
+                    new Server(
+                            "n" + i, old.zone(), old.kind(), old.cell(), ServerState.SERVING, 1, 0);
+            present.add(fresh);
+            decide.onEvent(
+                    now,
+                    new Members(
+                            ListUpdateKind.UPDATE, List.of(with(old, ServerState.GONE, 0), fresh)));
+            serve(i, "s" + i, null, 1000, 0, 0);
+        }
+        int known = decide.exportKnowledge(now, 100).servers().size();
+        assertTrue(
+                known <= fleet().size() + 2 * 60 / 5, known + " servers known of 8 that are there");
+    }
+
+    @Test
+    void oddButLegalHistoriesDoNotThrow() {
+        Send s = arrive(1, "a", null, 1000, 0);
+        decide.onEvent(now, new ClientGone(1));
+        decide.onEvent(now, new ClientGone(1));
+        decide.onEvent(now, ended(s, 0, Outcome.CANCELLED, 10, 0));
+        decide.onEvent(now, ended(s, 0, Outcome.READ, 10, 0));
+        decide.onEvent(now, new TimerFired(1));
+        decide.onEvent(now, new TimerFired(1));
+        decide.onEvent(now, new StreamStarted(1, 0, "r1", 5));
+        decide.onEvent(now, new ProbeAnswered("never-listed", Outcome.DONE, 5, ServerLoad.NONE));
+        decide.onEvent(now, new PeerMessage(1, "hi"));
+        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, List.of()));
+        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, fleet()));
+        assertFalse(all(decide.onEvent(now, request(2, "a", null, 1000, 0)), Send.class).isEmpty());
+    }
+
+    @Test
+    void misuseSaysWhatToDoInstead() {
+        assertThrows(IllegalArgumentException.class, () -> decide.onEvent(5, new TimerFired(1)));
+        assertThrows(NullPointerException.class, () -> decide.onEvent(now, null));
+        arrive(1, "a", null, 10, 0);
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> decide.onEvent(now, request(1, "a", null, 10, 0)));
+        RoutingSettings p = plain();
+        RoutingSettings noKinds =
+                new RoutingSettings(
+                        2,
+                        0,
+                        0,
+                        false,
+                        1,
+                        LoadReportMode.NONE,
+                        p.classes(),
+                        List.of(),
+                        List.of(),
+                        p.capabilities(),
+                        p.serverLimits());
+        assertEquals(
+                "setting missing or inconsistent: kinds",
+                assertThrows(IllegalArgumentException.class, () -> new RoutingPolicy(noKinds, 1))
+                        .getMessage());
+        assertThrows(IllegalArgumentException.class, () -> new RoutingPolicy(null, 1));
+    }
+
+    @Test
+    void aChangedNumberOfRoutersChangesTheParts() {
+        RoutingPolicy decide = new RoutingPolicy(Fixtures.plain(), 1);
+        decide.onEvent(0, new Members(ListUpdateKind.COMPLETE, Fixtures.fleet()));
+        assertTrue(decide.onEvent(1, new Seated(150, 149)).isEmpty());
+        assertThrows(IllegalArgumentException.class, () -> decide.onEvent(2, new Seated(0, 0)));
+        assertEquals(
+                1,
+                Fixtures.all(decide.onEvent(3, Fixtures.request(1, "s", "p", 500, 100)), Send.class)
+                        .size());
+    }
+}
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
@@ -0,0 +1,57 @@
+package sorrelhoist.routing;
+
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.ended;
+import static sorrelhoist.routing.Fixtures.fleet;
+import static sorrelhoist.routing.Fixtures.plain;
+import static sorrelhoist.routing.Fixtures.request;
+import static sorrelhoist.routing.Fixtures.send;
+import static sorrelhoist.routing.Fixtures.settings;
+
+import java.util.List;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.StreamStarted;
+
+/** One router over the small fleet of {@link Fixtures}, and the steps that its tests share. */
+abstract class SingleRouterTest {
+    final RoutingPolicy decide = start(plain(), fleet());
+    long now = 10 * SECOND;
+
+    static RoutingPolicy start(RoutingSettings settings, List<Server> servers) {
+        RoutingPolicy d = new RoutingPolicy(settings, 7);
+        d.onEvent(10 * SECOND, new Members(ListUpdateKind.RESTORED, servers));
+        return d;
+    }
+
+    Send arrive(long id, String session, String prefix, long prompt, long prefixTokens) {
+        return send(decide.onEvent(now, request(id, session, prefix, prompt, prefixTokens)));
+    }
+
+    Send read(Send s, long kept) {
+        now += 50_000;
+        return send(decide.onEvent(now, ended(s, 0, Outcome.READ, 50_000, kept)));
+    }
+
+    /** Ends a read and then its answer; returns where it was written. */
+    String answer(Send s, int attempt, long took) {
+        Send w = send(decide.onEvent(now, ended(s, attempt, Outcome.READ, took, 0)));
+        decide.onEvent(now, new StreamStarted(w.id(), attempt + 1, w.server(), 20_000));
+        decide.onEvent(now, ended(w, attempt + 1, Outcome.DONE, 20_000, 0));
+        return w.server();
+    }
+
+    /** Reads and answers one request to its end; returns the reader. */
+    String serve(
+            long id, String session, String prefix, long prompt, long prefixTokens, long kept) {
+        Send s = arrive(id, session, prefix, prompt, prefixTokens);
+        Send w = read(s, kept);
+        decide.onEvent(now, new StreamStarted(id, 1, w.server(), 20_000));
+        decide.onEvent(now, ended(w, 1, Outcome.DONE, 20_000, 0));
+        return s.server();
+    }
+}
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/StageDispatcherTest.java
@@ -0,0 +1,56 @@
+package sorrelhoist.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.Routing.TimerFired;
+
+class StageDispatcherTest {
+    private final RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 7);
+
+    private List<Action> list(Server... servers) {
+        return policy.onEvent(0, new Members(ListUpdateKind.COMPLETE, List.of(servers)));
+    }
+
+    @Test
+    void aStateWaitsForADecodeEndpointUntilHalfTheReservationLimit() {
+        list(Fixtures.reader("r1", 0));
+        Arrived request = Fixtures.request(1, "a", null, 1000, 0);
+        Send prefill = Fixtures.send(policy.onEvent(0, request));
+        List<Action> none = policy.onEvent(0, Fixtures.ended(prefill, 0, Outcome.READ, 1, 0));
+        assertEquals(List.of(new Timer(20_000, 1)), none);
+        long limit = Fixtures.RELEASE / 2;
+        assertEquals(
+                List.of(new Timer(20_000, 1)), policy.onEvent(limit - 20_001, new TimerFired(1)));
+        List<Action> givenUp = policy.onEvent(limit - 20_000, new TimerFired(1));
+        Refuse refuse = Fixtures.all(givenUp, Refuse.class).get(0);
+        assertEquals(Reason.Kind.HELD_TOO_LONG, refuse.why().kind());
+    }
+
+    @Test
+    void mixedEndpointsTakeARequestWhole() {
+        list(new Server("m1", 0, 2, 0, ServerState.SERVING, 1, 0));
+        Send send = Fixtures.send(policy.onEvent(0, Fixtures.request(1, "a", null, 1000, 0)));
+        assertEquals("m1", send.server());
+        assertEquals(Reason.Kind.MIXED, send.why().kind());
+    }
+
+    @Test
+    void whatHasNoTimeIsGivenUpAtOnce() {
+        list(Fixtures.reader("r1", 0), Fixtures.writer("w1", 0));
+        Arrived late = new Arrived(1, 0, 0, "a", null, 10, 0, 10, 0);
+        Refuse refuse = Fixtures.all(policy.onEvent(0, late), Refuse.class).get(0);
+        assertEquals(Reason.Kind.DEADLINE, refuse.why().kind());
+    }
+}
--- /dev/null
+++ b/decide/src/test/java/sorrelhoist/routing/TenantQuotaTest.java
@@ -0,0 +1,32 @@
+package sorrelhoist.routing;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static sorrelhoist.routing.Fixtures.SECOND;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.Tenant;
+
+class TenantQuotaTest {
+    @Test
+    void aTenantMaySaveUpFewRequestsAndEarnsItsPartOfTheQuota() {
+        List<Tenant> tenants = List.of(new Tenant(1), new Tenant(100));
+        PolicyParts parts =
+                new PolicyParts(
+                        Fixtures.settings(Idempotency.SAFE, IdempotencyScope.ALL, false, tenants),
+                        Fixtures.fleet());
+        TenantQuota quota = new TenantQuota(parts.context);
+        for (int i = 0; i < 4; i++) {
+            assertFalse(quota.isExceededBy(0));
+        }
+        assertTrue(quota.isExceededBy(0));
+        assertFalse(quota.isExceededBy(1), "tenants do not share");
+        assertFalse(quota.isExceededBy(2), "one that is not listed has no quota");
+        parts.pass(2 * SECOND);
+        assertFalse(quota.isExceededBy(0), "half of one a second, as two routers share the fleet");
+        assertTrue(quota.isExceededBy(0));
+    }
+}
