--- a/decide/src/main/java/sorrelhoist/routing/AdmissionController.java
+++ b/decide/src/main/java/sorrelhoist/routing/AdmissionController.java
@@ -79,7 +79,7 @@
             return null;
         }
         Kind kind = overQuota ? Kind.DOOR_SHARE : lesserClass ? Kind.DOOR_LESS_WORTH : Kind.DOOR;
-        return Reason.door(kind, expected, limit, prefillMicros, firstToken, delay);
+        return Reason.rejectedOnArrival(kind, expected, limit, prefillMicros, firstToken, delay);
     }
 
     private double tightestObjectiveAbove(RequestClass requestClass) {
--- a/decide/src/main/java/sorrelhoist/routing/Knowledge.java
+++ b/decide/src/main/java/sorrelhoist/routing/Knowledge.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What a router knows that its own evidence taught it, as data: for its own next life, or for
+ * What a router has learnt from its own evidence, as data: for its own next incarnation, or for
  * another router. Ages are microseconds before the export. It holds nothing that a rule rests on:
- * no roster, no cold server's bounds.
+ * no endpoint list, no bounds of servers that are warming up.
  *
  * @param keys prefixes and sessions, the least recently used first
- * @param servers health and slowness
- * @param prefillTimes the line of read times, by kind of server
- * @param firstTokenTimes the line of times to first tokens
+ * @param servers health of each server
+ * @param prefillTimes regression of prefill times, by kind of server
+ * @param firstTokenTimes regression of times to the first token
  */
 public record Knowledge(
         List<PrefixEntry> keys,
@@ -23,17 +23,17 @@
      * @param name the session's or prefix's
      * @param ageMicros since it was last used
      * @param uses requests that began with it
-     * @param holders readers that likely keep it
+     * @param holders servers that likely have it cached
      */
     public record PrefixEntry(String name, long ageMicros, int uses, List<PrefixHolder> holders) {}
 
     /**
-     * A reader that likely keeps a key's tokens.
+     * A server that likely has a prefix cached.
      *
      * @param server its id
-     * @param since when its process started, on the exporter's clock: another start has lost the
-     *     text
-     * @param tokens kept
+     * @param since when its process started, on the exporter's clock: another process has lost the
+     *     cache
+     * @param tokens cached
      */
     public record PrefixHolder(String server, long since, long tokens) {}
 
@@ -43,8 +43,8 @@
      * @param id the server
      * @param since when its process started: another start has another health
      * @param failureRate share of recent failures, 0 to 1
-     * @param latencyRatio times over the expected
-     * @param latencySamples answers behind it
+     * @param latencyRatio recent times over the expected
+     * @param latencySamples times that the ratio rests on
      */
     public record ServerHealth(
             String id, long since, double failureRate, double latencyRatio, int latencySamples) {
@@ -54,11 +54,11 @@
     }
 
     /**
-     * A learnt line's sums.
+     * The sums of a decayed regression of times on tokens.
      *
-     * @param weight pairs, faded
+     * @param weight decayed number of samples
      * @param tokens sum of tokens
-     * @param micros sum of times
+     * @param micros sum of times, in microseconds
      * @param squaredTokens sum of squared tokens
      * @param tokensTimesMicros sum of products
      */
--- a/decide/src/main/java/sorrelhoist/routing/Reason.java
+++ b/decide/src/main/java/sorrelhoist/routing/Reason.java
@@ -8,12 +8,12 @@
  * @param kind what settled it
  * @param expected the figure that was compared
  * @param limit what it was compared with
- * @param read of a door's sum: the read
- * @param first of a door's sum: the first token after the read
- * @param lag of a door's sum: how far writers are behind
- * @param estimate the chosen server's figure: for a read its completion, for a write tokens under
- *     way there
- * @param next the next best server, or null
+ * @param read of an admission's estimate: the prefill
+ * @param first of an admission's estimate: the first token after the prefill
+ * @param lag of an admission's estimate: the queueing delay of decodes
+ * @param estimate the chosen endpoint's figure: for a prefill its completion, for a decode the
+ *     tokens in flight there
+ * @param next the next best endpoint, or null
  * @param nextEstimate its figure
  */
 public record Reason(
@@ -30,83 +30,105 @@
     public enum Kind {
         /** Nothing is known: from a build that gave no reasons. */
         UNKNOWN,
-        /** A reader likely keeps more of the prompt than not, and is the cheapest of those. */
+        /** An endpoint likely has most of the prompt cached, and is the cheapest of those. */
         KEPT,
-        /** The cheapest reader by load, eviction and the tokens that it misses. */
+        /** The cheapest endpoint by load, evictions and missed tokens. */
         CHEAPEST,
-        /** A beginning that was never seen: its reader by hash. */
+        /** A prefix that was never seen: its endpoint by hash. */
         UNSEEN,
-        /** The heaviest reader gave a read to the lightest. */
+        /** The heaviest endpoint gave a prefill to the lightest. */
         SHIFTED,
-        /** The chosen reader was jammed: the soonest took it. */
+        /** The chosen endpoint was jammed: the one that is soonest done took it. */
         UNJAMMED,
-        /** One request at a time to a server that was set aside. */
+        /** A recovery probe of an ejected endpoint. */
         TRIAL,
-        /** The draw fell on servers that read and answer. */
+        /** The draw fell on mixed endpoints. */
         MIXED,
-        /** No reader could be used: a writer reads the prompt itself. */
+        /** No prefill endpoint could be used: a decode endpoint reads the prompt itself. */
         WRITER_READS,
-        /** The lighter of two drawn writers; figures are tokens under way. */
+        /** The lighter of two drawn decode endpoints; figures are tokens in flight. */
         TWO_DRAWS,
-        /** The read and the writers' first token would come later than the class's aim. */
+        /** Rejected on arrival: the first token would come later than the latency objective. */
         DOOR,
-        /** The same, against the aim of a class that is worth more. */
+        /** The same, against the objective of a class of more weight. */
         DOOR_LESS_WORTH,
-        /** The same, for a tenant beyond its share. */
+        /** The same, for a tenant over its quota. */
         DOOR_SHARE,
         /** No server is listed for what comes next. */
         NO_SERVER,
-        /** What is listed drains. */
+        /** What is listed is draining. */
         DRAINING,
-        /** What is listed started a moment ago and takes no more for now. */
+        /** What is listed is warming up and takes no more for now. */
         COLD,
-        /** Nowhere would a repeat be harmless. */
+        /** A retry would be idempotent nowhere. */
         REPEAT_UNSAFE,
-        /** The budget of repeats is spent; figures are permits. */
+        /** The retry budget is exhausted; figures are retries. */
         REPEAT_BUDGET,
-        /** All sends that a request may have were made; figures are sends. */
+        /** All attempts that a request may have were made; figures are attempts. */
         ATTEMPTS,
-        /** The same, and the last server said that it was full. */
+        /** The same, and the last endpoint rejected it as full. */
         TOLD_FULL,
-        /** The client's time is up; figures are since it asked. */
+        /** The deadline has passed; figures are since the arrival. */
         DEADLINE,
-        /** The read was done, and no writer could be used while its state may be held. */
+        /**
+         * The prompt was read, and no decode endpoint could be used while its state may be
+         * reserved.
+         */
         HELD_TOO_LONG,
-        /** The client left. */
+        /** The client disconnected. */
         CLIENT_GONE,
-        /** The router itself is full or ends; figures are open requests. */
+        /** The router itself is full or shuts down; figures are open requests. */
         ROUTER_FULL
     }
 
-    private static final double NO = Double.NaN;
+    private static final double NOT_COMPARED = Double.NaN;
 
     /** No reason is known. */
     public static final Reason UNKNOWN = of(Kind.UNKNOWN);
 
-    /** {@return why a server was chosen; its stage should end so long after the client asked} */
+    /** {@return why an endpoint was chosen; its stage should end so long after the arrival} */
     static Reason chosen(
             Kind kind,
             double expected,
-            double aim,
+            double objective,
             double estimate,
             String next,
             double nextEstimate) {
-        return new Reason(kind, expected, aim, NO, NO, NO, estimate, next, nextEstimate);
+        return new Reason(
+                kind,
+                expected,
+                objective,
+                NOT_COMPARED,
+                NOT_COMPARED,
+                NOT_COMPARED,
+                estimate,
+                next,
+                nextEstimate);
     }
 
-    /** {@return why the door was closed, with the parts of what was expected} */
-    static Reason door(
+    /** {@return why a request was rejected on arrival, with the parts of the estimate} */
+    static Reason rejectedOnArrival(
             Kind kind, double expected, double limit, double read, double first, double lag) {
-        return new Reason(kind, expected, limit, read, first, lag, NO, null, NO);
+        return new Reason(
+                kind, expected, limit, read, first, lag, NOT_COMPARED, null, NOT_COMPARED);
     }
 
     /** {@return a reason without figures} */
     public static Reason of(Kind kind) {
-        return compared(kind, NO, NO);
+        return compared(kind, NOT_COMPARED, NOT_COMPARED);
     }
 
     /** {@return a reason with the two figures that were compared} */
     public static Reason compared(Kind kind, double expected, double limit) {
-        return new Reason(kind, expected, limit, NO, NO, NO, NO, null, NO);
+        return new Reason(
+                kind,
+                expected,
+                limit,
+                NOT_COMPARED,
+                NOT_COMPARED,
+                NOT_COMPARED,
+                NOT_COMPARED,
+                null,
+                NOT_COMPARED);
     }
 }
--- a/decide/src/main/java/sorrelhoist/routing/Routing.java
+++ b/decide/src/main/java/sorrelhoist/routing/Routing.java
@@ -12,21 +12,21 @@
 public final class Routing {
     private Routing() {}
 
-    /** What a server kind does: reads prompts, writes answers, or both. */
+    /** What a kind of server does: prefill, decode, or both. */
     public enum Role {
         READ,
         WRITE,
         BOTH
     }
 
-    /** How safely a request class may be repeated. */
+    /** Whether requests of a class are idempotent, by themselves or by an idempotency key. */
     public enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** Which servers drop the repeats of a keyed request. */
+    /** Which servers know an idempotency key and drop repeats. */
     public enum IdempotencyScope {
         ALL,
         ZONE,
@@ -56,8 +56,7 @@
     }
 
     /**
-     * How an attempt or a probe ended; {@code READ} is a prompt read whose state waits at the
-     * reader.
+     * How an attempt or a probe ended; {@code READ} is a prefill whose state waits where it ran.
      */
     public enum Outcome {
         DONE,
@@ -74,10 +73,11 @@
     /**
      * One request class.
      *
-     * @param latencyObjectiveMicros a first token within this time earns full worth
-     * @param latencyObjectivePer1000TokensMicros added to the aim for each 1,000 prompt tokens
-     * @param priorityWeight worth of one request, compared between classes
-     * @param idempotency how safely the class may be repeated
+     * @param latencyObjectiveMicros a first token within this time earns the full weight
+     * @param latencyObjectivePer1000TokensMicros added to the objective for each 1,000 prompt
+     *     tokens
+     * @param priorityWeight weight of one request, compared between classes
+     * @param idempotency whether requests may be repeated
      * @param idempotencyScope for keyed classes: the servers that drop repeats
      * @param idempotencyWindowMicros for keyed classes: how long repeats are dropped, from the
      *     first send
@@ -93,7 +93,7 @@
     /**
      * One tenant.
      *
-     * @param quotaPerSecond requests a second within its share, over all routers
+     * @param quotaPerSecond requests a second within its quota, over all routers
      */
     public record Tenant(double quotaPerSecond) {}
 
@@ -108,12 +108,13 @@
     /**
      * What the router may do.
      *
-     * @param maxAttempts sends a request may have
+     * @param maxAttempts attempts a request may have
      * @param cancel whether {@link Cancel} is permitted
      * @param probes whether {@link Probe} is permitted
-     * @param backoffHints whether clients are told when to come back
+     * @param backoffHints whether rejections carry a Retry-After hint
      * @param maxBackoffMicros the longest hint that a client heeds
-     * @param decodersMayPrefill whether a writer reads the prompt itself when it finds no state
+     * @param decodersMayPrefill whether a decode server reads the prompt itself when it finds no
+     *     state
      * @param gossip whether {@link Tell} is permitted
      * @param probeCost points of the result for one probe a request
      * @param gossipCost points of the result for 256 delivered bytes a request
@@ -130,13 +131,13 @@
             double gossipCost) {}
 
     /**
-     * Figures of the rules.
+     * Limits of what servers bear.
      *
-     * @param coldCapacityShare a started server can do this share of its work or more
+     * @param coldCapacityShare a server that has just started can do this share of its work or more
      * @param warmUpMicros and is warm after this time
-     * @param overloadMultiple sent more than this multiple of what it can do
+     * @param overloadMultiple sent more than this multiple of what it can do,
      * @param overloadMicros for this long, it falls over
-     * @param reservationLimitMicros a held state is taken or let go within this time
+     * @param reservationLimitMicros a reserved state is taken or released within this time
      */
     public record ServerLimits(
             double coldCapacityShare,
@@ -151,8 +152,8 @@
      * @param routers routers that share the servers, this one included
      * @param self this router's number, from 0
      * @param zone the zone in which this router stands
-     * @param subscribesToDiscovery true where list changes come only to those that follow
-     * @param overQuotaPriorityWeight worth of a tenant's requests beyond its share, as a share of
+     * @param subscribesToDiscovery true where list changes come only to those that subscribe
+     * @param overQuotaPriorityWeight weight of a tenant's requests over its quota, as a share of
      *     the class's
      * @param loadReportMode how load reports come
      * @param classes request classes, by index
@@ -189,7 +190,7 @@
             String id, int zone, int kind, int cell, ServerState state, double size, long since) {}
 
     /**
-     * A server's report of its load, late and noisy; what is not told is not a number.
+     * A server's report of its load, late and noisy; what is not reported is not a number.
      *
      * @param memoryShare share of its memory that is held
      * @param waitingTokens prompt tokens that wait to be read or fetched
@@ -289,7 +290,7 @@
             implements Event {}
 
     /**
-     * The answer has begun; deadline and time-out no longer run.
+     * The answer has begun; deadline and timeout no longer run.
      *
      * @param id the request
      * @param attempt number of the send
@@ -343,7 +344,7 @@
     public record Seated(int routers, int self) implements Event {}
 
     /**
-     * The client left; nothing is owed any more.
+     * The client disconnected; nothing is owed any more.
      *
      * @param id the request
      */
@@ -363,7 +364,7 @@
     public record Send(long id, String server, long cutAt, Reason why) implements Action {}
 
     /**
-     * Hold a place ahead at a writer.
+     * Reserve a place ahead at a decode server.
      *
      * @param id the request
      * @param server the writer
@@ -371,17 +372,17 @@
     public record Reserve(long id, String server) implements Action {}
 
     /**
-     * Let go of all that is held for the request and that no attempt waits for.
+     * Release all that is reserved for the request and that no attempt waits for.
      *
      * @param id the request
      */
     public record Release(long id) implements Action {}
 
     /**
-     * Final answer: trying again is harmless.
+     * Final answer: rejected, and a retry is harmless.
      *
      * @param id the request
-     * @param backoffMicros when to come back; 0 for no advice
+     * @param backoffMicros Retry-After hint; 0 for none
      * @param why what was short
      */
     public record Refuse(long id, long backoffMicros, Reason why) implements Action {}
@@ -404,7 +405,7 @@
     public record Cancel(long id, int attempt, Reason why) implements Action {}
 
     /**
-     * End a running stream in good order; the client comes back and goes on elsewhere.
+     * Migrate a running stream: end it in good order, the client resumes it elsewhere.
      *
      * @param id the request
      */
--- a/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
@@ -33,7 +33,7 @@
         }
     }
 
-    private final RoutingPolicy decide = new RoutingPolicy(Fixtures.plain(), 42);
+    private final RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 42);
     private final PriorityQueue<Due> pending = new PriorityQueue<>();
     private final List<String> path = new ArrayList<>();
     private int attempt;
@@ -73,20 +73,20 @@
     }
 
     @Test
-    void aRequestIsReadAndAnsweredAndNothingMoreIsDone() {
+    void aRequestIsPrefilledAndDecodedAndNothingMoreIsDone() {
         perform(
-                decide.onEvent(
+                policy.onEvent(
                         now,
                         new Members(
                                 ListUpdateKind.RESTORED,
                                 List.of(
                                         Fixtures.reader("reader-1", 0),
                                         Fixtures.writer("writer-1", 0)))));
-        perform(decide.onEvent(now, Fixtures.request(1, "session", "system-prompt", 1500, 1200)));
+        perform(policy.onEvent(now, Fixtures.request(1, "session", "system-prompt", 1500, 1200)));
         while (now < 5_000_000) {
             Due due = pending.remove();
             now = due.at();
-            perform(decide.onEvent(now, due.event()));
+            perform(policy.onEvent(now, due.event()));
         }
         assertEquals(List.of("reader-1", "writer-1"), path);
     }
--- a/decide/src/test/java/sorrelhoist/routing/FaultHandlingTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FaultHandlingTest.java
@@ -37,9 +37,9 @@
  */
 class FaultHandlingTest extends SingleRouterTest {
     @Test
-    void aRefusedConnectIsRetriedElsewhereAtOnce() {
+    void aRefusedConnectionIsRetriedElsewhereAtOnce() {
         Send s = arrive(1, "a", null, 1000, 0);
-        Send again = send(decide.onEvent(now + 300, ended(s, 0, Outcome.CONNECT_FAILED, 300, 0)));
+        Send again = send(policy.onEvent(now + 300, ended(s, 0, Outcome.CONNECT_FAILED, 300, 0)));
         assertNotEquals(s.server(), again.server());
     }
 
@@ -48,21 +48,21 @@
      * it.
      */
     @Test
-    void aStateIsReadAnewRatherThanPinnedWhileWritersCannotBeReached() {
+    void aPromptIsPrefilledAgainRatherThanReservedWhileDecodersAreUnreachable() {
         Send w = read(arrive(1, "a", null, 1000, 0), 0);
         assertEquals(1, w.id());
         assertTrue(w.server().startsWith("w"));
         now += 20_000;
-        Send quick = send(decide.onEvent(now, ended(w, 1, Outcome.CONNECT_FAILED, 20_000, 0)));
+        Send quick = send(policy.onEvent(now, ended(w, 1, Outcome.CONNECT_FAILED, 20_000, 0)));
         assertTrue(
                 quick.server().startsWith("w"),
                 "a refused connection costs the state next to no time");
         now += 240_000;
-        Send anew = send(decide.onEvent(now, ended(quick, 2, Outcome.CONNECT_FAILED, 240_000, 0)));
+        Send anew = send(policy.onEvent(now, ended(quick, 2, Outcome.CONNECT_FAILED, 240_000, 0)));
         assertTrue(
                 anew.server().startsWith("r"),
                 anew + ": the same wait again would hold the state for too long");
-        Send last = send(decide.onEvent(now + 50_000, ended(anew, 3, Outcome.READ, 50_000, 900)));
+        Send last = send(policy.onEvent(now + 50_000, ended(anew, 3, Outcome.READ, 50_000, 900)));
         assertTrue(last.server().startsWith("w"));
     }
 
@@ -73,29 +73,29 @@
     @Test
     void theDeadlineStopsWithTheFirstToken() {
         Send w = read(arrive(1, "a", null, 1000, 0), 0);
-        decide.onEvent(now, new StreamStarted(1, 1, w.server(), 20_000));
-        assertEquals(List.of(), decide.onEvent(now + 5 * SECOND, new TimerFired(1)));
+        policy.onEvent(now, new StreamStarted(1, 1, w.server(), 20_000));
+        assertEquals(List.of(), policy.onEvent(now + 5 * SECOND, new TimerFired(1)));
     }
 
     @Test
-    void aBlackHoleLeavesTimeForAnotherAttempt() {
+    void aTimeoutLeavesTimeForAnotherAttempt() {
         Send s = arrive(1, "a", null, 1000, 0);
         assertTrue(s.cutAt() - now < 3 * SECOND, "cut after " + (s.cutAt() - now));
         now = s.cutAt();
         assertNotEquals(
                 s.server(),
-                send(decide.onEvent(now, ended(s, 0, Outcome.TIMED_OUT, 0, 0))).server());
+                send(policy.onEvent(now, ended(s, 0, Outcome.TIMED_OUT, 0, 0))).server());
     }
 
     @Test
-    void aFastFailerThatLooksIdleIsSetAside() {
+    void aFastFailingServerThatLooksIdleIsEjected() {
         int hits = 0;
         for (int i = 0; i < 40; i++) {
             Send s = arrive(i, "s" + i, null, 1000, 0);
             now += 40_000;
             if (s.server().equals("r1")) {
                 hits++;
-                s = send(decide.onEvent(now, ended(s, 0, Outcome.ERROR, 1000, 0)));
+                s = send(policy.onEvent(now, ended(s, 0, Outcome.ERROR, 1000, 0)));
                 answer(s, 1, 30_000);
             } else {
                 answer(s, 0, 30_000);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aSlowReaderIsSetAsideAndComesBack() {
+    void aSlowServerIsEjectedAndReinstated() {
         int slowHits = 0;
         for (int i = 0; i < 60; i++) {
             now += 50_000;
@@ -130,10 +130,10 @@
         int sends = 0;
         for (int i = 0; i < 80; i++) {
             now += 100_000;
-            List<Action> actions = decide.onEvent(now, request(i, "s" + i, null, 1000, 0));
+            List<Action> actions = policy.onEvent(now, request(i, "s" + i, null, 1000, 0));
             for (int n = 0; !all(actions, Send.class).isEmpty(); n++) {
                 sends++;
-                actions = decide.onEvent(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
+                actions = policy.onEvent(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
             }
         }
         assertTrue(sends >= 80, "sends " + sends);
@@ -144,17 +144,17 @@
         int sends = 0;
         for (int i = 0; i < 200; i++) {
             now += 20_000;
-            List<Action> actions = decide.onEvent(now, request(i, "s" + i, null, 1000, 0));
+            List<Action> actions = policy.onEvent(now, request(i, "s" + i, null, 1000, 0));
             for (int n = 0; !all(actions, Send.class).isEmpty(); n++) {
                 sends++;
-                actions = decide.onEvent(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
+                actions = policy.onEvent(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
             }
         }
         assertTrue(sends < 270, "sends " + sends);
     }
 
     @Test
-    void aStateIsLetGoWhenNoWriterIsThere() {
+    void aReservedStateIsReleasedWhenNoDecoderIsListed() {
         RoutingPolicy d = start(plain(), List.of(reader("r1", 0)));
         Send s = send(d.onEvent(now, request(1, "a", null, 1000, 0)));
         List<Action> actions =
@@ -169,22 +169,22 @@
     }
 
     @Test
-    void aStateReadForADepartedClientIsLetGo() {
+    void aReservedStateIsReleasedWhenItsClientDisconnects() {
         Send s = arrive(1, "a", null, 1000, 0);
-        assertEquals(1, all(decide.onEvent(now, new ClientGone(1)), Cancel.class).size());
+        assertEquals(1, all(policy.onEvent(now, new ClientGone(1)), Cancel.class).size());
         assertEquals(
-                List.of(new Release(1)), decide.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
+                List.of(new Release(1)), policy.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
     }
 
     @Test
-    void aLostStateIsReadAgain() {
+    void aLostStateIsPrefilledAgain() {
         Send w = read(arrive(1, "a", null, 1000, 0), 0);
-        Send again = send(decide.onEvent(now, ended(w, 1, Outcome.FULL, 500, 1)));
+        Send again = send(policy.onEvent(now, ended(w, 1, Outcome.FULL, 500, 1)));
         assertTrue(again.server().startsWith("r"));
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunFails() {
+    void aNonIdempotentRequestThatMayHaveRunFails() {
         RoutingPolicy d =
                 start(
                         settings(Idempotency.UNSAFE, IdempotencyScope.ALL, false, List.of()),
@@ -197,7 +197,7 @@
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
+    void aRequestWithAnIdempotencyKeyIsRetriedWithinItsScope() {
         RoutingPolicy d =
                 start(
                         settings(Idempotency.KEYED, IdempotencyScope.CELL, false, List.of()),
@@ -219,7 +219,7 @@
      * itself.
      */
     @Test
-    void afterAnAnswerThatBrokeOffThePromptIsReadAnewAtAReader() {
+    void afterAStreamResetThePromptIsPrefilledAgain() {
         for (Outcome broke : List.of(Outcome.ERROR, Outcome.RESET)) {
             RoutingPolicy d =
                     start(
--- a/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
@@ -50,7 +50,7 @@
      * Each alone finds out by a request of its own that is lost, and sees too few to find out soon.
      */
     @Test
-    void aReaderThatFallsSilentIsToldOfBeforeItsAttemptsAreCut() {
+    void aHangingServerIsGossipedBeforeItsAttemptsTimeOut() {
         long alone = sentToSilent(100, false);
         long told = sentToSilent(100, true);
         assertTrue(
@@ -81,7 +81,7 @@
      * such server.
      */
     @Test
-    void aServerThatFailsFastIsSetAsideByWhatOthersTell() {
+    void aFastFailingServerIsEjectedByGossip() {
         int alone = failures(false, Set.of("w13"));
         int told = failures(true, Set.of("w13"));
         assertTrue(told < 0.5 * alone, told + " failures, " + alone + " where none tells");
@@ -92,7 +92,7 @@
      * again.
      */
     @Test
-    void aServerThatIsWellAgainSoonHasItsShare() {
+    void aRecoveredServerSoonHasItsShare() {
         FleetWorld world = new FleetWorld(100, fleet(10, 10));
         world.failing = Set.of("w13");
         world.failingUntil = 12 * SECOND;
@@ -121,14 +121,14 @@
      * mistake or chance.
      */
     @Test
-    void whatIsToldOfManyServersLeavesTheSoundOnesInUse() {
+    void gossipAboutManyServersLeavesTheHealthyOnesInUse() {
         int alone = failures(false, Set.of("w10", "w12", "w14", "w16", "w18"));
         int told = failures(true, Set.of("w10", "w12", "w14", "w16", "w18"));
         assertTrue(told <= alone, told + " failures, " + alone + " where none tells");
     }
 
     @Test
-    void aLagThatOneRouterFeltIsPassedOverByAnother() {
+    void aDelayThatOneRouterObservedIsAvoidedByAnother() {
         List<RoutingPolicy> two = routers(2, fleet(4, 4));
         Send s = send(two.get(0).onEvent(SECOND, request(1, "a", "p", 1000, 900)));
         List<Action> after =
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void foreignMessagesAreSurvived() {
+    void malformedGossipIsIgnored() {
         RoutingPolicy d = routers(2, fleet(2, 2)).get(0);
         Random random = new Random(1);
         for (int i = 0; i < 2000; i++) {
--- a/decide/src/test/java/sorrelhoist/routing/FleetTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetTest.java
@@ -34,7 +34,7 @@
 class FleetTest {
     @ParameterizedTest
     @ValueSource(ints = {2, 50, 150})
-    void allRoutersTogetherDoNotPushAColdServerOver(int n) {
+    void allRoutersTogetherDoNotOverloadAWarmingUpServer(int n) {
         List<Server> fleet = fleet(10, 10);
         FleetWorld world = new FleetWorld(n, fleet);
         Random random = new Random(n);
@@ -79,7 +79,7 @@
      * until it is warm.
      */
     @Test
-    void aColdServerGetsItsPartAlsoWhereEachRouterSeesItSeldom() {
+    void aWarmingUpServerGetsItsShareThoughEachRouterSeesItSeldom() {
         List<Server> fleet = fleet(25, 25);
         FleetWorld world = new FleetWorld(100, fleet);
         Random random = new Random(8);
@@ -114,7 +114,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 150})
-    void routersThatKnowNothingSendAColdFleetLittle(int n) {
+    void newRoutersSendAWarmingUpFleetLittle(int n) {
         List<Server> cold =
                 fleet(10, 10).stream().map(s -> with(s, ServerState.SERVING, SECOND)).toList();
         FleetWorld world = new FleetWorld(n, cold);
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void equalCostsDoNotSendAllRoutersToTheFirstReader() {
+    void equalCostsDoNotSendAllRoutersToTheFirstServer() {
         Map<String, Integer> hits = new TreeMap<>();
         List<RoutingPolicy> routers = routers(100, fleet(10, 10));
         for (int i = 0; i < 100; i++) {
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void manyRoutersDoNotPileAHotPrefixOnOneReader() {
+    void manyRoutersDoNotPileAHotPrefixOnOneServer() {
         FleetWorld world = new FleetWorld(100, fleet(10, 10));
         Random random = new Random(3);
         for (int id = 0; id < 3000; id++) {
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void aCellWithFewWritersSendsItsSurplusToThoseWithMany() {
+    void aCellWithFewDecodersSpillsToThoseWithMany() {
         List<Server> skewed =
                 List.of(
                         reader("r0", 0),
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void whatTheDoorAlwaysLetsInIsOneSumForAllRouters() {
+    void whatIsAlwaysAdmittedIsOneSumForAllRouters() {
         Map<Integer, Integer> letIn = new TreeMap<>();
         for (int n : List.of(3, 150)) {
             List<RoutingPolicy> routers = routers(n, fleet(10, 10));
@@ -234,7 +234,7 @@
     }
 
     @Test
-    void theDoorReopensSoonAfterAJamThoughFewRequestsCome() {
+    void admissionResumesSoonAfterAJamThoughFewRequestsArrive() {
         RoutingPolicy d = routers(100, fleet(4, 4)).get(0);
         long now = SECOND;
         int served = 0;
--- a/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aTaughtHolderIsExploited() {
+    void anImportedPrefixHolderIsUsed() {
         String untaught = readerOf(fresh(), SECOND);
         for (String reader : new String[] {"r1", "r2", "r3", "r4"}) {
             RoutingPolicy d = fresh();
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void whatIsOldOrOfAnotherProcessIsPassedOver() {
+    void oldKnowledgeAndThatOfAnotherProcessIsIgnored() {
         String untaught = readerOf(fresh(), SECOND);
         String other = untaught.equals("r1") ? "r2" : "r1";
         for (Knowledge k :
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void whatIsKnownComesBackAfterARestart() {
+    void knowledgeSurvivesARestart() {
         Knowledge k = teacher().exportKnowledge(4 * SECOND, 1000);
         assertEquals(60, k.keys().size());
         RoutingPolicy next = fresh();
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void hearsayIsNotToldOnAndAKeyGrowsNoYoungerInACircle() {
+    void importedHealthIsNotPassedOnAndAPrefixGrowsNoYoungerInACircle() {
         RoutingPolicy a = fresh();
         RoutingPolicy b = fresh();
         Knowledge.RegressionSums none = new Knowledge.RegressionSums(0, 0, 0, 0, 0);
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aFalseTeacherBreaksNoRule() {
+    void falseKnowledgeBreaksNoRule() {
         RoutingPolicy d = fresh();
         d.onEvent(
                 SECOND,
--- a/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
@@ -37,7 +37,7 @@
  */
 class PlacementTest extends SingleRouterTest {
     @Test
-    void aSessionIsReadWhereItsTextIsKept() {
+    void aSessionIsPrefilledWhereItIsCached() {
         String first = serve(1, "a", null, 1000, 0, 0);
         for (int turn = 2; turn < 6; turn++) {
             now += 11 * SECOND;
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void routersAgreeOnTheReaderOfAnUnseenPrefix() {
+    void routersAgreeOnTheServerOfAnUnseenPrefix() {
         Set<String> readers = new HashSet<>();
         for (int i = 0; i < 20; i++) {
             String prefix = "p" + i;
@@ -63,13 +63,13 @@
     }
 
     @Test
-    void anUnmatchedRestExploresTheLightestReader() {
+    void anUncachedPromptGoesToTheLightestServer() {
         String holder = serve(1, "a", "p", 4000, 1000, 0);
         assertNotEquals(holder, arrive(2, "b", "p", 4000, 1000).server());
     }
 
     @Test
-    void exploitTrafficOfTheHeaviestReaderShifts() {
+    void loadOfTheHeaviestServerShifts() {
         String home = serve(1, "s0", "p", 1000, 900, 0);
         Set<String> readers = new HashSet<>();
         for (int i = 2; i < 60; i++) {
@@ -79,9 +79,9 @@
     }
 
     @Test
-    void theWriterIsChosenNearTheReaderAfterTheRead() {
+    void theDecodeStaysInTheCellOfThePrefill() {
         for (int i = 0; i < 30; i++) {
-            List<Action> onArrival = decide.onEvent(now, request(i, "s" + i, null, 800, 0));
+            List<Action> onArrival = policy.onEvent(now, request(i, "s" + i, null, 800, 0));
             Send s = send(onArrival);
             assertTrue(all(onArrival, Reserve.class).isEmpty());
             String w = answer(s, 0, 50_000);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aRestartForgetsWhatTheServerKept() {
+    void aRestartClearsTheCachedPrefixes() {
         Send first = arrive(1, "a", null, 4000, 0);
         answer(first, 0, 50_000);
         Server home =
@@ -100,11 +100,11 @@
                         .filter(s -> s.id().equals(first.server()))
                         .findFirst()
                         .orElseThrow();
-        decide.onEvent(
+        policy.onEvent(
                 now,
                 new Members(ListUpdateKind.UPDATE, List.of(with(home, ServerState.SERVING, now))));
         now += 13 * SECOND;
-        decide.onEvent(now, new TimerFired(99));
+        policy.onEvent(now, new TimerFired(99));
         Set<String> readers = new HashSet<>();
         for (int i = 2; i < 6; i++) {
             readers.add(arrive(i, "a" + i, null, 4000, 0).server());
@@ -113,12 +113,12 @@
     }
 
     @Test
-    void aColdServerIsNotPushedOver() {
+    void aWarmingUpServerIsNotOverloaded() {
         List<Server> cold =
                 fleet().stream()
                         .map(s -> s.id().equals("r1") ? with(s, ServerState.SERVING, now) : s)
                         .toList();
-        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, cold));
+        policy.onEvent(now, new Members(ListUpdateKind.COMPLETE, cold));
         int sent = 0;
         for (int i = 0; i < 30; i++) {
             now += 100_000;
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void writersThatReadAnswerWhenNoReaderIsLeft() {
+    void decodersPrefillWhenNoPrefillServerIsLeft() {
         List<Server> writers = List.of(writer("w1", 0));
         assertEquals(
                 "w1",
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void aWriterWhoseFirstTokensHangIsPassedOver() {
+    void aDecoderWhoseFirstTokensHangIsPassedOver() {
         Set<String> hanging = new HashSet<>();
         for (int i = 0; i < 4; i++) {
             hanging.add(read(arrive(i, "s" + i, null, 1000, 0), 0).server());
@@ -178,7 +178,7 @@
         now += 700_000;
         for (int i = 4; i < 12 && hanging.size() < 4; i++) {
             List<Send> sends =
-                    all(decide.onEvent(now, request(i, "s" + i, null, 1000, 0)), Send.class);
+                    all(policy.onEvent(now, request(i, "s" + i, null, 1000, 0)), Send.class);
             for (Send s : sends) {
                 assertFalse(hanging.contains(answer(s, 0, 50_000)));
             }
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void aJammedReaderIsPassedOverThoughItKeepsTheText() {
+    void aJammedServerIsPassedOverThoughItHasThePrefixCached() {
         String home = serve(1, "a", null, 1000, 0, 0);
         now += 11 * SECOND;
         assertEquals(home, arrive(2, "a", null, 1100, 0).server());
--- a/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
+++ b/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
@@ -65,7 +65,7 @@
 
     final RoutingSettings settings;
     final Random random;
-    final RoutingPolicy decide;
+    final RoutingPolicy policy;
     final Map<String, Server> servers = new TreeMap<>();
     final Map<Long, Open> requests = new TreeMap<>();
     final TreeMap<Long, List<Long>> timers = new TreeMap<>();
@@ -81,7 +81,7 @@
     RandomHistory(RoutingSettings settings, int seed) {
         this.settings = settings;
         this.random = new Random(seed);
-        this.decide = new RoutingPolicy(settings, seed);
+        this.policy = new RoutingPolicy(settings, seed);
         for (int i = 0; i < 12; i++) {
             int kind = i < 5 ? 0 : i < 10 ? 1 : 2;
             put(new Server("s" + i, i % 2, kind, i % 4, ServerState.SERVING, 1, 0));
@@ -231,7 +231,7 @@
     }
 
     void give(Event event) {
-        for (Action a : decide.onEvent(now, event)) {
+        for (Action a : policy.onEvent(now, event)) {
             log.append(now).append(a).append('\n');
             take(a);
         }
--- a/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
@@ -34,7 +34,7 @@
 class ReasonTest {
     private static final long SECOND = 1_000_000;
     private long now = 1000 * SECOND;
-    private RoutingPolicy decide;
+    private RoutingPolicy policy;
 
     private static Server server(String id, int kind, ServerState state, long since) {
         return new Server(id, 0, kind, 0, state, 1, since);
@@ -63,8 +63,8 @@
                         new Capabilities(
                                 3, true, true, true, 2 * SECOND, false, true, 0.003, 0.003),
                         new ServerLimits(0.26, 2 * SECOND, 3, 3 * SECOND, SECOND / 2));
-        decide = new RoutingPolicy(settings, 7);
-        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, servers));
+        policy = new RoutingPolicy(settings, 7);
+        policy.onEvent(now, new Members(ListUpdateKind.COMPLETE, servers));
     }
 
     private static <T> T only(List<Action> actions, Class<T> type) {
@@ -80,14 +80,14 @@
     @Test
     void aSendNamesWhatSettledItAndTheNextBest() {
         start(Idempotency.SAFE, List.of(R1, R2, W1));
-        Send read = only(decide.onEvent(now, ask(1, 4 * SECOND)), Send.class);
+        Send read = only(policy.onEvent(now, ask(1, 4 * SECOND)), Send.class);
         assertEquals(Kind.UNSEEN, read.why().kind());
         assertEquals(read.server().equals("r1") ? "r2" : "r1", read.why().next());
         assertTrue(read.why().estimate() > 0 && read.why().limit() == 1_040_000, read.toString());
         now += 50_000;
         Send write =
                 only(
-                        decide.onEvent(
+                        policy.onEvent(
                                 now,
                                 new AttemptEnded(
                                         1,
@@ -101,12 +101,12 @@
                         Send.class);
         assertEquals(Kind.TWO_DRAWS, write.why().kind());
         assertTrue(write.why().expected() >= 50_000, "counts from the client's asking: " + write);
-        decide.onEvent(now, new StreamStarted(1, 1, "w1", 1000));
-        decide.onEvent(
+        policy.onEvent(now, new StreamStarted(1, 1, "w1", 1000));
+        policy.onEvent(
                 now, new AttemptEnded(1, 1, "w1", Outcome.DONE, 2000, true, 0, ServerLoad.NONE));
         Send again =
                 only(
-                        decide.onEvent(
+                        policy.onEvent(
                                 now, new Arrived(2, 0, 0, "s1", null, 1000, 0, 20, 4 * SECOND)),
                         Send.class);
         assertEquals(Kind.KEPT, again.why().kind());
@@ -114,11 +114,11 @@
     }
 
     @Test
-    void theDoorGivesTheSumThatClosedIt() {
+    void aRejectionOnArrivalGivesItsEstimate() {
         start(Idempotency.SAFE, List.of(R1, W1));
         Reason why = null;
         for (long id = 1; id < 200 && why == null; id++) {
-            for (Action a : decide.onEvent(now, ask(id, 4 * SECOND))) {
+            for (Action a : policy.onEvent(now, ask(id, 4 * SECOND))) {
                 why = a instanceof Refuse r ? r.why() : why;
             }
         }
@@ -128,20 +128,20 @@
     }
 
     @Test
-    void whatIsMissingIsTold() {
+    void whatIsMissingIsNamed() {
         start(Idempotency.SAFE, List.of(W1));
         assertEquals(
                 Kind.NO_SERVER,
-                only(decide.onEvent(now, ask(1, SECOND)), Refuse.class).why().kind());
+                only(policy.onEvent(now, ask(1, SECOND)), Refuse.class).why().kind());
         start(Idempotency.SAFE, List.of(server("r1", 0, ServerState.DRAINING, 0), W1));
         assertEquals(
                 Kind.DRAINING,
-                only(decide.onEvent(now, ask(1, SECOND)), Refuse.class).why().kind());
+                only(policy.onEvent(now, ask(1, SECOND)), Refuse.class).why().kind());
         // Just started, and this router's turn at it is used up.
         start(Idempotency.SAFE, List.of(server("r1", 0, ServerState.SERVING, now), W1));
         Kind last = null;
         for (long id = 1; id < 4; id++) {
-            for (Action a : decide.onEvent(now, ask(id, SECOND))) {
+            for (Action a : policy.onEvent(now, ask(id, SECOND))) {
                 last = a instanceof Refuse r ? r.why().kind() : last;
             }
         }
@@ -149,28 +149,28 @@
     }
 
     @Test
-    void theEndOfTimeOfAttemptsAndOfHarmlessRepeatsIsTold() {
+    void deadlineAttemptsAndIdempotencyAreNamed() {
         start(Idempotency.SAFE, List.of(R1, W1));
-        Send read = only(decide.onEvent(now, ask(1, SECOND)), Send.class);
+        Send read = only(policy.onEvent(now, ask(1, SECOND)), Send.class);
         now += SECOND;
-        List<Action> late = decide.onEvent(now, new TimerFired(1));
+        List<Action> late = policy.onEvent(now, new TimerFired(1));
         assertEquals(
                 Reason.compared(Kind.DEADLINE, SECOND, SECOND), only(late, Refuse.class).why());
         assertEquals(Kind.DEADLINE, only(late, Cancel.class).why().kind());
-        decide.onEvent(
+        policy.onEvent(
                 now,
                 new AttemptEnded(
                         1, 0, read.server(), Outcome.CANCELLED, SECOND, true, 0, ServerLoad.NONE));
 
         start(Idempotency.UNSAFE, List.of(R1, W1));
-        read = only(decide.onEvent(now, ask(1, SECOND)), Send.class);
-        decide.onEvent(
+        read = only(policy.onEvent(now, ask(1, SECOND)), Send.class);
+        policy.onEvent(
                 now,
                 new AttemptEnded(
                         1, 0, read.server(), Outcome.READ, 1000, false, 0, ServerLoad.NONE));
         Fail fail =
                 only(
-                        decide.onEvent(
+                        policy.onEvent(
                                 now,
                                 new AttemptEnded(
                                         1,
@@ -185,14 +185,14 @@
         assertEquals(Kind.REPEAT_UNSAFE, fail.why().kind());
 
         start(Idempotency.SAFE, List.of(R1, W1));
-        decide.onEvent(now, ask(1, SECOND));
-        decide.onEvent(
+        policy.onEvent(now, ask(1, SECOND));
+        policy.onEvent(
                 now, new AttemptEnded(1, 0, "r1", Outcome.READ, 1000, false, 0, ServerLoad.NONE));
-        decide.onEvent(
+        policy.onEvent(
                 now, new AttemptEnded(1, 1, "w1", Outcome.FULL, 1000, false, 0, ServerLoad.NONE));
         Refuse full =
                 only(
-                        decide.onEvent(
+                        policy.onEvent(
                                 now,
                                 new AttemptEnded(
                                         1, 2, "w1", Outcome.FULL, 1000, false, 0, ServerLoad.NONE)),
--- a/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
@@ -49,7 +49,7 @@
  */
 class RoutingPolicyTest extends SingleRouterTest {
     @Test
-    void aDrainIsObeyedAtOnce() {
+    void aDrainingServerGetsNothingMore() {
         List<Server> draining =
                 fleet().stream()
                         .map(
@@ -58,7 +58,7 @@
                                                 ? with(s, ServerState.DRAINING, 0)
                                                 : s)
                         .toList();
-        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, draining));
+        policy.onEvent(now, new Members(ListUpdateKind.COMPLETE, draining));
         for (int i = 0; i < 40; i++) {
             Send s = arrive(i, "s" + i, null, 1000, 0);
             assertNotEquals("r1", s.server());
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void anEmptyListRefusesAtOnceWithAHint() {
+    void anEmptyListRejectsAtOnceWithARetryAfterHint() {
         RoutingPolicy d = start(plain(), List.of());
         List<Refuse> refused = all(d.onEvent(now, request(1, null, null, 1000, 0)), Refuse.class);
         assertEquals(1, refused.size());
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aTenantBeyondItsShareMakesRoomFirst() {
+    void aTenantOverItsQuotaIsRejectedFirst() {
         RoutingPolicy d =
                 start(
                         settings(
@@ -127,11 +127,11 @@
     }
 
     @Test
-    void whatWouldComeLateIsRefusedAtOnce() {
+    void whatWouldMissItsLatencyObjectiveIsRejectedAtOnce() {
         int refused = 0;
         for (int i = 0; i < 100; i++) {
             refused +=
-                    all(decide.onEvent(now, request(i, "s" + i, null, 3000, 0)), Refuse.class)
+                    all(policy.onEvent(now, request(i, "s" + i, null, 3000, 0)), Refuse.class)
                             .size();
         }
         assertTrue(refused > 50 && refused < 96, "refused " + refused);
@@ -142,7 +142,7 @@
      * turned away.
      */
     @Test
-    void whoComesForTheRestOfAnAnswerIsLetInBeyondTheAimButNotWithoutEnd() {
+    void resumedRequestsAreAdmittedBeyondTheObjectiveButNotWithoutBound() {
         int[] refused = new int[2];
         for (int kind = 0; kind < 2; kind++) {
             RoutingPolicy d = start(plain(), fleet());
@@ -161,7 +161,7 @@
      * Workers come and go under new ids all day: what is known of those that left must not add up.
      */
     @Test
-    void workersThatLeftForGoodLeaveNothingBehind() {
+    void departedServersLeaveNothingBehind() {
         List<Server> present = new ArrayList<>(fleet());
         for (int i = 0; i < 400; i++) {
             now += 5 * SECOND;
@@ -170,13 +170,13 @@
                     new Server(
                             "n" + i, old.zone(), old.kind(), old.cell(), ServerState.SERVING, 1, 0);
             present.add(fresh);
-            decide.onEvent(
+            policy.onEvent(
                     now,
                     new Members(
                             ListUpdateKind.UPDATE, List.of(with(old, ServerState.GONE, 0), fresh)));
             serve(i, "s" + i, null, 1000, 0, 0);
         }
-        int known = decide.exportKnowledge(now, 100).servers().size();
+        int known = policy.exportKnowledge(now, 100).servers().size();
         assertTrue(
                 known <= fleet().size() + 2 * 60 / 5, known + " servers known of 8 that are there");
     }
@@ -184,28 +184,28 @@
     @Test
     void oddButLegalHistoriesDoNotThrow() {
         Send s = arrive(1, "a", null, 1000, 0);
-        decide.onEvent(now, new ClientGone(1));
-        decide.onEvent(now, new ClientGone(1));
-        decide.onEvent(now, ended(s, 0, Outcome.CANCELLED, 10, 0));
-        decide.onEvent(now, ended(s, 0, Outcome.READ, 10, 0));
-        decide.onEvent(now, new TimerFired(1));
-        decide.onEvent(now, new TimerFired(1));
-        decide.onEvent(now, new StreamStarted(1, 0, "r1", 5));
-        decide.onEvent(now, new ProbeAnswered("never-listed", Outcome.DONE, 5, ServerLoad.NONE));
-        decide.onEvent(now, new PeerMessage(1, "hi"));
-        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, List.of()));
-        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, fleet()));
-        assertFalse(all(decide.onEvent(now, request(2, "a", null, 1000, 0)), Send.class).isEmpty());
+        policy.onEvent(now, new ClientGone(1));
+        policy.onEvent(now, new ClientGone(1));
+        policy.onEvent(now, ended(s, 0, Outcome.CANCELLED, 10, 0));
+        policy.onEvent(now, ended(s, 0, Outcome.READ, 10, 0));
+        policy.onEvent(now, new TimerFired(1));
+        policy.onEvent(now, new TimerFired(1));
+        policy.onEvent(now, new StreamStarted(1, 0, "r1", 5));
+        policy.onEvent(now, new ProbeAnswered("never-listed", Outcome.DONE, 5, ServerLoad.NONE));
+        policy.onEvent(now, new PeerMessage(1, "hi"));
+        policy.onEvent(now, new Members(ListUpdateKind.COMPLETE, List.of()));
+        policy.onEvent(now, new Members(ListUpdateKind.COMPLETE, fleet()));
+        assertFalse(all(policy.onEvent(now, request(2, "a", null, 1000, 0)), Send.class).isEmpty());
     }
 
     @Test
     void misuseSaysWhatToDoInstead() {
-        assertThrows(IllegalArgumentException.class, () -> decide.onEvent(5, new TimerFired(1)));
-        assertThrows(NullPointerException.class, () -> decide.onEvent(now, null));
+        assertThrows(IllegalArgumentException.class, () -> policy.onEvent(5, new TimerFired(1)));
+        assertThrows(NullPointerException.class, () -> policy.onEvent(now, null));
         arrive(1, "a", null, 10, 0);
         assertThrows(
                 IllegalArgumentException.class,
-                () -> decide.onEvent(now, request(1, "a", null, 10, 0)));
+                () -> policy.onEvent(now, request(1, "a", null, 10, 0)));
         RoutingSettings p = plain();
         RoutingSettings noKinds =
                 new RoutingSettings(
@@ -228,14 +228,14 @@
     }
 
     @Test
-    void aChangedNumberOfRoutersChangesTheParts() {
-        RoutingPolicy decide = new RoutingPolicy(Fixtures.plain(), 1);
-        decide.onEvent(0, new Members(ListUpdateKind.COMPLETE, Fixtures.fleet()));
-        assertTrue(decide.onEvent(1, new Seated(150, 149)).isEmpty());
-        assertThrows(IllegalArgumentException.class, () -> decide.onEvent(2, new Seated(0, 0)));
+    void aChangedNumberOfRoutersChangesTheShares() {
+        RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 1);
+        policy.onEvent(0, new Members(ListUpdateKind.COMPLETE, Fixtures.fleet()));
+        assertTrue(policy.onEvent(1, new Seated(150, 149)).isEmpty());
+        assertThrows(IllegalArgumentException.class, () -> policy.onEvent(2, new Seated(0, 0)));
         assertEquals(
                 1,
-                Fixtures.all(decide.onEvent(3, Fixtures.request(1, "s", "p", 500, 100)), Send.class)
+                Fixtures.all(policy.onEvent(3, Fixtures.request(1, "s", "p", 500, 100)), Send.class)
                         .size());
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
@@ -19,7 +19,7 @@
 
 /** One router over the small fleet of {@link Fixtures}, and the steps that its tests share. */
 abstract class SingleRouterTest {
-    final RoutingPolicy decide = start(plain(), fleet());
+    final RoutingPolicy policy = start(plain(), fleet());
     long now = 10 * SECOND;
 
     static RoutingPolicy start(RoutingSettings settings, List<Server> servers) {
@@ -29,19 +29,19 @@
     }
 
     Send arrive(long id, String session, String prefix, long prompt, long prefixTokens) {
-        return send(decide.onEvent(now, request(id, session, prefix, prompt, prefixTokens)));
+        return send(policy.onEvent(now, request(id, session, prefix, prompt, prefixTokens)));
     }
 
     Send read(Send s, long kept) {
         now += 50_000;
-        return send(decide.onEvent(now, ended(s, 0, Outcome.READ, 50_000, kept)));
+        return send(policy.onEvent(now, ended(s, 0, Outcome.READ, 50_000, kept)));
     }
 
     /** Ends a read and then its answer; returns where it was written. */
     String answer(Send s, int attempt, long took) {
-        Send w = send(decide.onEvent(now, ended(s, attempt, Outcome.READ, took, 0)));
-        decide.onEvent(now, new StreamStarted(w.id(), attempt + 1, w.server(), 20_000));
-        decide.onEvent(now, ended(w, attempt + 1, Outcome.DONE, 20_000, 0));
+        Send w = send(policy.onEvent(now, ended(s, attempt, Outcome.READ, took, 0)));
+        policy.onEvent(now, new StreamStarted(w.id(), attempt + 1, w.server(), 20_000));
+        policy.onEvent(now, ended(w, attempt + 1, Outcome.DONE, 20_000, 0));
         return w.server();
     }
 
@@ -50,8 +50,8 @@
             long id, String session, String prefix, long prompt, long prefixTokens, long kept) {
         Send s = arrive(id, session, prefix, prompt, prefixTokens);
         Send w = read(s, kept);
-        decide.onEvent(now, new StreamStarted(id, 1, w.server(), 20_000));
-        decide.onEvent(now, ended(w, 1, Outcome.DONE, 20_000, 0));
+        policy.onEvent(now, new StreamStarted(id, 1, w.server(), 20_000));
+        policy.onEvent(now, ended(w, 1, Outcome.DONE, 20_000, 0));
         return s.server();
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/SlowStartTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/SlowStartTest.java
@@ -25,9 +25,10 @@
     private static final long HOUR = 3600 * SECOND;
     private static final long COLD = 12 * SECOND;
     private static final long WINDOW = 3 * SECOND;
-    private static final int MOST_COLD = 4; // as aColdServerIsNotPushedOver in DecideTest has it
+    private static final int MOST_COLD =
+            4; // as aWarmingUpServerIsNotOverloaded in PlacementTest has it
     private static final int ASKED = 30;
-    private final RoutingPolicy decide = new RoutingPolicy(plain(), 1);
+    private final RoutingPolicy policy = new RoutingPolicy(plain(), 1);
     private long now = 100 * HOUR;
     private long ids;
 
@@ -36,7 +37,7 @@
                 fleet().stream()
                         .map(s -> s.id().equals("r1") ? with(s, ServerState.SERVING, r1Since) : s)
                         .toList();
-        decide.onEvent(
+        policy.onEvent(
                 now,
                 new Members(form, form == ListUpdateKind.UPDATE ? servers.subList(0, 1) : servers));
     }
@@ -48,14 +49,14 @@
             now += WINDOW / ASKED;
             for (Send read :
                     all(
-                            decide.onEvent(now, request(++ids, "s" + ids, null, 1000, 0)),
+                            policy.onEvent(now, request(++ids, "s" + ids, null, 1000, 0)),
                             Send.class)) {
                 sent += read.server().equals("r1") ? 1 : 0;
                 for (Send write :
                         all(
-                                decide.onEvent(now, ended(read, 0, Outcome.READ, 40_000, 0)),
+                                policy.onEvent(now, ended(read, 0, Outcome.READ, 40_000, 0)),
                                 Send.class)) {
-                    decide.onEvent(now, ended(write, 1, Outcome.DONE, 40_000, 0));
+                    policy.onEvent(now, ended(write, 1, Outcome.DONE, 40_000, 0));
                 }
             }
         }
@@ -68,11 +69,11 @@
     void anotherStartIsAnotherProcessAlsoWhereItLiesBeforeTheFormerOne(long stepSeconds) {
         told(ListUpdateKind.COMPLETE, now - 2 * HOUR);
         Send held =
-                all(decide.onEvent(now, request(++ids, "kept", null, 1000, 0)), Send.class).get(0);
-        decide.onEvent(now, ended(held, 0, Outcome.READ, 40_000, 0));
+                all(policy.onEvent(now, request(++ids, "kept", null, 1000, 0)), Send.class).get(0);
+        policy.onEvent(now, ended(held, 0, Outcome.READ, 40_000, 0));
         told(ListUpdateKind.UPDATE, now + stepSeconds * SECOND);
         assertTrue(
-                decide.exportKnowledge(now, 10).keys().stream()
+                policy.exportKnowledge(now, 10).keys().stream()
                         .filter(k -> k.name().equals("kept"))
                         .flatMap(k -> k.holders().stream())
                         .noneMatch(h -> h.server().equals("r1")),
@@ -81,7 +82,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {3600, 1_000_000_000, Long.MAX_VALUE / 2_000_000})
-    void noServerIsHeldColdForLongerThanTheRulesSay(long stepSeconds) {
+    void noServerWarmsUpForLongerThanTheLimitsSay(long stepSeconds) {
         told(ListUpdateKind.COMPLETE, now + stepSeconds * SECOND);
         assertTrue(sentInAWindow() <= MOST_COLD, "cold where its start is told to come");
         now += COLD;
@@ -89,11 +90,11 @@
     }
 
     @Test
-    void aListToldAgainIsNoRestart() {
+    void aRepeatedListIsNoRestart() {
         told(ListUpdateKind.COMPLETE, now - 2 * HOUR);
         long since = now - 2 * HOUR;
         int before = sentInAWindow();
-        decide.onEvent(now, new Members(ListUpdateKind.COMPLETE, List.of()));
+        policy.onEvent(now, new Members(ListUpdateKind.COMPLETE, List.of()));
         now += HOUR;
         told(ListUpdateKind.COMPLETE, since);
         assertTrue(
