--- a/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
@@ -6,7 +6,19 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.AttemptEnded;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.Routing.TimerFired;
 
 /**
  * A router of one's own in a few lines, as the README describes it: a loop that feeds events and
@@ -21,7 +33,7 @@
         }
     }
 
-    private final RoutingPolicy decide = new RoutingPolicy(Fixtures.plain(), 42);
+    private final RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 42);
     private final PriorityQueue<Due> pending = new PriorityQueue<>();
     private final List<String> path = new ArrayList<>();
     private int attempt;
@@ -61,20 +73,20 @@
     }
 
     @Test
-    void aRequestIsReadAndAnsweredAndNothingMoreIsDone() {
+    void aRequestIsPrefilledAndDecodedAndNothingMoreIsDone() {
         perform(
-                decide.onEvent(
+                policy.onEvent(
                         now,
                         new Members(
                                 ListUpdateKind.RESTORED,
                                 List.of(
                                         Fixtures.reader("reader-1", 0),
                                         Fixtures.writer("writer-1", 0)))));
-        perform(decide.onEvent(now, Fixtures.request(1, "session", "system-prompt", 1500, 1200)));
+        perform(policy.onEvent(now, Fixtures.request(1, "session", "system-prompt", 1500, 1200)));
         while (now < 5_000_000) {
             Due due = pending.remove();
             now = due.at();
-            perform(decide.onEvent(now, due.event()));
+            perform(policy.onEvent(now, due.event()));
         }
         assertEquals(List.of("reader-1", "writer-1"), path);
     }
--- a/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
@@ -3,11 +3,23 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static sorrelhoist.routing.Fixtures.*;
+import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.ended;
+import static sorrelhoist.routing.Fixtures.fleet;
+import static sorrelhoist.routing.Fixtures.plain;
+import static sorrelhoist.routing.Fixtures.reader;
+import static sorrelhoist.routing.Fixtures.request;
+import static sorrelhoist.routing.Fixtures.send;
+import static sorrelhoist.routing.Fixtures.with;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.ClientGone;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.ServerState;
 
 /** What one router has learnt serves another; what is stale, replaced or false costs no rule. */
 class KnowledgeTest {
@@ -51,7 +63,7 @@
     }
 
     @Test
-    void aTaughtHolderIsExploited() {
+    void anImportedPrefixHolderIsUsed() {
         String untaught = readerOf(fresh(), SECOND);
         for (String reader : new String[] {"r1", "r2", "r3", "r4"}) {
             RoutingPolicy d = fresh();
@@ -62,7 +74,7 @@
     }
 
     @Test
-    void whatIsOldOrOfAnotherProcessIsPassedOver() {
+    void oldKnowledgeAndThatOfAnotherProcessIsIgnored() {
         String untaught = readerOf(fresh(), SECOND);
         String other = untaught.equals("r1") ? "r2" : "r1";
         for (Knowledge k :
@@ -95,7 +107,7 @@
     }
 
     @Test
-    void whatIsKnownComesBackAfterARestart() {
+    void knowledgeSurvivesARestart() {
         Knowledge k = teacher().exportKnowledge(4 * SECOND, 1000);
         assertEquals(60, k.keys().size());
         RoutingPolicy next = fresh();
@@ -110,7 +122,7 @@
     }
 
     @Test
-    void hearsayIsNotToldOnAndAKeyGrowsNoYoungerInACircle() {
+    void importedHealthIsNotPassedOnAndAPrefixGrowsNoYoungerInACircle() {
         RoutingPolicy a = fresh();
         RoutingPolicy b = fresh();
         Knowledge.RegressionSums none = new Knowledge.RegressionSums(0, 0, 0, 0, 0);
@@ -134,7 +146,7 @@
     }
 
     @Test
-    void aFalseTeacherBreaksNoRule() {
+    void falseKnowledgeBreaksNoRule() {
         RoutingPolicy d = fresh();
         d.onEvent(
                 SECOND,
