--- /dev/null
+++ b/core/src/test/resources/stored/transfer.tag
@@ -0,0 +1,1 @@
+ÇœMoÄYŸ_ÿ=Ş„é³dOXF"Å½J¿ÕÛ©Œx¶A
