--- a/core/src/main/java/sorrelhoist/core/record/CorruptRecordException.java
+++ b/core/src/main/java/sorrelhoist/core/record/CorruptRecordException.java
@@ -4,6 +4,7 @@
 public final class CorruptRecordException extends Exception {
     private static final long serialVersionUID = 1;
 
+    // No stack trace: damaged input is expected, and the message says all.
     CorruptRecordException(String message) {
         super(message, null, false, false);
     }
--- a/core/src/main/java/sorrelhoist/core/record/DecisionListener.java
+++ b/core/src/main/java/sorrelhoist/core/record/DecisionListener.java
@@ -1,27 +1,45 @@
 package sorrelhoist.core.record;
 
-import java.util.List;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Routing.Action;
 import sorrelhoist.routing.Routing.Event;
 
+import java.util.List;
+
 /**
- * Hears all that a router's decisions were told and said. It changes nothing and takes next to no
- * time.
+ * Is told of all that a router's decisions are given and answer, on the router's thread. A listener
+ * must not block or change anything.
  */
 public interface DecisionListener {
-    /** Hears nothing. */
+    /** Ignores everything. */
     DecisionListener NONE = new DecisionListener() {};
 
-    /** Decide was told something, and said something. */
+    /**
+     * An event was decided.
+     *
+     * @param at when, in microseconds
+     * @param event what was decided about
+     * @param actions what was decided, in order
+     */
     default void onDecision(long at, Event event, List<Action> actions) {}
 
-    /** Decide was taught. */
+    /**
+     * Knowledge of another router, or of an earlier start, was adopted.
+     *
+     * @param at when, in microseconds
+     * @param age how old it was then, in microseconds
+     * @param knowledge what was adopted
+     */
     default void onKnowledgeAdopted(long at, long age, Knowledge knowledge) {}
 
-    /** A request got its number at Decide; the prompt is for its hash alone. */
-    default void onRequestSubmitted(RecordEntry.RequestSubmitted asked, String prompt) {}
+    /**
+     * A request was submitted to the decisions.
+     *
+     * @param request who asked, with a prompt hash of 0
+     * @param prompt its text, which is given for its hash alone and must not be kept
+     */
+    default void onRequestSubmitted(RecordEntry.RequestSubmitted request, String prompt) {}
 
-    /** A client got its final answer, or left. */
-    default void onRequestCompleted(RecordEntry.RequestCompleted answered) {}
+    /** A client got its final answer, or disconnected. */
+    default void onRequestCompleted(RecordEntry.RequestCompleted completion) {}
 }
--- a/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
@@ -1,21 +1,22 @@
 package sorrelhoist.core.record;
 
-import java.util.List;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing;
 
+import java.util.List;
+
 /**
- * One thing that a record holds, in the order in which it happened. Times are microseconds on the
- * router's clock.
+ * One entry of a record, in the order in which things happened. Times are microseconds on the
+ * router's clock. Components and constants are stored by their order: new ones come last.
  */
 public sealed interface RecordEntry {
     /**
-     * What the router was made of; every chunk begins with it.
+     * How the router was built and configured; every chunk begins with it.
      *
      * @param build the program's version
-     * @param name the edge's name
-     * @param incarnation of its start
+     * @param name the router's name
+     * @param incarnation of its process; a later start has a higher one
      * @param settings of the decisions
      * @param seed of all randomness
      */
@@ -28,34 +29,34 @@
             implements RecordEntry {}
 
     /**
-     * Decide was told something, and said something.
+     * An event and what was decided about it.
      *
      * @param at when
-     * @param event what it was told
-     * @param actions what it said, in order
+     * @param event what was decided about
+     * @param actions what was decided, in order
      */
     record Decision(long at, Routing.Event event, List<Routing.Action> actions)
             implements RecordEntry {}
 
     /**
-     * Decide was taught.
+     * Knowledge of another router, or of an earlier start, was adopted.
      *
      * @param at when
-     * @param age how old that was
-     * @param knowledge what
+     * @param age how old it was then, in microseconds
+     * @param knowledge what was adopted
      */
     record KnowledgeAdopted(long at, long age, Knowledge knowledge) implements RecordEntry {}
 
     /**
-     * A client's request, or what is left of one whose stream broke, got its number at Decide. No
-     * text is kept of it.
+     * A client's request, or the rest of one whose stream broke, was submitted to the decisions. No
+     * text of it is recorded.
      *
      * @param at when
-     * @param id its number at Decide
+     * @param id its number at the decisions
      * @param client its client's number at the router
      * @param name its name at engines
-     * @param clientId its client's own name for it; may be empty
-     * @param promptHash 64 bits (XXH3) of the prompt's text, so that equal prompts show
+     * @param clientId the name that its client gave it; may be empty
+     * @param promptHash 64 bits (XXH3) of the prompt's text, by which equal prompts are found
      * @param timeoutMicros until the client gives up on the whole answer; 0 where it did not say
      * @param fromToken tokens that the client has already
      */
@@ -71,14 +72,14 @@
             implements RecordEntry {}
 
     /**
-     * A client got its final answer.
+     * A client got its final answer, or disconnected.
      *
      * @param at when
      * @param client its number at the router
      * @param how what it got
      * @param tokens that it got
-     * @param leftMicros of its time; Long.MAX_VALUE where it did not say
-     * @param why what Decide gave, or {@link Reason#UNKNOWN}
+     * @param leftMicros of its timeout; Long.MAX_VALUE where it gave none
+     * @param why the reason that was decided, or {@link Reason#UNKNOWN}
      */
     record RequestCompleted(
             long at, long client, Completion how, int tokens, long leftMicros, Reason why)
@@ -86,25 +87,30 @@
 
     /** How a request ended for its client. */
     enum Completion {
+        /** It got its whole answer. */
         SERVED,
+        /** It was rejected, and a retry is harmless. */
         REFUSED,
+        /** It failed, and nothing is promised about a retry. */
         FAILED,
+        /** Its client took nothing of the answer, and was given up. */
         STALLED,
+        /** Its client disconnected. */
         LEFT
     }
 
     /**
-     * Entries were lost under pressure; a replay cannot go on past this.
+     * Entries were dropped under pressure; a replay cannot go on past this.
      *
      * @param entries how many
      */
     record EntriesDropped(long entries) implements RecordEntry {}
 
     /**
-     * Something worth finding again.
+     * A note that somebody may search for.
      *
      * @param at when
-     * @param text what
+     * @param text the note
      */
     record Marker(long at, String text) implements RecordEntry {}
 }
--- a/core/src/main/java/sorrelhoist/core/record/Recorder.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recorder.java
@@ -1,44 +1,52 @@
 package sorrelhoist.core.record;
 
-import java.util.List;
-import java.util.function.Predicate;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Routing.Action;
 import sorrelhoist.routing.Routing.Event;
 
+import java.util.List;
+import java.util.function.Predicate;
+
 /**
- * Puts what it hears into chunks, at once and in memory, and hands each chunk on when it is full or
- * old. Where the taker has no room, the chunk is dropped, its entries are counted, and the next one
- * says so: what is recorded never waits for a disk, and what is missing is never silent. One
- * thread.
+ * Encodes what it is told into chunks, at once and in memory, and hands each chunk on when it is
+ * full or old. Where the sink has no room, the chunk is dropped, its entries are counted, and the
+ * next chunk begins with their number: recording never waits for a disk, and a gap always shows.
+ * For one thread.
  */
 public final class Recorder implements DecisionListener {
-    static final int CHUNK = 64 << 10;
-    private static final long CHUNK_AGE =
-            500_000; // what a kill costs at most, besides what the taker still has
-    private final RecordEntry.Header head;
-    private final Predicate<byte[]> taker;
-    private final ChunkCodec.Writer writer = new ChunkCodec.Writer();
-    private long next;
-    private long begunAt = Long.MIN_VALUE;
+    /** Bytes after which a chunk is handed on. */
+    static final int CHUNK_BYTES = 64 << 10;
+
+    /**
+     * After which a chunk is handed on: a killed process loses this and what the sink still has.
+     */
+    private static final long MAX_CHUNK_AGE_MICROS = 500_000;
+
+    private static final long NO_CHUNK = Long.MIN_VALUE;
+
+    private final RecordEntry.Header header;
+    private final Predicate<byte[]> sink;
+    private final ChunkWriter chunk = new ChunkWriter();
+    private long nextNumber;
+    private long chunkBegunAt = NO_CHUNK;
     private long droppedEntries;
 
     /**
-     * Makes one.
+     * Creates a recorder.
      *
-     * @param head what the router is made of
-     * @param taker takes chunks; false where it has no room
+     * @param header how the router was built and configured
+     * @param sink takes chunks; false where it has no room
      */
-    public Recorder(RecordEntry.Header head, Predicate<byte[]> taker) {
-        this.head = head;
-        this.taker = taker;
+    public Recorder(RecordEntry.Header header, Predicate<byte[]> sink) {
+        this.header = header;
+        this.sink = sink;
     }
 
     @Override
     public void onDecision(long at, Event event, List<Action> actions) {
-        begin(at);
-        writer.told(at, event, actions);
-        end(at);
+        beginChunkIfNone(at);
+        chunk.writeDecision(at, event, actions);
+        flushIfDue(at);
     }
 
     @Override
@@ -47,68 +55,76 @@
     }
 
     @Override
-    public void onRequestSubmitted(RecordEntry.RequestSubmitted a, String prompt) {
+    public void onRequestSubmitted(RecordEntry.RequestSubmitted request, String prompt) {
         add(
-                a.at(),
+                request.at(),
                 new RecordEntry.RequestSubmitted(
-                        a.at(),
-                        a.id(),
-                        a.client(),
-                        a.name(),
-                        a.clientId(),
-                        ChunkCodec.hash(prompt),
-                        a.timeoutMicros(),
-                        a.fromToken()));
+                        request.at(),
+                        request.id(),
+                        request.client(),
+                        request.name(),
+                        request.clientId(),
+                        ChunkCodec.textHash(prompt),
+                        request.timeoutMicros(),
+                        request.fromToken()));
     }
 
     @Override
-    public void onRequestCompleted(RecordEntry.RequestCompleted answered) {
-        add(answered.at(), answered);
+    public void onRequestCompleted(RecordEntry.RequestCompleted completion) {
+        add(completion.at(), completion);
     }
 
-    /** Marks a place. */
+    /**
+     * Adds a note that somebody may search for.
+     *
+     * @param at when, in microseconds
+     * @param text the note
+     */
     public void addMarker(long at, String text) {
         add(at, new RecordEntry.Marker(at, text));
     }
 
     private void add(long at, RecordEntry entry) {
-        begin(at);
-        writer.entry(entry);
-        end(at);
+        beginChunkIfNone(at);
+        chunk.write(entry);
+        flushIfDue(at);
     }
 
-    private void begin(long at) {
-        if (begunAt == Long.MIN_VALUE) {
-            begunAt = at;
-            writer.begin(next, head);
-            if (droppedEntries > 0) {
-                writer.entry(new RecordEntry.EntriesDropped(droppedEntries));
-            }
+    private void beginChunkIfNone(long at) {
+        if (chunkBegunAt != NO_CHUNK) {
+            return;
+        }
+        chunkBegunAt = at;
+        chunk.begin(nextNumber, header);
+        if (droppedEntries > 0) {
+            chunk.write(new RecordEntry.EntriesDropped(droppedEntries));
         }
     }
 
-    private void end(long at) {
-        if (writer.size() >= CHUNK || at - begunAt >= CHUNK_AGE) {
+    private void flushIfDue(long at) {
+        if (chunk.size() >= CHUNK_BYTES || at - chunkBegunAt >= MAX_CHUNK_AGE_MICROS) {
             flush();
         }
     }
 
-    /** Hands on what there is. */
+    /** Hands on the chunk that is being filled, if there is one. */
     public void flush() {
-        if (begunAt != Long.MIN_VALUE) {
-            int entries = writer.entries() - (droppedEntries > 0 ? 1 : 0);
-            next += entries;
-            droppedEntries = taker.test(writer.end()) ? 0 : droppedEntries + entries;
-            begunAt = Long.MIN_VALUE;
+        if (chunkBegunAt == NO_CHUNK) {
+            return;
         }
+        // The entry that counts dropped ones has no number of its own.
+        int numbered = chunk.entryCount() - (droppedEntries > 0 ? 1 : 0);
+        nextNumber += numbered;
+        droppedEntries = sink.test(chunk.end()) ? 0 : droppedEntries + numbered;
+        chunkBegunAt = NO_CHUNK;
     }
 
-    /** {@return when {@link #flush} is due by age; Long.MAX_VALUE where there is nothing} */
+    /** {@return when {@link #flush} is due by age, in microseconds; Long.MAX_VALUE for never} */
     public long flushDueAt() {
-        return begunAt == Long.MIN_VALUE ? Long.MAX_VALUE : begunAt + CHUNK_AGE;
+        return chunkBegunAt == NO_CHUNK ? Long.MAX_VALUE : chunkBegunAt + MAX_CHUNK_AGE_MICROS;
     }
 
-    /** {@return entries that were dropped since the last chunk that was taken} */
+    /** {@return entries that were dropped since the last chunk that the sink took} */
     public long droppedEntries() {
         return droppedEntries;
     }
--- a/core/src/main/java/sorrelhoist/core/record/Recording.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recording.java
@@ -1,101 +1,64 @@
 package sorrelhoist.core.record;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
 
-/**
- * A record put together: the entries of one router's one start, in order, and where some are
- * missing.
- */
+/** The entries of one start of one router, in order, and where some are missing. Immutable. */
 public final class Recording {
     /**
-     * An entry in its place.
+     * An entry with its number.
      *
-     * @param number counted from the router's start
-     * @param entry what it holds
+     * @param number counted from the router's start, from 0
+     * @param entry the entry
      */
     public record NumberedEntry(long number, RecordEntry entry) {}
 
+    /**
+     * Entries that are missing.
+     *
+     * @param firstMissing number of the first of them
+     * @param nextPresent number of the entry after the last of them
+     */
+    public record Gap(long firstMissing, long nextPresent) {}
+
     private final RecordEntry.Header header;
     private final List<NumberedEntry> entries;
     private final List<String> faults;
-    private final List<long[]> gaps;
+    private final List<Gap> gaps;
 
-    private Recording(
-            RecordEntry.Header head,
-            List<NumberedEntry> lines,
+    Recording(
+            RecordEntry.Header header,
+            List<NumberedEntry> entries,
             List<String> faults,
-            List<long[]> gaps) {
-        this.header = head;
-        this.entries = lines;
+            List<Gap> gaps) {
+        this.header = header;
+        this.entries = entries;
         this.faults = faults;
         this.gaps = gaps;
     }
 
     /**
-     * Puts files together. Of several routers or starts, the newest start is taken and the others
-     * are named as a fault.
+     * Reads segment files and puts their entries together. Of several routers or starts, the newest
+     * start is taken, and that there are others is named as a fault.
      *
      * @param files whole files, in any order
-     * @return the tape
+     * @return the recording
      * @throws CorruptRecordException where no sound chunk is found
      */
     public static Recording of(List<byte[]> files) throws CorruptRecordException {
-        List<ChunkCodec.Chunk> all = new ArrayList<>();
-        List<String> faults = new ArrayList<>();
-        for (byte[] file : files) {
-            ChunkCodec.Read read = ChunkCodec.read(file);
-            all.addAll(read.chunks());
-            faults.addAll(read.faults());
-        }
-        if (all.isEmpty()) {
-            throw new CorruptRecordException(
-                    faults.isEmpty() ? "the record is empty" : faults.get(0));
-        }
-        RecordEntry.Header head =
-                all.stream()
-                        .map(ChunkCodec.Chunk::head)
-                        .max(Comparator.comparingLong(RecordEntry.Header::incarnation))
-                        .orElseThrow();
-        long others = all.stream().filter(c -> !c.head().equals(head)).count();
-        if (others > 0) {
-            faults.add(
-                    others
-                            + " chunks are of another router or an earlier start, and are passed"
-                            + " over");
-        }
-        all.removeIf(c -> !c.head().equals(head));
-        all.sort(Comparator.comparingLong(ChunkCodec.Chunk::first));
-        List<NumberedEntry> lines = new ArrayList<>();
-        List<long[]> gaps = new ArrayList<>();
-        long next = 0;
-        for (ChunkCodec.Chunk c : all) {
-            if (c.first() > next) {
-                gaps.add(new long[] {next, c.first()});
-            }
-            long number = c.first();
-            for (RecordEntry e : c.entries()) {
-                if (e instanceof RecordEntry.EntriesDropped || number < next) {
-                    // Lost entries show by the numbers; a chunk that was kept twice counts once.
-                    number += e instanceof RecordEntry.EntriesDropped ? 0 : 1;
-                    continue;
-                }
-                lines.add(new NumberedEntry(number++, e));
-                next = number;
-            }
-        }
-        return new Recording(head, lines, faults, gaps);
+        RecordingAssembler assembler = new RecordingAssembler();
+        files.forEach(assembler::add);
+        return assembler.assemble();
     }
 
-    /** {@return a tape made of these entries, numbered anew} */
-    public static Recording of(RecordEntry.Header head, List<RecordEntry> entries) {
-        List<NumberedEntry> lines = new ArrayList<>();
-        entries.forEach(e -> lines.add(new NumberedEntry(lines.size(), e)));
-        return new Recording(head, lines, List.of(), List.of());
+    /** {@return a recording of these entries, numbered anew} */
+    public static Recording of(RecordEntry.Header header, List<RecordEntry> entries) {
+        List<NumberedEntry> numbered = new ArrayList<>();
+        entries.forEach(entry -> numbered.add(new NumberedEntry(numbered.size(), entry)));
+        return new Recording(header, numbered, List.of(), List.of());
     }
 
-    /** {@return what the router was made of} */
+    /** {@return how the router was built and configured} */
     public RecordEntry.Header header() {
         return header;
     }
@@ -110,8 +73,8 @@
         return faults;
     }
 
-    /** {@return where entries are missing: from this number on, up to before that one} */
-    public List<long[]> gaps() {
+    /** {@return where entries are missing} */
+    public List<Gap> gaps() {
         return gaps;
     }
 
@@ -123,26 +86,29 @@
         return gaps.isEmpty();
     }
 
-    /** {@return it as one file} */
+    /** {@return the recording as one segment file} */
     public byte[] toFileBytes() {
-        Bytes out = new Bytes().raw(ChunkCodec.fileHeader(), ChunkCodec.fileHeader().length);
-        ChunkCodec.Writer w = new ChunkCodec.Writer();
-        long expected = -1;
-        for (NumberedEntry line : entries) {
-            if (line.number() != expected || w.size() > Recorder.CHUNK) {
-                if (expected >= 0) {
-                    byte[] chunk = w.end();
-                    out.raw(chunk, chunk.length);
-                }
-                w.begin(line.number(), header);
+        byte[] fileHeader = ChunkCodec.fileHeader();
+        BinaryWriter out = new BinaryWriter().writeBytes(fileHeader, fileHeader.length);
+        ChunkWriter chunk = new ChunkWriter();
+        long nextNumber = -1;
+        for (NumberedEntry numbered : entries) {
+            // A chunk numbers its entries from its first one on, so each gap begins another.
+            if (numbered.number() != nextNumber || chunk.size() > Recorder.CHUNK_BYTES) {
+                append(chunk, nextNumber, out);
+                chunk.begin(numbered.number(), header);
             }
-            w.entry(line.entry());
-            expected = line.number() + 1;
+            chunk.write(numbered.entry());
+            nextNumber = numbered.number() + 1;
         }
-        if (expected >= 0) {
-            byte[] chunk = w.end();
-            out.raw(chunk, chunk.length);
+        append(chunk, nextNumber, out);
+        return out.toByteArray();
+    }
+
+    private static void append(ChunkWriter chunk, long nextNumber, BinaryWriter out) {
+        if (nextNumber >= 0) {
+            byte[] bytes = chunk.end();
+            out.writeBytes(bytes, bytes.length);
         }
-        return out.copy();
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/Replay.java
+++ b/core/src/main/java/sorrelhoist/core/record/Replay.java
@@ -1,13 +1,14 @@
 package sorrelhoist.core.record;
 
+import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.RoutingPolicy;
+
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import sorrelhoist.routing.Routing;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.RoutingPolicy;
 
 /**
  * Plays a tape's events into a new {@link RoutingPolicy} and compares all that it says with what
@@ -158,6 +159,6 @@
         return a.equals(b)
                 || a.getClass() == b.getClass()
                         && Arrays.equals(
-                                ChunkCodec.bytes((Record) a), ChunkCodec.bytes((Record) b));
+                                ChunkWriter.encode((Record) a), ChunkWriter.encode((Record) b));
     }
 }
--- /dev/null
+++ b/core/src/main/java/sorrelhoist/core/record/SegmentReader.java
@@ -0,0 +1,130 @@
+package sorrelhoist.core.record;
+
+import sorrelhoist.routing.Routing;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Decodes segment files; see {@link ChunkCodec} for their form. */
+final class SegmentReader {
+    private final byte[] file;
+    private final BinaryReader in;
+    private final List<Chunk> chunks = new ArrayList<>();
+    private final List<String> faults = new ArrayList<>();
+
+    private SegmentReader(byte[] file, int from) {
+        this.file = file;
+        this.in = new BinaryReader(file, from, file.length);
+    }
+
+    /** Decodes a file. Never fails: what cannot be read is named among the faults. */
+    static DecodedSegment read(byte[] file) {
+        byte[] header = ChunkCodec.fileHeader();
+        int common = Math.min(file.length, header.length);
+        for (int i = 0; i < common; i++) {
+            if (file[i] != header[i]) {
+                boolean otherVersion = i == header.length - 1;
+                return otherVersion
+                        ? DecodedSegment.rejected("a record of another version of the form", false)
+                        : DecodedSegment.rejected("no record of this program", true);
+            }
+        }
+        SegmentReader reader = new SegmentReader(file, header.length);
+        reader.readChunks();
+        return new DecodedSegment(reader.chunks, reader.faults, false);
+    }
+
+    private void readChunks() {
+        try {
+            while (in.remaining() >= ChunkCodec.FRAME_HEADER_BYTES && readFrame()) {
+                // To the end, or to what cannot be passed over.
+            }
+        } catch (CorruptRecordException e) {
+            faults.add(e.getMessage());
+        }
+    }
+
+    /** Reads one chunk with its frame. {@return whether the next one can be found} */
+    private boolean readFrame() throws CorruptRecordException {
+        int start = in.position();
+        int length = in.readInt();
+        long checksum = in.readLong();
+        if (length <= 0 || length > ChunkCodec.MAX_CHUNK_BYTES) {
+            faults.add(
+                    "a chunk of "
+                            + length
+                            + " bytes at byte "
+                            + start
+                            + "; nothing after it can be found");
+            return false;
+        }
+        if (length > in.remaining()) {
+            return false;
+        }
+        int from = in.position();
+        BinaryReader content = in.slice(length);
+        if (ChunkCodec.checksum(file, from, length) != checksum) {
+            faults.add("a damaged chunk of " + length + " bytes at byte " + start);
+            return true;
+        }
+        try {
+            chunks.add(readChunk(content));
+        } catch (CorruptRecordException e) {
+            faults.add("the chunk at byte " + start + ": " + e.getMessage());
+        }
+        return true;
+    }
+
+    private static Chunk readChunk(BinaryReader in) throws CorruptRecordException {
+        StringTable strings = new StringTable();
+        long firstNumber = in.readVarint();
+        List<RecordEntry> entries = new ArrayList<>();
+        RecordEntry.Header header = null;
+        while (in.remaining() > 0) {
+            RecordEntry entry = readEntry(in, strings);
+            if (header != null) {
+                entries.add(entry);
+            } else if (entry instanceof RecordEntry.Header first) {
+                header = first;
+            } else {
+                throw new CorruptRecordException(
+                        "it does not begin with what the router was made of");
+            }
+        }
+        if (header == null) {
+            throw new CorruptRecordException("it is empty");
+        }
+        return new Chunk(firstNumber, header, entries);
+    }
+
+    private static RecordEntry readEntry(BinaryReader in, StringTable strings)
+            throws CorruptRecordException {
+        int tag = in.readByte();
+        BinaryReader content = in.readBlock();
+        return tag == EntryTags.DECISION
+                ? readDecision(content, strings)
+                : readTagged(EntryTags.ENTRIES, tag, content, strings);
+    }
+
+    private static RecordEntry.Decision readDecision(BinaryReader in, StringTable strings)
+            throws CorruptRecordException {
+        long at = in.readSignedVarint();
+        Routing.Event event = readTagged(EntryTags.EVENTS, in.readByte(), in.readBlock(), strings);
+        int count = in.readLength(2);
+        List<Routing.Action> actions = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            actions.add(readTagged(EntryTags.ACTIONS, in.readByte(), in.readBlock(), strings));
+        }
+        return new RecordEntry.Decision(at, event, actions);
+    }
+
+    private static <T> T readTagged(
+            List<Class<? extends T>> types, int tag, BinaryReader in, StringTable strings)
+            throws CorruptRecordException {
+        if (tag >= types.size()) {
+            throw new CorruptRecordException(
+                    "an entry of kind " + tag + ", which this build does not know");
+        }
+        return RecordCodec.of(types.get(tag)).read(in, strings);
+    }
+}
--- a/core/src/test/java/sorrelhoist/core/record/RecordTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordTest.java
@@ -5,13 +5,15 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import org.junit.jupiter.api.Test;
+
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.*;
+
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.*;
 
 /** The record's bytes: exact, bounded, and honest about what is missing. */
 class RecordTest {
@@ -91,15 +93,15 @@
 
     private static byte[] file(int perChunk) {
         List<byte[]> parts = new ArrayList<>(List.of(ChunkCodec.fileHeader()));
-        ChunkCodec.Writer w = new ChunkCodec.Writer();
+        ChunkWriter w = new ChunkWriter();
         for (int i = 0; i < ENTRIES.size(); i += perChunk) {
             w.begin(i, HEAD);
-            ENTRIES.subList(i, Math.min(ENTRIES.size(), i + perChunk)).forEach(w::entry);
+            ENTRIES.subList(i, Math.min(ENTRIES.size(), i + perChunk)).forEach(w::write);
             parts.add(w.end());
         }
-        Bytes all = new Bytes();
-        parts.forEach(p -> all.raw(p, p.length));
-        return all.copy();
+        BinaryWriter all = new BinaryWriter();
+        parts.forEach(p -> all.writeBytes(p, p.length));
+        return all.toByteArray();
     }
 
     private static List<RecordEntry> entries(Recording tape) {
@@ -122,7 +124,7 @@
         byte[] file = file(2);
         int most = 0;
         for (int length = 0; length <= file.length; length++) {
-            ChunkCodec.Read read = ChunkCodec.read(Arrays.copyOf(file, length));
+            DecodedSegment read = SegmentReader.read(Arrays.copyOf(file, length));
             assertEquals(List.of(), read.faults(), "at " + length);
             assertTrue(read.chunks().size() >= most, "at " + length);
             most = read.chunks().size();
@@ -136,21 +138,21 @@
         for (int at = ChunkCodec.fileHeader().length; at < file.length; at++) {
             byte[] bad = file.clone();
             bad[at] ^= 0x10;
-            ChunkCodec.Read read = ChunkCodec.read(bad);
+            DecodedSegment read = SegmentReader.read(bad);
             assertTrue(read.chunks().size() < 4, "at " + at);
-            if (read.chunks().size() == 3 && read.chunks().get(2).first() == 6) {
+            if (read.chunks().size() == 3 && read.chunks().get(2).firstNumber() == 6) {
                 assertFalse(Recording.of(List.of(bad)).isComplete(), "at " + at);
                 assertFalse(read.faults().isEmpty());
             }
         }
         byte[] foreign = file.clone();
         foreign[2] = 'x';
-        assertTrue(ChunkCodec.read(foreign).foreign());
+        assertTrue(SegmentReader.read(foreign).foreign());
         foreign = file.clone();
         foreign[7] = '9';
         assertEquals(
                 "a record of another version of the form",
-                ChunkCodec.read(foreign).faults().get(0));
+                SegmentReader.read(foreign).faults().get(0));
         assertThrows(
                 CorruptRecordException.class, () -> Recording.of(List.of(ChunkCodec.fileHeader())));
     }
@@ -161,11 +163,11 @@
     @Test
     void noiseBehindARightChecksumIsRefused() {
         SplittableRandom random = new SplittableRandom(4);
-        ChunkCodec.Writer w = new ChunkCodec.Writer();
+        ChunkWriter w = new ChunkWriter();
         int refused = 0;
         for (int i = 0; i < 20_000; i++) {
             w.begin(0, HEAD);
-            ENTRIES.forEach(w::entry);
+            ENTRIES.forEach(w::write);
             byte[] chunk = w.end();
             for (int k = 0; k < 3; k++) {
                 chunk[12 + random.nextInt(chunk.length - 12)] = (byte) random.nextInt();
@@ -173,11 +175,15 @@
             long sum =
                     net.openhft.hashing.LongHashFunction.xx3()
                             .hashBytes(chunk, 12, chunk.length - 12);
-            byte[] framed = new Bytes().four(chunk.length - 12).eight(sum).copy();
+            byte[] framed =
+                    new BinaryWriter().writeInt(chunk.length - 12).writeLong(sum).toByteArray();
             System.arraycopy(framed, 0, chunk, 0, 12);
             byte[] file =
-                    new Bytes().raw(ChunkCodec.fileHeader(), 8).raw(chunk, chunk.length).copy();
-            refused += ChunkCodec.read(file).faults().isEmpty() ? 0 : 1;
+                    new BinaryWriter()
+                            .writeBytes(ChunkCodec.fileHeader(), 8)
+                            .writeBytes(chunk, chunk.length)
+                            .toByteArray();
+            refused += SegmentReader.read(file).faults().isEmpty() ? 0 : 1;
         }
         assertTrue(refused > 1000, refused + " refused");
     }
@@ -196,17 +202,21 @@
         assertEquals(0, recorder.droppedEntries());
         byte[] file = ChunkCodec.fileHeader();
         for (byte[] c : taken) {
-            file = new Bytes().raw(file, file.length).raw(c, c.length).copy();
+            file =
+                    new BinaryWriter()
+                            .writeBytes(file, file.length)
+                            .writeBytes(c, c.length)
+                            .toByteArray();
         }
         Recording tape = Recording.of(List.of(file));
         assertFalse(tape.isComplete());
         assertEquals(1, tape.gaps().size());
-        assertEquals("[4, 10]", Arrays.toString(tape.gaps().get(0)));
+        assertEquals(List.of(new Recording.Gap(4, 10)), tape.gaps());
         assertEquals(
                 List.of(0L, 1L, 2L, 3L, 10L, 11L),
                 tape.entries().stream().map(Recording.NumberedEntry::number).toList());
         assertTrue(
-                ChunkCodec.read(file)
+                SegmentReader.read(file)
                         .chunks()
                         .get(2)
                         .entries()
@@ -223,34 +233,37 @@
 
     record After(long a, String b, double c, Reason why, List<String> d) {}
 
-    private static final RecordForm.Texts PLAIN =
-            new RecordForm.Texts() {
+    private static final StringCodec PLAIN =
+            new StringCodec() {
                 @Override
-                public void write(Bytes out, String text) {
-                    out.text(text == null ? "" : text);
+                public void write(BinaryWriter out, String text) {
+                    out.writeString(text == null ? "" : text);
                 }
 
                 @Override
-                public String read(Input in) throws CorruptRecordException {
-                    return in.text();
+                public String read(BinaryReader in) throws CorruptRecordException {
+                    return in.readString();
                 }
             };
 
     @Test
     void buildsThatDifferByAFieldReadEachOther() throws CorruptRecordException {
-        Bytes old = new Bytes();
-        RecordForm.of(Before.class).write(old, new Before(-3, "x"), PLAIN);
-        After read = RecordForm.of(After.class).read(new Input(old.copy(), 0, old.size()), PLAIN);
+        BinaryWriter old = new BinaryWriter();
+        RecordCodec.of(Before.class).write(old, new Before(-3, "x"), PLAIN);
+        After read =
+                RecordCodec.of(After.class)
+                        .read(new BinaryReader(old.toByteArray(), 0, old.size()), PLAIN);
         assertEquals(new After(-3, "x", Double.NaN, Reason.UNKNOWN, List.of()), read);
-        Bytes later = new Bytes();
-        RecordForm.of(After.class)
+        BinaryWriter later = new BinaryWriter();
+        RecordCodec.of(After.class)
                 .write(
                         later,
                         new After(9, "y", 0.5, Reason.of(Reason.Kind.COLD), List.of("z")),
                         PLAIN);
         assertEquals(
                 new Before(9, "y"),
-                RecordForm.of(Before.class).read(new Input(later.copy(), 0, later.size()), PLAIN));
+                RecordCodec.of(Before.class)
+                        .read(new BinaryReader(later.toByteArray(), 0, later.size()), PLAIN));
     }
 
     @Test
--- a/core/src/test/java/sorrelhoist/core/record/StoredRecordTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/StoredRecordTest.java
@@ -3,12 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.List;
 import org.junit.jupiter.api.Test;
+
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing.Action;
@@ -52,6 +48,12 @@
 import sorrelhoist.routing.Routing.Timer;
 import sorrelhoist.routing.Routing.TimerFired;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+
 /**
  * Reads a record segment that was written by commit 40a42e7, before types and components were
  * renamed. It holds every kind of entry, event and action and every constant of every enum.
@@ -238,37 +240,35 @@
     }
 
     private static byte[] written() {
-        Bytes out = new Bytes().raw(ChunkCodec.fileHeader(), ChunkCodec.fileHeader().length);
-        ChunkCodec.Writer writer = new ChunkCodec.Writer();
+        BinaryWriter out =
+                new BinaryWriter()
+                        .writeBytes(ChunkCodec.fileHeader(), ChunkCodec.fileHeader().length);
+        ChunkWriter writer = new ChunkWriter();
         byte[] chunk = chunk(writer, 0, header(77, LoadReportMode.NONE), membership());
-        out.raw(chunk, chunk.length);
+        out.writeBytes(chunk, chunk.length);
         chunk = chunk(writer, 8, header(78, LoadReportMode.IN_OUTCOMES), requests());
-        out.raw(chunk, chunk.length);
+        out.writeBytes(chunk, chunk.length);
         chunk = chunk(writer, 300, header(79, LoadReportMode.IN_PROBES), constants());
-        out.raw(chunk, chunk.length);
-        return out.copy();
+        out.writeBytes(chunk, chunk.length);
+        return out.toByteArray();
     }
 
     private static byte[] chunk(
-            ChunkCodec.Writer writer,
-            long first,
-            RecordEntry.Header header,
-            List<RecordEntry> entries) {
+            ChunkWriter writer, long first, RecordEntry.Header header, List<RecordEntry> entries) {
         writer.begin(first, header);
-        entries.forEach(writer::entry);
+        entries.forEach(writer::write);
         return writer.end();
     }
 
     @Test
     void aStoredSegmentIsReadWithItsContent() throws IOException {
-        ChunkCodec.Read read = ChunkCodec.read(Files.readAllBytes(FILE));
+        DecodedSegment read = SegmentReader.read(Files.readAllBytes(FILE));
         assertEquals(List.of(), read.faults());
         assertEquals(
                 List.of(
-                        new ChunkCodec.Chunk(0, header(77, LoadReportMode.NONE), membership()),
-                        new ChunkCodec.Chunk(8, header(78, LoadReportMode.IN_OUTCOMES), requests()),
-                        new ChunkCodec.Chunk(
-                                300, header(79, LoadReportMode.IN_PROBES), constants())),
+                        new Chunk(0, header(77, LoadReportMode.NONE), membership()),
+                        new Chunk(8, header(78, LoadReportMode.IN_OUTCOMES), requests()),
+                        new Chunk(300, header(79, LoadReportMode.IN_PROBES), constants())),
                 read.chunks());
     }
 
