--- a/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
@@ -359,7 +359,7 @@
             UnaryOperator<Recording> said,
             Path out)
             throws Said, IOException {
-        if (!shows.test(Replay.again(tape))) {
+        if (!shows.test(Replay.withReplayedActions(tape))) {
             throw new Said(
                     "no request of this record ends as "
                             + kind
--- a/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
+++ b/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
@@ -1,118 +1,149 @@
 package sorrelhoist.core.record;
 
+import sorrelhoist.routing.Knowledge;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.AttemptEnded;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Release;
+import sorrelhoist.routing.Routing.Send;
+
 import java.util.ArrayDeque;
+import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.*;
 
 /**
- * Says when a rule came close to breaking, or service fell, so that the record around it is kept:
- * an answer at the last moment, a state held almost too long, or many answers lost in a short time.
- * It looks at what a tap hears, decides nothing of a request, and is quiet for a while after each
- * word.
+ * Reports when a rule came close to being broken, or service degraded, so that the record around it
+ * is preserved: an answer at the last moment, a prefill state held almost too long, or many failed
+ * requests in a short time. It changes no decision, and reports one incident once.
  */
 public final class AnomalyTrigger implements DecisionListener {
-    /** When to speak. */
+    /** Is told of anomalies. */
     public interface AnomalyListener {
-        /** A rule is in danger, or service fell. */
+        /**
+         * A rule came close to being broken, or service degraded.
+         *
+         * @param at when, in microseconds
+         * @param what happened, for operators
+         */
         void onAnomaly(long at, String what);
     }
 
-    private static final long LAST_MOMENT =
-            20_000; // of a client's time: less was left when its answer came
-    private static final double NEARLY = 0.9; // of the release limit
-    private static final long WINDOW = 1_000_000;
-    private static final int MANY = 50; // failures, not refusals, in a window
-    private static final long QUIET = 60_000_000; // after each word: one record an incident
+    /** Of a client's timeout: an answer that leaves less is late. */
+    private static final long LAST_MOMENT_MICROS = 20_000;
+
+    /** Of the reservation limit: a state that was held for longer was almost held too long. */
+    private static final double NEARLY_EXPIRED = 0.9;
+
+    private static final long FAILURE_WINDOW_MICROS = 1_000_000;
+    private static final int MANY_FAILURES = 50;
+
+    /** After each report: one preserved record for one incident. */
+    private static final long QUIET_MICROS = 60_000_000;
+
+    private static final long MICROS_PER_MILLI = 1000;
+
     private final DecisionListener next;
-    private final long releaseMicros;
-    private final AnomalyListener alarm;
-    private final Map<Long, Long> readAt = new HashMap<>();
-    private final ArrayDeque<Long> failed = new ArrayDeque<>();
+    private final long reservationLimitMicros;
+    private final AnomalyListener listener;
+    private final Map<Long, Long> prefillDoneAt = new HashMap<>();
+    private final Deque<Long> failures = new ArrayDeque<>();
     private long quietUntil = Long.MIN_VALUE;
 
     /**
-     * Makes one.
+     * Creates a trigger.
      *
-     * @param next hears everything too, before this looks at it
-     * @param releaseMicros a held state is taken or let go within this time
-     * @param alarm told of danger
+     * @param next is told of everything too, before this looks at it
+     * @param reservationLimitMicros within which a held state is fetched or released
+     * @param listener is told of anomalies
      */
-    public AnomalyTrigger(DecisionListener next, long releaseMicros, AnomalyListener alarm) {
+    public AnomalyTrigger(
+            DecisionListener next, long reservationLimitMicros, AnomalyListener listener) {
         this.next = next;
-        this.releaseMicros = releaseMicros;
-        this.alarm = alarm;
+        this.reservationLimitMicros = reservationLimitMicros;
+        this.listener = listener;
     }
 
     @Override
     public void onDecision(long at, Event event, List<Action> actions) {
         next.onDecision(at, event, actions);
-        if (event instanceof AttemptEnded e && e.outcome() == Outcome.READ) {
-            readAt.put(e.id(), at);
+        if (event instanceof AttemptEnded ended && ended.outcome() == Outcome.READ) {
+            prefillDoneAt.put(ended.id(), at);
         }
-        for (Action a : actions) {
-            if (a instanceof Send s && readAt.containsKey(s.id())) {
-                taken(at, s.id());
-            } else if (a instanceof Release r) {
-                taken(at, r.id());
+        for (Action action : actions) {
+            if (action instanceof Send send) {
+                stateUsed(at, send.id());
+            } else if (action instanceof Release release) {
+                stateUsed(at, release.id());
             }
         }
-        if (event instanceof AttemptEnded e && e.ended()) {
-            readAt.remove(e.id());
+        if (event instanceof AttemptEnded ended && ended.ended()) {
+            prefillDoneAt.remove(ended.id());
         }
     }
 
-    private void taken(long at, long id) {
-        Long since = readAt.remove(id);
-        if (since != null && at - since > NEARLY * releaseMicros) {
-            raise(
+    private void stateUsed(long at, long requestId) {
+        Long since = prefillDoneAt.remove(requestId);
+        if (since != null && at - since > NEARLY_EXPIRED * reservationLimitMicros) {
+            report(
                     at,
                     "rule five: a state was held for "
-                            + (at - since) / 1000
+                            + (at - since) / MICROS_PER_MILLI
                             + " ms of "
-                            + releaseMicros / 1000);
+                            + reservationLimitMicros / MICROS_PER_MILLI);
         }
     }
 
     @Override
-    public void onKnowledgeAdopted(long at, long age, sorrelhoist.routing.Knowledge knowledge) {
+    public void onKnowledgeAdopted(long at, long age, Knowledge knowledge) {
         next.onKnowledgeAdopted(at, age, knowledge);
     }
 
     @Override
-    public void onRequestSubmitted(RecordEntry.RequestSubmitted asked, String prompt) {
-        next.onRequestSubmitted(asked, prompt);
+    public void onRequestSubmitted(RecordEntry.RequestSubmitted request, String prompt) {
+        next.onRequestSubmitted(request, prompt);
     }
 
     @Override
-    public void onRequestCompleted(RecordEntry.RequestCompleted a) {
-        next.onRequestCompleted(a);
-        boolean owed =
-                a.how() != RecordEntry.Completion.LEFT && a.how() != RecordEntry.Completion.STALLED;
-        if (owed && a.leftMicros() < LAST_MOMENT && a.how() != RecordEntry.Completion.SERVED) {
-            raise(
-                    a.at(),
+    public void onRequestCompleted(RecordEntry.RequestCompleted completion) {
+        next.onRequestCompleted(completion);
+        if (isUnservedAtTheLastMoment(completion)) {
+            report(
+                    completion.at(),
                     "rule one: an answer came "
-                            + a.leftMicros() / 1000
+                            + completion.leftMicros() / MICROS_PER_MILLI
                             + " ms before its client's time was up");
         }
-        if (a.how() == RecordEntry.Completion.FAILED && a.why().kind() != Reason.Kind.DEADLINE) {
-            failed.add(a.at());
-            while (failed.peek() < a.at() - WINDOW) {
-                failed.poll();
-            }
-            if (failed.size() >= MANY) {
-                raise(a.at(), failed.size() + " requests failed within a second");
-            }
+        if (completion.how() == RecordEntry.Completion.FAILED
+                && completion.why().kind() != Reason.Kind.DEADLINE) {
+            requestFailed(completion.at());
+        }
+    }
+
+    private static boolean isUnservedAtTheLastMoment(RecordEntry.RequestCompleted completion) {
+        return switch (completion.how()) {
+            case REFUSED, FAILED -> completion.leftMicros() < LAST_MOMENT_MICROS;
+            case SERVED, STALLED, LEFT -> false;
+        };
+    }
+
+    private void requestFailed(long at) {
+        failures.add(at);
+        while (failures.peek() < at - FAILURE_WINDOW_MICROS) {
+            failures.poll();
+        }
+        if (failures.size() >= MANY_FAILURES) {
+            report(at, failures.size() + " requests failed within a second");
         }
     }
 
-    private void raise(long at, String what) {
+    private void report(long at, String what) {
         if (at >= quietUntil) {
-            quietUntil = at + QUIET;
-            alarm.onAnomaly(at, what);
+            quietUntil = at + QUIET_MICROS;
+            listener.onAnomaly(at, what);
         }
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/RecordingAnonymizer.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingAnonymizer.java
@@ -1,98 +1,132 @@
 package sorrelhoist.core.record;
 
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.AttemptEnded;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.Members;
+import sorrelhoist.routing.Routing.PeerMessage;
+import sorrelhoist.routing.Routing.PlaceAnswered;
+import sorrelhoist.routing.Routing.ProbeAnswered;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.StreamStarted;
+
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.routing.Routing.*;
 
 /**
- * A tape under neutral names, to be shown to others: servers, sessions, shared beginnings, requests
- * and the router. Equal names stay equal. As readers are also chosen by names, the tape may show
- * something else afterwards; its actions are those of this build.
+ * Replaces the names in a recording by neutral ones, so that it can be given to others: those of
+ * servers, sessions, shared prefixes, requests and the router. Equal names stay equal. As servers
+ * are also chosen by hashes of names, the anonymized recording may decide otherwise; its actions
+ * are those of this build.
  */
 public final class RecordingAnonymizer {
-    private final Map<String, String> names = new HashMap<>();
+    private static final String ROUTER_NAME = "router";
+    private static final long INCARNATION = 1;
+
+    private final Map<String, String> neutralNames = new HashMap<>();
 
     private RecordingAnonymizer() {}
 
     /**
-     * {@return the tape under neutral names; requests' own names and what peers told are left out}
+     * {@return the recording under neutral names, without the names of requests and the messages of
+     * peers}
      */
-    public static Recording anonymize(Recording tape) {
-        RecordingAnonymizer r = new RecordingAnonymizer();
-        RecordEntry.Header h = tape.header();
-        RecordEntry.Header head =
-                new RecordEntry.Header(h.build(), "router", 1, h.settings(), h.seed());
+    public static Recording anonymize(Recording recording) {
+        RecordingAnonymizer anonymizer = new RecordingAnonymizer();
+        RecordEntry.Header header = recording.header();
+        RecordEntry.Header neutralHeader =
+                new RecordEntry.Header(
+                        header.build(), ROUTER_NAME, INCARNATION, header.settings(), header.seed());
         List<RecordEntry> entries =
-                tape.entries().stream()
+                recording.entries().stream()
                         .map(Recording.NumberedEntry::entry)
-                        .filter(
-                                e ->
-                                        e instanceof RecordEntry.Decision t
-                                                && !(t.event() instanceof PeerMessage))
-                        .map(r::entry)
+                        .filter(RecordingAnonymizer::isKept)
+                        .map(entry -> anonymizer.entry((RecordEntry.Decision) entry))
                         .toList();
-        return Replay.again(Recording.of(head, entries));
+        return Replay.withReplayedActions(Recording.of(neutralHeader, entries));
+    }
+
+    private static boolean isKept(RecordEntry entry) {
+        return entry instanceof RecordEntry.Decision decision
+                && !(decision.event() instanceof PeerMessage);
     }
 
-    private RecordEntry entry(RecordEntry e) {
-        RecordEntry.Decision t = (RecordEntry.Decision) e;
-        return new RecordEntry.Decision(t.at(), event(t.event()), List.of());
+    private RecordEntry entry(RecordEntry.Decision decision) {
+        return new RecordEntry.Decision(decision.at(), event(decision.event()), List.of());
     }
 
     private Event event(Event event) {
-        if (event instanceof Members e) {
+        if (event instanceof Members members) {
             return new Members(
-                    e.form(),
-                    e.servers().stream()
-                            .map(
-                                    s ->
-                                            new Server(
-                                                    server(s.id()),
-                                                    s.zone(),
-                                                    s.kind(),
-                                                    s.cell(),
-                                                    s.state(),
-                                                    s.size(),
-                                                    s.since()))
-                            .toList());
-        } else if (event instanceof Arrived e) {
-            return new Arrived(
-                    e.id(),
-                    e.cls(),
-                    e.tenant(),
-                    name("session-", e.session()),
-                    name("prefix-", e.prefix()),
-                    e.promptTokens(),
-                    e.prefixTokens(),
-                    e.maxTokens(),
-                    e.budgetMicros(),
-                    e.resumed());
-        } else if (event instanceof AttemptEnded e) {
-            return new AttemptEnded(
-                    e.id(),
-                    e.attempt(),
-                    server(e.server()),
-                    e.outcome(),
-                    e.tookMicros(),
-                    e.ended(),
-                    e.note(),
-                    e.report());
-        } else if (event instanceof StreamStarted e) {
-            return new StreamStarted(e.id(), e.attempt(), server(e.server()), e.tookMicros());
-        } else if (event instanceof PlaceAnswered e) {
-            return new PlaceAnswered(e.id(), server(e.server()), e.held());
-        } else if (event instanceof ProbeAnswered e) {
-            return new ProbeAnswered(server(e.server()), e.outcome(), e.tookMicros(), e.report());
+                    members.form(), members.servers().stream().map(this::server).toList());
+        } else if (event instanceof Arrived arrived) {
+            return arrived(arrived);
+        } else if (event instanceof AttemptEnded ended) {
+            return attemptEnded(ended);
+        } else if (event instanceof StreamStarted started) {
+            return new StreamStarted(
+                    started.id(),
+                    started.attempt(),
+                    serverName(started.server()),
+                    started.tookMicros());
+        } else if (event instanceof PlaceAnswered answered) {
+            return new PlaceAnswered(answered.id(), serverName(answered.server()), answered.held());
+        } else if (event instanceof ProbeAnswered answered) {
+            return new ProbeAnswered(
+                    serverName(answered.server()),
+                    answered.outcome(),
+                    answered.tookMicros(),
+                    answered.report());
         }
         return event;
     }
 
-    private String server(String id) {
-        return name("server-", id);
+    private Server server(Server server) {
+        return new Server(
+                serverName(server.id()),
+                server.zone(),
+                server.kind(),
+                server.cell(),
+                server.state(),
+                server.size(),
+                server.since());
+    }
+
+    private Arrived arrived(Arrived arrived) {
+        return new Arrived(
+                arrived.id(),
+                arrived.cls(),
+                arrived.tenant(),
+                neutralName("session-", arrived.session()),
+                neutralName("prefix-", arrived.prefix()),
+                arrived.promptTokens(),
+                arrived.prefixTokens(),
+                arrived.maxTokens(),
+                arrived.budgetMicros(),
+                arrived.resumed());
     }
 
-    private String name(String kind, String old) {
-        return old == null ? null : names.computeIfAbsent(kind + old, k -> kind + names.size());
+    private AttemptEnded attemptEnded(AttemptEnded ended) {
+        return new AttemptEnded(
+                ended.id(),
+                ended.attempt(),
+                serverName(ended.server()),
+                ended.outcome(),
+                ended.tookMicros(),
+                ended.ended(),
+                ended.note(),
+                ended.report());
+    }
+
+    private String serverName(String id) {
+        return neutralName("server-", id);
+    }
+
+    private String neutralName(String kind, String name) {
+        if (name == null) {
+            return null;
+        }
+        return neutralNames.computeIfAbsent(kind + name, key -> kind + neutralNames.size());
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
@@ -1,34 +1,42 @@
 package sorrelhoist.core.record;
 
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.TimerFired;
+
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import sorrelhoist.routing.Routing.*;
 
 /**
- * Shrinks a tape to few events that still show something. What is dropped is dropped by whole
- * requests, then by single events; timers that nobody asked for any more go with them. The
- * condition is asked of a replay, so what is left shows the same under the build that cut it.
+ * Shortens a recording to few events that still show something, by delta debugging (Zeller and
+ * Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002): whole requests are
+ * dropped first, then single events. The condition is checked on a replay, so that what is left
+ * shows the same under this build.
  */
 public final class RecordingMinimizer {
-    private final RecordEntry.Header head;
-    private final Predicate<Recording> shows;
-    private final int budget;
+    /** Timer tokens from here on belong to the router, lower ones are numbers of requests. */
+    private static final long FIRST_ROUTER_TIMER_TOKEN = 1L << 60;
+
+    private final RecordEntry.Header header;
+    private final Predicate<Recording> condition;
+    private final int maxReplays;
     private int replayCount;
 
     /**
-     * Makes one.
+     * Creates a minimizer.
      *
-     * @param head of the tape
-     * @param shows whether a shorter tape still shows it
-     * @param budget replays at most
+     * @param header of the recording
+     * @param condition what a shorter recording must still show
+     * @param maxReplays after which the shortest recording so far is taken
      */
-    public RecordingMinimizer(RecordEntry.Header head, Predicate<Recording> shows, int budget) {
-        this.head = head;
-        this.shows = shows;
-        this.budget = budget;
+    public RecordingMinimizer(
+            RecordEntry.Header header, Predicate<Recording> condition, int maxReplays) {
+        this.header = header;
+        this.condition = condition;
+        this.maxReplays = maxReplays;
     }
 
     /** {@return replays that were made} */
@@ -36,66 +44,78 @@
         return replayCount;
     }
 
-    /** {@return the shortest tape found; the actions on it are those of this build} */
-    public Recording minimize(Recording tape) {
-        Map<Long, List<Recording.NumberedEntry>> byRequest = new LinkedHashMap<>();
-        long own = 0;
-        for (Recording.NumberedEntry l : tape.entries()) {
-            if (l.entry() instanceof RecordEntry.Decision
-                    || l.entry() instanceof RecordEntry.KnowledgeAdopted) {
-                long id = l.entry() instanceof RecordEntry.Decision t ? request(t.event()) : -1;
-                byRequest.computeIfAbsent(id >= 0 ? id : --own, k -> new ArrayList<>()).add(l);
+    /** {@return the shortest recording that was found, with the actions of this build} */
+    public Recording minimize(Recording recording) {
+        List<List<Recording.NumberedEntry>> requests = minimal(groupByRequest(recording));
+        List<List<Recording.NumberedEntry>> singles = new ArrayList<>();
+        requests.forEach(request -> request.forEach(entry -> singles.add(List.of(entry))));
+        return replayed(minimal(singles));
+    }
+
+    /** Groups the replayable entries by request; what belongs to none stands alone. */
+    private static List<List<Recording.NumberedEntry>> groupByRequest(Recording recording) {
+        Map<Long, List<Recording.NumberedEntry>> groups = new LinkedHashMap<>();
+        long ungrouped = 0;
+        for (Recording.NumberedEntry numbered : recording.entries()) {
+            long requestId = RequestIds.NONE;
+            if (numbered.entry() instanceof RecordEntry.Decision decision) {
+                requestId = requestOf(decision.event());
+            } else if (!(numbered.entry() instanceof RecordEntry.KnowledgeAdopted)) {
+                continue;
             }
+            long group = requestId >= 0 ? requestId : --ungrouped;
+            groups.computeIfAbsent(group, key -> new ArrayList<>()).add(numbered);
         }
-        List<List<Recording.NumberedEntry>> groups = minimal(new ArrayList<>(byRequest.values()));
-        List<List<Recording.NumberedEntry>> single = new ArrayList<>();
-        groups.forEach(g -> g.forEach(l -> single.add(List.of(l))));
-        return replayed(minimal(single));
+        return new ArrayList<>(groups.values());
     }
 
-    /** Ticks have numbers beyond any request's: each stands for itself. */
-    private static long request(Event event) {
-        return event instanceof TimerFired t && t.token() >= 1L << 60
-                ? -1
-                : RequestTimeline.request(event);
+    private static long requestOf(Event event) {
+        return event instanceof TimerFired timer && timer.token() >= FIRST_ROUTER_TIMER_TOKEN
+                ? RequestIds.NONE
+                : RequestIds.of(event);
     }
 
-    /**
-     * Zeller's delta debugging, complements only: drops ever smaller parts as long as what is left
-     * shows it.
-     */
+    /** Drops ever smaller parts as long as what is left meets the condition. */
     private List<List<Recording.NumberedEntry>> minimal(List<List<Recording.NumberedEntry>> from) {
         List<List<Recording.NumberedEntry>> best = from;
         int parts = 2;
-        while (best.size() >= 2 && replayCount < budget) {
-            int size = (best.size() + parts - 1) / parts;
-            boolean shorter = false;
-            for (int at = 0; at < best.size() && replayCount < budget; at += size) {
-                List<List<Recording.NumberedEntry>> rest = new ArrayList<>(best.subList(0, at));
-                rest.addAll(best.subList(Math.min(best.size(), at + size), best.size()));
-                replayCount++;
-                if (shows.test(replayed(rest))) {
-                    best = rest;
-                    parts = Math.max(2, parts - 1);
-                    shorter = true;
-                    break;
-                }
-            }
-            if (!shorter && size == 1) {
+        while (best.size() >= 2 && replayCount < maxReplays) {
+            int partSize = (best.size() + parts - 1) / parts;
+            List<List<Recording.NumberedEntry>> shorter = withoutOnePart(best, partSize);
+            if (shorter != null) {
+                best = shorter;
+                parts = Math.max(2, parts - 1);
+            } else if (partSize == 1) {
                 break;
-            } else if (!shorter) {
+            } else {
                 parts = Math.min(best.size(), 2 * parts);
             }
         }
         return best;
     }
 
-    /** The events that are left, in their order, with what this build says to them. */
+    /** {@return the groups without the first part that can be dropped, or null} */
+    private List<List<Recording.NumberedEntry>> withoutOnePart(
+            List<List<Recording.NumberedEntry>> groups, int partSize) {
+        for (int at = 0; at < groups.size() && replayCount < maxReplays; at += partSize) {
+            List<List<Recording.NumberedEntry>> rest = new ArrayList<>(groups.subList(0, at));
+            int partEnd = Math.min(groups.size(), at + partSize);
+            rest.addAll(groups.subList(partEnd, groups.size()));
+            replayCount++;
+            if (condition.test(replayed(rest))) {
+                return rest;
+            }
+        }
+        return null;
+    }
+
     private Recording replayed(List<List<Recording.NumberedEntry>> groups) {
-        List<Recording.NumberedEntry> lines = new ArrayList<>();
-        groups.forEach(lines::addAll);
-        lines.sort(java.util.Comparator.comparingLong(Recording.NumberedEntry::number));
-        return Replay.again(
-                Recording.of(head, lines.stream().map(Recording.NumberedEntry::entry).toList()));
+        List<RecordEntry> entries =
+                groups.stream()
+                        .flatMap(List::stream)
+                        .sorted(Comparator.comparingLong(Recording.NumberedEntry::number))
+                        .map(Recording.NumberedEntry::entry)
+                        .toList();
+        return Replay.withReplayedActions(Recording.of(header, entries));
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/Replay.java
+++ b/core/src/main/java/sorrelhoist/core/record/Replay.java
@@ -11,29 +11,33 @@
 import java.util.function.BiConsumer;
 
 /**
- * Plays a tape's events into a new {@link RoutingPolicy} and compares all that it says with what
- * the tape holds.
+ * Feeds a recording's events to a new {@link RoutingPolicy} and compares its actions with those
+ * that were recorded.
+ *
+ * <p>The name of this class and {@link #again(byte[])} are a contract between builds: {@code record
+ * diff --build} and {@code record cut --build} look them up in the jar of another build. Neither
+ * may be renamed or moved.
  */
 public final class Replay {
     /**
-     * The first difference.
+     * An action that differs.
      *
-     * @param entry where
-     * @param actionIndex of the action that differs, from 0
-     * @param recorded what the tape holds; null for nothing more
-     * @param replayed what was said now; null for nothing more
+     * @param entry the decision it belongs to
+     * @param actionIndex of the action within the decision, from 0
+     * @param recorded the recorded action; null where there is none
+     * @param replayed the action now; null where there is none
      */
     public record Difference(
             Recording.NumberedEntry entry, int actionIndex, Action recorded, Action replayed) {
         /** {@return it in plain words} */
         public String describe() {
-            RecordEntry.Decision t = (RecordEntry.Decision) entry.entry();
+            RecordEntry.Decision decision = (RecordEntry.Decision) entry.entry();
             return "entry "
                     + entry.number()
                     + ", at "
-                    + t.at()
+                    + decision.at()
                     + " us, on "
-                    + t.event()
+                    + decision.event()
                     + ": action "
                     + actionIndex
                     + " was "
@@ -46,10 +50,10 @@
     /**
      * How a replay went.
      *
-     * @param events played
-     * @param actions compared
-     * @param firstDifference difference, or null
-     * @param fault what stopped it, or null
+     * @param events that were replayed
+     * @param actions that were compared
+     * @param firstDifference or null
+     * @param fault what stopped the replay, or null
      */
     public record Result(long events, long actions, Difference firstDifference, String fault) {
         /** {@return whether every action was the same to the last byte} */
@@ -58,107 +62,127 @@
         }
     }
 
-    private Replay() {}
+    private final boolean stopsAtDifference;
+    private final BiConsumer<Recording.NumberedEntry, List<Action>> listener;
+    private long events;
+    private long actions;
+    private Difference firstDifference;
 
-    /** {@return the result of playing a tape, with the settings and the seed that it holds} */
-    public static Result run(Recording tape) {
-        return run(tape, tape.header().settings(), true, (line, actions) -> {});
+    private Replay(
+            boolean stopsAtDifference, BiConsumer<Recording.NumberedEntry, List<Action>> listener) {
+        this.stopsAtDifference = stopsAtDifference;
+        this.listener = listener;
     }
 
-    /** {@return the same events with what this build says to them} */
-    public static Recording again(Recording tape) {
-        Map<Long, List<Action>> said = new HashMap<>();
-        run(
-                tape,
-                tape.header().settings(),
-                false,
-                (line, actions) -> said.put(line.number(), actions));
-        return Recording.of(
-                tape.header(),
-                tape.entries().stream()
-                        .map(
-                                l ->
-                                        l.entry() instanceof RecordEntry.Decision t
-                                                ? new RecordEntry.Decision(
-                                                        t.at(),
-                                                        t.event(),
-                                                        said.getOrDefault(l.number(), List.of()))
-                                                : l.entry())
-                        .toList());
+    /** {@return the result of replaying a recording with its own settings and seed} */
+    public static Result run(Recording recording) {
+        return run(recording, recording.header().settings(), true, (entry, actions) -> {});
     }
 
     /**
-     * The same for whoever holds another build of this program and has only bytes in common with
-     * it.
+     * Replays a recording.
      *
-     * @param file a record's bytes
-     * @return the record with what this build says
-     * @throws CorruptRecordException where they are none
-     */
-    public static byte[] again(byte[] file) throws CorruptRecordException {
-        return again(Recording.of(List.of(file))).toFileBytes();
-    }
-
-    /**
-     * Plays a tape.
-     *
-     * @param tape whole, or from a gap on as far as it goes
-     * @param settings in place of the tape's own
-     * @param stops whether it stops at the first difference
-     * @param heard told of each event and what was said to it now
+     * @param recording complete, or from a gap on as far as it goes
+     * @param settings in place of the recording's own
+     * @param stopsAtDifference whether it stops at the first difference
+     * @param listener is told of each decision and of the actions now
      * @return how it went
      */
     public static Result run(
-            Recording tape,
+            Recording recording,
             Routing.RoutingSettings settings,
-            boolean stops,
-            BiConsumer<Recording.NumberedEntry, List<Action>> heard) {
-        RoutingPolicy decide = new RoutingPolicy(settings, tape.header().seed());
-        long events = 0;
-        long compared = 0;
-        Difference first = null;
-        for (Recording.NumberedEntry line : tape.entries()) {
+            boolean stopsAtDifference,
+            BiConsumer<Recording.NumberedEntry, List<Action>> listener) {
+        RoutingPolicy policy = new RoutingPolicy(settings, recording.header().seed());
+        return new Replay(stopsAtDifference, listener).run(recording.entries(), policy);
+    }
+
+    private Result run(List<Recording.NumberedEntry> entries, RoutingPolicy policy) {
+        for (Recording.NumberedEntry numbered : entries) {
             try {
-                if (line.entry() instanceof RecordEntry.KnowledgeAdopted t) {
-                    decide.importKnowledge(t.at(), t.knowledge(), t.age());
-                } else if (line.entry() instanceof RecordEntry.Decision t) {
-                    List<Action> now = decide.onEvent(t.at(), t.event());
-                    events++;
-                    compared += t.actions().size();
-                    heard.accept(line, now);
-                    first = first == null ? difference(line, t.actions(), now) : first;
-                    if (first != null && stops) {
-                        return new Result(events, compared, first, null);
-                    }
-                }
+                replay(numbered, policy);
             } catch (RuntimeException e) {
-                return new Result(
-                        events,
-                        compared,
-                        first,
-                        "entry " + line.number() + " cannot be played: " + e);
+                String fault = "entry " + numbered.number() + " cannot be played: " + e;
+                return new Result(events, actions, firstDifference, fault);
+            }
+            if (firstDifference != null && stopsAtDifference) {
+                break;
+            }
+        }
+        return new Result(events, actions, firstDifference, null);
+    }
+
+    private void replay(Recording.NumberedEntry numbered, RoutingPolicy policy) {
+        if (numbered.entry() instanceof RecordEntry.KnowledgeAdopted adopted) {
+            policy.importKnowledge(adopted.at(), adopted.knowledge(), adopted.age());
+        } else if (numbered.entry() instanceof RecordEntry.Decision decision) {
+            List<Action> replayed = policy.onEvent(decision.at(), decision.event());
+            events++;
+            actions += decision.actions().size();
+            listener.accept(numbered, replayed);
+            if (firstDifference == null) {
+                firstDifference = difference(numbered, decision.actions(), replayed);
             }
         }
-        return new Result(events, compared, first, null);
     }
 
     private static Difference difference(
-            Recording.NumberedEntry line, List<Action> was, List<Action> is) {
-        for (int i = 0; i < Math.max(was.size(), is.size()); i++) {
-            Action a = i < was.size() ? was.get(i) : null;
-            Action b = i < is.size() ? is.get(i) : null;
-            if (a == null || b == null || !same(a, b)) {
-                return new Difference(line, i, a, b);
+            Recording.NumberedEntry entry, List<Action> recorded, List<Action> replayed) {
+        for (int i = 0; i < Math.max(recorded.size(), replayed.size()); i++) {
+            Action before = i < recorded.size() ? recorded.get(i) : null;
+            Action now = i < replayed.size() ? replayed.get(i) : null;
+            if (before == null || now == null || !isSame(before, now)) {
+                return new Difference(entry, i, before, now);
             }
         }
         return null;
     }
 
-    /** Reasons' figures are kept to whole microseconds, so equality is that of the bytes. */
-    static boolean same(Action a, Action b) {
-        return a.equals(b)
-                || a.getClass() == b.getClass()
-                        && Arrays.equals(
-                                ChunkWriter.encode((Record) a), ChunkWriter.encode((Record) b));
+    /** Reasons' figures are recorded as whole microseconds, so what counts is the stored form. */
+    private static boolean isSame(Action first, Action second) {
+        if (first.equals(second)) {
+            return true;
+        }
+        return first.getClass() == second.getClass()
+                && Arrays.equals(
+                        ChunkWriter.encode((Record) first), ChunkWriter.encode((Record) second));
+    }
+
+    /** {@return the same recording with the actions of this build in place of its own} */
+    public static Recording withReplayedActions(Recording recording) {
+        Map<Long, List<Action>> replayed = new HashMap<>();
+        run(
+                recording,
+                recording.header().settings(),
+                false,
+                (entry, actions) -> replayed.put(entry.number(), actions));
+        List<RecordEntry> entries =
+                recording.entries().stream()
+                        .map(
+                                numbered ->
+                                        withActions(
+                                                numbered.entry(),
+                                                replayed.getOrDefault(
+                                                        numbered.number(), List.of())))
+                        .toList();
+        return Recording.of(recording.header(), entries);
+    }
+
+    private static RecordEntry withActions(RecordEntry entry, List<Action> actions) {
+        return entry instanceof RecordEntry.Decision decision
+                ? new RecordEntry.Decision(decision.at(), decision.event(), actions)
+                : entry;
+    }
+
+    /**
+     * Does the same as {@link #withReplayedActions} for another build of this program, which has
+     * only bytes in common with this one.
+     *
+     * @param file a segment file
+     * @return a segment file with the actions of this build
+     * @throws CorruptRecordException where the bytes are no segment file
+     */
+    public static byte[] again(byte[] file) throws CorruptRecordException {
+        return withReplayedActions(Recording.of(List.of(file))).toFileBytes();
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/ReplayComparison.java
+++ b/core/src/main/java/sorrelhoist/core/record/ReplayComparison.java
@@ -1,32 +1,42 @@
 package sorrelhoist.core.record;
 
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.AttemptEnded;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Send;
+
 import java.util.EnumMap;
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.*;
 
 /**
- * What another build, or other settings, would have decided at each place of a tape. The world is
- * the tape's: outcomes come as they came, so from its first other decision on, a request is
- * compared no further, and what the other choice would have met is said as what the tape shows of
- * that engine at that time, where it shows anything.
+ * Compares what was decided in a recording with what another build, or other settings, would have
+ * decided at the same places. Outcomes stay those of the recording, so a request is compared up to
+ * its first decision that differs and no further; what another engine would have meant for it is
+ * estimated by what the recording shows of that engine at that time.
  */
 public final class ReplayComparison {
     /**
      * What changed.
      *
      * @param requests that arrived
-     * @param unchanged decided alike to their ends
-     * @param newlyRejected sent before, refused or failed now, by reason
-     * @param newlyForwarded refused or failed before, sent now, by the reason they had
-     * @param rerouted sent to another engine
-     * @param weightNewlyRejected worth of those
-     * @param weightNewlyForwarded worth of those
-     * @param savedPrefillMicros over those sent elsewhere and known of both engines: time of reads
-     *     that the tape shows at the engine chosen before less that at the one chosen now, in all
-     * @param reroutedWithTimes of those sent elsewhere, how many the tape could tell that of
+     * @param unchanged requests with equal decisions to their ends
+     * @param newlyRejected requests that were sent before and are refused or failed now, by reason
+     * @param newlyForwarded requests that were refused or failed before and are sent now, by the
+     *     reason before
+     * @param rerouted requests that are sent to another engine
+     * @param weightNewlyRejected sum of their priority weights
+     * @param weightNewlyForwarded sum of their priority weights
+     * @param savedPrefillMicros the prefill times at the engines before less those at the engines
+     *     now, as recorded, summed over rerouted requests with known times at both
+     * @param reroutedWithTimes how many requests those are
      */
     public record Report(
             int requests,
@@ -39,114 +49,137 @@
             double savedPrefillMicros,
             int reroutedWithTimes) {}
 
-    private static final double RECENT = 0.3; // of the newest time at an engine
+    /** Weight of the newest prefill time in an engine's moving average. */
+    private static final double SMOOTHING = 0.3;
 
-    private final Recording tape;
-    private final Map<Long, Arrived> open = new LinkedHashMap<>();
-    private final Map<String, Double> timeAt = new LinkedHashMap<>();
-    private final Map<Reason.Kind, Integer> nowRefused = new EnumMap<>(Reason.Kind.class);
-    private final Map<Reason.Kind, Integer> nowSent = new EnumMap<>(Reason.Kind.class);
+    private final RoutingSettings recordedSettings;
+    private final Map<Long, Arrived> openRequests = new HashMap<>();
+    private final Map<String, Double> prefillMicros = new HashMap<>();
+    private final Map<Reason.Kind, Integer> newlyRejected = new EnumMap<>(Reason.Kind.class);
+    private final Map<Reason.Kind, Integer> newlyForwarded = new EnumMap<>(Reason.Kind.class);
     private int requests;
     private int changed;
-    private int elsewhere;
-    private int known;
-    private double worthRefused;
-    private double worthSent;
-    private double better;
+    private int rerouted;
+    private int reroutedWithTimes;
+    private double weightNewlyRejected;
+    private double weightNewlyForwarded;
+    private double savedPrefillMicros;
 
-    private ReplayComparison(Recording tape) {
-        this.tape = tape;
+    private ReplayComparison(RoutingSettings recordedSettings) {
+        this.recordedSettings = recordedSettings;
     }
 
-    /** {@return what changes with other settings, or with the tape's own under this build} */
-    public static Report compare(Recording tape, RoutingSettings settings) {
-        ReplayComparison c = new ReplayComparison(tape);
-        Replay.run(tape, settings, false, c::heard);
+    /**
+     * Compares a recording with its replay.
+     *
+     * @param recording what was decided
+     * @param settings of the replay; with the recording's own, builds are compared
+     * @return what changed
+     */
+    public static Report compare(Recording recording, RoutingSettings settings) {
+        ReplayComparison comparison = new ReplayComparison(recording.header().settings());
+        Replay.run(recording, settings, false, comparison::replayed);
+        return comparison.report();
+    }
+
+    private Report report() {
         return new Report(
-                c.requests,
-                c.requests - c.changed,
-                c.nowRefused,
-                c.nowSent,
-                c.elsewhere,
-                c.worthRefused,
-                c.worthSent,
-                c.better,
-                c.known);
+                requests,
+                requests - changed,
+                newlyRejected,
+                newlyForwarded,
+                rerouted,
+                weightNewlyRejected,
+                weightNewlyForwarded,
+                savedPrefillMicros,
+                reroutedWithTimes);
     }
 
-    private void heard(Recording.NumberedEntry line, List<Action> now) {
-        RecordEntry.Decision t = (RecordEntry.Decision) line.entry();
-        if (t.event() instanceof Arrived a) {
+    private void replayed(Recording.NumberedEntry numbered, List<Action> actionsNow) {
+        RecordEntry.Decision decision = (RecordEntry.Decision) numbered.entry();
+        if (decision.event() instanceof Arrived arrived) {
             requests++;
-            open.put(a.id(), a);
-        } else if (t.event() instanceof AttemptEnded e && e.outcome() == Outcome.READ) {
-            timeAt.merge(
-                    e.server(),
-                    (double) e.tookMicros(),
-                    (old, took) -> old + RECENT * (took - old));
+            openRequests.put(arrived.id(), arrived);
+        } else if (decision.event() instanceof AttemptEnded ended
+                && ended.outcome() == Outcome.READ) {
+            prefillMicros.merge(
+                    ended.server(),
+                    (double) ended.tookMicros(),
+                    (average, newest) -> average + SMOOTHING * (newest - average));
+        }
+        compareActions(decision.actions(), actionsNow);
+        if (decision.event() instanceof AttemptEnded ended && ended.ended()) {
+            openRequests.remove(ended.id());
         }
-        // What is decided of each request here, before and now.
-        Map<Long, Action> was = finals(t.actions());
-        Map<Long, Action> is = finals(now);
-        was.forEach((id, a) -> decided(id, a, is.get(id)));
-        is.forEach(
-                (id, a) -> {
-                    if (!was.containsKey(id)) {
-                        decided(id, null, a);
+    }
+
+    private void compareActions(List<Action> actionsBefore, List<Action> actionsNow) {
+        Map<Long, Action> before = decisiveActions(actionsBefore);
+        Map<Long, Action> now = decisiveActions(actionsNow);
+        before.forEach((requestId, action) -> compare(requestId, action, now.get(requestId)));
+        now.forEach(
+                (requestId, action) -> {
+                    if (!before.containsKey(requestId)) {
+                        compare(requestId, null, action);
                     }
                 });
-        if (t.event() instanceof AttemptEnded e && e.ended()) {
-            open.remove(e.id());
-        }
     }
 
-    private static Map<Long, Action> finals(List<Action> actions) {
-        Map<Long, Action> all = new LinkedHashMap<>();
-        for (Action a : actions) {
-            if (a instanceof Send || a instanceof Refuse || a instanceof Fail) {
-                all.put(RequestTimeline.request(a), a);
+    /** {@return for each request the last action that sends or ends it, in their order} */
+    private static Map<Long, Action> decisiveActions(List<Action> actions) {
+        Map<Long, Action> decisive = new LinkedHashMap<>();
+        for (Action action : actions) {
+            if (action instanceof Send || action instanceof Refuse || action instanceof Fail) {
+                decisive.put(RequestIds.of(action), action);
             }
         }
-        return all;
+        return decisive;
     }
 
-    private void decided(long id, Action was, Action is) {
-        Arrived a = open.get(id);
-        if (a == null) {
+    private void compare(long requestId, Action before, Action now) {
+        Arrived arrived = openRequests.get(requestId);
+        if (arrived == null) {
             return;
         }
-        boolean wasSent = was instanceof Send;
-        boolean isSent = is instanceof Send;
-        double worth = tape.header().settings().classes().get(a.cls()).priorityWeight();
-        if (was != null && is != null && !wasSent && !isSent) {
-            open.remove(id);
+        Send sentBefore = before instanceof Send send ? send : null;
+        Send sentNow = now instanceof Send send ? send : null;
+        boolean endedBefore = before != null && sentBefore == null;
+        boolean endedNow = now != null && sentNow == null;
+        if (endedBefore && endedNow) {
+            openRequests.remove(requestId);
             return;
         }
-        if (wasSent && isSent && ((Send) was).server().equals(((Send) is).server())) {
+        if (sentBefore != null && sentNow != null && sentBefore.server().equals(sentNow.server())) {
             return;
         }
         changed++;
-        open.remove(id);
-        if (wasSent && isSent) {
-            elsewhere++;
-            Double before = timeAt.get(((Send) was).server());
-            Double after = timeAt.get(((Send) is).server());
-            if (before != null && after != null) {
-                known++;
-                better += before - after;
-            }
-        } else if (isSent) {
-            nowSent.merge(why(was), 1, Integer::sum);
-            worthSent += worth;
+        openRequests.remove(requestId);
+        double weight = recordedSettings.classes().get(arrived.cls()).priorityWeight();
+        if (sentBefore != null && sentNow != null) {
+            reroute(sentBefore.server(), sentNow.server());
+        } else if (sentNow != null) {
+            newlyForwarded.merge(reasonOf(before), 1, Integer::sum);
+            weightNewlyForwarded += weight;
         } else {
-            nowRefused.merge(why(is), 1, Integer::sum);
-            worthRefused += worth;
+            newlyRejected.merge(reasonOf(now), 1, Integer::sum);
+            weightNewlyRejected += weight;
         }
     }
 
-    private static Reason.Kind why(Action a) {
-        return a instanceof Refuse r
-                ? r.why().kind()
-                : a instanceof Fail f ? f.why().kind() : Reason.Kind.UNKNOWN;
+    private void reroute(String serverBefore, String serverNow) {
+        rerouted++;
+        Double before = prefillMicros.get(serverBefore);
+        Double now = prefillMicros.get(serverNow);
+        if (before != null && now != null) {
+            reroutedWithTimes++;
+            savedPrefillMicros += before - now;
+        }
+    }
+
+    private static Reason.Kind reasonOf(Action action) {
+        if (action instanceof Refuse refuse) {
+            return refuse.why().kind();
+        }
+        return action instanceof Fail fail ? fail.why().kind() : Reason.Kind.UNKNOWN;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/RequestTimeline.java
+++ b/core/src/main/java/sorrelhoist/core/record/RequestTimeline.java
@@ -1,233 +1,109 @@
 package sorrelhoist.core.record;
 
+import sorrelhoist.routing.Routing.Action;
+
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
-import sorrelhoist.core.explain.ReasonFormatter;
-import sorrelhoist.routing.Routing.*;
+import java.util.regex.Pattern;
 
-/** One request's whole story, in readable lines. */
+/** Everything that a recording holds of one client's request, as lines of text. */
 public final class RequestTimeline {
-    private final Recording tape;
+    private static final Pattern REQUEST_NUMBER = Pattern.compile("[0-9]{1,18}");
+
+    private final Recording recording;
 
-    /** Makes one that tells from a tape. */
-    public RequestTimeline(Recording tape) {
-        this.tape = tape;
+    /** Creates the timelines of a recording. */
+    public RequestTimeline(Recording recording) {
+        this.recording = recording;
     }
 
     /**
-     * Finds a request and tells of it.
+     * Finds a request and describes what became of it.
      *
-     * @param request its name at engines, its client's own name for it, or its number
-     * @return lines; empty where the tape does not hold it
+     * @param request its name at engines, the name that its client gave it, or its number
+     * @return lines; empty where the recording does not hold it
      */
     public List<String> describe(String request) {
-        Set<Long> clients = new LinkedHashSet<>();
-        for (Recording.NumberedEntry l : tape.entries()) {
-            if (l.entry() instanceof RecordEntry.RequestSubmitted a
-                    && (request.equals(a.name())
-                            || request.equals(a.clientId())
-                            || request.equals("" + a.id()))) {
-                clients.add(a.client());
-            }
-        }
-        List<String> lines = new ArrayList<>();
-        Set<Long> ids = new LinkedHashSet<>();
-        long from = 0;
-        for (Recording.NumberedEntry l : tape.entries()) {
-            if (l.entry() instanceof RecordEntry.RequestSubmitted a
-                    && clients.contains(a.client())) {
-                if (ids.isEmpty()) {
-                    from = a.at();
-                }
-                ids.add(a.id());
-                lines.add(
-                        line(
-                                a.at() - from,
-                                (a.fromToken() > 0
-                                                ? "went on from token " + a.fromToken() + " as "
-                                                : "asked, as ")
-                                        + a.name()
-                                        + (a.clientId().isEmpty()
-                                                ? ""
-                                                : ", its client's " + a.clientId())
-                                        + ", prompt "
-                                        + Long.toHexString(a.promptHash())
-                                        + (a.timeoutMicros() > 0
-                                                ? ", its client waits " + ms(a.timeoutMicros())
-                                                : "")));
-            } else if (l.entry() instanceof RecordEntry.RequestCompleted a
-                    && clients.contains(a.client())) {
-                lines.add(line(a.at() - from, answered(a)));
-            } else if (l.entry() instanceof RecordEntry.Decision t) {
-                told(t, ids, from, lines);
-            }
-        }
-        if (lines.isEmpty() && request.matches("[0-9]{1,18}")) {
-            // A record without clients, as a bench day's: the number at Decide is all there is.
-            ids.add(Long.parseLong(request));
-            for (Recording.NumberedEntry l : tape.entries()) {
-                if (l.entry() instanceof RecordEntry.Decision t) {
-                    from = lines.isEmpty() ? t.at() : from;
-                    told(t, ids, from, lines);
-                }
-            }
+        List<String> lines = new Timeline(recording).ofClients(clientsOf(request));
+        if (lines.isEmpty() && REQUEST_NUMBER.matcher(request).matches()) {
+            // A record without clients, as a simulated day's: the number is all there is.
+            return new Timeline(recording).ofDecisions(Long.parseLong(request));
         }
         return lines;
     }
 
-    private static void told(RecordEntry.Decision t, Set<Long> ids, long from, List<String> lines) {
-        String event = concerns(t.event(), ids) ? event(t.event()) : null;
-        if (event != null) {
-            lines.add(line(t.at() - from, event));
-        }
-        for (Action a : t.actions()) {
-            String said = concerns(a, ids) ? action(a) : null;
-            if (said != null) {
-                lines.add(line(t.at() - from, "  " + said));
+    private Set<Long> clientsOf(String request) {
+        Set<Long> clients = new LinkedHashSet<>();
+        for (Recording.NumberedEntry numbered : recording.entries()) {
+            if (numbered.entry() instanceof RecordEntry.RequestSubmitted submitted
+                    && (request.equals(submitted.name())
+                            || request.equals(submitted.clientId())
+                            || request.equals(Long.toString(submitted.id())))) {
+                clients.add(submitted.client());
             }
         }
+        return clients;
     }
 
-    private static String line(long after, String text) {
-        return String.format(Locale.ROOT, "%10.1f ms  %s", after / 1000.0, text);
-    }
-
-    private static String ms(long micros) {
-        return String.format(Locale.ROOT, "%.1f ms", micros / 1000.0);
-    }
+    /** The lines of one request while the recording is gone through. */
+    private static final class Timeline {
+        private final Recording recording;
+        private final List<String> lines = new ArrayList<>();
+        private final Set<Long> requestIds = new LinkedHashSet<>();
+        private long startedAt;
 
-    private static String answered(RecordEntry.RequestCompleted a) {
-        String left =
-                a.leftMicros() == Long.MAX_VALUE
-                        ? ""
-                        : ", " + ms(a.leftMicros()) + " before its time was up";
-        return switch (a.how()) {
-            case SERVED -> "answered: served, " + a.tokens() + " tokens" + left;
-            case REFUSED ->
-                    "answered: refused, as " + ReasonFormatter.describeFailure(a.why()) + left;
-            case FAILED ->
-                    "answered: failed after "
-                            + a.tokens()
-                            + " tokens, as "
-                            + ReasonFormatter.describeFailure(a.why())
-                            + left;
-            case STALLED -> "given up: its client took nothing of its answer";
-            case LEFT -> "its client left after " + a.tokens() + " tokens";
-        };
-    }
+        Timeline(Recording recording) {
+            this.recording = recording;
+        }
 
-    /** {@return the request that something is about, or -1} */
-    static long request(Object o) {
-        return o instanceof Arrived e
-                ? e.id()
-                : o instanceof AttemptEnded e
-                        ? e.id()
-                        : o instanceof StreamStarted e
-                                ? e.id()
-                                : o instanceof PlaceAnswered e
-                                        ? e.id()
-                                        : o instanceof TimerFired e
-                                                ? e.token()
-                                                : o instanceof ClientGone e
-                                                        ? e.id()
-                                                        : o instanceof Send a
-                                                                ? a.id()
-                                                                : o instanceof Reserve a
-                                                                        ? a.id()
-                                                                        : o instanceof Release a
-                                                                                ? a.id()
-                                                                                : o
-                                                                                                instanceof
-                                                                                                Refuse
-                                                                                                        a
-                                                                                        ? a.id()
-                                                                                        : o
-                                                                                                        instanceof
-                                                                                                        Fail
-                                                                                                                a
-                                                                                                ? a
-                                                                                                        .id()
-                                                                                                : o
-                                                                                                                instanceof
-                                                                                                                Cancel
-                                                                                                                        a
-                                                                                                        ? a
-                                                                                                                .id()
-                                                                                                        : o
-                                                                                                                        instanceof
-                                                                                                                        Move
-                                                                                                                                a
-                                                                                                                ? a
-                                                                                                                        .id()
-                                                                                                                : o
-                                                                                                                                instanceof
-                                                                                                                                Timer
-                                                                                                                                        a
-                                                                                                                        ? a
-                                                                                                                                .token()
-                                                                                                                        : -1;
-    }
+        List<String> ofClients(Set<Long> clients) {
+            for (Recording.NumberedEntry numbered : recording.entries()) {
+                RecordEntry entry = numbered.entry();
+                if (entry instanceof RecordEntry.RequestSubmitted submitted
+                        && clients.contains(submitted.client())) {
+                    if (requestIds.isEmpty()) {
+                        startedAt = submitted.at();
+                    }
+                    requestIds.add(submitted.id());
+                    add(submitted.at(), TimelineText.submitted(submitted));
+                } else if (entry instanceof RecordEntry.RequestCompleted completed
+                        && clients.contains(completed.client())) {
+                    add(completed.at(), TimelineText.completed(completed));
+                } else if (entry instanceof RecordEntry.Decision decision) {
+                    add(decision);
+                }
+            }
+            return lines;
+        }
 
-    private static boolean concerns(Object o, Set<Long> ids) {
-        return ids.contains(request(o));
-    }
+        List<String> ofDecisions(long requestId) {
+            requestIds.add(requestId);
+            for (Recording.NumberedEntry numbered : recording.entries()) {
+                if (numbered.entry() instanceof RecordEntry.Decision decision) {
+                    if (lines.isEmpty()) {
+                        startedAt = decision.at();
+                    }
+                    add(decision);
+                }
+            }
+            return lines;
+        }
 
-    private static String event(Event event) {
-        if (event instanceof Arrived e) {
-            return "arrived: class "
-                    + e.cls()
-                    + ", tenant "
-                    + e.tenant()
-                    + ", "
-                    + e.promptTokens()
-                    + " prompt tokens ("
-                    + e.prefixTokens()
-                    + " shared), up to "
-                    + e.maxTokens()
-                    + " to answer, "
-                    + ms(e.budgetMicros())
-                    + " to the first token";
-        } else if (event instanceof AttemptEnded e) {
-            return "attempt "
-                    + e.attempt()
-                    + " at "
-                    + e.server()
-                    + " ended: "
-                    + e.outcome()
-                    + " after "
-                    + ms(e.tookMicros())
-                    + (e.outcome() == Outcome.READ ? ", " + e.note() + " tokens were kept" : "");
-        } else if (event instanceof StreamStarted e) {
-            return "attempt "
-                    + e.attempt()
-                    + " at "
-                    + e.server()
-                    + ": first token after "
-                    + ms(e.tookMicros());
-        } else if (event instanceof ClientGone) {
-            return "the client left";
+        private void add(RecordEntry.Decision decision) {
+            if (requestIds.contains(RequestIds.of(decision.event()))) {
+                TimelineText.event(decision.event()).ifPresent(text -> add(decision.at(), text));
+            }
+            for (Action action : decision.actions()) {
+                if (requestIds.contains(RequestIds.of(action))) {
+                    TimelineText.action(action).ifPresent(text -> add(decision.at(), "  " + text));
+                }
+            }
         }
-        return event instanceof TimerFired ? null : event.getClass().getSimpleName();
-    }
 
-    private static String action(Action action) {
-        if (action instanceof Send a) {
-            return "send to " + a.server() + ": " + ReasonFormatter.describeSelection(a.why());
-        } else if (action instanceof Refuse a) {
-            return "refuse: " + ReasonFormatter.describeFailure(a.why());
-        } else if (action instanceof Fail a) {
-            return "fail: " + ReasonFormatter.describeFailure(a.why());
-        } else if (action instanceof Cancel a) {
-            return "stop waiting for attempt "
-                    + a.attempt()
-                    + ": "
-                    + ReasonFormatter.describeFailure(a.why());
-        } else if (action instanceof Release) {
-            return "let go of what is held";
+        private void add(long at, String text) {
+            lines.add(TimelineText.line(at - startedAt, text));
         }
-        return action instanceof Timer ? null : action.getClass().getSimpleName();
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/SegmentRetention.java
+++ b/core/src/main/java/sorrelhoist/core/record/SegmentRetention.java
@@ -2,41 +2,42 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.Comparator;
+import java.util.Deque;
 import java.util.List;
-import java.util.Map;
 
 /**
- * Decides which file a chunk goes to, which files are let go, and which are kept for whoever asks
- * why. Names and times come in, steps go out; whoever carries them out owns the disk.
+ * Decides to which segment file a chunk is appended, which files are deleted, and which are
+ * preserved for somebody who asks why. It does no I/O: names and times come in, file operations go
+ * out, and its caller carries them out.
  */
 public final class SegmentRetention {
     /** What to do, in order. */
     public sealed interface FileOperation {}
 
     /**
-     * Write a chunk at the end of a file, which is made with a header if it is new.
+     * Append a chunk to a file, which is created with a file header if it is new.
      *
      * @param name the file's
      */
     public record Append(String name) implements FileOperation {}
 
     /**
-     * Make sure that a file which gets no more is on the disk.
+     * Force a file that gets no more chunks to the disk.
      *
      * @param name the file's
      */
     public record Close(String name) implements FileOperation {}
 
     /**
-     * Remove a file.
+     * Delete a file.
      *
      * @param name the file's
      */
     public record Delete(String name) implements FileOperation {}
 
     /**
-     * Give a file another name.
+     * Rename a file.
      *
      * @param from its name
      * @param to its new one
@@ -44,17 +45,18 @@
     public record Rename(String from, String to) implements FileOperation {}
 
     /**
-     * Bounds.
+     * How much may be stored.
      *
-     * @param segmentBytes after which a file gets no more
-     * @param maxBytes of all files that are not kept
-     * @param maxAgeMicros after which a file that is not kept is let go
-     * @param keptBytes of all kept ones: the oldest go
+     * @param segmentBytes after which a file gets no more chunks
+     * @param maxBytes of all files that are not preserved
+     * @param maxAgeMicros after which a file that is not preserved is deleted
+     * @param preservedBytes of all preserved files; the oldest are deleted
      */
-    public record Limits(long segmentBytes, long maxBytes, long maxAgeMicros, long keptBytes) {}
+    public record Limits(
+            long segmentBytes, long maxBytes, long maxAgeMicros, long preservedBytes) {}
 
     /**
-     * A file that is there already.
+     * A file that exists at the start.
      *
      * @param name its name
      * @param bytes its length
@@ -62,111 +64,126 @@
      */
     public record ExistingFile(String name, long bytes, long writtenAt) {}
 
-    private static final class File {
+    private static final class Segment {
         final String name;
         long bytes;
         long writtenAt;
 
-        File(ExistingFile f) {
-            name = f.name();
-            bytes = f.bytes();
-            writtenAt = f.writtenAt();
+        Segment(String name, long bytes, long writtenAt) {
+            this.name = name;
+            this.bytes = bytes;
+            this.writtenAt = writtenAt;
         }
     }
 
-    /** What names end with. */
+    /** What names of segment files end with. */
     public static final String FILE_SUFFIX = ".rec";
 
-    private static final String KEPT = "kept-";
-    private static final int DIGITS = 36;
-    private final Limits bounds;
+    private static final String PRESERVED_PREFIX = "kept-";
+    private static final int INCARNATION_RADIX = 36;
+
+    private final Limits limits;
     private final String prefix;
-    private final ArrayDeque<File> files = new ArrayDeque<>();
-    private final ArrayDeque<File> kept = new ArrayDeque<>();
-    private File open;
-    private long names;
+    private final Deque<Segment> segments = new ArrayDeque<>();
+    private final Deque<Segment> preserved = new ArrayDeque<>();
+    private Segment open;
+    private long created;
 
     /**
-     * Makes one.
+     * Creates the retention of one folder.
      *
-     * @param bounds its bounds
-     * @param incarnation of the router, so that no name is used twice
-     * @param found what is there, in any order; other files are left alone
+     * @param limits how much may be stored
+     * @param incarnation of the router's process, so that no name is used twice
+     * @param existing files in the folder, in any order; those that are no segments are ignored
      */
-    public SegmentRetention(Limits bounds, long incarnation, List<ExistingFile> found) {
-        this.bounds = bounds;
-        this.prefix = Long.toString(incarnation, DIGITS) + "-";
-        Map<Boolean, List<ExistingFile>> split = new HashMap<>();
-        found.stream()
-                .filter(f -> f.name().endsWith(FILE_SUFFIX))
+    public SegmentRetention(Limits limits, long incarnation, List<ExistingFile> existing) {
+        this.limits = limits;
+        this.prefix = Long.toString(incarnation, INCARNATION_RADIX) + "-";
+        existing.stream()
+                .filter(file -> file.name().endsWith(FILE_SUFFIX))
                 .sorted(
-                        java.util.Comparator.comparingLong(ExistingFile::writtenAt)
+                        Comparator.comparingLong(ExistingFile::writtenAt)
                                 .thenComparing(ExistingFile::name))
-                .forEach(
-                        f ->
-                                split.computeIfAbsent(
-                                                f.name().startsWith(KEPT), k -> new ArrayList<>())
-                                        .add(f));
-        split.getOrDefault(false, List.of()).forEach(f -> files.add(new File(f)));
-        split.getOrDefault(true, List.of()).forEach(f -> kept.add(new File(f)));
+                .forEach(this::addExisting);
+    }
+
+    private void addExisting(ExistingFile file) {
+        boolean isPreserved = file.name().startsWith(PRESERVED_PREFIX);
+        (isPreserved ? preserved : segments)
+                .add(new Segment(file.name(), file.bytes(), file.writtenAt()));
     }
 
-    /** {@return what to do with a chunk of so many bytes} */
+    /**
+     * Takes a chunk.
+     *
+     * @param now microseconds since 1970
+     * @param bytes the chunk's length
+     * @return what to do with it
+     */
     public List<FileOperation> appendChunk(long now, int bytes) {
-        List<FileOperation> steps = new ArrayList<>();
-        if (open != null && open.bytes + bytes > bounds.segmentBytes()) {
-            steps.add(new Close(open.name));
-            open = null;
+        List<FileOperation> operations = new ArrayList<>();
+        if (open != null && open.bytes + bytes > limits.segmentBytes()) {
+            closeOpen(operations);
         }
         if (open == null) {
-            open =
-                    new File(
-                            new ExistingFile(
-                                    String.format("%s%06d%s", prefix, ++names, FILE_SUFFIX),
-                                    0,
-                                    now));
-            files.add(open);
+            String name = String.format("%s%06d%s", prefix, ++created, FILE_SUFFIX);
+            open = new Segment(name, 0, now);
+            segments.add(open);
         }
         open.bytes += bytes;
         open.writtenAt = now;
-        steps.add(new Append(open.name));
-        trim(now, steps);
-        return steps;
+        operations.add(new Append(open.name));
+        deleteBeyondLimits(now, operations);
+        return operations;
     }
 
-    /** {@return what to do so that all that is there now stays, up to the bound of what is kept} */
+    /**
+     * Preserves everything that is recorded now, up to the limit of what is preserved.
+     *
+     * @param now microseconds since 1970
+     * @return what to do for that
+     */
     public List<FileOperation> preserveAll(long now) {
-        List<FileOperation> steps = new ArrayList<>();
+        List<FileOperation> operations = new ArrayList<>();
         if (open != null) {
-            steps.add(new Close(open.name));
-            open = null;
+            closeOpen(operations);
         }
-        for (File f = files.poll(); f != null; f = files.poll()) {
-            File to = new File(new ExistingFile(KEPT + f.name, f.bytes, now));
-            steps.add(new Rename(f.name, to.name));
-            kept.add(to);
+        while (!segments.isEmpty()) {
+            Segment segment = segments.remove();
+            String name = PRESERVED_PREFIX + segment.name;
+            operations.add(new Rename(segment.name, name));
+            preserved.add(new Segment(name, segment.bytes, now));
         }
-        trim(now, steps);
-        return steps;
+        deleteBeyondLimits(now, operations);
+        return operations;
     }
 
-    /** The last step failed: what is open may end in half a chunk, and gets no more. */
+    private void closeOpen(List<FileOperation> operations) {
+        operations.add(new Close(open.name));
+        open = null;
+    }
+
+    /** An operation failed: the open file may end in half a chunk, and gets no more. */
     public void writeFailed() {
         open = null;
     }
 
-    private void trim(long now, List<FileOperation> steps) {
-        while (files.size() > 1
-                && (total(files) > bounds.maxBytes()
-                        || files.peek().writtenAt < now - bounds.maxAgeMicros())) {
-            steps.add(new Delete(files.poll().name));
+    private void deleteBeyondLimits(long now, List<FileOperation> operations) {
+        // The newest file stays whatever its size and age.
+        while (segments.size() > 1 && isBeyondLimits(segments.peek(), now)) {
+            operations.add(new Delete(segments.remove().name));
         }
-        while (kept.size() > 1 && total(kept) > bounds.keptBytes()) {
-            steps.add(new Delete(kept.poll().name));
+        while (preserved.size() > 1 && totalBytes(preserved) > limits.preservedBytes()) {
+            operations.add(new Delete(preserved.remove().name));
         }
     }
 
-    private static long total(ArrayDeque<File> of) {
-        return of.stream().mapToLong(f -> f.bytes).sum();
+    private boolean isBeyondLimits(Segment oldest, long now) {
+        return totalBytes(segments) > limits.maxBytes()
+                || oldest.writtenAt < now - limits.maxAgeMicros();
+    }
+
+    private static long totalBytes(Deque<Segment> files) {
+        return files.stream().mapToLong(file -> file.bytes).sum();
     }
 }
--- /dev/null
+++ b/core/src/main/java/sorrelhoist/core/record/TimelineText.java
@@ -0,0 +1,153 @@
+package sorrelhoist.core.record;
+
+import sorrelhoist.core.explain.ReasonFormatter;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.AttemptEnded;
+import sorrelhoist.routing.Routing.Cancel;
+import sorrelhoist.routing.Routing.ClientGone;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.Release;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.Routing.TimerFired;
+
+import java.util.Locale;
+import java.util.Optional;
+
+/** The texts of a request's timeline; operators read them, and docs/ops quotes some. */
+final class TimelineText {
+    private static final double MICROS_PER_MILLI = 1000;
+
+    private TimelineText() {}
+
+    static String submitted(RecordEntry.RequestSubmitted request) {
+        StringBuilder text = new StringBuilder();
+        if (request.fromToken() > 0) {
+            text.append("went on from token ").append(request.fromToken()).append(" as ");
+        } else {
+            text.append("asked, as ");
+        }
+        text.append(request.name());
+        if (!request.clientId().isEmpty()) {
+            text.append(", its client's ").append(request.clientId());
+        }
+        text.append(", prompt ").append(Long.toHexString(request.promptHash()));
+        if (request.timeoutMicros() > 0) {
+            text.append(", its client waits ").append(millis(request.timeoutMicros()));
+        }
+        return text.toString();
+    }
+
+    static String completed(RecordEntry.RequestCompleted completion) {
+        int tokens = completion.tokens();
+        String remaining =
+                completion.leftMicros() == Long.MAX_VALUE
+                        ? ""
+                        : ", " + millis(completion.leftMicros()) + " before its time was up";
+        return switch (completion.how()) {
+            case SERVED -> "answered: served, " + tokens + " tokens" + remaining;
+            case REFUSED -> "answered: refused, as " + failure(completion) + remaining;
+            case FAILED ->
+                    "answered: failed after "
+                            + tokens
+                            + " tokens, as "
+                            + failure(completion)
+                            + remaining;
+            case STALLED -> "given up: its client took nothing of its answer";
+            case LEFT -> "its client left after " + tokens + " tokens";
+        };
+    }
+
+    private static String failure(RecordEntry.RequestCompleted completion) {
+        return ReasonFormatter.describeFailure(completion.why());
+    }
+
+    /** {@return the text of an event, or nothing for timers} */
+    static Optional<String> event(Event event) {
+        if (event instanceof TimerFired) {
+            return Optional.empty();
+        } else if (event instanceof Arrived arrived) {
+            return Optional.of(arrival(arrived));
+        } else if (event instanceof AttemptEnded ended) {
+            return Optional.of(attemptEnd(ended));
+        } else if (event instanceof StreamStarted started) {
+            return Optional.of(
+                    attempt(started.attempt(), started.server())
+                            + ": first token after "
+                            + millis(started.tookMicros()));
+        } else if (event instanceof ClientGone) {
+            return Optional.of("the client left");
+        }
+        return Optional.of(event.getClass().getSimpleName());
+    }
+
+    private static String arrival(Arrived arrived) {
+        return "arrived: class "
+                + arrived.cls()
+                + ", tenant "
+                + arrived.tenant()
+                + ", "
+                + arrived.promptTokens()
+                + " prompt tokens ("
+                + arrived.prefixTokens()
+                + " shared), up to "
+                + arrived.maxTokens()
+                + " to answer, "
+                + millis(arrived.budgetMicros())
+                + " to the first token";
+    }
+
+    private static String attemptEnd(AttemptEnded ended) {
+        String kept =
+                ended.outcome() == Outcome.READ ? ", " + ended.note() + " tokens were kept" : "";
+        return attempt(ended.attempt(), ended.server())
+                + " ended: "
+                + ended.outcome()
+                + " after "
+                + millis(ended.tookMicros())
+                + kept;
+    }
+
+    private static String attempt(int number, String server) {
+        return "attempt " + number + " at " + server;
+    }
+
+    /** {@return the text of an action, or nothing for timers} */
+    static Optional<String> action(Action action) {
+        if (action instanceof Timer) {
+            return Optional.empty();
+        } else if (action instanceof Send send) {
+            return Optional.of(
+                    "send to "
+                            + send.server()
+                            + ": "
+                            + ReasonFormatter.describeSelection(send.why()));
+        } else if (action instanceof Refuse refuse) {
+            return Optional.of("refuse: " + ReasonFormatter.describeFailure(refuse.why()));
+        } else if (action instanceof Fail fail) {
+            return Optional.of("fail: " + ReasonFormatter.describeFailure(fail.why()));
+        } else if (action instanceof Cancel cancel) {
+            return Optional.of(
+                    "stop waiting for attempt "
+                            + cancel.attempt()
+                            + ": "
+                            + ReasonFormatter.describeFailure(cancel.why()));
+        } else if (action instanceof Release) {
+            return Optional.of("let go of what is held");
+        }
+        return Optional.of(action.getClass().getSimpleName());
+    }
+
+    static String line(long micros, String text) {
+        return String.format(Locale.ROOT, "%10.1f ms  %s", micros / MICROS_PER_MILLI, text);
+    }
+
+    private static String millis(long micros) {
+        return String.format(Locale.ROOT, "%.1f ms", micros / MICROS_PER_MILLI);
+    }
+}
--- /dev/null
+++ b/core/src/test/java/sorrelhoist/core/record/RecordedFailuresTest.java
@@ -0,0 +1,54 @@
+package sorrelhoist.core.record;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.Refuse;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.Stream;
+
+/**
+ * Past failures as recordings: each was shortened by {@code record cut --build} from what a router
+ * recorded, and holds what the build before its fix decided. A request that was rejected or failed
+ * there for want of capacity has to be forwarded now.
+ */
+class RecordedFailuresTest {
+    private static final Path RECORDS = Path.of("src/test/resources/records");
+
+    static Stream<Path> records() throws IOException {
+        return Files.list(RECORDS)
+                .filter(path -> path.toString().endsWith(SegmentRetention.FILE_SUFFIX))
+                .sorted();
+    }
+
+    private static Set<Long> ended(Recording recording) {
+        Set<Long> ids = new HashSet<>();
+        recording.entries().stream()
+                .filter(numbered -> numbered.entry() instanceof RecordEntry.Decision)
+                .flatMap(numbered -> ((RecordEntry.Decision) numbered.entry()).actions().stream())
+                .filter(action -> action instanceof Refuse || action instanceof Fail)
+                .forEach(action -> ids.add(RequestIds.of(action)));
+        return ids;
+    }
+
+    @ParameterizedTest
+    @MethodSource("records")
+    void aRequestThatEndedForWantOfCapacityIsForwardedNow(Path record)
+            throws IOException, CorruptRecordException {
+        Recording before = Recording.of(List.of(Files.readAllBytes(record)));
+        Set<Long> ended = ended(before);
+        assertFalse(ended.isEmpty(), record + " holds no failure");
+        ended.removeAll(ended(Replay.withReplayedActions(before)));
+        assertTrue(!ended.isEmpty(), record + ": the same requests end as before");
+    }
+}
--- /dev/null
+++ b/core/src/test/java/sorrelhoist/core/record/RequestTimelineTest.java
@@ -0,0 +1,44 @@
+package sorrelhoist.core.record;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+import java.util.List;
+
+/** A request's timeline, found by any of its names. */
+class RequestTimelineTest {
+    private static final List<String> LINES =
+            List.of(
+                    "       0.0 ms  asked, as edge-1.x.5, its client's mine, prompt 1234567890,"
+                            + " its client waits 4000.0 ms",
+                    "       0.0 ms  arrived: class 0, tenant 0, 100 prompt tokens (0 shared),"
+                            + " up to 20 to answer, 4000.0 ms to the first token",
+                    "       0.0 ms    send to r1: by hash, as the beginning was never seen,"
+                            + " 25.0 ms against 26.0 ms at r2; due at 30.0 ms of an aim of 1004 ms",
+                    "       0.0 ms  answered: refused, as an engine failed, and the budget of"
+                            + " repeats is spent, 0.1 ms before its time was up");
+
+    private final RequestTimeline timeline =
+            new RequestTimeline(Recording.of(RecordFixtures.HEADER, RecordFixtures.ENTRIES));
+
+    @Test
+    void aRequestIsFoundByItsNameItsClientsNameAndItsNumber() {
+        assertEquals(LINES, timeline.describe("edge-1.x.5"));
+        assertEquals(LINES, timeline.describe("mine"));
+        assertEquals(LINES, timeline.describe("5"));
+    }
+
+    @Test
+    void aRecordingWithoutClientsIsSearchedByTheNumberAtTheDecisions() {
+        Recording decisions =
+                Recording.of(
+                        RecordFixtures.HEADER,
+                        RecordFixtures.ENTRIES.stream()
+                                .filter(RecordEntry.Decision.class::isInstance)
+                                .toList());
+        assertEquals(LINES.subList(1, 3), new RequestTimeline(decisions).describe("5"));
+        assertEquals(List.of(), new RequestTimeline(decisions).describe("6"));
+        assertEquals(List.of(), new RequestTimeline(decisions).describe("no such request"));
+    }
+}
