--- a/core/src/main/java/sorrelhoist/core/statetransfer/DonorSelection.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/DonorSelection.java
@@ -1,64 +1,67 @@
 package sorrelhoist.core.statetransfer;
 
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * Decides whom a new router asks: edges of its own zone first, as their engines are its engines;
- * one that broke off once more, then others, and no more than a few exchanges in all. What it then
- * does not know it learns by itself.
+ * Decides which routers a starting one asks for a snapshot: those of its own zone first, as they
+ * use the same engines; each a second time if its transfer broke off, and no more than a few in
+ * all. What is not transferred is learned again.
  */
 public final class DonorSelection {
     /**
-     * An edge that could teach.
+     * A router that could be asked.
      *
      * @param edge its name
      * @param zone its zone
-     * @param address where it is reached
+     * @param address where it is reached, host:port
      */
     public record Donor(String edge, String zone, String address) {}
 
-    private static final int TRIES_EACH = 2;
-    private static final int EXCHANGES = 4;
-    private static final int TEACHERS = 2;
+    private static final int MAX_ATTEMPTS_PER_DONOR = 2;
+    private static final int MAX_TRANSFERS = 4;
+    private static final int MAX_COMPLETED_TRANSFERS = 2;
+
     private final String zone;
-    private final Map<String, Integer> tried = new HashMap<>();
-    private int exchanges;
-    private int transferCompleted;
+    private final Map<String, Integer> attempts = new HashMap<>();
+    private int transfers;
+    private int completedTransfers;
 
-    /** Makes a plan for an edge of this zone. */
+    /** Creates the selection of a router in this zone. */
     public DonorSelection(String zone) {
         this.zone = zone;
     }
 
-    /** {@return whom to ask next, or null for nobody} */
-    public Donor nextDonor(List<Donor> peers) {
-        if (transferCompleted >= TEACHERS || exchanges >= EXCHANGES) {
-            return null;
-        }
-        List<Donor> left =
-                new ArrayList<>(
-                        peers.stream()
-                                .filter(p -> tried.getOrDefault(p.edge(), 0) < TRIES_EACH)
-                                .toList());
-        left.sort(
-                Comparator.comparing((Donor p) -> !p.zone().equals(zone))
-                        .thenComparing(p -> tried.getOrDefault(p.edge(), 0))
-                        .thenComparing(Donor::edge));
-        if (left.isEmpty()) {
+    /** {@return which of these to ask next, or null for none} */
+    public Donor nextDonor(List<Donor> donors) {
+        if (completedTransfers >= MAX_COMPLETED_TRANSFERS || transfers >= MAX_TRANSFERS) {
             return null;
         }
-        exchanges++;
-        tried.merge(left.get(0).edge(), 1, Integer::sum);
-        return left.get(0);
+        Optional<Donor> next =
+                donors.stream()
+                        .filter(donor -> attemptsAt(donor) < MAX_ATTEMPTS_PER_DONOR)
+                        .min(
+                                Comparator.comparing((Donor donor) -> !donor.zone().equals(zone))
+                                        .thenComparing(this::attemptsAt)
+                                        .thenComparing(Donor::edge));
+        next.ifPresent(
+                donor -> {
+                    transfers++;
+                    attempts.merge(donor.edge(), 1, Integer::sum);
+                });
+        return next.orElse(null);
+    }
+
+    private int attemptsAt(Donor donor) {
+        return attempts.getOrDefault(donor.edge(), 0);
     }
 
-    /** An exchange came to its end in good order: this peer is not asked again. */
-    public void transferCompleted(Donor peer) {
-        tried.put(peer.edge(), TRIES_EACH);
-        transferCompleted++;
+    /** A transfer was completed: this donor is not asked again. */
+    public void transferCompleted(Donor donor) {
+        attempts.put(donor.edge(), MAX_ATTEMPTS_PER_DONOR);
+        completedTransfers++;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/statetransfer/KeyDigest.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KeyDigest.java
@@ -1,64 +1,62 @@
 package sorrelhoist.core.statetransfer;
 
+import sorrelhoist.routing.Knowledge;
+
+import java.nio.ByteBuffer;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import sorrelhoist.routing.Knowledge;
 
 /**
- * What a learner has already, in few bytes: four for each key. Two keys of one hash mean a key that
- * is not taught, which costs locality and nothing else. Asking again with a larger digest is how an
- * exchange that broke goes on.
+ * The keys that a receiving router has already, as a hash of four bytes each. Where two keys have
+ * one hash, one is not transferred, which costs locality and nothing else. A transfer that broke
+ * off is resumed by asking again with a larger digest.
  */
 public final class KeyDigest {
-    /** Keys that a digest tells of at most. */
+    /** Keys that a digest holds at most. */
     public static final int MAX_KEYS = 50_000;
 
-    private final Set<Integer> contains;
+    private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
+    private static final int FNV_PRIME = 0x01000193;
+
+    private final Set<Integer> hashes;
 
-    private KeyDigest(Set<Integer> has) {
-        this.contains = has;
+    private KeyDigest(Set<Integer> hashes) {
+        this.hashes = hashes;
     }
 
-    /** {@return the digest of what is known} */
+    /** {@return the digest of what is known; of too many keys, that of the newest} */
     public static byte[] encode(Knowledge known) {
-        int count = Math.min(MAX_KEYS, known.keys().size());
-        byte[] bytes = new byte[4 * count];
-        List<Knowledge.PrefixEntry> newest =
-                known.keys().subList(known.keys().size() - count, known.keys().size());
-        int at = 0;
-        for (Knowledge.PrefixEntry k : newest) {
-            int h = hash(k.name());
-            for (int shift = 24; shift >= 0; shift -= 8) {
-                bytes[at++] = (byte) (h >> shift);
-            }
+        List<Knowledge.PrefixEntry> keys = known.keys();
+        int count = Math.min(MAX_KEYS, keys.size());
+        ByteBuffer bytes = ByteBuffer.allocate(Integer.BYTES * count);
+        for (Knowledge.PrefixEntry key : keys.subList(keys.size() - count, keys.size())) {
+            bytes.putInt(hash(key.name()));
         }
-        return bytes;
+        return bytes.array();
     }
 
-    /** {@return a digest from its bytes; what is beyond the limit or cut is passed over} */
+    /** {@return the digest of these bytes; what is beyond the limit or cut is passed over} */
     public static KeyDigest decode(byte[] bytes) {
-        Set<Integer> has = new HashSet<>();
-        for (int at = 0; at + 4 <= bytes.length && has.size() < MAX_KEYS; at += 4) {
-            has.add(
-                    (bytes[at] & 0xFF) << 24
-                            | (bytes[at + 1] & 0xFF) << 16
-                            | (bytes[at + 2] & 0xFF) << 8
-                            | bytes[at + 3] & 0xFF);
+        Set<Integer> hashes = new HashSet<>();
+        ByteBuffer in = ByteBuffer.wrap(bytes);
+        while (in.remaining() >= Integer.BYTES && hashes.size() < MAX_KEYS) {
+            hashes.add(in.getInt());
         }
-        return new KeyDigest(has);
+        return new KeyDigest(hashes);
     }
 
-    /** {@return whether the learner seems to have this key} */
+    /** {@return whether the receiving router seems to have this key} */
     public boolean contains(String key) {
-        return contains.contains(hash(key));
+        return hashes.contains(hash(key));
     }
 
+    /** FNV-1a over UTF-16 units, folded; routers of all versions have to agree on it. */
     private static int hash(String name) {
-        int h = 0x811c9dc5;
+        int hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < name.length(); i++) {
-            h = (h ^ name.charAt(i)) * 0x01000193;
+            hash = (hash ^ name.charAt(i)) * FNV_PRIME;
         }
-        return h ^ h >>> 15;
+        return hash ^ hash >>> 15;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslator.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslator.java
@@ -1,67 +1,86 @@
 package sorrelhoist.core.statetransfer;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.function.ToLongBiFunction;
 import sorrelhoist.core.members.EngineTable;
 import sorrelhoist.routing.Knowledge;
+import sorrelhoist.routing.Knowledge.PrefixEntry;
+import sorrelhoist.routing.Knowledge.PrefixHolder;
+import sorrelhoist.routing.Knowledge.ServerHealth;
+
+import java.util.List;
 
 /**
- * Names engines' processes alike at all routers: {@code Decide} knows a process by its start on its
- * own router's clock, others know it by the incarnation that the engine itself registered.
+ * Names the processes of engines alike at all routers. The routing policy knows a process by its
+ * start on this router's own clock; other routers, and later starts of this one, know it by the
+ * incarnation that the engine registered. What is known of a process that runs no longer is left
+ * out.
  */
 public final class ProcessIdentityTranslator {
     /** Stands for a process that is not the one this router knows. */
-    private static final long OTHER = -1;
+    private static final long UNKNOWN_PROCESS = -1;
 
-    private ProcessIdentityTranslator() {}
+    /** Translates what identifies a server's process. */
+    private interface Translation {
+        long apply(String server, long process);
+    }
+
+    private final Translation translation;
+
+    private ProcessIdentityTranslator(Translation translation) {
+        this.translation = translation;
+    }
 
     /** {@return the same with incarnations in place of this router's start times} */
-    public static Knowledge toIncarnations(Knowledge k, EngineTable table) {
-        return with(k, (id, since) -> table.startedAt(id) == since ? table.incarnation(id) : OTHER);
+    public static Knowledge toIncarnations(Knowledge knowledge, EngineTable engines) {
+        return new ProcessIdentityTranslator(
+                        (server, startedAt) ->
+                                engines.startedAt(server) == startedAt
+                                        ? engines.incarnation(server)
+                                        : UNKNOWN_PROCESS)
+                .translate(knowledge);
     }
 
     /** {@return the same with this router's start times in place of incarnations} */
-    public static Knowledge toLocalStartTimes(Knowledge k, EngineTable table) {
-        return with(
-                k,
-                (id, incarnation) ->
-                        table.incarnation(id) == incarnation && incarnation != OTHER
-                                ? table.startedAt(id)
-                                : OTHER);
+    public static Knowledge toLocalStartTimes(Knowledge knowledge, EngineTable engines) {
+        return new ProcessIdentityTranslator(
+                        (server, incarnation) ->
+                                incarnation != UNKNOWN_PROCESS
+                                                && engines.incarnation(server) == incarnation
+                                        ? engines.startedAt(server)
+                                        : UNKNOWN_PROCESS)
+                .translate(knowledge);
     }
 
-    private static Knowledge with(Knowledge k, ToLongBiFunction<String, Long> process) {
-        List<Knowledge.PrefixEntry> keys = new ArrayList<>();
-        for (Knowledge.PrefixEntry key : k.keys()) {
-            keys.add(
-                    new Knowledge.PrefixEntry(
-                            key.name(),
-                            key.ageMicros(),
-                            key.uses(),
-                            key.holders().stream()
-                                    .map(
-                                            h ->
-                                                    new Knowledge.PrefixHolder(
-                                                            h.server(),
-                                                            process.applyAsLong(
-                                                                    h.server(), h.since()),
-                                                            h.tokens()))
-                                    .filter(h -> h.since() != OTHER)
-                                    .toList()));
-        }
-        List<Knowledge.ServerHealth> health =
-                k.servers().stream()
-                        .map(
-                                h ->
-                                        new Knowledge.ServerHealth(
-                                                h.id(),
-                                                process.applyAsLong(h.id(), h.since()),
-                                                h.failureRate(),
-                                                h.latencyRatio(),
-                                                h.latencySamples()))
-                        .filter(h -> h.since() != OTHER)
+    private Knowledge translate(Knowledge knowledge) {
+        return new Knowledge(
+                knowledge.keys().stream().map(this::translate).toList(),
+                knowledge.servers().stream()
+                        .map(this::translate)
+                        .filter(health -> health.since() != UNKNOWN_PROCESS)
+                        .toList(),
+                knowledge.prefillTimes(),
+                knowledge.firstTokenTimes());
+    }
+
+    private PrefixEntry translate(PrefixEntry key) {
+        List<PrefixHolder> holders =
+                key.holders().stream()
+                        .map(this::translate)
+                        .filter(holder -> holder.since() != UNKNOWN_PROCESS)
                         .toList();
-        return new Knowledge(keys, health, k.prefillTimes(), k.firstTokenTimes());
+        return new PrefixEntry(key.name(), key.ageMicros(), key.uses(), holders);
+    }
+
+    private PrefixHolder translate(PrefixHolder holder) {
+        long process = translation.apply(holder.server(), holder.since());
+        return new PrefixHolder(holder.server(), process, holder.tokens());
+    }
+
+    private ServerHealth translate(ServerHealth health) {
+        return new ServerHealth(
+                health.id(),
+                translation.apply(health.id(), health.since()),
+                health.failureRate(),
+                health.latencyRatio(),
+                health.latencySamples());
     }
 }
--- a/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotLog.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotLog.java
@@ -7,9 +7,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of a router's past on disk: a header, then frames that each carry their length, a
- * checksum and when they were written. A kill at any byte leaves whole frames and a tail that shows
- * itself as cut; what is damaged or foreign is never taken for knowledge.
+ * The form of a router's snapshots on disk: a file header, then frames that each carry their
+ * length, a checksum (CRC32C) and when they were written. A process killed at any byte leaves whole
+ * frames and a tail that shows as cut; damaged or foreign bytes are never taken for a frame.
  */
 public final class SnapshotLog {
     /**
@@ -30,8 +30,8 @@
      */
     public record ReadResult(List<Frame> frames, int validBytes, String fault, boolean foreign) {}
 
-    private static final byte[] HEADER = {'S', 'R', 'L', 'P', 'A', 'S', 'T', '1'};
-    private static final int FRAME = 4 + 4 + 8;
+    private static final byte[] FILE_HEADER = {'S', 'R', 'L', 'P', 'A', 'S', 'T', '1'};
+    private static final int FRAME_HEADER_BYTES = Integer.BYTES + Integer.BYTES + Long.BYTES;
 
     /** Bytes that a frame's content may have. */
     public static final int MAX_PAYLOAD = 64 << 20;
@@ -40,57 +40,71 @@
 
     /** {@return what a new file begins with} */
     public static byte[] header() {
-        return HEADER.clone();
+        return FILE_HEADER.clone();
     }
 
-    /** {@return the bytes of one frame} */
+    /**
+     * Encodes a frame.
+     *
+     * @param savedAt when it is written, microseconds since 1970
+     * @param payload its content
+     * @return its bytes
+     */
     public static byte[] encodeFrame(long savedAt, byte[] payload) {
-        ByteBuffer out = ByteBuffer.allocate(FRAME + payload.length);
-        out.putInt(payload.length).putInt(sum(savedAt, payload)).putLong(savedAt).put(payload);
-        return out.array();
+        return ByteBuffer.allocate(FRAME_HEADER_BYTES + payload.length)
+                .putInt(payload.length)
+                .putInt(checksum(savedAt, payload))
+                .putLong(savedAt)
+                .put(payload)
+                .array();
     }
 
-    private static int sum(long savedAt, byte[] payload) {
+    private static int checksum(long savedAt, byte[] payload) {
         CRC32C crc = new CRC32C();
-        crc.update(ByteBuffer.allocate(12).putInt(payload.length).putLong(savedAt).flip());
+        crc.update(
+                ByteBuffer.allocate(Integer.BYTES + Long.BYTES)
+                        .putInt(payload.length)
+                        .putLong(savedAt)
+                        .flip());
         crc.update(payload);
         return (int) crc.getValue();
     }
 
-    /** Reads a file's bytes. Never fails: what cannot be read is said. */
+    /** Reads a file's bytes. Never fails: what cannot be read is reported as the fault. */
     public static ReadResult read(byte[] file) {
-        int common = Math.min(file.length, HEADER.length);
-        if (!Arrays.equals(file, 0, common, HEADER, 0, common)) {
+        int common = Math.min(file.length, FILE_HEADER.length);
+        if (!Arrays.equals(file, 0, common, FILE_HEADER, 0, common)) {
             return new ReadResult(List.of(), 0, "not a past of this program", true);
         }
-        if (file.length < HEADER.length) {
+        if (file.length < FILE_HEADER.length) {
             return new ReadResult(List.of(), 0, null, false);
         }
+        return readFrames(ByteBuffer.wrap(file).position(FILE_HEADER.length));
+    }
+
+    private static ReadResult readFrames(ByteBuffer in) {
         List<Frame> frames = new ArrayList<>();
-        ByteBuffer in = ByteBuffer.wrap(file).position(HEADER.length);
-        int valid = HEADER.length;
-        while (in.remaining() >= FRAME) {
+        int validBytes = in.position();
+        while (in.remaining() >= FRAME_HEADER_BYTES) {
             int length = in.getInt();
-            int sum = in.getInt();
+            int checksum = in.getInt();
             long savedAt = in.getLong();
             if (length < 0 || length > MAX_PAYLOAD) {
-                return new ReadResult(
-                        frames,
-                        valid,
-                        "a frame's length of " + length + " at byte " + valid,
-                        false);
+                String fault = "a frame's length of " + length + " at byte " + validBytes;
+                return new ReadResult(frames, validBytes, fault, false);
             }
             if (length > in.remaining()) {
-                return new ReadResult(frames, valid, null, false);
+                break;
             }
             byte[] payload = new byte[length];
             in.get(payload);
-            if (sum(savedAt, payload) != sum) {
-                return new ReadResult(frames, valid, "a frame's checksum at byte " + valid, false);
+            if (checksum(savedAt, payload) != checksum) {
+                String fault = "a frame's checksum at byte " + validBytes;
+                return new ReadResult(frames, validBytes, fault, false);
             }
             frames.add(new Frame(savedAt, payload));
-            valid = in.position();
+            validBytes = in.position();
         }
-        return new ReadResult(frames, valid, null, false);
+        return new ReadResult(frames, validBytes, null, false);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotPolicy.java
@@ -1,72 +1,100 @@
 package sorrelhoist.core.statetransfer;
 
+import sorrelhoist.core.statetransfer.KnowledgeCodec.CorruptKnowledgeException;
+import sorrelhoist.routing.Knowledge;
+
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import sorrelhoist.routing.Knowledge;
+import java.util.Optional;
 
 /**
- * Decides when a router writes down what it knows, and what of its past is still worth believing.
- * Between snapshots of everything, smaller ones of what was used lately are appended; a restart
- * takes the newest first, as what is already known stays.
+ * Decides when a router writes snapshots, and which of them are still worth restoring. Between full
+ * snapshots, incremental ones of what was used lately are appended; a restart restores the newest
+ * first, as later imports do not replace what is known already.
  */
 public final class SnapshotPolicy {
     /** What to write now. */
     public enum SnapshotKind {
+        /** Nothing is due. */
         NONE,
+        /** What was used lately, to be appended to the log. */
         INCREMENTAL,
+        /** Everything, in place of what is on disk. */
         FULL
     }
 
     /**
-     * A piece of the past.
+     * Knowledge that was read back.
      *
-     * @param knowledge what
-     * @param age how old, in microseconds
+     * @param knowledge what was known
+     * @param age how long ago that was, in microseconds
      */
     public record RestoredSnapshot(Knowledge knowledge, long age) {}
 
     /**
-     * Keys that an append holds: those used since the one before are few, the most recent matter
-     * most.
+     * Bytes of keys in an incremental snapshot: keys that were used since the one before are few,
+     * and the most recent matter most.
      */
     public static final int MAX_INCREMENTAL_BYTES = 64 << 10;
 
-    /** Bytes of keys that a snapshot holds. */
+    /** Bytes of keys in a full snapshot. */
     public static final int MAX_FULL_BYTES = 8 << 20;
 
-    private static final long APPEND_EVERY = 5_000_000;
-    private static final long SNAPSHOT_EVERY = 60_000_000;
-    private static final long LOG_BYTES = 4 << 20;
-    private static final long MAX_AGE =
-            1_800_000_000; // half an hour: the fleet of then is not that of now
-    private long appendedAt;
-    private long snapshotAt;
+    private static final long INCREMENTAL_INTERVAL_MICROS = 5_000_000;
+    private static final long FULL_INTERVAL_MICROS = 60_000_000;
+
+    /** Bytes of incremental snapshots after which a full one is due. */
+    private static final long MAX_LOG_BYTES = 4 << 20;
+
+    /** Half an hour: by then the fleet is no longer the one that was learned. */
+    private static final long MAX_AGE_MICROS = 1_800_000_000;
+
+    private long lastWrittenAt;
+    private long lastFullAt;
     private long logBytes;
 
-    /** Makes one that has written nothing; its first step is due a little after the start. */
+    /**
+     * Creates a policy that has written nothing; the first snapshot is due after its interval.
+     *
+     * @param now microseconds
+     */
     public SnapshotPolicy(long now) {
-        appendedAt = now;
-        snapshotAt = now;
+        lastWrittenAt = now;
+        lastFullAt = now;
     }
 
-    /** {@return what is due} */
+    /**
+     * {@return what is due}
+     *
+     * @param now microseconds
+     */
     public SnapshotKind kindDue(long now) {
-        return now - snapshotAt >= SNAPSHOT_EVERY || logBytes >= LOG_BYTES
-                ? SnapshotKind.FULL
-                : now - appendedAt >= APPEND_EVERY ? SnapshotKind.INCREMENTAL : SnapshotKind.NONE;
+        if (now - lastFullAt >= FULL_INTERVAL_MICROS || logBytes >= MAX_LOG_BYTES) {
+            return SnapshotKind.FULL;
+        }
+        return now - lastWrittenAt >= INCREMENTAL_INTERVAL_MICROS
+                ? SnapshotKind.INCREMENTAL
+                : SnapshotKind.NONE;
     }
 
-    /** {@return when something is due next} */
+    /** {@return when something is due next, in microseconds} */
     public long nextDueAt() {
-        return Math.min(appendedAt + APPEND_EVERY, snapshotAt + SNAPSHOT_EVERY);
+        return Math.min(
+                lastWrittenAt + INCREMENTAL_INTERVAL_MICROS, lastFullAt + FULL_INTERVAL_MICROS);
     }
 
-    /** It was written, or could not be: either way the next is due after its time. */
-    public void snapshotWritten(long now, SnapshotKind step, long bytes) {
-        appendedAt = now;
-        if (step == SnapshotKind.FULL) {
-            snapshotAt = now;
+    /**
+     * A snapshot was written, or could not be: either way the next is due after its interval.
+     *
+     * @param now microseconds
+     * @param kind what was written
+     * @param bytes that an incremental one added to the log
+     */
+    public void snapshotWritten(long now, SnapshotKind kind, long bytes) {
+        lastWrittenAt = now;
+        if (kind == SnapshotKind.FULL) {
+            lastFullAt = now;
             logBytes = 0;
         } else {
             logBytes += bytes;
@@ -74,28 +102,33 @@
     }
 
     /**
-     * What of a past is worth believing.
+     * Selects what is worth restoring.
      *
      * @param now microseconds since 1970
      * @param frames of snapshot and log, in any order
-     * @return memories, the newest first; frames of the future count as just written, as a clock
-     *     was set back
+     * @return what is not too old and can be read, the newest first; frames of the future count as
+     *     just written, as the clock was set back
      */
     public static List<RestoredSnapshot> selectRestorable(
             long now, List<SnapshotLog.Frame> frames) {
-        List<SnapshotLog.Frame> ordered = new ArrayList<>(frames);
-        ordered.sort(Comparator.comparingLong(f -> -f.savedAt()));
-        List<RestoredSnapshot> memories = new ArrayList<>();
-        for (SnapshotLog.Frame f : ordered) {
-            long age = Math.max(0, now - f.savedAt());
-            if (age <= MAX_AGE) {
-                try {
-                    memories.add(new RestoredSnapshot(KnowledgeCodec.decode(f.payload()), age));
-                } catch (KnowledgeCodec.CorruptKnowledgeException e) {
-                    continue; // whole by its checksum, but of a version that is too far away
-                }
+        List<SnapshotLog.Frame> newestFirst = new ArrayList<>(frames);
+        newestFirst.sort(Comparator.comparingLong(frame -> -frame.savedAt()));
+        List<RestoredSnapshot> restorable = new ArrayList<>();
+        for (SnapshotLog.Frame frame : newestFirst) {
+            long age = Math.max(0, now - frame.savedAt());
+            if (age <= MAX_AGE_MICROS) {
+                decode(frame).ifPresent(known -> restorable.add(new RestoredSnapshot(known, age)));
             }
         }
-        return memories;
+        return restorable;
+    }
+
+    private static Optional<Knowledge> decode(SnapshotLog.Frame frame) {
+        try {
+            return Optional.of(KnowledgeCodec.decode(frame.payload()));
+        } catch (CorruptKnowledgeException e) {
+            // Whole by its checksum, but of a version that is too far away.
+            return Optional.empty();
+        }
     }
 }
