--- a/core/src/main/java/sorrelhoist/core/explain/ReasonFormatter.java
+++ b/core/src/main/java/sorrelhoist/core/explain/ReasonFormatter.java
@@ -1,43 +1,39 @@
 package sorrelhoist.core.explain;
 
-import java.util.Locale;
 import sorrelhoist.routing.Reason;
 
-/** A decision's reason in plain words: for a client's status, a log line, or whoever asks why. */
+import java.util.Locale;
+
+/** A decision's reason in plain words: for a client's status, a log line, or a timeline. */
 public final class ReasonFormatter {
-    private static final double MILLI = 1000;
+    private static final double MICROS_PER_MILLI = 1000;
+
+    /** Below this, milliseconds are given with a decimal place. */
+    private static final double ONE_DECIMAL_BELOW_MICROS = 100 * MICROS_PER_MILLI;
 
     private ReasonFormatter() {}
 
     /**
-     * Says why a request was refused, and when to come back.
+     * Describes why a request was rejected, and when to retry.
      *
-     * @param why what was short
-     * @param backoffMicros when to come back; 0 for no advice
+     * @param why the reason
+     * @param backoffMicros after which to retry; 0 for no advice
      * @return one sentence for the client, without names of engines
      */
     public static String describeRejection(Reason why, long backoffMicros) {
-        String when = backoffMicros > 0 ? "; come back in " + ms(backoffMicros) : "";
-        return "refused, and a repeat is harmless: " + describeFailure(why) + when;
+        String retry = backoffMicros > 0 ? "; come back in " + wholeMillis(backoffMicros) : "";
+        return "refused, and a repeat is harmless: " + describeFailure(why) + retry;
     }
 
     /** {@return what was short, for a final answer that served nothing} */
     public static String describeFailure(Reason why) {
-        String sum =
-                millis(why.expected())
-                        + " expected to the first token (read "
-                        + millis(why.read())
-                        + ", answer "
-                        + millis(why.first())
-                        + ", engines behind by "
-                        + millis(why.lag())
-                        + "), "
-                        + millis(why.limit())
-                        + " allowed";
         return switch (why.kind()) {
-            case DOOR -> "the engines are too busy: " + sum;
-            case DOOR_LESS_WORTH -> "the engines are kept for requests of more worth: " + sum;
-            case DOOR_SHARE -> "the tenant is beyond its share and the engines are busy: " + sum;
+            case DOOR -> "the engines are too busy: " + expectedTimes(why);
+            case DOOR_LESS_WORTH ->
+                    "the engines are kept for requests of more worth: " + expectedTimes(why);
+            case DOOR_SHARE ->
+                    "the tenant is beyond its share and the engines are busy: "
+                            + expectedTimes(why);
             case NO_SERVER -> "no engine that can take it is listed";
             case DRAINING -> "the engines that are listed are draining";
             case COLD -> "the engines that are listed have just started and take no more for now";
@@ -60,66 +56,86 @@
         };
     }
 
+    private static String expectedTimes(Reason why) {
+        return millis(why.expected())
+                + " expected to the first token (read "
+                + millis(why.read())
+                + ", answer "
+                + millis(why.first())
+                + ", engines behind by "
+                + millis(why.lag())
+                + "), "
+                + millis(why.limit())
+                + " allowed";
+    }
+
     /**
-     * Says why a server was chosen.
+     * Describes why a server was selected.
      *
      * @param why as given with a send
      * @return a part of a sentence
      */
     public static String describeSelection(Reason why) {
-        String how =
-                switch (why.kind()) {
-                    case KEPT -> "likely keeps most of the prompt";
-                    case CHEAPEST -> "cheapest to read at";
-                    case UNSEEN -> "by hash, as the beginning was never seen";
-                    case SHIFTED -> "lightest, as the keeper was heaviest";
-                    case UNJAMMED -> "soonest, as the first choice was jammed";
-                    case TRIAL -> "a trial of one that was set aside";
-                    case MIXED -> "reads and answers";
-                    case WRITER_READS -> "reads the prompt itself, as no reader can";
-                    case TWO_DRAWS -> "lighter of two drawn";
-                    default -> "no reason given";
-                };
-        boolean tokens =
-                switch (why.kind()) {
-                    case MIXED, WRITER_READS, TWO_DRAWS -> true;
-                    default -> false;
-                };
-        String figures =
-                Double.isNaN(why.estimate())
-                        ? ""
-                        : ", "
-                                + figure(why.estimate(), tokens)
-                                + (why.next() == null
-                                        ? ""
-                                        : " against "
-                                                + figure(why.nextEstimate(), tokens)
-                                                + " at "
-                                                + why.next());
-        return how
-                + figures
+        return selectionRule(why.kind())
+                + estimates(why)
                 + "; due at "
                 + millis(why.expected())
                 + " of an aim of "
                 + millis(why.limit());
     }
 
-    private static String figure(double value, boolean tokens) {
-        return tokens ? count(value) + " tokens" : millis(value);
+    private static String selectionRule(Reason.Kind kind) {
+        return switch (kind) {
+            case KEPT -> "likely keeps most of the prompt";
+            case CHEAPEST -> "cheapest to read at";
+            case UNSEEN -> "by hash, as the beginning was never seen";
+            case SHIFTED -> "lightest, as the keeper was heaviest";
+            case UNJAMMED -> "soonest, as the first choice was jammed";
+            case TRIAL -> "a trial of one that was set aside";
+            case MIXED -> "reads and answers";
+            case WRITER_READS -> "reads the prompt itself, as no reader can";
+            case TWO_DRAWS -> "lighter of two drawn";
+            default -> "no reason given";
+        };
+    }
+
+    private static String estimates(Reason why) {
+        if (Double.isNaN(why.estimate())) {
+            return "";
+        }
+        String selected = ", " + estimate(why.kind(), why.estimate());
+        if (why.next() == null) {
+            return selected;
+        }
+        return selected
+                + " against "
+                + estimate(why.kind(), why.nextEstimate())
+                + " at "
+                + why.next();
+    }
+
+    /** Servers that decode are compared by tokens, others by time. */
+    private static String estimate(Reason.Kind kind, double value) {
+        return switch (kind) {
+            case MIXED, WRITER_READS, TWO_DRAWS -> count(value) + " tokens";
+            default -> millis(value);
+        };
     }
 
-    private static String count(double n) {
-        return String.format(Locale.ROOT, "%.0f", n);
+    private static String count(double number) {
+        return String.format(Locale.ROOT, "%.0f", number);
     }
 
-    private static String ms(long micros) {
+    /** Rounds up, so that nobody comes back too early. */
+    private static String wholeMillis(long micros) {
         return (micros + 999) / 1000 + " ms";
     }
 
     private static String millis(double micros) {
-        return Double.isNaN(micros)
-                ? "unknown"
-                : String.format(
-                        Locale.ROOT, micros < 100 * MILLI ? "%.1f ms" : "%.0f ms", micros / MILLI);
+        if (Double.isNaN(micros)) {
+            return "unknown";
+        }
+        String format = micros < ONE_DECIMAL_BELOW_MICROS ? "%.1f ms" : "%.0f ms";
+        return String.format(Locale.ROOT, format, micros / MICROS_PER_MILLI);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
@@ -4,23 +4,22 @@
 import java.util.List;
 
 /**
- * Gives background work its place: which job may run a slice now, and how much of it. Requests go
- * first: while any wait, a job runs only if it has waited longer than its bound, and then one slice
- * at a time with a pause after it, so that starvation is bounded and requests lose a known share at
- * most.
+ * Decides which background job may run a slice now, and how large the slice is. Requests go first:
+ * while any wait, a job runs only once it is overdue, and then one slice at a time with a pause
+ * after it, so that starvation is bounded and requests lose a known share at most.
  *
- * <p>Time is the caller's, in microseconds. The caller runs the slice and reports what it cost; a
- * job that overspends pays it back before it runs again.
+ * <p>Times are its caller's, in microseconds. The caller runs the slice and reports what it cost; a
+ * job that overspends pays that back before it runs again.
  */
 public final class BackgroundScheduler {
     /**
-     * A kind of work.
+     * A kind of background work.
      *
      * @param name for logs
      * @param priority higher goes first
      * @param cpuMicrosPerSecond microseconds of CPU that it may use a second
      * @param bytesPerSecond bytes that it may read or write a second
-     * @param maxWaitMicros after which it goes before all others, and before requests
+     * @param maxWaitMicros after which it is overdue, and goes before all others and requests
      */
     public record Job(
             String name,
@@ -30,78 +29,59 @@
             long maxWaitMicros) {}
 
     /**
-     * Leave to run.
+     * Permission to run.
      *
      * @param job which
      * @param cpuMicros for how long at most
-     * @param bytes how much at most
-     * @param overdue whether it runs because its bound has passed
+     * @param bytes how much it may read or write at most
+     * @param overdue whether it runs because it has waited too long
      */
     public record Slice(Job job, long cpuMicros, long bytes, boolean overdue) {}
 
-    private static final class Entry {
-        final Job job;
-        final Allowance cpu;
-        final Allowance bytes;
-        long dueAt = Long.MAX_VALUE;
-        long deadline = Long.MAX_VALUE;
-
-        Entry(Job job, long now) {
-            this.job = job;
-            this.cpu = new Allowance(job.cpuMicrosPerSecond(), now);
-            this.bytes = new Allowance(job.bytesPerSecond(), now);
-        }
+    /** Microseconds of CPU: what a request that comes meanwhile waits at most. */
+    private static final long MAX_SLICE_MICROS = 2_000;
 
-        boolean affordable(long now) {
-            return cpu.left(now) > 0 && bytes.left(now) > 0;
-        }
+    /** The same while requests wait. */
+    private static final long MAX_SLICE_BESIDE_REQUESTS_MICROS = 500;
 
-        /** From when on it goes before everything: its bound after it was due, or its deadline. */
-        long lateFrom() {
-            return dueAt == Long.MAX_VALUE
-                    ? Long.MAX_VALUE
-                    : Math.min(
-                            deadline,
-                            dueAt + Math.min(job.maxWaitMicros(), Long.MAX_VALUE - dueAt));
-        }
-    }
+    /** Times the cost of an overdue slice: requests keep nine tenths of the thread. */
+    private static final int PAUSE_PER_COST = 9;
 
-    private static final long SLICE =
-            2_000; // of CPU: what a request that comes meanwhile waits at most
-    private static final long LATE_SLICE = 500; // while requests wait
-    private static final int PAUSE =
-            9; // times a late slice's cost: requests keep nine tenths of the thread
-    private final List<Entry> entries = new ArrayList<>();
-    private final Allowance cpu;
-    private long lateAgainAt;
-    private Entry running;
+    private final List<ScheduledJob> jobs = new ArrayList<>();
+    private final TokenBucket sharedCpuMicros;
+    private long pausedUntil;
+    private ScheduledJob running;
 
     /**
-     * Makes it without jobs.
+     * Creates a scheduler without jobs.
      *
      * @param cpuPerSecond microseconds of CPU that all jobs together may use a second
      * @param now microseconds
      */
     public BackgroundScheduler(long cpuPerSecond, long now) {
-        this.cpu = new Allowance(cpuPerSecond, now);
+        this.sharedCpuMicros = new TokenBucket(cpuPerSecond, now);
     }
 
-    /** Adds a kind of work, with nothing to do yet. */
+    /**
+     * Registers a job, with nothing to do yet.
+     *
+     * @param job the job
+     * @param now microseconds
+     */
     public void register(Job job, long now) {
-        entries.add(new Entry(job, now));
+        jobs.add(new ScheduledJob(job, now));
     }
 
     /**
-     * There is work.
+     * Tells that there is work.
      *
-     * @param job which
-     * @param at from when on
+     * @param job a registered job
+     * @param at from when on, in microseconds
      * @param deadline by when it should have run; Long.MAX_VALUE for none
+     * @throws IllegalArgumentException where the job was not registered
      */
     public void schedule(Job job, long at, long deadline) {
-        Entry e = entry(job);
-        e.dueAt = Math.min(e.dueAt, at);
-        e.deadline = Math.min(e.deadline, deadline);
+        find(job).addWork(at, deadline);
     }
 
     /**
@@ -110,49 +90,48 @@
      * @param now microseconds
      * @param requestsWait whether requests wait for the thread
      * @return a slice, to be followed by {@link #sliceFinished}; null where nothing may run now
+     * @throws IllegalStateException where the slice before was not reported
      */
     public Slice nextSlice(long now, boolean requestsWait) {
         if (running != null) {
             throw new IllegalStateException(
-                    running.job.name() + " has not reported what its slice cost");
+                    running.job().name() + " has not reported what its slice cost");
         }
-        Entry best = null;
-        for (Entry e : entries) {
-            if (e.dueAt <= now && e.affordable(now) && (best == null || before(e, best, now))) {
-                best = e;
-            }
-        }
-        if (best == null) {
-            return null;
-        }
-        boolean late = now >= best.lateFrom();
-        // The shared budget binds work in its turn; what is late may overdraw it, and pays back.
-        if (late ? requestsWait && now < lateAgainAt : requestsWait || cpu.left(now) <= 0) {
+        ScheduledJob next = firstRunnable(now);
+        if (next == null || !mayRun(next, now, requestsWait)) {
             return null;
         }
-        running = best;
-        long most = requestsWait ? LATE_SLICE : SLICE;
+        running = next;
+        long maxCpuMicros = requestsWait ? MAX_SLICE_BESIDE_REQUESTS_MICROS : MAX_SLICE_MICROS;
         return new Slice(
-                best.job,
-                (long) Math.max(1, Math.min(most, best.cpu.left(now))),
-                (long) Math.max(1, best.bytes.left(now)),
-                late);
+                next.job(),
+                (long) Math.max(1, Math.min(maxCpuMicros, next.availableCpuMicros(now))),
+                (long) Math.max(1, next.availableBytes(now)),
+                next.isOverdue(now));
     }
 
-    /** Late work by how late it is, then priority, then who has waited longest. */
-    private static boolean before(Entry a, Entry b, long now) {
-        boolean aLate = now >= a.lateFrom();
-        boolean bLate = now >= b.lateFrom();
-        if (aLate || bLate) {
-            return aLate && (!bLate || a.lateFrom() < b.lateFrom());
+    private ScheduledJob firstRunnable(long now) {
+        ScheduledJob first = null;
+        for (ScheduledJob candidate : jobs) {
+            if (candidate.isDue(now)
+                    && candidate.hasBudget(now)
+                    && (first == null || candidate.goesBefore(first, now))) {
+                first = candidate;
+            }
         }
-        return a.job.priority() != b.job.priority()
-                ? a.job.priority() > b.job.priority()
-                : a.dueAt < b.dueAt;
+        return first;
+    }
+
+    /** An overdue job may overdraw the shared budget; what it takes is paid back by all. */
+    private boolean mayRun(ScheduledJob job, long now, boolean requestsWait) {
+        if (job.isOverdue(now)) {
+            return !requestsWait || now >= pausedUntil;
+        }
+        return !requestsWait && sharedCpuMicros.available(now) > 0;
     }
 
     /**
-     * A slice has run.
+     * Reports the slice that {@link #nextSlice} gave.
      *
      * @param now microseconds
      * @param cpuMicros what it used
@@ -161,36 +140,34 @@
      * @param deadline by when that should have run; Long.MAX_VALUE for none
      */
     public void sliceFinished(long now, long cpuMicros, long bytes, long again, long deadline) {
-        Entry e = running;
+        ScheduledJob finished = running;
         running = null;
-        e.cpu.spend(now, cpuMicros);
-        e.bytes.spend(now, bytes);
-        cpu.spend(now, cpuMicros);
-        lateAgainAt = now + PAUSE * cpuMicros;
-        e.dueAt = again;
-        e.deadline = deadline;
+        finished.sliceFinished(now, cpuMicros, bytes);
+        sharedCpuMicros.spend(now, cpuMicros);
+        pausedUntil = now + PAUSE_PER_COST * cpuMicros;
+        finished.reschedule(again, deadline);
     }
 
     /**
      * {@return when {@link #nextSlice} may first give something, as far as is known now;
      * Long.MAX_VALUE for never}
+     *
+     * @param now microseconds
      */
     public long nextWakeAt(long now) {
-        long wake = Long.MAX_VALUE;
-        for (Entry e : entries) {
-            if (e.dueAt < Long.MAX_VALUE) {
-                long free = Math.max(e.cpu.freeAt(now), e.bytes.freeAt(now));
-                long turn =
-                        Math.min(Math.max(e.dueAt, cpu.freeAt(now)), Math.max(e.lateFrom(), now));
-                wake = Math.min(wake, Math.max(Math.max(e.dueAt, now), Math.max(free, turn)));
+        long wakeAt = Long.MAX_VALUE;
+        for (ScheduledJob job : jobs) {
+            if (job.hasWork()) {
+                long sharedBudgetAt = sharedCpuMicros.nextAvailableAt(now);
+                wakeAt = Math.min(wakeAt, job.runnableAt(now, sharedBudgetAt));
             }
         }
-        return wake;
+        return wakeAt;
     }
 
-    private Entry entry(Job job) {
-        return entries.stream()
-                .filter(e -> e.job.equals(job))
+    private ScheduledJob find(Job job) {
+        return jobs.stream()
+                .filter(candidate -> candidate.job().equals(job))
                 .findFirst()
                 .orElseThrow(
                         () -> new IllegalArgumentException("job " + job.name() + " was not added"));
--- a/core/src/main/java/sorrelhoist/core/text/TokenEstimator.java
+++ b/core/src/main/java/sorrelhoist/core/text/TokenEstimator.java
@@ -1,22 +1,32 @@
 package sorrelhoist.core.text;
 
 /**
- * An estimate of how many tokens a text has: one for each four bytes of UTF-8, rounded up.
- * Deadlines and costs grow with this number, so it has to be proportional rather than exact;
- * Decide's learnt lines take up the factor.
+ * Estimates how many tokens a text has: one for each four bytes of UTF-8, rounded up. Deadlines and
+ * costs grow with this number, so it has to be proportional rather than exact; the routing policy's
+ * regressions learn the factor.
  */
 public final class TokenEstimator {
     private static final int BYTES_PER_TOKEN = 4;
 
+    private static final int FIRST_TWO_BYTE_CHAR = 0x80;
+    private static final int FIRST_THREE_BYTE_CHAR = 0x800;
+
     private TokenEstimator() {}
 
-    /** {@return tokens of this text; 0 for none} */
+    /** {@return tokens of this text; 0 for an empty one} */
     public static int estimate(String text) {
         int bytes = 0;
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            bytes += c < 0x80 ? 1 : c < 0x800 || Character.isSurrogate(c) ? 2 : 3;
+            bytes += utf8Bytes(text.charAt(i));
         }
         return (bytes + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
     }
+
+    private static int utf8Bytes(char c) {
+        if (c < FIRST_TWO_BYTE_CHAR) {
+            return 1;
+        }
+        // Two surrogates make one character of four bytes.
+        return c < FIRST_THREE_BYTE_CHAR || Character.isSurrogate(c) ? 2 : 3;
+    }
 }
--- /dev/null
+++ b/core/src/main/java/sorrelhoist/core/text/package-info.java
@@ -0,0 +1,2 @@
+/** Estimates about the texts of requests. Without state. */
+package sorrelhoist.core.text;
