--- a/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
+++ b/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
@@ -1,60 +1,53 @@
 package sorrelhoist.core.members;
 
+import sorrelhoist.core.members.EngineTable.ListedEngine;
+import sorrelhoist.routing.Routing.ServerState;
+
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sorrelhoist.routing.Routing.ServerState;
 
 /**
- * A planner's roster: what the registry lists, read as engines that serve, drain or are gone, with
- * when each was learned and an epoch that grows with every change.
+ * A planner's list of engines: what the registry lists, read as engines that serve, drain or are
+ * gone, with when each state was learned and an epoch that grows with every change.
  *
- * <p>UP serves. OUT_OF_SERVICE and DOWN drain: such a process may still finish what it writes.
- * STARTING and UNKNOWN are not offered before they were UP, and drain afterwards. What is no longer
- * listed is gone.
+ * <p>UP serves. OUT_OF_SERVICE and DOWN drain: such a process may still finish its answers.
+ * STARTING and UNKNOWN are not listed before they were UP, and drain afterwards. What the registry
+ * lists no longer is gone.
  */
 public final class EndpointTracker {
-    /** Metadata keys that an engine registers itself with. */
-    public static final String ZONE = "zone";
-
-    /** Its rack: engines with a fast link among them. */
-    public static final String RACK = "rack";
-
-    /** Its kind. */
-    public static final String KIND = "kind";
-
-    /** Its size. */
-    public static final String SIZE = "size";
-
-    /** When its process started, milliseconds since 1970. */
-    public static final String STARTED = "started-ms";
+    private static final long MICROS_PER_MILLI = 1000;
 
     /**
-     * A line of the roster.
+     * An engine and when its state was learned.
      *
-     * @param entry the engine; its age as of {@code learnedAt}
-     * @param learnedAt when this state was learned, this planner's clock
+     * @param entry the engine; its uptime as of {@code learnedAt}
+     * @param learnedAt on this planner's clock, microseconds since 1970
      */
-    public record TrackedEndpoint(EngineTable.ListedEngine entry, long learnedAt) {}
+    public record TrackedEndpoint(ListedEngine entry, long learnedAt) {
+        private boolean isGone() {
+            return entry.state() == ServerState.GONE;
+        }
+    }
 
     private final Map<String, TrackedEndpoint> endpoints = new LinkedHashMap<>();
     private final List<String> warnings = new ArrayList<>();
-    private final long doubtMicros;
+    private final long massRemovalGraceMicros;
     private long epoch;
-    private long doubtSince;
+    private long massRemovalSince;
 
     /**
-     * Makes an empty book.
+     * Creates a tracker without engines.
      *
-     * @param doubtMicros how long the absence of half the engines or more, all at once, is doubted:
-     *     a registry that restarted lists nothing, while the engines run. Harm: if they are gone
-     *     indeed, requests sent meanwhile fail to connect and are repeated elsewhere
+     * @param massRemovalGraceMicros how long the absence of half the engines or more, all at once,
+     *     is not believed: a registry that restarted lists nothing, while the engines run. If they
+     *     are gone indeed, requests sent meanwhile fail to connect and are retried elsewhere
      */
-    public EndpointTracker(long doubtMicros) {
-        this.doubtMicros = doubtMicros;
+    public EndpointTracker(long massRemovalGraceMicros) {
+        this.massRemovalGraceMicros = massRemovalGraceMicros;
     }
 
     /**
@@ -62,94 +55,91 @@
      *
      * @param now this planner's clock, microseconds since 1970
      * @param listed all instances
-     * @return lines that changed
+     * @return engines that changed
      */
     public List<TrackedEndpoint> update(long now, List<RegistryView.Instance> listed) {
         warnings.clear();
         List<TrackedEndpoint> changed = new ArrayList<>();
-        Set<String> seen = new HashSet<>();
-        for (RegistryView.Instance i : listed) {
-            TrackedEndpoint before = endpoints.get(i.id());
-            EngineTable.ListedEngine entry = read(now, i, before);
-            if (entry != null) {
-                seen.add(i.id());
-                note(now, before, entry, changed);
+        Set<String> present = new HashSet<>();
+        for (RegistryView.Instance instance : listed) {
+            TrackedEndpoint before = endpoints.get(instance.id());
+            ListedEngine engine = read(now, instance, before);
+            if (engine != null) {
+                present.add(instance.id());
+                track(now, before, engine, changed);
             }
         }
+        removeAbsent(now, present, changed);
+        epoch += changed.isEmpty() ? 0 : 1;
+        return changed;
+    }
+
+    private void removeAbsent(long now, Set<String> present, List<TrackedEndpoint> changed) {
         List<TrackedEndpoint> absent =
                 endpoints.values().stream()
-                        .filter(
-                                l ->
-                                        l.entry().state() != ServerState.GONE
-                                                && !seen.contains(l.entry().id()))
+                        .filter(endpoint -> !endpoint.isGone())
+                        .filter(endpoint -> !present.contains(endpoint.entry().id()))
                         .toList();
-        if (doubted(now, absent.size())) {
+        if (isDoubtfulRemoval(now, absent.size())) {
             warnings.add(absent.size() + " engines vanished at once; this is not believed yet");
-        } else {
-            absent.forEach(l -> note(now, l, with(l.entry(), ServerState.GONE), changed));
+            return;
+        }
+        for (TrackedEndpoint endpoint : absent) {
+            track(now, endpoint, withState(endpoint.entry(), ServerState.GONE), changed);
         }
-        epoch += changed.isEmpty() ? 0 : 1;
-        return changed;
     }
 
-    private boolean doubted(long now, int absent) {
-        long had =
-                endpoints.values().stream()
-                        .filter(l -> l.entry().state() != ServerState.GONE)
-                        .count();
-        if (absent < 2 || 2L * absent < had) {
-            doubtSince = 0;
+    private boolean isDoubtfulRemoval(long now, int absent) {
+        long present = endpoints.values().stream().filter(endpoint -> !endpoint.isGone()).count();
+        if (absent < 2 || 2L * absent < present) {
+            massRemovalSince = 0;
             return false;
         }
-        doubtSince = doubtSince == 0 ? now : doubtSince;
-        return now - doubtSince < doubtMicros;
+        massRemovalSince = massRemovalSince == 0 ? now : massRemovalSince;
+        return now - massRemovalSince < massRemovalGraceMicros;
     }
 
-    private void note(
-            long now,
-            TrackedEndpoint before,
-            EngineTable.ListedEngine entry,
-            List<TrackedEndpoint> changed) {
-        boolean same =
-                before != null
-                        && with(entry, before.entry().state(), before.entry().uptimeMicros())
-                                .equals(before.entry())
-                        && before.entry().state() == entry.state();
-        if (!same) {
-            TrackedEndpoint line = new TrackedEndpoint(entry, now);
-            endpoints.put(entry.id(), line);
-            changed.add(line);
+    private void track(
+            long now, TrackedEndpoint before, ListedEngine engine, List<TrackedEndpoint> changed) {
+        if (before != null && isSame(before.entry(), engine)) {
+            return;
         }
+        TrackedEndpoint endpoint = new TrackedEndpoint(engine, now);
+        endpoints.put(engine.id(), endpoint);
+        changed.add(endpoint);
+    }
+
+    /** The uptime grows by itself and is no change. */
+    private static boolean isSame(ListedEngine before, ListedEngine now) {
+        return withUptime(now, before.uptimeMicros()).equals(before);
     }
 
-    private EngineTable.ListedEngine read(
-            long now, RegistryView.Instance i, TrackedEndpoint before) {
-        Map<String, String> m = i.metadata();
+    private ListedEngine read(long now, RegistryView.Instance instance, TrackedEndpoint before) {
         try {
-            long started = Long.parseLong(m.getOrDefault(STARTED, "0"));
-            double size = Double.parseDouble(m.getOrDefault(SIZE, "1"));
-            if (!m.containsKey(ZONE) || !m.containsKey(KIND) || !(size > 0)) {
-                throw new IllegalArgumentException("needs zone, kind and a size above 0");
+            EngineMetadata metadata = EngineMetadata.parse(instance.metadata());
+            ServerState state = state(instance.status(), before);
+            if (state == null) {
+                return null;
             }
-            ServerState state = state(i.status(), before);
-            return state == null
-                    ? null
-                    : new EngineTable.ListedEngine(
-                            i.id(),
-                            m.get(ZONE),
-                            m.getOrDefault(RACK, ""),
-                            m.get(KIND),
-                            state,
-                            size,
-                            started,
-                            Math.max(0, now - started * 1000),
-                            i.address());
+            long startedMicros = metadata.startedMillis() * MICROS_PER_MILLI;
+            return new ListedEngine(
+                    instance.id(),
+                    metadata.zone(),
+                    metadata.rack(),
+                    metadata.kind(),
+                    state,
+                    metadata.size(),
+                    metadata.startedMillis(),
+                    Math.max(0, now - startedMicros),
+                    instance.address());
         } catch (IllegalArgumentException e) {
-            warnings.add("instance " + i.id() + ": metadata cannot be used: " + e.getMessage());
+            warnings.add(
+                    "instance " + instance.id() + ": metadata cannot be used: " + e.getMessage());
             return null;
         }
     }
 
+    /** {@return the state that a status stands for, or null for one that is not listed yet} */
     private static ServerState state(String status, TrackedEndpoint before) {
         return switch (status) {
             case "UP" -> ServerState.SERVING;
@@ -158,35 +148,41 @@
         };
     }
 
-    private static EngineTable.ListedEngine with(EngineTable.ListedEngine e, ServerState state) {
-        return with(e, state, e.uptimeMicros());
+    private static ListedEngine withState(ListedEngine engine, ServerState state) {
+        return new ListedEngine(
+                engine.id(),
+                engine.zone(),
+                engine.rack(),
+                engine.kind(),
+                state,
+                engine.size(),
+                engine.incarnation(),
+                engine.uptimeMicros(),
+                engine.address());
     }
 
-    private static EngineTable.ListedEngine with(
-            EngineTable.ListedEngine e, ServerState state, long upFor) {
-        return new EngineTable.ListedEngine(
-                e.id(),
-                e.zone(),
-                e.rack(),
-                e.kind(),
-                state,
-                e.size(),
-                e.incarnation(),
-                upFor,
-                e.address());
+    private static ListedEngine withUptime(ListedEngine engine, long uptimeMicros) {
+        return new ListedEngine(
+                engine.id(),
+                engine.zone(),
+                engine.rack(),
+                engine.kind(),
+                engine.state(),
+                engine.size(),
+                engine.incarnation(),
+                uptimeMicros,
+                engine.address());
     }
 
-    /** {@return all lines, those gone too} */
+    /** {@return all engines, those gone too} */
     public List<TrackedEndpoint> endpoints() {
         return new ArrayList<>(endpoints.values());
     }
 
     /** {@return the address of an engine that is not gone, or null} */
     public String address(String id) {
-        TrackedEndpoint line = endpoints.get(id);
-        return line == null || line.entry().state() == ServerState.GONE
-                ? null
-                : line.entry().address();
+        TrackedEndpoint endpoint = endpoints.get(id);
+        return endpoint == null || endpoint.isGone() ? null : endpoint.entry().address();
     }
 
     /** {@return a number that grows with every change} */
@@ -194,7 +190,7 @@
         return epoch;
     }
 
-    /** {@return what was wrong with the list taken last} */
+    /** {@return what was wrong with the list taken last, for operators} */
     public List<String> warnings() {
         return List.copyOf(warnings);
     }
--- a/core/src/main/java/sorrelhoist/core/members/RegistryView.java
+++ b/core/src/main/java/sorrelhoist/core/members/RegistryView.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 
 /**
- * What a Eureka registry lists, as a client of its API keeps it: the whole from a full fetch,
+ * What a Eureka registry lists, as a client of its API caches it: everything from a full fetch,
  * changes from deltas, and the hash code by which both sides find that they differ.
  */
 public final class RegistryView {
@@ -16,53 +16,62 @@
      *
      * @param app its application's name
      * @param id its instance id
-     * @param status UP, DOWN, STARTING, OUT_OF_SERVICE or UNKNOWN; the override is already in it
+     * @param status UP, DOWN, STARTING, OUT_OF_SERVICE or UNKNOWN; an override is already applied
      * @param address host:port
      * @param metadata as registered
      */
     public record Instance(
-            String app, String id, String status, String address, Map<String, String> metadata) {}
+            String app, String id, String status, String address, Map<String, String> metadata) {
+        private String key() {
+            return app + "/" + id;
+        }
+    }
 
     /**
-     * One line of a delta.
+     * One change of a delta.
      *
      * @param action ADDED, MODIFIED or DELETED
      * @param instance the instance
      */
     public record Change(String action, Instance instance) {}
 
+    private static final String DELETED = "DELETED";
+
     private final Map<String, Instance> instances = new LinkedHashMap<>();
     private boolean complete;
 
-    /** Makes a view that has fetched nothing. */
+    /** Creates a view that has fetched nothing. */
     public RegistryView() {}
 
     /** Takes a full fetch. */
     public void replaceAll(List<Instance> all) {
         instances.clear();
-        all.forEach(i -> instances.put(key(i), i));
+        all.forEach(instance -> instances.put(instance.key(), instance));
         complete = true;
     }
 
     /**
      * Takes a delta.
      *
-     * @param changes its lines
+     * @param changes its changes, in order
      * @param hashCode the hash code that the registry says its whole list has
      * @return whether this view has the same; otherwise a full fetch is due
      */
     public boolean applyDelta(List<Change> changes, String hashCode) {
-        for (Change c : changes) {
-            if (c.action().equals("DELETED")) {
-                instances.remove(key(c.instance()));
-            } else {
-                instances.put(key(c.instance()), c.instance());
-            }
-        }
+        changes.forEach(this::apply);
         complete = complete && statusHashCode().equals(hashCode);
         return complete;
     }
 
+    private void apply(Change change) {
+        Instance instance = change.instance();
+        if (change.action().equals(DELETED)) {
+            instances.remove(instance.key());
+        } else {
+            instances.put(instance.key(), instance);
+        }
+    }
+
     /** {@return whether a delta makes sense; otherwise a full fetch is due} */
     public boolean isComplete() {
         return complete;
@@ -74,18 +83,14 @@
     }
 
     /**
-     * {@return counts by status, STATUS_COUNT_ for each in alphabetical order, as the registry
-     * counts}
+     * {@return the hash code as the registry computes it: STATUS_COUNT_ for each status, in
+     * alphabetical order}
      */
     public String statusHashCode() {
         Map<String, Integer> counts = new TreeMap<>();
-        instances.values().forEach(i -> counts.merge(i.status(), 1, Integer::sum));
-        StringBuilder text = new StringBuilder();
-        counts.forEach((status, n) -> text.append(status).append('_').append(n).append('_'));
-        return text.toString();
-    }
-
-    private static String key(Instance i) {
-        return i.app() + "/" + i.id();
+        instances.values().forEach(instance -> counts.merge(instance.status(), 1, Integer::sum));
+        StringBuilder hashCode = new StringBuilder();
+        counts.forEach((status, n) -> hashCode.append(status).append('_').append(n).append('_'));
+        return hashCode.toString();
     }
 }
--- a/core/src/main/java/sorrelhoist/core/members/ReplicaSlots.java
+++ b/core/src/main/java/sorrelhoist/core/members/ReplicaSlots.java
@@ -1,102 +1,122 @@
 package sorrelhoist.core.members;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
+import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
+import java.util.stream.Collectors;
 
 /**
- * Numbers for the edges, 0 to one less than their count. The count decides how large a part of
- * every shared limit an edge grants itself, so it errs high: an edge that left keeps its seat for a
- * while, as it may still be sending, and at least as many are counted as the deployment expects, as
- * the others may be about to come.
+ * Numbers the routers of a fleet from 0. Their count decides how large a share of every shared
+ * limit a router takes, so it errs high: a router that left keeps its slot under a lease, as it may
+ * still be sending, and at least as many are counted as the deployment expects, as the others may
+ * be about to join.
  */
 public final class ReplicaSlots {
     /**
-     * An edge's place.
+     * A router's slot.
      *
-     * @param replicas how many there are
-     * @param index its number
+     * @param replicas how many routers there are
+     * @param index its number, from 0
      */
     public record Slot(int replicas, int index) {}
 
-    private static final class Held {
-        int number;
-        boolean attached;
+    private static final class Holder {
+        int index;
+        boolean joined;
         long leftAt;
     }
 
-    private final TreeMap<String, Held> seats = new TreeMap<>();
-    private final int expected;
-    private final long lease;
+    private final Map<String, Holder> holders = new TreeMap<>();
+    private final int expectedReplicas;
+    private final long leaseMicros;
 
     /**
-     * Makes it without edges.
+     * Creates slots without routers.
      *
-     * @param expected edges that the deployment is to have, 1 or more
-     * @param leaseMicros how long an edge that left keeps its seat
+     * @param expectedReplicas routers that the deployment is to have, 1 or more
+     * @param leaseMicros how long a router that left keeps its slot, in microseconds
      */
-    public ReplicaSlots(int expected, long leaseMicros) {
-        this.expected = expected;
-        this.lease = leaseMicros;
+    public ReplicaSlots(int expectedReplicas, long leaseMicros) {
+        this.expectedReplicas = expectedReplicas;
+        this.leaseMicros = leaseMicros;
     }
 
-    /** An edge came, or came back. */
+    /** A router joined, or came back. */
     public void join(String edge) {
-        Held seat = seats.get(edge);
-        if (seat == null) {
-            seat = new Held();
-            seat.number = firstFree();
-            seats.put(edge, seat);
+        Holder holder = holders.get(edge);
+        if (holder == null) {
+            holder = new Holder();
+            holder.index = firstFreeIndex();
+            holders.put(edge, holder);
         }
-        seat.attached = true;
+        holder.joined = true;
     }
 
-    /** An edge left. */
+    private int firstFreeIndex() {
+        Set<Integer> taken =
+                holders.values().stream().map(holder -> holder.index).collect(Collectors.toSet());
+        int index = 0;
+        while (taken.contains(index)) {
+            index++;
+        }
+        return index;
+    }
+
+    /**
+     * A router left.
+     *
+     * @param now microseconds
+     * @param edge its name
+     */
     public void leave(long now, String edge) {
-        Held seat = seats.get(edge);
-        if (seat != null) {
-            seat.attached = false;
-            seat.leftAt = now;
+        Holder holder = holders.get(edge);
+        if (holder != null) {
+            holder.joined = false;
+            holder.leftAt = now;
         }
     }
 
     /**
-     * Gives up seats whose edges stayed away, and closes the gaps in the numbers' order. {@return
-     * whether anything changed}
+     * Frees the slots of routers that stayed away, and closes the gaps in the order of numbers.
+     *
+     * @param now microseconds
+     * @return whether anything changed
      */
     public boolean expireLeases(long now) {
-        if (!seats.values().removeIf(s -> !s.attached && now - s.leftAt >= lease)) {
-            return false;
+        boolean expired =
+                holders.values()
+                        .removeIf(holder -> !holder.joined && now - holder.leftAt >= leaseMicros);
+        if (expired) {
+            renumber();
         }
-        List<Held> left = new ArrayList<>(seats.values());
-        left.sort(java.util.Comparator.comparingInt(s -> s.number));
-        for (int i = 0; i < left.size(); i++) {
-            left.get(i).number = i;
-        }
-        return true;
+        return expired;
     }
 
-    private int firstFree() {
-        int number = 0;
-        for (boolean taken = true; taken; ) {
-            int candidate = number;
-            taken = seats.values().stream().anyMatch(s -> s.number == candidate);
-            number += taken ? 1 : 0;
+    private void renumber() {
+        List<Holder> remaining = new ArrayList<>(holders.values());
+        remaining.sort(Comparator.comparingInt(holder -> holder.index));
+        for (int i = 0; i < remaining.size(); i++) {
+            remaining.get(i).index = i;
         }
-        return number;
     }
 
-    /** {@return an edge's place, or null for one without} */
+    /** {@return a router's slot, or null for one without} */
     public Slot slotOf(String edge) {
-        Held seat = seats.get(edge);
-        return seat == null ? null : new Slot(Math.max(expected, seats.size()), seat.number);
+        Holder holder = holders.get(edge);
+        if (holder == null) {
+            return null;
+        }
+        return new Slot(Math.max(expectedReplicas, holders.size()), holder.index);
     }
 
-    /** {@return the edge with this number, or null} */
-    public String edgeAt(int number) {
-        return seats.entrySet().stream()
-                .filter(e -> e.getValue().number == number)
-                .map(e -> e.getKey())
+    /** {@return the router with this number, or null} */
+    public String edgeAt(int index) {
+        return holders.entrySet().stream()
+                .filter(entry -> entry.getValue().index == index)
+                .map(Map.Entry::getKey)
                 .findFirst()
                 .orElse(null);
     }
--- a/core/src/main/java/sorrelhoist/core/members/WatchReconnectPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/members/WatchReconnectPolicy.java
@@ -3,157 +3,178 @@
 import sorrelhoist.core.time.Backoff;
 
 /**
- * When a watch of the list of servers is taken for silent, and when the next is opened. All its
- * times come from one budget: what a silent watch misses counts as told {@link #UPDATE_BUDGET}
- * after it fell silent, whether it arrived or not. Within that the silence is noticed, two attempts
- * may hang, and a third still brings the list. A watch that fell silent is left open until another
- * has spoken: it may speak again. Without I/O, clock or threads; attempts have numbers above 0.
+ * Decides when a watch of the list of servers counts as silent, and when the next one is opened.
+ * All its times come from one budget: what a silent watch misses counts as announced {@link
+ * #UPDATE_BUDGET} after it fell silent, whether it arrived or not. Within that the silence is
+ * noticed, two attempts may hang, and a third still brings the list. A watch that fell silent stays
+ * open until another has brought a message: it may recover.
+ *
+ * <p>Attempts have numbers above 0; 0 stands for none. Times are microseconds.
  */
 public final class WatchReconnectPolicy {
-    /** In which a silent watch has to be replaced, and its news received; microseconds. */
+    /** Within which a silent watch is replaced, and its updates received; microseconds. */
     public static final long UPDATE_BUDGET = 6_000_000;
 
-    /** Between two signs of life of a watch. */
-    private static final long HEARTBEAT = 2_000_000;
+    /** Between two heartbeats of a watch. */
+    private static final long HEARTBEAT_INTERVAL = 2_000_000;
 
-    /**
-     * Without a sign of life after which a watch counts as silent: a heartbeat that comes late is
-     * none that is lost.
-     */
-    static final long SILENCE = HEARTBEAT + 600_000;
+    /** Without bytes for this long a watch counts as silent: a heartbeat may come late. */
+    static final long SILENCE_TIMEOUT = HEARTBEAT_INTERVAL + 600_000;
 
-    /**
-     * For an attempt to connect and to bring its first list, and between two parts of that list.
-     */
-    static final long ATTEMPT = 1_000_000;
+    /** To connect and receive the first list, and between two parts of that list. */
+    static final long ATTEMPT_TIMEOUT = 1_000_000;
 
-    /**
-     * The longest pause before an attempt: what is left of the budget, but for the last attempt's
-     * own list.
-     */
-    static final long PAUSE = (UPDATE_BUDGET - SILENCE - 2 * ATTEMPT - ATTEMPT / 2) / 3;
+    /** What is left of the budget after silence, two attempts and the last attempt's own list. */
+    static final long MAX_BACKOFF =
+            (UPDATE_BUDGET - SILENCE_TIMEOUT - 2 * ATTEMPT_TIMEOUT - ATTEMPT_TIMEOUT / 2) / 3;
 
     /**
-     * After which a start without a list goes on with the one that was handed down: two attempts
-     * hung.
+     * After which a start without a list goes on with the one that was saved, in microseconds: two
+     * attempts hung.
      */
-    public static final long FIRST_LIST_TIMEOUT = 2 * ATTEMPT + PAUSE;
-
-    private static final long FIRST_PAUSE = 50_000;
-    private final Backoff pauses;
-    private long made;
-    private long held;
-    private long heardAt;
-    private long attempt;
-    private long attemptAt;
-    private long progressAt;
-    private long openAt = Long.MAX_VALUE;
+    public static final long FIRST_LIST_TIMEOUT = 2 * ATTEMPT_TIMEOUT + MAX_BACKOFF;
+
+    private static final long MIN_BACKOFF = 50_000;
+    private static final long NOT_SCHEDULED = Long.MAX_VALUE;
+    private static final long NONE = 0;
+
+    private final Backoff backoff;
+    private long lastAttempt;
+    private long establishedWatch;
+    private long lastHeardAt;
+    private long pendingAttempt;
+    private long attemptStartedAt;
+    private long lastProgressAt;
+    private long nextAttemptAt = NOT_SCHEDULED;
 
     /**
-     * Makes one that has not begun.
+     * Creates a policy that has not begun.
      *
-     * @param seed of the pauses' random half: many routers lose their watches at once
+     * @param seed of the backoff's random half: many routers lose their watches at once
      */
     public WatchReconnectPolicy(long seed) {
-        pauses = new Backoff(FIRST_PAUSE, PAUSE, seed);
+        backoff = new Backoff(MIN_BACKOFF, MAX_BACKOFF, seed);
     }
 
     /**
-     * Begins, or begins anew at another address: the next attempt is due at once. {@return one to
-     * give up, or 0}
+     * Begins, or begins anew at another address: the next attempt is due at once.
+     *
+     * @param now microseconds
+     * @return the number of an attempt to abandon, or 0
      */
     public long restart(long now) {
-        long before = attempt;
-        attempt = 0;
-        openAt = now;
+        long before = pendingAttempt;
+        pendingAttempt = NONE;
+        nextAttemptAt = now;
         return before;
     }
 
-    /** {@return the number of an attempt to open now, or 0} */
+    /**
+     * {@return the number of an attempt to open now, or 0}
+     *
+     * @param now microseconds
+     */
     public long attemptToOpen(long now) {
-        if (attempt == 0 && openAt == Long.MAX_VALUE && now - heardAt >= SILENCE) {
-            openAt = now;
+        boolean silent = now - lastHeardAt >= SILENCE_TIMEOUT;
+        if (pendingAttempt == NONE && nextAttemptAt == NOT_SCHEDULED && silent) {
+            nextAttemptAt = now;
         }
-        if (attempt != 0 || now < openAt) {
-            return 0;
+        if (pendingAttempt != NONE || now < nextAttemptAt) {
+            return NONE;
         }
-        openAt = Long.MAX_VALUE;
-        attempt = ++made;
-        attemptAt = now;
-        progressAt = now;
-        return attempt;
+        nextAttemptAt = NOT_SCHEDULED;
+        pendingAttempt = ++lastAttempt;
+        attemptStartedAt = now;
+        lastProgressAt = now;
+        return pendingAttempt;
     }
 
-    /** {@return the number of an attempt that hangs and is given up now, or 0} */
+    /**
+     * {@return the number of an attempt that hangs and is abandoned now, or 0}
+     *
+     * @param now microseconds
+     */
     public long attemptToAbandon(long now) {
-        if (attempt == 0 || now < givenUpAt()) {
-            return 0;
+        if (pendingAttempt == NONE || now < abandonAt()) {
+            return NONE;
         }
-        long hanging = attempt;
-        attempt = 0;
-        openAt = now + pauses.nextDelayMicros();
+        long hanging = pendingAttempt;
+        pendingAttempt = NONE;
+        nextAttemptAt = now + backoff.nextDelayMicros();
         return hanging;
     }
 
     /**
-     * Bytes came on a watch. They keep a watch alive that is in use; an attempt replaces it with a
-     * whole message alone ({@link #messageReceived}), as one that stops in the middle of its first
+     * Bytes came on a watch. They keep an established watch alive; an attempt replaces it only with
+     * a complete message ({@link #messageReceived}), as one that stops in the middle of its first
      * list has brought nothing yet.
+     *
+     * @param now microseconds
+     * @param number of the attempt that opened the watch
      */
     public void bytesReceived(long now, long number) {
-        if (number == held) {
-            heardAt = now;
+        if (number == establishedWatch) {
+            lastHeardAt = now;
         }
-        if (number == attempt) {
-            progressAt = now;
+        if (number == pendingAttempt) {
+            lastProgressAt = now;
         }
     }
 
     /**
-     * A whole message or a heartbeat came. {@return the number of a watch that is not needed any
-     * more, or 0}
+     * A complete message or a heartbeat came.
+     *
+     * @param now microseconds
+     * @param number of the attempt that opened the watch
+     * @return the number of a watch that is not needed any more, or 0
      */
     public long messageReceived(long now, long number) {
         bytesReceived(now, number);
-        if (number != attempt) {
-            return 0;
+        if (number != pendingAttempt) {
+            return NONE;
         }
-        long before = held;
-        held = attempt;
-        attempt = 0;
-        heardAt = now;
-        pauses.reset();
+        long before = establishedWatch;
+        establishedWatch = pendingAttempt;
+        pendingAttempt = NONE;
+        lastHeardAt = now;
+        backoff.reset();
         return before;
     }
 
-    /** {@return whether what this watch says is still wanted} */
+    /** {@return whether this watch is established or being opened; others are ignored} */
     public boolean isCurrent(long number) {
-        return number == held || number == attempt;
+        return number == establishedWatch || number == pendingAttempt;
     }
 
-    /** A watch ended, or could not be opened. */
+    /**
+     * A watch ended, or could not be opened.
+     *
+     * @param now microseconds
+     * @param number of the attempt that opened the watch
+     */
     public void watchEnded(long now, long number) {
-        if (number == attempt) {
-            attempt = 0;
-            openAt = now + pauses.nextDelayMicros();
-        } else if (number == held) {
-            held = 0;
-            heardAt = now;
-            if (attempt == 0 && openAt == Long.MAX_VALUE) {
-                openAt = now + pauses.nextDelayMicros();
+        if (number == pendingAttempt) {
+            pendingAttempt = NONE;
+            nextAttemptAt = now + backoff.nextDelayMicros();
+        } else if (number == establishedWatch) {
+            establishedWatch = NONE;
+            lastHeardAt = now;
+            if (pendingAttempt == NONE && nextAttemptAt == NOT_SCHEDULED) {
+                nextAttemptAt = now + backoff.nextDelayMicros();
             }
         }
     }
 
-    /**
-     * An attempt may hang so long; one whose list still comes, part by part, has the whole budget.
-     */
-    private long givenUpAt() {
-        return Math.min(progressAt + ATTEMPT, attemptAt + UPDATE_BUDGET);
+    /** An attempt whose list still comes, part by part, has the whole budget. */
+    private long abandonAt() {
+        return Math.min(lastProgressAt + ATTEMPT_TIMEOUT, attemptStartedAt + UPDATE_BUDGET);
     }
 
     /** {@return when {@link #attemptToOpen} or {@link #attemptToAbandon} is next needed} */
     public long nextDeadline() {
-        return attempt != 0 ? givenUpAt() : openAt < Long.MAX_VALUE ? openAt : heardAt + SILENCE;
+        if (pendingAttempt != NONE) {
+            return abandonAt();
+        }
+        return nextAttemptAt < NOT_SCHEDULED ? nextAttemptAt : lastHeardAt + SILENCE_TIMEOUT;
     }
 }
