--- a/core/src/main/java/sorrelhoist/core/request/Reservations.java
+++ b/core/src/main/java/sorrelhoist/core/request/Reservations.java
@@ -10,7 +10,7 @@
 import sorrelhoist.core.reservation.ReleaseCall;
 import sorrelhoist.core.reservation.ReleasePolicy;
 import sorrelhoist.core.reservation.ReleaseReach;
-import sorrelhoist.core.reservation.ReservationCarrier;
+import sorrelhoist.core.reservation.ReleaseClient;
 import sorrelhoist.core.reservation.ReservationKey;
 import sorrelhoist.core.reservation.ReservationTable;
 import sorrelhoist.routing.Routing.ListUpdateKind;
@@ -48,21 +48,21 @@
      * An engine that is not listed may run on for a while; what it held after that went with it.
      */
     private String holder(Hold hold, Set<String> asked) {
-        return asked.isEmpty() || engines.knows(hold.engine()) ? hold.engine() : null;
+        return asked.isEmpty() || engines.isListed(hold.engine()) ? hold.engine() : null;
     }
 
     /** Turns the table's calls into commands. */
-    private record Commands(Consumer<Command> carrier) implements ReservationCarrier {
+    private record Commands(Consumer<Command> carrier) implements ReleaseClient {
         @Override
         public void release(ReleaseCall call) {
             Hold hold = call.hold();
             carrier.accept(
                     new Command.ReleaseReservation(
                             call.id(),
-                            call.request(),
+                            call.requestName(),
                             call.engine(),
-                            hold.state(),
-                            hold.place(),
+                            hold.prefillState(),
+                            hold.decodeSlot(),
                             hold.upToAttempt()));
         }
 
@@ -73,7 +73,7 @@
 
         @Override
         public void expired(ReservationKey key, String engine, int calls) {
-            carrier.accept(new Command.ReportExpiredRelease(key.request(), engine, calls));
+            carrier.accept(new Command.ReportExpiredRelease(key.requestName(), engine, calls));
         }
     }
 
@@ -101,7 +101,7 @@
 
     /** Bytes came from an engine. */
     void heard(String engine, long now) {
-        engines.heard(engine, now);
+        engines.bytesReceived(engine, now);
     }
 
     // ---- Attempts
@@ -118,8 +118,8 @@
         boolean takes = life.state != null || attempt.engine.equals(life.placeEngine);
         AttemptPurpose purpose =
                 attempt.read
-                        ? AttemptPurpose.READ
-                        : takes ? AttemptPurpose.FETCH : AttemptPurpose.READ_AND_ANSWER;
+                        ? AttemptPurpose.PREFILL
+                        : takes ? AttemptPurpose.DECODE_RESERVED : AttemptPurpose.PREFILL_AND_DECODE;
         for (ReservationKey key : keys(life)) {
             table.attemptSent(key, purpose);
             table.attemptWritten(key);
@@ -140,7 +140,7 @@
     void readDone(Life life, Life.Attempt read, String state, long now) {
         life.state = new HeldPrefillState(read.engine, state);
         life.stateKey = keyOf(life, read.id.number());
-        table.readDone(life.stateKey, Hold.ofState(read.engine, state), now);
+        table.prefillCompleted(life.stateKey, Hold.ofPrefillState(read.engine, state), now);
     }
 
     /** An attempt that is out ended, well or not; what it leaves is said by the other methods. */
@@ -149,7 +149,7 @@
         if (attempt.read && reached && outcome != Outcome.READ && outcome != Outcome.FULL) {
             // It may have ended well in the moment in which it was lost or given up on.
             ReservationKey key = keyOf(life, attempt.id.number());
-            table.opened(key, Hold.ofLostRead(attempt.engine, attempt.id.number()), now);
+            table.opened(key, Hold.ofLostPrefill(attempt.engine, attempt.id.number()), now);
             if (!shared) {
                 table.unwanted(key, now);
             }
@@ -177,7 +177,7 @@
 
     private void dropState(Life life, long now) {
         if (shared) {
-            table.statesUnneeded(ReservationKey.ofRequest(life.name));
+            table.prefillStatesUnneeded(ReservationKey.ofRequest(life.name));
         } else if (life.stateKey != null) {
             table.unwanted(life.stateKey, now);
         }
@@ -203,15 +203,15 @@
     /** A place was held ahead, or may have been. */
     void place(Life life, String engine, String place, Hold.Certainty certainty, long now) {
         ReservationKey key = shared ? ReservationKey.ofRequest(life.name) : placeKey(life);
-        table.opened(key, Hold.ofPlace(engine, place, certainty), now);
-        if (certainty == Hold.Certainty.HELD) {
+        table.opened(key, Hold.ofDecodeSlot(engine, place, certainty), now);
+        if (certainty == Hold.Certainty.CONFIRMED) {
             life.placeEngine = engine;
             life.place = place;
         } else if (!shared) {
             table.unwanted(key, now);
         }
         if (life.out != null && life.out.read) {
-            table.attemptSent(key, AttemptPurpose.READ);
+            table.attemptSent(key, AttemptPurpose.PREFILL);
             table.attemptWritten(key);
         }
     }
@@ -220,7 +220,7 @@
     void unwantedPlace(String engine, String place, long now) {
         ReservationKey key =
                 shared ? ReservationKey.ofRequest(place) : new ReservationKey(place, PLACE);
-        table.opened(key, Hold.ofPlace(engine, place, Hold.Certainty.HELD), now);
+        table.opened(key, Hold.ofDecodeSlot(engine, place, Hold.Certainty.CONFIRMED), now);
         table.unwanted(key, now);
     }
 
@@ -243,7 +243,7 @@
     // --------------------------------------------------------------------------------------------
 
     void releaseEnded(long call, boolean done, long now) {
-        table.releaseEnded(call, done, now);
+        table.releaseCompleted(call, done, now);
     }
 
     void advance(long now) {
@@ -251,11 +251,11 @@
     }
 
     long next() {
-        return table.next();
+        return table.nextDueMicros();
     }
 
     int held() {
-        return table.wanted();
+        return table.wantedCount();
     }
 
     int size() {
@@ -263,7 +263,7 @@
     }
 
     long expired() {
-        return table.expired();
+        return table.expiredCount();
     }
 
     // ---- Keys
--- a/core/src/main/java/sorrelhoist/core/request/Router.java
+++ b/core/src/main/java/sorrelhoist/core/request/Router.java
@@ -332,7 +332,7 @@
             return;
         }
         if (held) {
-            reservations.place(life, engine, place, Hold.Certainty.HELD, now);
+            reservations.place(life, engine, place, Hold.Certainty.CONFIRMED, now);
         }
         events.add(new PlaceAnswered(request, engine, held));
         drain();
--- a/core/src/main/java/sorrelhoist/core/reservation/Hold.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/Hold.java
@@ -4,17 +4,17 @@
  * What one attempt may have reserved at an engine.
  *
  * @param engine where
- * @param state the state's name; empty where it is not known
- * @param place the place's name; empty where there is none
+ * @param prefillState the state's name; empty where it is not known
+ * @param decodeSlot the place's name; empty where there is none
  * @param upToAttempt where neither is named: the last attempt whose state is meant
  * @param certainty whether the engine said so
  */
 public record Hold(
-        String engine, String state, String place, int upToAttempt, Certainty certainty) {
+        String engine, String prefillState, String decodeSlot, int upToAttempt, Certainty certainty) {
     /** What is known of a hold. */
     public enum Certainty {
         /** The engine answered that it holds it. */
-        HELD,
+        CONFIRMED,
         /**
          * The attempt was lost or given up on; it may have ended well, or may do so within the
          * settling time.
@@ -23,17 +23,17 @@
     }
 
     /** {@return a read state that its engine has announced} */
-    public static Hold ofState(String engine, String state) {
-        return new Hold(engine, state, "", 0, Certainty.HELD);
+    public static Hold ofPrefillState(String engine, String state) {
+        return new Hold(engine, state, "", 0, Certainty.CONFIRMED);
     }
 
     /** {@return what a lost read may leave} */
-    public static Hold ofLostRead(String engine, int attempt) {
+    public static Hold ofLostPrefill(String engine, int attempt) {
         return new Hold(engine, "", "", attempt, Certainty.POSSIBLE);
     }
 
     /** {@return a place that was held ahead at a writer} */
-    public static Hold ofPlace(String engine, String place, Certainty certainty) {
+    public static Hold ofDecodeSlot(String engine, String place, Certainty certainty) {
         return new Hold(engine, "", place, 0, certainty);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationCarrier.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleaseClient.java
@@ -1,9 +1,9 @@
 package sorrelhoist.core.reservation;
 
 /** Carries out what a {@link ReservationTable} decides. Called during the table's own methods. */
-public interface ReservationCarrier {
+public interface ReleaseClient {
     /**
-     * Calls an engine. Answered by {@link ReservationTable#releaseEnded}, unless the call is
+     * Calls an engine. Answered by {@link ReservationTable#releaseCompleted}, unless the call is
      * abandoned.
      */
     void release(ReleaseCall call);
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleasePolicy.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleasePolicy.java
@@ -10,7 +10,7 @@
 public record ReleasePolicy(ReleaseReach reach, long limitMicros) {
     private static final int SETTLED_SHARE = 2;
     private static final int RETRY_SHARE = 8;
-    private static final int RESERVE_SHARE = 5;
+    private static final int SAFETY_MARGIN_SHARE = 5;
     private static final int EXPIRY_FACTOR = 4;
 
     /**
@@ -39,8 +39,8 @@
      * {@return by how much before the limit a release has arrived, where one of three engines asked
      * can do it}
      */
-    public long reserveMicros() {
-        return limitMicros / RESERVE_SHARE;
+    public long safetyMarginMicros() {
+        return limitMicros / SAFETY_MARGIN_SHARE;
     }
 
     /**
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleaseTargets.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleaseTargetSelector.java
@@ -4,12 +4,12 @@
 
 /** Chooses the engine that is asked next for a release. */
 @FunctionalInterface
-public interface ReleaseTargets {
+public interface ReleaseTargetSelector {
     /**
      * {@return the engine to ask, or null where there is none}
      *
      * @param hold what is to be released
      * @param asked engines that were asked already and have not done it
      */
-    String next(Hold hold, Set<String> asked);
+    String select(Hold hold, Set<String> asked);
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/Reservation.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/Reservation.java
@@ -40,7 +40,7 @@
     final ReservationKey key;
 
     /** The time of the table's alarm for it; Long.MAX_VALUE for none. */
-    long alarmAt = Long.MAX_VALUE;
+    long timerAt = Long.MAX_VALUE;
 
     private final ReleasePolicy policy;
     private final List<OpenHold> holds = new ArrayList<>();
@@ -91,13 +91,13 @@
     }
 
     /** No attempt will take the states that are held; places may still be used. */
-    void statesUnneeded() {
+    void prefillStatesUnneeded() {
         holds.replaceAll(
                 open ->
                         new OpenHold(
                                 open.hold(),
                                 open.provableFrom(),
-                                open.needed() && !open.hold().place().isEmpty()));
+                                open.needed() && !open.hold().decodeSlot().isEmpty()));
     }
 
     /**
@@ -155,7 +155,7 @@
         boolean mayTake =
                 attempt != null
                         && attempt.written
-                        && (attempt.purpose == AttemptPurpose.FETCH
+                        && (attempt.purpose == AttemptPurpose.DECODE_RESERVED
                                 || holds.stream().allMatch(OpenHold::needed));
         return mayTake ? Long.MAX_VALUE : idleSince + policy.idleMicros();
     }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationKey.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationKey.java
@@ -3,10 +3,10 @@
 /**
  * Names what is released together: all reservations of a request, or that of one of its attempts.
  *
- * @param request the request's name at engines
+ * @param requestName the request's name at engines
  * @param attempt the number of the attempt; {@link #ALL} for whatever the request has reserved
  */
-public record ReservationKey(String request, int attempt) {
+public record ReservationKey(String requestName, int attempt) {
     /** In place of an attempt's number: all attempts of the request. */
     public static final int ALL = -1;
 
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
@@ -21,9 +21,9 @@
  */
 public final class ReservationTable {
     private final ReleasePolicy policy;
-    private final ReleaseTargets targets;
-    private final ReservationCarrier carrier;
-    private final int most;
+    private final ReleaseTargetSelector targets;
+    private final ReleaseClient releaseClient;
+    private final int capacity;
     private final Map<ReservationKey, Reservation> reservations = new LinkedHashMap<>();
     private final Map<Long, Reservation> calls = new HashMap<>();
 
@@ -31,25 +31,25 @@
      * For each reservation an entry at the time at which it is due, or before; some are out of
      * date.
      */
-    private final TimerQueue<Reservation> alarms = new TimerQueue<>();
+    private final TimerQueue<Reservation> timers = new TimerQueue<>();
 
     private long lastCall;
-    private long expired;
+    private long expiredCount;
 
     /**
      * Makes an empty table.
      *
      * @param policy when releases are sent
      * @param targets chooses engines
-     * @param carrier makes the calls
-     * @param most keys at once; beyond, the oldest that nothing wants any more is given up on
+     * @param releaseClient makes the calls
+     * @param capacity keys at once; beyond, the oldest that nothing wants any more is given up on
      */
     public ReservationTable(
-            ReleasePolicy policy, ReleaseTargets targets, ReservationCarrier carrier, int most) {
+            ReleasePolicy policy, ReleaseTargetSelector targets, ReleaseClient releaseClient, int capacity) {
         this.policy = policy;
         this.targets = targets;
-        this.carrier = carrier;
-        this.most = most;
+        this.releaseClient = releaseClient;
+        this.capacity = capacity;
     }
 
     // ---- What happens to requests
@@ -57,27 +57,27 @@
 
     /** Something is held, or may be. */
     public void opened(ReservationKey key, Hold hold, long now) {
-        if (reservations.size() >= most && !reservations.containsKey(key)) {
-            makeRoom();
+        if (reservations.size() >= capacity && !reservations.containsKey(key)) {
+            evictOldestUnwanted();
         }
         Reservation reservation =
                 reservations.computeIfAbsent(key, k -> new Reservation(k, policy, now));
         reservation.opened(hold, now);
-        setAlarm(reservation);
+        scheduleTimer(reservation);
     }
 
     /** A read ended well. Calls for what an earlier one may have left would take its state away. */
-    public void readDone(ReservationKey key, Hold state, long now) {
-        with(key, this::abandonCalls);
+    public void prefillCompleted(ReservationKey key, Hold state, long now) {
+        update(key, this::abandonCalls);
         opened(key, state, now);
     }
 
     /** An attempt goes out. */
     public void attemptSent(ReservationKey key, AttemptPurpose purpose) {
-        with(
+        update(
                 key,
                 reservation -> {
-                    if (purpose == AttemptPurpose.FETCH) {
+                    if (purpose == AttemptPurpose.DECODE_RESERVED) {
                         abandonCalls(reservation);
                     }
                     reservation.attemptSent(purpose);
@@ -86,20 +86,20 @@
 
     /** The attempt that is out waits for a connection. */
     public void attemptConnecting(ReservationKey key) {
-        with(key, Reservation::attemptConnecting);
+        update(key, Reservation::attemptConnecting);
     }
 
     /**
      * No attempt will take the states that are held: the prompt is read anew, or they could not be
      * fetched.
      */
-    public void statesUnneeded(ReservationKey key) {
-        with(key, Reservation::statesUnneeded);
+    public void prefillStatesUnneeded(ReservationKey key) {
+        update(key, Reservation::prefillStatesUnneeded);
     }
 
     /** The last byte of the attempt that is out was written to a connection that stands. */
     public void attemptWritten(ReservationKey key) {
-        with(key, Reservation::attemptWritten);
+        update(key, Reservation::attemptWritten);
     }
 
     /**
@@ -110,7 +110,7 @@
      * @param now the time
      */
     public void attemptEnded(ReservationKey key, boolean reached, long now) {
-        with(
+        update(
                 key,
                 reservation -> {
                     reservation.attemptEnded(reached, now);
@@ -120,7 +120,7 @@
 
     /** A stream began: its engine has taken what was held. */
     public void taken(ReservationKey key, long now) {
-        with(
+        update(
                 key,
                 reservation -> {
                     abandonCalls(reservation);
@@ -131,7 +131,7 @@
 
     /** Nothing will take what is held: it is released at once, unless an attempt is out. */
     public void unwanted(ReservationKey key, long now) {
-        with(
+        update(
                 key,
                 reservation -> {
                     reservation.unwanted();
@@ -140,11 +140,11 @@
                 });
     }
 
-    private void with(ReservationKey key, Consumer<Reservation> step) {
+    private void update(ReservationKey key, Consumer<Reservation> step) {
         Reservation reservation = reservations.get(key);
         if (reservation != null) {
             step.accept(reservation);
-            setAlarm(reservation);
+            scheduleTimer(reservation);
         }
     }
 
@@ -158,7 +158,7 @@
      * @param done whether the engine said that it is released
      * @param now the time
      */
-    public void releaseEnded(long call, boolean done, long now) {
+    public void releaseCompleted(long call, boolean done, long now) {
         Reservation reservation = calls.remove(call);
         if (reservation == null) {
             return;
@@ -170,15 +170,15 @@
             forgetIfEmpty(reservation);
         }
         advance(reservation, now);
-        setAlarm(reservation);
+        scheduleTimer(reservation);
     }
 
     /** Makes the calls that are due. */
     public void advance(long now) {
-        for (Reservation due = alarms.pollDue(now); due != null; due = alarms.pollDue(now)) {
-            due.alarmAt = Long.MAX_VALUE;
+        for (Reservation due = timers.pollDue(now); due != null; due = timers.pollDue(now)) {
+            due.timerAt = Long.MAX_VALUE;
             advance(due, now);
-            setAlarm(due);
+            scheduleTimer(due);
         }
     }
 
@@ -186,15 +186,15 @@
      * {@return when {@link #advance(long)} is next needed, or a little before; Long.MAX_VALUE for
      * never}
      */
-    public long next() {
-        return alarms.nextDueMicros();
+    public long nextDueMicros() {
+        return timers.nextDueMicros();
     }
 
-    private void setAlarm(Reservation reservation) {
+    private void scheduleTimer(Reservation reservation) {
         long due = reservation.due();
-        if (due < reservation.alarmAt && reservations.get(reservation.key) == reservation) {
-            reservation.alarmAt = due;
-            alarms.schedule(due, reservation);
+        if (due < reservation.timerAt && reservations.get(reservation.key) == reservation) {
+            reservation.timerAt = due;
+            timers.schedule(due, reservation);
         }
     }
 
@@ -206,7 +206,7 @@
             expire(reservation);
             return;
         }
-        String engine = targets.next(reservation.latest(), reservation.asked());
+        String engine = targets.select(reservation.latest(), reservation.asked());
         if (engine != null) {
             call(reservation, engine, now);
         } else if (policy.reach() == ReleaseReach.HOLDER) {
@@ -224,18 +224,18 @@
         long call = ++lastCall;
         calls.put(call, reservation);
         reservation.called(call, engine, now);
-        carrier.release(
-                new ReleaseCall(call, reservation.key.request(), engine, reservation.latest()));
+        releaseClient.release(
+                new ReleaseCall(call, reservation.key.requestName(), engine, reservation.latest()));
     }
 
     private void abandonCalls(Reservation reservation) {
         for (long call : reservation.abandonCalls()) {
             calls.remove(call);
-            carrier.abandon(call);
+            releaseClient.abandon(call);
         }
     }
 
-    private void makeRoom() {
+    private void evictOldestUnwanted() {
         reservations.values().stream()
                 .filter(Reservation::isUnwanted)
                 .findFirst()
@@ -247,8 +247,8 @@
         String engine = reservation.lastAsked();
         abandonCalls(reservation);
         reservations.remove(reservation.key);
-        expired++;
-        carrier.expired(reservation.key, engine, made);
+        expiredCount++;
+        releaseClient.expired(reservation.key, engine, made);
     }
 
     private void forgetIfEmpty(Reservation reservation) {
@@ -267,7 +267,7 @@
     }
 
     /** {@return those among them that an attempt may still take} */
-    public int wanted() {
+    public int wantedCount() {
         return (int)
                 reservations.values().stream()
                         .filter(reservation -> !reservation.isUnwanted())
@@ -275,12 +275,12 @@
     }
 
     /** {@return calls that are under way} */
-    public int calling() {
+    public int releaseCallsInFlight() {
         return calls.size();
     }
 
     /** {@return reservations that were given up on since the start} */
-    public long expired() {
-        return expired;
+    public long expiredCount() {
+        return expiredCount;
     }
 }
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTest.java
@@ -24,7 +24,7 @@
             new ReservationTable(
                     POLICY,
                     engines,
-                    new ReservationCarrier() {
+                    new ReleaseClient() {
                         @Override
                         public void release(ReleaseCall call) {
                             calls.add(call);
@@ -38,7 +38,7 @@
 
                         @Override
                         public void expired(ReservationKey key, String engine, int made) {
-                            expired.add(key.request() + " at " + engine + " after " + made);
+                            expired.add(key.requestName() + " at " + engine + " after " + made);
                         }
                     },
                     MOST);
@@ -48,8 +48,8 @@
     }
 
     private void passTo(long time) {
-        while (table.next() <= time) {
-            now = Math.max(now, table.next());
+        while (table.nextDueMicros() <= time) {
+            now = Math.max(now, table.nextDueMicros());
             table.advance(now);
         }
         now = time;
@@ -60,12 +60,12 @@
     }
 
     private void answerLast(boolean done) {
-        table.releaseEnded(lastCall().id(), done, now);
+        table.releaseCompleted(lastCall().id(), done, now);
     }
 
     @Test
     void aStateThatNothingWantsIsReleasedAtOnceByOneCall() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         assertEquals(0, calls.size());
         table.unwanted(KEY, now);
         assertEquals("r0", lastCall().engine());
@@ -77,7 +77,7 @@
 
     @Test
     void whatALostReadMayLeaveIsReleasedOnceMoreWhenNothingOfItCanArrive() {
-        table.opened(KEY, Hold.ofLostRead("r0", 0), now);
+        table.opened(KEY, Hold.ofLostPrefill("r0", 0), now);
         table.unwanted(KEY, now);
         answerLast(true);
         assertEquals(1, table.size(), "the first call may have overtaken the close");
@@ -91,16 +91,16 @@
 
     @Test
     void aReleaseUnderWayDoesNotCoverWhatIsOpenedAfterIt() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.unwanted(KEY, now);
         ReleaseCall first = lastCall();
-        table.attemptSent(KEY, AttemptPurpose.READ);
+        table.attemptSent(KEY, AttemptPurpose.PREFILL);
         table.attemptWritten(KEY);
         now = 10_000;
         table.attemptEnded(KEY, true, now);
-        table.opened(KEY, Hold.ofLostRead("r1", 1), now);
+        table.opened(KEY, Hold.ofLostPrefill("r1", 1), now);
         table.unwanted(KEY, now);
-        table.releaseEnded(first.id(), true, now);
+        table.releaseCompleted(first.id(), true, now);
         assertEquals(1, table.size());
         passTo(now + POLICY.settleMicros());
         answerLast(true);
@@ -109,8 +109,8 @@
 
     @Test
     void aStateWaitsForItsWriterWhileTheWriterHasTheRequest() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
-        table.attemptSent(KEY, AttemptPurpose.FETCH);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
+        table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED);
         table.attemptWritten(KEY);
         passTo(10 * LIMIT);
         assertEquals(0, calls.size());
@@ -120,9 +120,9 @@
 
     @Test
     void timeRunsOnWhileAWritersConnectionDoesNotComeUp() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         for (int i = 0; i < 2; i++) {
-            table.attemptSent(KEY, AttemptPurpose.FETCH);
+            table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED);
             table.attemptConnecting(KEY);
             passTo(now + POLICY.idleMicros() / 2 - 1);
             assertEquals(0, calls.size());
@@ -134,9 +134,9 @@
 
     @Test
     void whatAnAttemptWasToTakeIsReleasedWhenItsConnectionNeverCameUp() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.unwanted(KEY, now);
-        table.attemptSent(KEY, AttemptPurpose.FETCH);
+        table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED);
         table.attemptConnecting(KEY);
         assertEquals(1, abandoned.size(), "the attempt is to take it");
         now = 10_000;
@@ -153,9 +153,9 @@
 
     @Test
     void whatAnAttemptReachedIsItsOwnAndNothingIsKeptOfIt() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.unwanted(KEY, now);
-        table.attemptSent(KEY, AttemptPurpose.FETCH);
+        table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED);
         table.attemptWritten(KEY);
         table.taken(KEY, now);
         table.attemptEnded(KEY, true, now);
@@ -166,8 +166,8 @@
 
     @Test
     void anAnswerOfTheWriterBeginsTheTimeAnew() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
-        table.attemptSent(KEY, AttemptPurpose.FETCH);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
+        table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED);
         table.attemptWritten(KEY);
         passTo(3 * LIMIT);
         table.attemptEnded(KEY, true, now);
@@ -179,15 +179,15 @@
 
     @Test
     void whatALostReadLeftIsReleasedBesideAnotherReadButNotOnceThatOneHasEnded() {
-        table.opened(KEY, Hold.ofLostRead("r0", 0), now);
-        table.attemptSent(KEY, AttemptPurpose.READ);
+        table.opened(KEY, Hold.ofLostPrefill("r0", 0), now);
+        table.attemptSent(KEY, AttemptPurpose.PREFILL);
         table.attemptWritten(KEY);
         passTo(POLICY.idleMicros());
         assertEquals(1, calls.size(), "the second read may never have arrived");
         table.attemptEnded(KEY, true, now);
-        table.readDone(KEY, Hold.ofState("r1", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r1", ""), now);
         assertEquals(List.of(lastCall().id()), abandoned, "it would take the second state away");
-        table.attemptSent(KEY, AttemptPurpose.FETCH);
+        table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED);
         table.attemptWritten(KEY);
         passTo(10 * LIMIT);
         assertEquals(1, calls.size());
@@ -195,10 +195,10 @@
 
     @Test
     void aStreamTakesAllButWhatMayStillArrive() {
-        table.opened(KEY, Hold.ofLostRead("r0", 0), now);
+        table.opened(KEY, Hold.ofLostPrefill("r0", 0), now);
         now = 50_000;
-        table.readDone(KEY, Hold.ofState("r1", ""), now);
-        table.attemptSent(KEY, AttemptPurpose.FETCH);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r1", ""), now);
+        table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED);
         table.attemptWritten(KEY);
         table.taken(KEY, now);
         assertEquals(1, table.size());
@@ -214,17 +214,17 @@
      */
     @Test
     void aReleaseArrivesWithTimeToSpareThoughTwoEnginesDoNotAnswer() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         passTo(LIMIT);
         assertEquals(
                 POLICY.idleMicros(), callTimes.get(0), "half the limit was waited for a writer");
-        assertTrue(callTimes.get(2) <= LIMIT - POLICY.reserveMicros(), callTimes.toString());
+        assertTrue(callTimes.get(2) <= LIMIT - POLICY.safetyMarginMicros(), callTimes.toString());
         assertEquals(3, calls.stream().limit(3).map(ReleaseCall::engine).distinct().count());
     }
 
     @Test
     void enginesThatRefuseAreFollowedByOthersAtOnceButNotWithoutEnd() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.unwanted(KEY, now);
         for (int i = 0; i < 4; i++) {
             assertEquals(i + 1, calls.size());
@@ -237,9 +237,9 @@
 
     @Test
     void aHolderThatIsSilentWhileOthersSpeakIsNotAskedFirst() {
-        engines.heard("w0", 10 * LIMIT);
+        engines.bytesReceived("w0", 10 * LIMIT);
         now = 10 * LIMIT;
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.unwanted(KEY, now);
         assertEquals("w0", lastCall().engine());
     }
@@ -249,7 +249,7 @@
         engines.removed("r0");
         for (int i = 0; i < 4; i++) {
             ReservationKey key = ReservationKey.ofRequest("k" + i);
-            table.readDone(key, Hold.ofState("r0", ""), now);
+            table.prefillCompleted(key, Hold.ofPrefillState("r0", ""), now);
             table.unwanted(key, now);
         }
         assertTrue(
@@ -258,30 +258,30 @@
 
     @Test
     void whatNoEngineReleasesIsReportedOnceAndForgotten() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.unwanted(KEY, now);
         passTo(POLICY.expiryMicros() - 1);
-        assertEquals(0, table.expired());
+        assertEquals(0, table.expiredCount());
         passTo(POLICY.expiryMicros());
-        assertEquals(1, table.expired());
+        assertEquals(1, table.expiredCount());
         assertEquals(1, expired.size());
         assertTrue(expired.get(0).startsWith("a at "), expired.get(0));
         assertEquals(0, table.size());
-        assertEquals(0, table.calling());
-        assertEquals(Long.MAX_VALUE, table.next());
+        assertEquals(0, table.releaseCallsInFlight());
+        assertEquals(Long.MAX_VALUE, table.nextDueMicros());
         assertTrue(calls.size() <= 10, calls.size() + " calls for a release that nobody answers");
     }
 
     @Test
     void anAnswerThatComesAfterItsCallWasAbandonedChangesNothing() {
-        table.readDone(KEY, Hold.ofState("r0", ""), now);
+        table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.unwanted(KEY, now);
         ReleaseCall first = lastCall();
         passTo(POLICY.retryMicros());
         answerLast(true);
         assertEquals(List.of(first.id()), abandoned);
-        table.releaseEnded(first.id(), true, now);
-        table.releaseEnded(99, true, now);
+        table.releaseCompleted(first.id(), true, now);
+        table.releaseCompleted(99, true, now);
         assertEquals(0, table.size());
     }
 
@@ -289,19 +289,19 @@
     void theTableIsBoundedAndTheOldestThatNothingWantsMakesRoom() {
         for (int i = 0; i < 2 * MOST; i++) {
             ReservationKey key = ReservationKey.ofRequest("k" + i);
-            table.readDone(key, Hold.ofState("r0", ""), now);
+            table.prefillCompleted(key, Hold.ofPrefillState("r0", ""), now);
             table.unwanted(key, now);
         }
         assertEquals(MOST, table.size());
-        assertEquals(MOST, table.expired());
-        assertEquals(MOST, table.calling());
+        assertEquals(MOST, table.expiredCount());
+        assertEquals(MOST, table.releaseCallsInFlight());
     }
 
     @Test
     void aRequestWithTheSameNameKeepsWhatTheEarlierOneLeft() {
-        table.opened(KEY, Hold.ofLostRead("r0", 0), now);
+        table.opened(KEY, Hold.ofLostPrefill("r0", 0), now);
         table.unwanted(KEY, now);
-        table.attemptSent(KEY, AttemptPurpose.READ);
+        table.attemptSent(KEY, AttemptPurpose.PREFILL);
         table.attemptWritten(KEY);
         answerLast(true);
         assertEquals(1, table.size());
@@ -311,8 +311,8 @@
 
     @Test
     void aPlaceIsKeptWhileItsRequestIsReadAndReleasedWithIt() {
-        table.opened(KEY, Hold.ofPlace("w0", "p", Hold.Certainty.HELD), now);
-        table.attemptSent(KEY, AttemptPurpose.READ);
+        table.opened(KEY, Hold.ofDecodeSlot("w0", "p", Hold.Certainty.CONFIRMED), now);
+        table.attemptSent(KEY, AttemptPurpose.PREFILL);
         table.attemptWritten(KEY);
         passTo(5 * LIMIT);
         assertEquals(0, calls.size());
