--- a/core/src/main/java/sorrelhoist/core/guard/SlowStartGuard.java
+++ b/core/src/main/java/sorrelhoist/core/guard/SlowStartGuard.java
@@ -5,54 +5,62 @@
 import java.util.Map;
 
 /**
- * Whether one router keeps to its part of a starting engine's budget: over each window of the rule
- * an engine that has just started gets no more than the multiple of its part of what the most used
- * engine of its kind gets, and what chance adds. Counts sends alone; how much is sent is {@code
- * SlowStart}'s to decide.
+ * Whether one router keeps to its part of the budget of an engine in slow start: over each window
+ * an engine that has just started gets no more than a multiple of its share of what the most used
+ * engine of its kind gets, and what chance adds. Counts sends alone; how much is sent is decided by
+ * the routing policy.
  */
 final class SlowStartGuard {
-    private static final double CHANCE =
-            3; // roots of the mean, as the rule has it for small counts
-    private final double multiple;
+    /** Standard deviations that chance may add: small counts scatter. */
+    private static final double CHANCE_DEVIATIONS = 3;
+
+    private final double budgetShare;
     private final long windowMicros;
-    private final long coldMicros;
+    private final long warmUpMicros;
     private final Map<String, Engine> engines = new HashMap<>();
 
     /** What is known of one engine. */
     private static final class Engine {
+        /** Times of the sends in the present window. */
         private final ArrayDeque<Long> sends = new ArrayDeque<>();
+
         private int kind;
-        private long toldStart;
-        private long startHeardAt = Long.MIN_VALUE;
-        private int most;
+
+        /** The start time that discovery gives; it tells processes apart. */
+        private long startTime;
+
+        /** When this router heard of the process's start; Long.MIN_VALUE where it did not. */
+        private long restartedAt = Long.MIN_VALUE;
+
+        private int maxSendsInWindow;
     }
 
-    SlowStartGuard(double multiple, long windowMicros, long coldMicros) {
-        this.multiple = multiple;
+    SlowStartGuard(double budgetShare, long windowMicros, long warmUpMicros) {
+        this.budgetShare = budgetShare;
         this.windowMicros = windowMicros;
-        this.coldMicros = coldMicros;
+        this.warmUpMicros = warmUpMicros;
     }
 
-    /** Hears of an engine's process: another start than the one known is another process. */
-    void listed(String id, int kind, long toldStart, long now) {
+    /** Hears of an engine's process: another start time than the one known is another process. */
+    void engineListed(String id, int kind, long startTime, long now) {
         Engine known = engines.get(id);
         Engine engine = known == null ? new Engine() : known;
-        if (known != null && toldStart != known.toldStart) {
-            engine.startHeardAt = now;
+        if (known != null && startTime != known.startTime) {
+            engine.restartedAt = now;
             engine.sends.clear();
-            engine.most = 0;
+            engine.maxSendsInWindow = 0;
         }
         engine.kind = kind;
-        engine.toldStart = toldStart;
+        engine.startTime = startTime;
         engines.put(id, engine);
     }
 
-    void left(String id) {
+    void engineRemoved(String id) {
         engines.remove(id);
     }
 
     /** Counts a send. {@return whether the engine's budget held} */
-    boolean sent(String id, long now) {
+    boolean recordSend(String id, long now) {
         Engine engine = engines.get(id);
         if (engine == null) {
             return true;
@@ -61,19 +69,24 @@
         while (engine.sends.peekFirst() <= now - windowMicros) {
             engine.sends.pollFirst();
         }
-        boolean cold =
-                engine.startHeardAt != Long.MIN_VALUE && now - engine.startHeardAt < coldMicros;
-        if (!cold) {
-            engine.most = Math.max(engine.most, engine.sends.size());
+        if (!isWarmingUp(engine, now)) {
+            engine.maxSendsInWindow = Math.max(engine.maxSendsInWindow, engine.sends.size());
             return true;
         }
-        int most =
-                engines.values().stream()
-                        .filter(e -> e.kind == engine.kind)
-                        .mapToInt(e -> e.most)
-                        .max()
-                        .orElse(0);
-        double budget = multiple * most;
-        return engine.sends.size() <= budget + CHANCE * Math.sqrt(budget) + CHANCE;
+        double budget = budgetShare * mostSendsOfKind(engine.kind);
+        return engine.sends.size()
+                <= budget + CHANCE_DEVIATIONS * Math.sqrt(budget) + CHANCE_DEVIATIONS;
+    }
+
+    private boolean isWarmingUp(Engine engine, long now) {
+        return engine.restartedAt != Long.MIN_VALUE && now - engine.restartedAt < warmUpMicros;
+    }
+
+    private int mostSendsOfKind(int kind) {
+        return engines.values().stream()
+                .filter(engine -> engine.kind == kind)
+                .mapToInt(engine -> engine.maxSendsInWindow)
+                .max()
+                .orElse(0);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/request/ClientCommands.java
+++ b/core/src/main/java/sorrelhoist/core/request/ClientCommands.java
@@ -5,12 +5,12 @@
     /** Gives a client a token or an event. */
     void deliverToken(Command.DeliverToken command);
 
-    /** Gives a client its final answer. */
+    /** Gives a client its final result. */
     void finishRequest(Command.FinishRequest command);
 
-    /** Writes a line. */
+    /** Writes a line to the log. */
     void writeLog(Command.WriteLog command);
 
-    /** Says that what must always hold did not. */
+    /** Reports that what must always hold did not. */
     void reportViolation(Command.ReportViolation command);
 }
--- /dev/null
+++ b/core/src/main/java/sorrelhoist/core/request/ClientResponses.java
@@ -0,0 +1,80 @@
+package sorrelhoist.core.request;
+
+import java.util.function.Consumer;
+import sorrelhoist.core.record.DecisionListener;
+import sorrelhoist.core.record.RecordEntry;
+import sorrelhoist.routing.Reason;
+
+/** What clients receive: tokens, then one final result and nothing after it. */
+final class ClientResponses {
+    private final RequestTable requests;
+    private final RouterClock clock;
+    private final DecisionListener listener;
+    private final Consumer<Command> commands;
+
+    ClientResponses(
+            RequestTable requests,
+            RouterClock clock,
+            DecisionListener listener,
+            Consumer<Command> commands) {
+        this.requests = requests;
+        this.clock = clock;
+        this.listener = listener;
+        this.commands = commands;
+    }
+
+    /** Gives the client a token or an opaque event. */
+    void deliver(RequestState request, int index, String text, Object attachment) {
+        commands.accept(new Command.DeliverToken(request.clientId, index, text, attachment));
+    }
+
+    /** Gives the client its final result, unless it has one or has left. */
+    void finish(RequestState request, RequestResult result) {
+        if (request.finished) {
+            return;
+        }
+        requests.finish(request);
+        report(request, completionOf(result), result.reason());
+        commands.accept(new Command.FinishRequest(request.clientId, result));
+    }
+
+    /** The client left: it gets nothing more. */
+    void clientDisconnected(RequestState request) {
+        requests.finish(request);
+        report(request, RecordEntry.Completion.LEFT, Reason.UNKNOWN);
+    }
+
+    /** Writes a line about the request to the log. */
+    void log(RequestState request, String text) {
+        commands.accept(new Command.WriteLog(request.name, text));
+    }
+
+    private void report(RequestState request, RecordEntry.Completion completion, Reason reason) {
+        if (listener == DecisionListener.NONE) {
+            return;
+        }
+        long timeLeft =
+                request.hasDeadline() ? request.deadline - clock.now() : RequestState.NO_DEADLINE;
+        listener.onRequestCompleted(
+                new RecordEntry.RequestCompleted(
+                        clock.now(),
+                        request.clientId,
+                        completion,
+                        request.tokens,
+                        timeLeft,
+                        reason));
+    }
+
+    private static RecordEntry.Completion completionOf(RequestResult result) {
+        if (result instanceof RequestResult.Served) {
+            return RecordEntry.Completion.SERVED;
+        }
+        if (result instanceof RequestResult.Refused) {
+            return RecordEntry.Completion.REFUSED;
+        }
+        if (result instanceof RequestResult.Stalled) {
+            return RecordEntry.Completion.STALLED;
+        }
+        return RecordEntry.Completion.FAILED;
+    }
+}
--- a/core/src/main/java/sorrelhoist/core/request/Command.java
+++ b/core/src/main/java/sorrelhoist/core/request/Command.java
@@ -2,34 +2,80 @@
 
 import sorrelhoist.routing.Reason;
 
-/** What a {@link Router} has its carrier do, in the order in which it is told. */
+/** What a {@link Router} has its transport do, in the order in which it is given. */
 public sealed interface Command {
     /** Calls the handler's method for this command. */
     void accept(CommandHandler handler);
 
     /**
-     * Have a reader read the prompt. Answered by one outcome of this attempt.
+     * What is sent where, by either kind of attempt.
      *
      * @param attempt names the attempt
      * @param requestName the request's name at engines
      * @param engine where to
-     * @param request what is asked
-     * @param prompt the text, with what was answered so far where a stream goes on
+     * @param request what the client asks for
+     * @param prompt the text to read, with what was generated so far where a stream is resumed
      * @param promptTokens its tokens
-     * @param deadlineMicros when the attempt is cut, on the router's clock; Long.MAX_VALUE for
-     *     never
-     * @param reason why this engine
+     * @param reason why this engine was selected
      */
-    record StartPrefill(
+    record AttemptTarget(
             AttemptId attempt,
             String requestName,
             String engine,
             InferenceRequest request,
             String prompt,
             long promptTokens,
-            long deadlineMicros,
-            Reason reason)
-            implements Command {
+            Reason reason) {}
+
+    /** Start an attempt. Answered by one outcome of this attempt. */
+    sealed interface StartAttempt extends Command {
+        /** {@return what is sent where} */
+        AttemptTarget target();
+
+        /** {@return the attempt's name} */
+        default AttemptId attempt() {
+            return target().attempt();
+        }
+
+        /** {@return the request's name at engines} */
+        default String requestName() {
+            return target().requestName();
+        }
+
+        /** {@return where to send it} */
+        default String engine() {
+            return target().engine();
+        }
+
+        /** {@return what the client asks for} */
+        default InferenceRequest request() {
+            return target().request();
+        }
+
+        /** {@return the text to read} */
+        default String prompt() {
+            return target().prompt();
+        }
+
+        /** {@return the tokens of the text to read} */
+        default long promptTokens() {
+            return target().promptTokens();
+        }
+
+        /** {@return why this engine was selected} */
+        default Reason reason() {
+            return target().reason();
+        }
+    }
+
+    /**
+     * Have an engine read the prompt.
+     *
+     * @param target what is sent where
+     * @param deadlineMicros when the attempt times out, on the router's clock; Long.MAX_VALUE for
+     *     never
+     */
+    record StartPrefill(AttemptTarget target, long deadlineMicros) implements StartAttempt {
         @Override
         public void accept(CommandHandler handler) {
             handler.startPrefill(this);
@@ -37,37 +83,25 @@
     }
 
     /**
-     * Have a writer fetch the state and answer. Answered by tokens and one outcome of this attempt.
+     * Have an engine fetch the prefill state and answer. Answered by tokens as well.
      *
-     * @param attempt names the attempt
-     * @param requestName the request's name at engines
-     * @param engine where to
-     * @param request what is asked
+     * @param target what is sent where
      * @param prefillState what to fetch, or null where the engine reads the prompt by itself
-     * @param decodeSlot held ahead there, or empty
-     * @param prompt the text
-     * @param promptTokens its tokens
-     * @param firstTokenIndex the first index that the client has not got
+     * @param decodeSlot reserved there, or empty
+     * @param firstTokenIndex the first index that the client has not received
      * @param deadlineMicros when the client's time for the whole answer is up; Long.MAX_VALUE where
-     *     it did not say
+     *     it gave none
      * @param sendByMicros when its last byte has to have left, or it must not be sent any more;
      *     Long.MAX_VALUE for no limit
-     * @param reason why this engine
      */
     record StartDecode(
-            AttemptId attempt,
-            String requestName,
-            String engine,
-            InferenceRequest request,
+            AttemptTarget target,
             HeldPrefillState prefillState,
             String decodeSlot,
-            String prompt,
-            long promptTokens,
             int firstTokenIndex,
             long deadlineMicros,
-            long sendByMicros,
-            Reason reason)
-            implements Command {
+            long sendByMicros)
+            implements StartAttempt {
         @Override
         public void accept(CommandHandler handler) {
             handler.startDecode(this);
@@ -87,12 +121,12 @@
     }
 
     /**
-     * Hold a place ahead at a writer. Answered by {@link Router#decodeSlotAnswered}.
+     * Reserve a decode slot ahead of its use. Answered by {@link Router#decodeSlotAnswered}.
      *
      * @param requestId which request
      * @param requestName its name at engines
-     * @param engine the writer
-     * @param request what is asked
+     * @param engine the engine that is to decode
+     * @param request what the client asks for
      */
     record ReserveDecodeSlot(
             long requestId, String requestName, String engine, InferenceRequest request)
@@ -104,17 +138,17 @@
     }
 
     /**
-     * Let an engine release what it holds for a request. Answered by {@link
+     * Have an engine release what it holds for a request. Answered by {@link
      * Router#releaseCompleted}.
      *
      * @param releaseId names the call
-     * @param requestName the request's name at engines; a place's name where its request is not
+     * @param requestName the request's name at engines; a slot's name where its request is not
      *     known
      * @param engine which
-     * @param prefillState the state's name; empty for what its reads left that were given up on
-     * @param decodeSlot the place's name; may be empty
+     * @param prefillState the state's name; empty for what cancelled prefills left
+     * @param decodeSlot the slot's name; may be empty
      * @param upToAttempt where neither is named: the last attempt whose state is meant, so that a
-     *     later read at the same engine keeps its own
+     *     later prefill at the same engine keeps its own
      */
     record ReleaseReservation(
             long releaseId,
@@ -143,8 +177,8 @@
     }
 
     /**
-     * What a request had reserved was not released in time: no engine answered. It is not tried any
-     * longer.
+     * Report that what a request had reserved was not released in time: no engine answered. It is
+     * not tried any longer.
      *
      * @param requestName the request's name at engines
      * @param engine the engine that was asked last
@@ -175,7 +209,7 @@
     }
 
     /**
-     * Give the client its one final answer; nothing follows it.
+     * Give the client its one final result; nothing follows it.
      *
      * @param clientId which
      * @param result how it ended
@@ -188,7 +222,7 @@
     }
 
     /**
-     * Probe an engine. Answered by {@link Router#probeCompleted}.
+     * Check an engine's health. Answered by {@link Router#probeCompleted}.
      *
      * @param engine which
      */
@@ -202,7 +236,7 @@
     /**
      * Send a message to other routers.
      *
-     * @param recipient a router's number; -1 for all
+     * @param recipient a router's index; -1 for all
      * @param body at most 256 bytes
      */
     record SendPeerMessage(int recipient, String body) implements Command {
@@ -212,7 +246,7 @@
         }
     }
 
-    /** Ask for the whole roster. */
+    /** Ask for the complete endpoint list. */
     record FetchEndpointList() implements Command {
         @Override
         public void accept(CommandHandler handler) {
@@ -233,7 +267,7 @@
     }
 
     /**
-     * A line for the log.
+     * Write a line to the log.
      *
      * @param requestName the request's name, or null
      * @param text the line
@@ -246,7 +280,7 @@
     }
 
     /**
-     * Says that what must always hold did not.
+     * Report that what must always hold did not.
      *
      * @param text the line
      */
--- a/core/src/main/java/sorrelhoist/core/request/EngineCommands.java
+++ b/core/src/main/java/sorrelhoist/core/request/EngineCommands.java
@@ -2,22 +2,22 @@
 
 /** The commands that concern engines. */
 public interface EngineCommands {
-    /** Sends a request to a reader. */
+    /** Sends a request to an engine that reads its prompt. */
     void startPrefill(Command.StartPrefill command);
 
-    /** Sends a request to a writer. */
+    /** Sends a request to an engine that answers it. */
     void startDecode(Command.StartDecode command);
 
-    /** Gives up an attempt. */
+    /** Stops waiting for an attempt. */
     void cancelAttempt(Command.CancelAttempt command);
 
-    /** Asks for a place. */
+    /** Reserves a decode slot. */
     void reserveDecodeSlot(Command.ReserveDecodeSlot command);
 
-    /** Has something released that a request has reserved. */
+    /** Has an engine release what it holds for a request. */
     void releaseReservation(Command.ReleaseReservation command);
 
-    /** Gives up the wait for a release's answer. */
+    /** Stops waiting for a release's answer. */
     void abandonRelease(Command.AbandonRelease command);
 
     /** Reports what no engine has released in time. */
--- /dev/null
+++ b/core/src/main/java/sorrelhoist/core/request/EngineKinds.java
@@ -0,0 +1,52 @@
+package sorrelhoist.core.request;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerKind;
+import sorrelhoist.routing.Routing.ServerState;
+
+/** The kind of each engine on the endpoint list. */
+final class EngineKinds {
+    private final List<ServerKind> kinds;
+    private final Map<String, Integer> kindByEngine = new HashMap<>();
+
+    EngineKinds(List<ServerKind> kinds) {
+        this.kinds = kinds;
+    }
+
+    /** The endpoint list, or an update of it. */
+    void update(ListUpdateKind updateKind, List<Server> servers) {
+        if (updateKind == ListUpdateKind.COMPLETE) {
+            kindByEngine.clear();
+        }
+        for (Server server : servers) {
+            if (server.state() == ServerState.GONE) {
+                kindByEngine.remove(server.id());
+            } else {
+                kindByEngine.put(server.id(), server.kind());
+            }
+        }
+    }
+
+    boolean isListed(String engine) {
+        return kindByEngine.containsKey(engine);
+    }
+
+    /** {@return the index of a listed engine's kind in the routing settings} */
+    int kindOf(String engine) {
+        return kindByEngine.get(engine);
+    }
+
+    /** {@return whether a listed engine only prefills} */
+    boolean isPrefillOnly(String engine) {
+        return kinds.get(kindOf(engine)).role() == Role.READ;
+    }
+
+    int size() {
+        return kindByEngine.size();
+    }
+}
--- a/core/src/main/java/sorrelhoist/core/request/HeldPrefillState.java
+++ b/core/src/main/java/sorrelhoist/core/request/HeldPrefillState.java
@@ -1,9 +1,9 @@
 package sorrelhoist.core.request;
 
 /**
- * A read state that waits at a reader.
+ * A prefill state that waits to be fetched.
  *
- * @param engine the reader
+ * @param engine the engine that has read the prompt
  * @param stateId the state's name there
  */
 public record HeldPrefillState(String engine, String stateId) {}
--- a/core/src/main/java/sorrelhoist/core/request/PeerLiveness.java
+++ b/core/src/main/java/sorrelhoist/core/request/PeerLiveness.java
@@ -4,29 +4,36 @@
 import java.util.Map;
 
 /**
- * Whether another router of the tier is there to take requests, by the others' own word. Each says
- * so now and then, so that all together say a few words a second however many they are: messages
- * are priced for each receiver. One that has just started says nothing yet, and one that is told to
- * end says so. Lost messages cost a second or two. Only a departure asks this; no request is routed
+ * Whether another router of the tier is there to take requests, by the heartbeats that they send to
+ * each other. All routers together send a few a second however many they are: messages are priced
+ * for each receiver. A router that has just started sends none yet, and one that shuts down says
+ * so. Lost messages cost a second or two. Only a graceful shutdown asks this; no request is routed
  * by it.
  */
 public final class PeerLiveness {
     private static final long SECOND = 1_000_000;
-    private static final int FLEET_WORDS = 4; // a second, by all routers together
-    private static final long SILENT = 5 * SECOND / 2;
-    private static final String HERE = "@here";
+
+    /** By all routers together. */
+    private static final int HEARTBEATS_PER_SECOND = 4;
+
+    /** After so long without a heartbeat a router counts as gone. */
+    private static final long TIMEOUT_MICROS = 5 * SECOND / 2;
+
+    /** A router that has just started is slow, and has learned nothing. */
+    private static final long START_UP_MICROS = 4 * SECOND;
+
+    private static final String HEARTBEAT = "@here";
     private static final String LEAVING = "@leaving";
-    private static final long SETTLED =
-            4 * SECOND; // one that has just started is slow, and learns from nothing
+
     private final int self;
     private final int routers;
     private final long startedAt;
-    private final Map<Integer, Long> here = new HashMap<>();
+    private final Map<Integer, Long> lastHeartbeat = new HashMap<>();
 
     /**
-     * Knows nobody.
+     * Creates one that knows no peer.
      *
-     * @param self this router's number, from 0
+     * @param self this router's index, from 0
      * @param routers how many there are
      * @param startedAt when this one started, on the caller's clock in microseconds
      */
@@ -36,52 +43,56 @@
         this.startedAt = startedAt;
     }
 
-    /** {@return microseconds between two words of this router} */
+    /** {@return microseconds between two heartbeats of this router} */
     public long heartbeatIntervalMicros() {
-        return Math.max(SECOND, SECOND * routers / FLEET_WORDS);
+        return Math.max(SECOND, SECOND * routers / HEARTBEATS_PER_SECOND);
     }
 
     /**
-     * {@return microseconds from the start to its first word: routers that start together speak in
-     * turns}
+     * {@return microseconds from the start to the first heartbeat: routers that start together send
+     * theirs in turns}
      */
     public long firstHeartbeatDelayMicros() {
-        return SETTLED + heartbeatIntervalMicros() * self / routers;
+        return START_UP_MICROS + heartbeatIntervalMicros() * self / routers;
     }
 
     /**
      * Says whether this router is there.
      *
-     * @param now the caller's clock
-     * @param leaving whether it was told to end
-     * @return what to tell all others, or null where there is nothing to say
+     * @param now the caller's clock, in microseconds
+     * @param shuttingDown whether it was told to end
+     * @return what to send to all others, or null where there is nothing to say
      */
-    public String heartbeatMessage(long now, boolean leaving) {
-        return leaving ? LEAVING : now - startedAt >= SETTLED ? HERE : null;
+    public String heartbeatMessage(long now, boolean shuttingDown) {
+        if (shuttingDown) {
+            return LEAVING;
+        }
+        return now - startedAt >= START_UP_MICROS ? HEARTBEAT : null;
     }
 
     /**
-     * Hears a message.
+     * Takes a message in.
      *
-     * @param now the caller's clock
-     * @param from the sender's number
+     * @param now the caller's clock, in microseconds
+     * @param from the sender's index
      * @param body the message
-     * @return whether it was for this; others are the decisions'
+     * @return whether it was a heartbeat; others are the routing policy's
      */
     public boolean messageReceived(long now, int from, String body) {
-        if (body.equals(HERE)) {
-            here.put(from, now);
-        } else if (body.equals(LEAVING)) {
-            here.remove(from);
-        } else {
-            return false;
+        if (body.equals(HEARTBEAT)) {
+            lastHeartbeat.put(from, now);
+            return true;
+        }
+        if (body.equals(LEAVING)) {
+            lastHeartbeat.remove(from);
+            return true;
         }
-        return true;
+        return false;
     }
 
     /** {@return whether another router is there that has been for a while} */
     public boolean hasLivePeer(long now) {
-        return here.entrySet().stream()
-                .anyMatch(e -> e.getKey() != self && now - e.getValue() <= SILENT);
+        return lastHeartbeat.entrySet().stream()
+                .anyMatch(peer -> peer.getKey() != self && now - peer.getValue() <= TIMEOUT_MICROS);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/request/PlannerCommands.java
+++ b/core/src/main/java/sorrelhoist/core/request/PlannerCommands.java
@@ -1,13 +1,13 @@
 package sorrelhoist.core.request;
 
-/** The commands that concern the view of the fleet: probes, other routers, the list of engines. */
+/** The commands that concern the view of the fleet: health checks, peers, the endpoint list. */
 public interface PlannerCommands {
-    /** Probes an engine. */
+    /** Checks an engine's health. */
     void probeEngine(Command.ProbeEngine command);
 
     /** Sends a message to other routers. */
     void sendPeerMessage(Command.SendPeerMessage command);
 
-    /** Asks for the whole list of engines. */
+    /** Asks for the complete endpoint list. */
     void fetchEndpointList(Command.FetchEndpointList command);
 }
--- /dev/null
+++ b/core/src/main/java/sorrelhoist/core/request/RequestActions.java
@@ -0,0 +1,89 @@
+package sorrelhoist.core.request;
+
+import java.util.function.Consumer;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Cancel;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.Move;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.Release;
+import sorrelhoist.routing.Routing.Reserve;
+import sorrelhoist.routing.Routing.Send;
+
+/** Executes the routing policy's actions that concern one request. */
+final class RequestActions {
+    private final RequestTable requests;
+    private final AttemptSender sender;
+    private final AttemptFailures failures;
+    private final PolicyResults results;
+    private final StreamMigration migration;
+    private final RequestReservations reservations;
+    private final Consumer<Command> commands;
+
+    RequestActions(
+            RequestTable requests,
+            AttemptSender sender,
+            AttemptFailures failures,
+            PolicyResults results,
+            StreamMigration migration,
+            RequestReservations reservations,
+            Consumer<Command> commands) {
+        this.requests = requests;
+        this.sender = sender;
+        this.failures = failures;
+        this.results = results;
+        this.migration = migration;
+        this.reservations = reservations;
+        this.commands = commands;
+    }
+
+    /** Executes an action; others than those of requests are passed over. */
+    void execute(Action action) {
+        if (action instanceof Send send) {
+            sender.send(send);
+        } else if (action instanceof Refuse refusal) {
+            results.reject(refusal);
+        } else if (action instanceof Fail failure) {
+            results.fail(failure);
+        } else if (action instanceof Cancel cancellation) {
+            cancel(cancellation);
+        } else if (action instanceof Release release) {
+            release(release);
+        } else if (action instanceof Reserve reservation) {
+            reserve(reservation);
+        } else if (action instanceof Move move) {
+            migrate(move);
+        }
+    }
+
+    private void cancel(Cancel action) {
+        Attempt attempt = requests.runningAttempt(new AttemptId(action.id(), action.attempt()));
+        if (attempt != null && !attempt.streaming) {
+            failures.cancelAttempt(attempt, Outcome.CANCELLED);
+        }
+    }
+
+    private void release(Release action) {
+        RequestState request = requests.byRoutingId(action.id());
+        if (request != null) {
+            reservations.release(request);
+        }
+    }
+
+    private void reserve(Reserve action) {
+        RequestState request = requests.byRoutingId(action.id());
+        if (request != null && !request.finished) {
+            commands.accept(
+                    new Command.ReserveDecodeSlot(
+                            action.id(), request.name, action.server(), request.parameters));
+        }
+    }
+
+    private void migrate(Move action) {
+        RequestState request = requests.byRoutingId(action.id());
+        if (request != null) {
+            migration.migrate(request);
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/sorrelhoist/core/request/RequestAdmission.java
@@ -0,0 +1,40 @@
+package sorrelhoist.core.request;
+
+import sorrelhoist.routing.Reason;
+
+/** Rejects requests that the router itself has no capacity for, and all once it is draining. */
+final class RequestAdmission {
+    private static final long RETRY_AFTER_MICROS = 500_000;
+
+    private final int maxOpenRequests;
+    private final RequestTable requests;
+    private final ClientResponses responses;
+    private boolean draining;
+
+    RequestAdmission(int maxOpenRequests, RequestTable requests, ClientResponses responses) {
+        this.maxOpenRequests = maxOpenRequests;
+        this.requests = requests;
+        this.responses = responses;
+    }
+
+    void startDraining() {
+        draining = true;
+    }
+
+    boolean isDraining() {
+        return draining;
+    }
+
+    /** Rejects a request that has just been opened, if need be. {@return whether it is admitted} */
+    boolean admit(RequestState request) {
+        if (!draining && requests.openCount() <= maxOpenRequests) {
+            return true;
+        }
+        request.apply(RequestPhase.Transition.REJECTED);
+        int openBefore = requests.openCount() - 1;
+        int limit = draining ? 0 : maxOpenRequests;
+        Reason reason = Reason.compared(Reason.Kind.ROUTER_FULL, openBefore, limit);
+        responses.finish(request, new RequestResult.Refused(RETRY_AFTER_MICROS, reason));
+        return false;
+    }
+}
--- a/core/src/main/java/sorrelhoist/core/request/RequestResult.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestResult.java
@@ -2,9 +2,9 @@
 
 import sorrelhoist.routing.Reason;
 
-/** A client's one final answer. */
+/** A request's one final result. */
 public sealed interface RequestResult {
-    /** {@return what Decide gave for it, or {@link Reason#UNKNOWN}} */
+    /** {@return what the routing policy gave for it, or {@link Reason#UNKNOWN}} */
     default Reason reason() {
         return Reason.UNKNOWN;
     }
@@ -17,17 +17,12 @@
     record Served(int tokens) implements RequestResult {}
 
     /**
-     * Not served, and a repeat is harmless.
+     * Rejected; a retry is harmless.
      *
-     * @param retryAfterMicros when to come back; 0 for no advice
-     * @param why what was short
+     * @param retryAfterMicros when to come back, in microseconds; 0 for no advice
+     * @param reason what was short
      */
-    record Refused(long retryAfterMicros, Reason why) implements RequestResult {
-        @Override
-        public Reason reason() {
-            return why;
-        }
-    }
+    record Refused(long retryAfterMicros, Reason reason) implements RequestResult {}
 
     /**
      * Given up because the client takes nothing: nothing more can be told to it, so its stream is
@@ -38,12 +33,12 @@
     record Stalled(String message) implements RequestResult {}
 
     /**
-     * Not served whole, and nothing is known of a repeat.
+     * Not served to its end, and it is not known whether a retry is harmless.
      *
      * @param message for the client and the log
      * @param deadlineExceeded whether the client's time is up
-     * @param reason what Decide gave, or {@link Reason#UNKNOWN} where an answer broke off after its
-     *     first token
+     * @param reason what the routing policy gave, or {@link Reason#UNKNOWN} where an answer broke
+     *     off after its first token
      */
     record Failed(String message, boolean deadlineExceeded, Reason reason)
             implements RequestResult {}
--- /dev/null
+++ b/core/src/main/java/sorrelhoist/core/request/StreamMonitor.java
@@ -0,0 +1,83 @@
+package sorrelhoist.core.request;
+
+import sorrelhoist.core.time.TimerQueue;
+import sorrelhoist.routing.Routing.Outcome;
+
+/** Watches running streams: for engines that fall silent, and for clients that stop reading. */
+final class StreamMonitor {
+    private final StreamTimeouts timeouts;
+    private final long clientStallTimeoutMicros;
+    private final TimerQueue<RouterTimer> timers;
+    private final RouterClock clock;
+    private final AttemptFailures failures;
+    private final ClientResponses responses;
+
+    StreamMonitor(
+            RouterSettings settings,
+            TimerQueue<RouterTimer> timers,
+            RouterClock clock,
+            AttemptFailures failures,
+            ClientResponses responses) {
+        this.timeouts =
+                new StreamTimeouts(settings.streams(), settings.routing().serverKinds().size());
+        this.clientStallTimeoutMicros = settings.streams().clientStallTimeoutMicros();
+        this.timers = timers;
+        this.clock = clock;
+        this.failures = failures;
+        this.responses = responses;
+    }
+
+    /** The first token of a stream came. */
+    void streamStarted(Attempt attempt) {
+        attempt.lastTokenAt = clock.now();
+        scheduleCheck(attempt);
+    }
+
+    /** A later token came. */
+    void tokenReceived(Attempt attempt) {
+        timeouts.tokenReceived(attempt, clock.now());
+        attempt.lastTokenAt = clock.now();
+    }
+
+    /** Cancels a stream that has been silent for too long. */
+    void checkSilence(Attempt attempt) {
+        if (attempt.ended) {
+            return;
+        }
+        if (clock.now() < timeouts.deadAt(attempt)) {
+            scheduleCheck(attempt);
+            return;
+        }
+        long silentMicros = clock.now() - attempt.lastTokenAt;
+        responses.log(
+                attempt.request, "stream silent for " + silentMicros + " us at " + attempt.engine);
+        failures.cancelAttempt(attempt, Outcome.TIMED_OUT);
+    }
+
+    /**
+     * A client takes nothing of its answer for now, or takes it again. While it does not, its
+     * engine is held back, and is not to blame for its silence.
+     */
+    void clientBackpressureChanged(RequestState request, boolean blocked) {
+        boolean wasBlocked = request.blockedSince > 0;
+        if (blocked == wasBlocked) {
+            return;
+        }
+        if (blocked) {
+            request.blockedSince = Math.max(1, clock.now());
+            timers.schedule(
+                    clock.now() + clientStallTimeoutMicros,
+                    new RouterTimer.ClientStall(request, request.blockedSince));
+            return;
+        }
+        request.blockedSince = 0;
+        if (request.runningAttempt != null) {
+            request.runningAttempt.lastTokenAt = clock.now();
+        }
+    }
+
+    private void scheduleCheck(Attempt attempt) {
+        timers.schedule(
+                timeouts.nextCheckAt(attempt, clock.now()), new RouterTimer.StreamSilence(attempt));
+    }
+}
--- a/core/src/main/java/sorrelhoist/core/reservation/EngineActivity.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/EngineActivity.java
@@ -21,8 +21,8 @@
     /**
      * Knows no engine.
      *
-     * @param silenceTimeoutMicros by how much an engine's last word has to lie behind that of another to be
-     *     called silent
+     * @param silenceTimeoutMicros by how much an engine's last word has to lie behind that of
+     *     another to be called silent
      */
     public EngineActivity(long silenceTimeoutMicros) {
         this.silenceTimeoutMicros = silenceTimeoutMicros;
--- a/core/src/main/java/sorrelhoist/core/reservation/Hold.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/Hold.java
@@ -10,7 +10,11 @@
  * @param certainty whether the engine said so
  */
 public record Hold(
-        String engine, String prefillState, String decodeSlot, int upToAttempt, Certainty certainty) {
+        String engine,
+        String prefillState,
+        String decodeSlot,
+        int upToAttempt,
+        Certainty certainty) {
     /** What is known of a hold. */
     public enum Certainty {
         /** The engine answered that it holds it. */
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
@@ -45,7 +45,10 @@
      * @param capacity keys at once; beyond, the oldest that nothing wants any more is given up on
      */
     public ReservationTable(
-            ReleasePolicy policy, ReleaseTargetSelector targets, ReleaseClient releaseClient, int capacity) {
+            ReleasePolicy policy,
+            ReleaseTargetSelector targets,
+            ReleaseClient releaseClient,
+            int capacity) {
         this.policy = policy;
         this.targets = targets;
         this.releaseClient = releaseClient;
--- a/core/src/test/java/sorrelhoist/core/guard/SendGuardTest.java
+++ b/core/src/test/java/sorrelhoist/core/guard/SendGuardTest.java
@@ -46,7 +46,7 @@
 
     @BeforeEach
     void list() {
-        guard.listed(
+        guard.endpointsUpdated(
                 ListUpdateKind.COMPLETE,
                 List.of(
                         server("a", ServerState.SERVING, 0),
@@ -62,7 +62,13 @@
     private static SendGuard.Attempt attempt(
             String engine, boolean open, Idempotency repeat, boolean mayHaveRun) {
         return new SendGuard.Attempt(
-                "r", 1, engine, List.of(), open, 4 * SECOND, repeat, mayHaveRun, false, 2 * SECOND);
+                "r",
+                1,
+                engine,
+                List.of(),
+                open,
+                4 * SECOND,
+                new SendGuard.Repetition(repeat, false, mayHaveRun, 2 * SECOND));
     }
 
     private void refused(SendGuard.Attempt attempt, long now, Invariant by) {
@@ -104,7 +110,8 @@
 
     @Test
     void nothingLeavesForAnEngineThatIsGone() {
-        guard.listed(ListUpdateKind.UPDATE, List.of(server("a", ServerState.GONE, 0)), SECOND);
+        guard.endpointsUpdated(
+                ListUpdateKind.UPDATE, List.of(server("a", ServerState.GONE, 0)), SECOND);
         refused(
                 attempt("a", true, Idempotency.SAFE, false),
                 SECOND,
@@ -132,7 +139,8 @@
         for (int i = 0; i < 10; i++) {
             guard.allows(attempt("a", true, Idempotency.SAFE, false), SECOND + i);
         }
-        guard.listed(ListUpdateKind.UPDATE, List.of(server("b", ServerState.SERVING, 7)), SECOND);
+        guard.endpointsUpdated(
+                ListUpdateKind.UPDATE, List.of(server("b", ServerState.SERVING, 7)), SECOND);
         int allowed = 0;
         while (monitor.counts().isEmpty()) {
             assertTrue(
--- a/core/src/test/java/sorrelhoist/core/request/Fleet.java
+++ b/core/src/test/java/sorrelhoist/core/request/Fleet.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import sorrelhoist.core.reservation.ReleaseReach;
 import sorrelhoist.routing.Routing.*;
 
 /**
@@ -47,15 +48,13 @@
 
     static RouterSettings settings(boolean cancel, boolean resumes, long seed) {
         return new RouterSettings(
-                "edge",
-                1,
+                new RouterIdentity("edge", 1),
                 decide(cancel),
-                List.of(4 * SECOND, 4 * SECOND, 4 * SECOND),
-                List.of(0L, 0L, 0L),
-                MARGIN,
-                resumes,
-                STALL,
+                new RequestTimeouts(
+                        List.of(4 * SECOND, 4 * SECOND, 4 * SECOND), List.of(0L, 0L, 0L), MARGIN),
+                StreamSettings.ofTokens(resumes, STALL),
                 10_000,
+                ReleaseReach.HOLDER,
                 seed);
     }
 
@@ -71,7 +70,12 @@
     }
 
     static InferenceRequest call(int cls, int maxTokens, long timeout) {
-        return new InferenceRequest(
-                "c", cls, 0, "s", "p", 50, "x".repeat(400), 100, maxTokens, timeout, 0, null);
+        return InferenceRequest.builder("x".repeat(400), 100, maxTokens)
+                .clientRequestId("c")
+                .classIndex(cls)
+                .session("s")
+                .sharedPrefix("p", 50)
+                .timeoutMicros(timeout)
+                .build();
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/Histories.java
+++ b/core/src/test/java/sorrelhoist/core/request/Histories.java
@@ -77,7 +77,7 @@
         if (random.nextInt(4) == 0) {
             world.schedule(random.nextLong(2 * Fleet.SECOND), this::drainOne);
         }
-        for (long steps = 0; world.size() > 0 || router.openRequests() > 0; steps++) {
+        for (long steps = 0; world.size() > 0 || router.metrics().openRequests() > 0; steps++) {
             now = Math.max(now, Math.min(world.nextDueMicros(), router.nextTimerAt()));
             router.advance(now);
             for (Runnable due = world.pollDue(now); due != null; due = world.pollDue(now)) {
@@ -98,20 +98,20 @@
             }
             check();
         }
-        if (router.known()
-                        + router.runningAttempts()
-                        + router.wantedReservations()
-                        + router.reservationCount()
+        if (router.metrics().knownRequests()
+                        + router.metrics().runningAttempts()
+                        + router.metrics().wantedReservations()
+                        + router.metrics().reservationCount()
                 > 0) {
             broken.add(
                     "left: "
-                            + router.known()
+                            + router.metrics().knownRequests()
                             + " known, "
-                            + router.runningAttempts()
+                            + router.metrics().runningAttempts()
                             + " out, "
-                            + router.wantedReservations()
+                            + router.metrics().wantedReservations()
                             + " held, "
-                            + router.reservationCount()
+                            + router.metrics().reservationCount()
                             + " reserved");
         }
         clients.values().stream()
@@ -368,12 +368,12 @@
 
     /** Rule 5: a state that no attempt waits for is taken or let go in time. */
     private void check() {
-        if (router.sendsWithoutOutcome() != router.runningAttempts()) {
+        if (router.metrics().sendsWithoutOutcome() != router.metrics().runningAttempts()) {
             broken.add(
                     "a send has not exactly one outcome: "
-                            + router.sendsWithoutOutcome()
+                            + router.metrics().sendsWithoutOutcome()
                             + " are without, "
-                            + router.runningAttempts()
+                            + router.metrics().runningAttempts()
                             + " are out");
         }
         held.forEach(
--- a/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
@@ -22,18 +22,14 @@
     private final Router router =
             new Router(
                     new RouterSettings(
-                            "edge",
-                            1,
+                            new RouterIdentity("edge", 1),
                             Fleet.decide(true),
-                            List.of(Long.MAX_VALUE / 4, 0L, 0L),
-                            List.of(0L, 0L, 0L),
-                            0,
-                            false,
-                            Fleet.STALL,
+                            new RequestTimeouts(
+                                    List.of(Long.MAX_VALUE / 4, 0L, 0L), List.of(0L, 0L, 0L), 0),
+                            StreamSettings.ofOpaqueEvents(true, SILENCE, Fleet.STALL),
                             100,
-                            7,
-                            new StreamSettings(true, false, SILENCE, true),
-                            ReleaseReach.ANY_ENGINE),
+                            ReleaseReach.ANY_ENGINE,
+                            7),
                     orders::add);
 
     private <T extends Command> T last(Class<T> type) {
@@ -73,7 +69,7 @@
         router.opaqueStreamCompleted(30_000, w.attempt(), 5, ServerLoad.NONE);
         assertInstanceOf(RequestResult.Served.class, last(Command.FinishRequest.class).result());
         assertFalse(router.opaqueEventReceived(40_000, w.attempt(), new Object()));
-        assertEquals(0, router.known());
+        assertEquals(0, router.metrics().knownRequests());
     }
 
     @Test
@@ -115,7 +111,7 @@
         router.migrateYoungestStreams(40_000, 5);
         assertEquals(w.attempt(), last(Command.CancelAttempt.class).attempt());
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
-        assertEquals(1, router.openRequests());
+        assertEquals(1, router.metrics().openRequests());
     }
 
     @Test
@@ -125,6 +121,6 @@
         router.attemptFailed(30_000, w.attempt(), Outcome.RESET, 0, ServerLoad.NONE);
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
         assertEquals(1, count(Command.StartPrefill.class));
-        assertEquals(0, router.known());
+        assertEquals(0, router.metrics().knownRequests());
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
@@ -48,8 +48,8 @@
                                         new Recorder(
                                                 new RecordEntry.Header(
                                                         "test",
-                                                        s.routerName(),
-                                                        s.incarnation(),
+                                                        s.identity().name(),
+                                                        s.identity().incarnation(),
                                                         s.routing(),
                                                         s.seed()),
                                                 chunks::add))
@@ -262,14 +262,18 @@
         Recorder recorder =
                 new Recorder(
                         new RecordEntry.Header(
-                                "test", s.routerName(), s.incarnation(), s.routing(), s.seed()),
+                                "test",
+                                s.identity().name(),
+                                s.identity().incarnation(),
+                                s.routing(),
+                                s.seed()),
                         chunks::add);
         Router teacher = new Router(s, o -> {});
         teacher.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
         teacher.requestArrived(10, Fleet.call(0, 5, 0));
         Router router = new Router(s, o -> {}, recorder);
         router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
-        router.importKnowledge(1000, teacher.known(1000, 100), 5000);
+        router.importKnowledge(1000, teacher.exportKnowledge(1000, 100), 5000);
         router.routerCountChanged(2000, 7, 3);
         for (int i = 0; i < 20; i++) {
             router.requestArrived(3000 + i, Fleet.call(i % 3, 5, 0));
--- a/core/src/test/java/sorrelhoist/core/request/ReservationWorld.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationWorld.java
@@ -133,18 +133,14 @@
         router =
                 new Router(
                         new RouterSettings(
-                                "router",
-                                1,
+                                new RouterIdentity("router", 1),
                                 settings,
-                                List.of(BUDGET, BUDGET, BUDGET),
-                                List.of(0L, 0L, 0L),
-                                0,
-                                false,
-                                Fleet.STALL,
+                                new RequestTimeouts(
+                                        List.of(BUDGET, BUDGET, BUDGET), List.of(0L, 0L, 0L), 0),
+                                StreamSettings.ofOpaqueEvents(true, Fleet.SECOND, Fleet.STALL),
                                 100,
-                                7,
-                                new StreamSettings(true, false, Fleet.SECOND, true),
-                                ReleaseReach.ANY_ENGINE),
+                                ReleaseReach.ANY_ENGINE,
+                                7),
                         this::take);
         router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
     }
@@ -162,11 +158,12 @@
         if (held) {
             faults.add("held at the end");
         }
-        if (router.reservationCount() > 0) {
-            faults.add("the router still counts " + router.reservationCount() + " reserved");
+        if (router.metrics().reservationCount() > 0) {
+            faults.add(
+                    "the router still counts " + router.metrics().reservationCount() + " reserved");
         }
-        if (router.expiredReleases() > 0) {
-            faults.add(router.expiredReleases() + " releases expired");
+        if (router.metrics().expiredReleases() > 0) {
+            faults.add(router.metrics().expiredReleases() + " releases expired");
         }
         return faults.stream().distinct().toList();
     }
@@ -176,8 +173,13 @@
         client =
                 router.requestArrived(
                         now,
-                        new InferenceRequest(
-                                ID, Fleet.SAFE, 0, "s", "p", 50, "x", 100, 10, BUDGET, 0, null));
+                        InferenceRequest.builder("x", 100, 10)
+                                .clientRequestId(ID)
+                                .classIndex(Fleet.SAFE)
+                                .session("s")
+                                .sharedPrefix("p", 50)
+                                .timeoutMicros(BUDGET)
+                                .build());
     }
 
     private void passTo(long time) {
--- a/core/src/test/java/sorrelhoist/core/request/RouterBench.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterBench.java
@@ -52,8 +52,8 @@
                         : new Recorder(
                                 new RecordEntry.Header(
                                         "bench",
-                                        s.routerName(),
-                                        s.incarnation(),
+                                        s.identity().name(),
+                                        s.identity().incarnation(),
                                         s.routing(),
                                         s.seed()),
                                 chunk -> {
@@ -64,19 +64,12 @@
         router.endpointsUpdated(now, ListUpdateKind.COMPLETE, Fleet.servers());
         for (int i = 0; i < calls.length; i++) {
             calls[i] =
-                    new InferenceRequest(
-                            "client-" + i,
-                            0,
-                            0,
-                            "session-" + i,
-                            "prefix-" + i % 8,
-                            50,
-                            "x".repeat(1000),
-                            250,
-                            2,
-                            4_000_000,
-                            0,
-                            null);
+                    InferenceRequest.builder("x".repeat(1000), 250, 2)
+                            .clientRequestId("client-" + i)
+                            .session("session-" + i)
+                            .sharedPrefix("prefix-" + i % 8, 50)
+                            .timeoutMicros(4_000_000)
+                            .build();
         }
     }
 
--- a/core/src/test/java/sorrelhoist/core/request/RouterTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterTest.java
@@ -42,10 +42,10 @@
     }
 
     private void nothingLeft() {
-        assertEquals(0, router.openRequests());
-        assertEquals(0, router.known());
-        assertEquals(0, router.runningAttempts());
-        assertEquals(0, router.wantedReservations());
+        assertEquals(0, router.metrics().openRequests());
+        assertEquals(0, router.metrics().knownRequests());
+        assertEquals(0, router.metrics().runningAttempts());
+        assertEquals(0, router.metrics().wantedReservations());
     }
 
     @Test
@@ -72,9 +72,9 @@
                             0);
             router.endpointsUpdated(i, ListUpdateKind.UPDATE, List.of(left, fresh));
         }
-        assertEquals(Fleet.servers().size() + 1, router.engineCount());
+        assertEquals(Fleet.servers().size() + 1, router.metrics().engineCount());
         router.endpointsUpdated(2000, ListUpdateKind.COMPLETE, Fleet.servers());
-        assertEquals(Fleet.servers().size(), router.engineCount());
+        assertEquals(Fleet.servers().size(), router.metrics().engineCount());
     }
 
     @Test
@@ -248,7 +248,7 @@
     @Test
     void everySilentEngineMeansAnAnswerByTheDeadline() {
         router.requestArrived(0, Fleet.call(Fleet.SAFE, 10, 0));
-        while (router.nextTimerAt() < 4 * Fleet.SECOND + 1 && router.openRequests() > 0) {
+        while (router.nextTimerAt() < 4 * Fleet.SECOND + 1 && router.metrics().openRequests() > 0) {
             router.advance(router.nextTimerAt());
         }
         assertEquals(1, all(Command.FinishRequest.class).size());
@@ -310,10 +310,18 @@
 
     @Test
     void noStepOutsideTheTableIsTaken() {
-        assertThrows(IllegalStateException.class, () -> Phase.WAITING.after(Phase.Step.READ_DONE));
-        assertThrows(IllegalStateException.class, () -> Phase.STREAMING.after(Phase.Step.REFUSE));
-        assertThrows(IllegalStateException.class, () -> Phase.ENDED.after(Phase.Step.TOKEN));
-        assertEquals(Phase.HOLDING, Phase.PLACED.after(Phase.Step.WRITE_LOST));
+        assertThrows(
+                IllegalStateException.class,
+                () -> RequestPhase.WAITING.after(RequestPhase.Transition.PREFILL_COMPLETED));
+        assertThrows(
+                IllegalStateException.class,
+                () -> RequestPhase.STREAMING.after(RequestPhase.Transition.REJECTED));
+        assertThrows(
+                IllegalStateException.class,
+                () -> RequestPhase.COMPLETED.after(RequestPhase.Transition.TOKEN));
+        assertEquals(
+                RequestPhase.PREFILLED,
+                RequestPhase.DECODE_PENDING.after(RequestPhase.Transition.DECODE_FAILED));
     }
 
     @Test
@@ -338,11 +346,11 @@
         assertThrows(
                 IllegalStateException.class,
                 () -> faulty.requestArrived(0, Fleet.call(Fleet.SAFE, 10, Fleet.SECOND)));
-        assertEquals(1, faulty.openRequests());
+        assertEquals(1, faulty.metrics().openRequests());
         faulty.advance(Fleet.SECOND + Fleet.SECOND / 2);
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
         assertEquals(1, all(Command.FinishRequest.class).size());
-        assertEquals(0, faulty.openRequests());
+        assertEquals(0, faulty.metrics().openRequests());
     }
 
     @Test
@@ -371,7 +379,7 @@
         }
         assertTrue(failed[0]);
         assertEquals(3, all(Command.FinishRequest.class).size());
-        assertEquals(0, faulty.openRequests());
+        assertEquals(0, faulty.metrics().openRequests());
     }
 
     @Test
@@ -415,10 +423,10 @@
         assertEquals("s1", again.prefillState());
         assertEquals(all(Command.ReleaseReservation.class).get(0).engine(), again.engine());
         router.releaseCompleted(20_000 + Fleet.RELEASE / 4, again.releaseId(), true);
-        assertEquals(0, router.reservationCount());
+        assertEquals(0, router.metrics().reservationCount());
         router.advance(10 * Fleet.RELEASE);
         assertEquals(2, all(Command.ReleaseReservation.class).size());
-        assertEquals(0, router.expiredReleases());
+        assertEquals(0, router.metrics().expiredReleases());
     }
 
     @Test
@@ -430,8 +438,8 @@
             router.advance(now);
         }
         assertEquals(1, all(Command.ReportExpiredRelease.class).size());
-        assertEquals(1, router.expiredReleases());
-        assertEquals(0, router.reservationCount());
+        assertEquals(1, router.metrics().expiredReleases());
+        assertEquals(0, router.metrics().reservationCount());
     }
 
     /** Its reader may only be out of the writer's reach. */
--- a/edge/src/main/java/sorrelhoist/edge/Edge.java
+++ b/edge/src/main/java/sorrelhoist/edge/Edge.java
@@ -305,10 +305,10 @@
                 r ->
                         result.complete(
                                 new int[] {
-                                    r.openRequests(),
-                                    r.known(),
-                                    r.runningAttempts(),
-                                    r.wantedReservations(),
+                                    r.metrics().openRequests(),
+                                    r.metrics().knownRequests(),
+                                    r.metrics().runningAttempts(),
+                                    r.metrics().wantedReservations(),
                                     engines.flights()
                                 }));
         return result;
--- a/edge/src/main/java/sorrelhoist/edge/EdgeSettings.java
+++ b/edge/src/main/java/sorrelhoist/edge/EdgeSettings.java
@@ -1,7 +1,11 @@
 package sorrelhoist.edge;
 
 import java.util.List;
+import sorrelhoist.core.request.RequestTimeouts;
+import sorrelhoist.core.request.RouterIdentity;
 import sorrelhoist.core.request.RouterSettings;
+import sorrelhoist.core.request.StreamSettings;
+import sorrelhoist.core.reservation.ReleaseReach;
 import sorrelhoist.routing.Routing;
 
 /**
@@ -231,15 +235,15 @@
                                 rules.fallMs() * 1000,
                                 rules.releaseMs() * 1000));
         return new RouterSettings(
-                name,
-                incarnation,
+                new RouterIdentity(name, incarnation),
                 decide,
-                classes.stream().map(c -> c.deadlineMs() * 1000).toList(),
-                classes.stream().map(c -> c.deadlineMsPer1000() * 1000).toList(),
-                serving.marginMs() * 1000,
-                serving.resumes(),
-                serving.stallMs() * 1000,
+                new RequestTimeouts(
+                        classes.stream().map(c -> c.deadlineMs() * 1000).toList(),
+                        classes.stream().map(c -> c.deadlineMsPer1000() * 1000).toList(),
+                        serving.marginMs() * 1000),
+                StreamSettings.ofTokens(serving.resumes(), serving.stallMs() * 1000),
                 serving.maxOpen(),
+                ReleaseReach.HOLDER,
                 seed ^ incarnation);
     }
 
--- a/edge/src/main/java/sorrelhoist/edge/InferenceApi.java
+++ b/edge/src/main/java/sorrelhoist/edge/InferenceApi.java
@@ -263,9 +263,9 @@
                                             new Status(
                                                     StatusCode.RESOURCE_EXHAUSTED,
                                                     ReasonFormatter.describeRejection(
-                                                            r.why(), r.retryAfterMicros())),
+                                                            r.reason(), r.retryAfterMicros())),
                                             hint,
-                                            r.why());
+                                            r.reason());
                                 } else if (answer instanceof RequestResult.Stalled) {
                                     over = true;
                                     tracing.requestEnded(trace, "Stalled", null);
--- a/edge/src/main/java/sorrelhoist/edge/Requests.java
+++ b/edge/src/main/java/sorrelhoist/edge/Requests.java
@@ -68,19 +68,16 @@
         if (r.id().length() > MAX_NAME) {
             throw bad("the request's id is longer than " + MAX_NAME + " characters");
         }
-        return new InferenceRequest(
-                r.id(),
-                name(p, "class", classes),
-                name(p, "tenant", tenants),
-                text(p, "session"),
-                prefix,
-                prefix == null ? 0 : prefixTokens,
-                prompt,
-                tokens,
-                (int) most,
-                Math.max(0, timeoutMicros),
-                previousAttempts,
-                trace);
+        return InferenceRequest.builder(prompt, tokens, (int) most)
+                .clientRequestId(r.id())
+                .classIndex(name(p, "class", classes))
+                .tenantIndex(name(p, "tenant", tenants))
+                .session(text(p, "session"))
+                .sharedPrefix(prefix, prefix == null ? 0 : prefixTokens)
+                .timeoutMicros(Math.max(0, timeoutMicros))
+                .previousAttempts(previousAttempts)
+                .attachment(trace)
+                .build();
     }
 
     private String prompt(InferRequest r) throws Bad {
--- a/edge/src/main/java/sorrelhoist/edge/RouterLoop.java
+++ b/edge/src/main/java/sorrelhoist/edge/RouterLoop.java
@@ -93,7 +93,7 @@
                                 .log("an event could not be taken");
                     }
                     refusals.say(clock.now());
-                    open = router.openRequests();
+                    open = router.metrics().openRequests();
                     arm();
                 });
     }
@@ -196,7 +196,7 @@
 
     /** On the router's thread: what is known. */
     Knowledge known(int mostKeys) {
-        return router.known(clock.now(), mostKeys);
+        return router.exportKnowledge(clock.now(), mostKeys);
     }
 
     /** On the router's thread: takes what was taught. */
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordWork.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordWork.java
@@ -57,13 +57,13 @@
     public RecordWork(RecordFolder folder, SegmentRetention.Limits bounds, RouterSettings router)
             throws IOException {
         this.folder = folder;
-        this.shelf = new SegmentRetention(bounds, router.incarnation(), folder.found());
+        this.shelf = new SegmentRetention(bounds, router.identity().incarnation(), folder.found());
         this.recorder =
                 new Recorder(
                         new RecordEntry.Header(
                                 BUILD,
-                                router.routerName(),
-                                router.incarnation(),
+                                router.identity().name(),
+                                router.identity().incarnation(),
                                 router.routing(),
                                 router.seed()),
                         this::take);
--- a/edge/src/test/java/sorrelhoist/edge/record/RecordWorkTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/record/RecordWorkTest.java
@@ -17,7 +17,11 @@
 import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.core.record.Recording;
 import sorrelhoist.core.record.SegmentRetention;
+import sorrelhoist.core.request.RequestTimeouts;
+import sorrelhoist.core.request.RouterIdentity;
 import sorrelhoist.core.request.RouterSettings;
+import sorrelhoist.core.request.StreamSettings;
+import sorrelhoist.core.reservation.ReleaseReach;
 import sorrelhoist.routing.Routing.*;
 
 /**
@@ -42,7 +46,13 @@
                     new ServerLimits(0.26, 2000, 3, 3000, 500_000));
     private static final RouterSettings ROUTER =
             new RouterSettings(
-                    "edge-1", 42, DECIDE, List.of(4_000_000L), List.of(0L), 0, true, 1, 100, 7);
+                    new RouterIdentity("edge-1", 42),
+                    DECIDE,
+                    new RequestTimeouts(List.of(4_000_000L), List.of(0L), 0),
+                    StreamSettings.ofTokens(true, 1),
+                    100,
+                    ReleaseReach.HOLDER,
+                    7);
     private static final SegmentRetention.Limits ROOMY =
             new SegmentRetention.Limits(1 << 20, 1 << 30, Long.MAX_VALUE / 2, 1 << 30);
 
@@ -207,15 +217,12 @@
                         new RecordFolder(folder),
                         ROOMY,
                         new RouterSettings(
-                                "edge-1",
-                                43,
+                                new RouterIdentity("edge-1", 43),
                                 DECIDE,
-                                List.of(4_000_000L),
-                                List.of(0L),
-                                0,
-                                true,
-                                1,
+                                new RequestTimeouts(List.of(4_000_000L), List.of(0L), 0),
+                                StreamSettings.ofTokens(true, 1),
                                 100,
+                                ReleaseReach.HOLDER,
                                 7));
         tell(second, 0, 10);
         second.stop(10);
--- a/lab/src/main/java/sorrelhoist/lab/sim/AdmissionStudy.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/AdmissionStudy.java
@@ -16,8 +16,12 @@
 import sorrelhoist.core.request.Command;
 import sorrelhoist.core.request.InferenceRequest;
 import sorrelhoist.core.request.RequestResult;
+import sorrelhoist.core.request.RequestTimeouts;
 import sorrelhoist.core.request.Router;
+import sorrelhoist.core.request.RouterIdentity;
 import sorrelhoist.core.request.RouterSettings;
+import sorrelhoist.core.request.StreamSettings;
+import sorrelhoist.core.reservation.ReleaseReach;
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing.*;
 
@@ -140,15 +144,12 @@
                                     6, true, false, true, SECOND, false, true, 0.003, 0.003),
                             new ServerLimits(0.3, 12 * SECOND, 3, 3 * SECOND, SECOND / 2));
             return new RouterSettings(
-                    "edge" + self,
-                    1,
+                    new RouterIdentity("edge" + self, 1),
                     decide,
-                    List.of(TIMEOUT, TIMEOUT),
-                    List.of(0L, 0L),
-                    20_000,
-                    true,
-                    10 * SECOND,
+                    new RequestTimeouts(List.of(TIMEOUT, TIMEOUT), List.of(0L, 0L), 20_000),
+                    StreamSettings.ofTokens(true, 10 * SECOND),
                     100_000,
+                    ReleaseReach.HOLDER,
                     random.nextLong());
         }
 
@@ -179,19 +180,12 @@
             int n = random.nextInt(1 << 30);
             int edge = random.nextInt(routers.size());
             InferenceRequest call =
-                    new InferenceRequest(
-                            "",
-                            random.nextDouble() < unsafe ? 1 : 0,
-                            0,
-                            "s" + n,
-                            "o" + n % 8,
-                            OPENING,
-                            "",
-                            PROMPT,
-                            TOKENS,
-                            TIMEOUT,
-                            0,
-                            null);
+                    InferenceRequest.builder("", PROMPT, TOKENS)
+                            .classIndex(random.nextDouble() < unsafe ? 1 : 0)
+                            .session("s" + n)
+                            .sharedPrefix("o" + n % 8, OPENING)
+                            .timeoutMicros(TIMEOUT)
+                            .build();
             asked += counts ? 1 : 0;
             arriving = counts ? world.now : -1;
             long client = routers.get(edge).requestArrived(world.now, call);
--- a/lab/src/main/java/sorrelhoist/lab/sim/SimFleet.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/SimFleet.java
@@ -10,8 +10,12 @@
 import sorrelhoist.core.request.Command;
 import sorrelhoist.core.request.InferenceRequest;
 import sorrelhoist.core.request.RequestResult;
+import sorrelhoist.core.request.RequestTimeouts;
 import sorrelhoist.core.request.Router;
+import sorrelhoist.core.request.RouterIdentity;
 import sorrelhoist.core.request.RouterSettings;
+import sorrelhoist.core.request.StreamSettings;
+import sorrelhoist.core.reservation.ReleaseReach;
 import sorrelhoist.core.time.TimerQueue;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Routing.*;
@@ -163,21 +167,18 @@
                         new Capabilities(6, true, false, true, SECOND, false, false, 0, 0),
                         new ServerLimits(0.3, 12 * SECOND, 3, 3 * SECOND, SECOND / 2));
         return new RouterSettings(
-                "edge" + self,
-                seats.get(self).life,
+                new RouterIdentity("edge" + self, seats.get(self).life),
                 decide,
-                List.of(6 * SECOND),
-                List.of(0L),
-                0,
-                true,
-                10 * SECOND,
+                new RequestTimeouts(List.of(6 * SECOND), List.of(0L), 0),
+                StreamSettings.ofTokens(true, 10 * SECOND),
                 100_000,
+                ReleaseReach.HOLDER,
                 random.nextLong());
     }
 
     /** {@return what a router knows} */
     public Knowledge known(int router) {
-        return seats.get(router).router.known(now, Integer.MAX_VALUE);
+        return seats.get(router).router.exportKnowledge(now, Integer.MAX_VALUE);
     }
 
     /** Teaches a router. */
@@ -219,19 +220,11 @@
         Seat seat = seats.get(at);
         long sent = now;
         InferenceRequest call =
-                new InferenceRequest(
-                        "c",
-                        0,
-                        0,
-                        "s" + session + "." + turns.get("s" + session) / 8,
-                        "p" + prefix,
-                        PREFIX_TOKENS,
-                        "",
-                        prompt,
-                        TOKENS,
-                        0,
-                        0,
-                        null);
+                InferenceRequest.builder("", prompt, TOKENS)
+                        .clientRequestId("c")
+                        .session("s" + session + "." + turns.get("s" + session) / 8)
+                        .sharedPrefix("p" + prefix, PREFIX_TOKENS)
+                        .build();
         pending = sent;
         long client = seat.router.requestArrived(now, call);
         seat.sentAt.put(client, sent);
