--- a/core/src/test/java/sorrelhoist/core/request/DepartureTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/GracefulShutdownTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class DepartureTest {
+class GracefulShutdownTest {
     private static final long UNTIL = 3_000_000;
 
     @Test
--- a/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aDepartureMovesWhatHasBegunAndNothingElse() {
+    void aGracefulShutdownMigratesWhatHasBegunAndNothingElse() {
         Command.StartDecode w = placed();
         assertEquals(0, router.migratableStreams());
         router.opaqueEventReceived(20_000, w.attempt(), "e");
--- /dev/null
+++ b/core/src/test/java/sorrelhoist/core/request/StreamTimeoutsTest.java
@@ -0,0 +1,58 @@
+package sorrelhoist.core.request;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+class StreamTimeoutsTest {
+    private static final long DEFAULT_TIMEOUT = 2_500_000;
+
+    private static Attempt attempt() {
+        RequestState request =
+                new RequestState(1, Fleet.call(Fleet.SAFE, 10, 0), RequestState.NO_DEADLINE);
+        return new Attempt(request, new AttemptId(2, 0), "w0", 0, false, 0);
+    }
+
+    private static StreamTimeouts judgedByGaps() {
+        return new StreamTimeouts(StreamSettings.ofTokens(true, Fleet.STALL), 1);
+    }
+
+    @Test
+    void aFixedTimeoutCountsFromTheLatestToken() {
+        StreamTimeouts timeouts =
+                new StreamTimeouts(StreamSettings.ofOpaqueEvents(true, 900_000, Fleet.STALL), 1);
+        Attempt attempt = attempt();
+        attempt.lastTokenAt = 100;
+        assertEquals(900_100, timeouts.deadAt(attempt));
+    }
+
+    @Test
+    void aStreamThatItsClientHoldsBackIsNeverDead() {
+        Attempt attempt = attempt();
+        attempt.request.blockedSince = 5;
+        assertEquals(Long.MAX_VALUE, judgedByGaps().deadAt(attempt));
+    }
+
+    @Test
+    void theTimeoutFollowsTheGapsOnceEnoughWereSeen() {
+        StreamTimeouts timeouts = judgedByGaps();
+        Attempt attempt = attempt();
+        for (int i = 1; i < 20; i++) {
+            timeouts.tokenReceived(attempt, 100_000);
+        }
+        assertEquals(DEFAULT_TIMEOUT, timeouts.deadAt(attempt));
+        timeouts.tokenReceived(attempt, 100_000);
+        long deadAt = timeouts.deadAt(attempt);
+        assertEquals(25 * 100_000, deadAt, 500_000);
+        assertEquals(TokenGapEstimator.MIN_TIMEOUT_MICROS, timeouts.nextCheckAt(attempt, 0));
+    }
+
+    @Test
+    void theTimeoutHasAFloor() {
+        TokenGapEstimator gaps = new TokenGapEstimator(1);
+        for (int i = 0; i < 20; i++) {
+            gaps.record(0, 10);
+        }
+        assertEquals(TokenGapEstimator.MIN_TIMEOUT_MICROS, gaps.silenceTimeoutMicros(0));
+    }
+}
