--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
@@ -7,6 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import java.util.zip.CRC32;
+import java.util.zip.Checksum;
 import sorrelhoist.protocol.grpc.GrpcServer;
 import sorrelhoist.protocol.grpc.ServerCall;
 import sorrelhoist.protocol.grpc.Status;
@@ -152,6 +154,14 @@
 
     /** Feeds one damaged conversation. {@return bytes fed} */
     public int feed() {
+        return feed(new CRC32());
+    }
+
+    /**
+     * Feeds one damaged conversation, adding what is sent in answer to a checksum. {@return bytes
+     * fed}
+     */
+    int feed(Checksum sent) {
         GrpcServer server =
                 new GrpcServer(10_000)
                         .addMethod(
@@ -204,7 +214,7 @@
             throw new AssertionError(connection.openStreamCount() + " streams left");
         }
         channel.releaseInbound();
-        channel.releaseOutbound();
+        Pair.drain(channel, sent);
         if (connection.internalError() != null) {
             throw new AssertionError("internal error", connection.internalError());
         }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
@@ -1,10 +1,13 @@
 package sorrelhoist.protocol.http2;
 
 import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.zip.CRC32;
+import java.util.zip.Checksum;
 import sorrelhoist.protocol.hpack.Headers;
 
 /** Two connections that hand each other their bytes in memory, in pieces of a chosen size. */
@@ -21,6 +24,9 @@
     /** Stream and bytes of each piece of data that the client got. */
     final List<int[]> order = new ArrayList<>();
 
+    /** Checksum of all bytes that either side has sent. */
+    final CRC32 wireBytes = new CRC32();
+
     boolean autoCredit = true;
     final Http2Connection server;
     final Http2Connection client;
@@ -63,11 +69,20 @@
         }
     }
 
+    /** Reads all that a channel has sent into a checksum. */
+    static void drain(EmbeddedChannel channel, Checksum sent) {
+        for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
+            sent.update(ByteBufUtil.getBytes(out));
+            out.release();
+        }
+    }
+
     private boolean move(EmbeddedChannel from, EmbeddedChannel to) {
         from.runPendingTasks();
         boolean moved = false;
         for (ByteBuf out = from.readOutbound(); out != null; out = from.readOutbound()) {
             moved = true;
+            wireBytes.update(ByteBufUtil.getBytes(out));
             while (out.isReadable() && to.isOpen()) {
                 int size = piece == 0 ? out.readableBytes() : Math.min(piece, out.readableBytes());
                 to.writeInbound(Unpooled.copiedBuffer(out.readSlice(size)));
