--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Frames.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Frames.java
@@ -2,10 +2,12 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
+import java.nio.charset.StandardCharsets;
 
-/** Frame layouts of RFC 9113 sections 4 and 6: numbers, and the writing of frames. */
+/** Frame layouts of RFC 9113 sections 4 and 6: their numbers, and frames as bytes. */
 final class Frames {
-    static final int HEADER = 9;
+    static final int HEADER_SIZE = 9;
+
     static final int DATA = 0;
     static final int HEADERS = 1;
     static final int PRIORITY = 2;
@@ -30,52 +32,70 @@
     static final int MAX_FRAME_SIZE = 5;
     static final int MAX_HEADER_LIST_SIZE = 6;
 
-    static final int DEFAULT_FRAME = 16 << 10;
-    static final int DEFAULT_WINDOW = 65_535;
+    static final int PRIORITY_SIZE = 5;
+    static final int RST_STREAM_SIZE = 4;
+    static final int SETTING_SIZE = 6;
+    static final int PING_SIZE = 8;
+    static final int GOAWAY_MIN_SIZE = 8;
+    static final int WINDOW_UPDATE_SIZE = 4;
+
+    static final int DEFAULT_FRAME_SIZE = 16 << 10;
+    static final int DEFAULT_WINDOW_SIZE = 65_535;
+    static final int MAX_WINDOW_SIZE = Integer.MAX_VALUE;
+    static final int MAX_STREAM_ID = Integer.MAX_VALUE;
     static final String PREFACE = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
+    private static final int MAX_DEBUG_DATA = 256;
+
     private Frames() {}
 
+    /** {@return a frame's header, with room for so many bytes behind it} */
     static ByteBuf header(
-            ByteBufAllocator alloc, int length, int type, int flags, int stream, int room) {
-        return alloc.buffer(HEADER + room)
+            ByteBufAllocator alloc, int length, int type, int flags, int streamId, int room) {
+        return alloc.buffer(HEADER_SIZE + room)
                 .writeMedium(length)
                 .writeByte(type)
                 .writeByte(flags)
-                .writeInt(stream);
+                .writeInt(streamId);
+    }
+
+    private static ByteBuf header(
+            ByteBufAllocator alloc, int length, int type, int flags, int streamId) {
+        return header(alloc, length, type, flags, streamId, length);
     }
 
-    static ByteBuf rst(ByteBufAllocator alloc, int stream, ErrorCode code) {
-        return header(alloc, 4, RST_STREAM, 0, stream, 4).writeInt(code.ordinal());
+    static ByteBuf rstStream(ByteBufAllocator alloc, int streamId, ErrorCode code) {
+        return header(alloc, RST_STREAM_SIZE, RST_STREAM, 0, streamId).writeInt(code.ordinal());
     }
 
     static ByteBuf ping(ByteBufAllocator alloc, boolean ack, long content) {
-        return header(alloc, 8, PING, ack ? ACK : 0, 0, 8).writeLong(content);
+        return header(alloc, PING_SIZE, PING, ack ? ACK : 0, 0).writeLong(content);
     }
 
-    static ByteBuf windowUpdate(ByteBufAllocator alloc, int stream, int bytes) {
-        return header(alloc, 4, WINDOW_UPDATE, 0, stream, 4).writeInt(bytes);
+    static ByteBuf windowUpdate(ByteBufAllocator alloc, int streamId, int increment) {
+        return header(alloc, WINDOW_UPDATE_SIZE, WINDOW_UPDATE, 0, streamId).writeInt(increment);
     }
 
     static ByteBuf settingsAck(ByteBufAllocator alloc) {
-        return header(alloc, 0, SETTINGS, ACK, 0, 0);
+        return header(alloc, 0, SETTINGS, ACK, 0);
     }
 
-    /** Pairs of a setting's number and value. */
+    /** {@return SETTINGS of pairs of an identifier and a value} */
     static ByteBuf settings(ByteBufAllocator alloc, int... pairs) {
-        ByteBuf out = header(alloc, pairs.length * 3, SETTINGS, 0, 0, pairs.length * 3);
+        ByteBuf frame = header(alloc, pairs.length / 2 * SETTING_SIZE, SETTINGS, 0, 0);
         for (int i = 0; i < pairs.length; i += 2) {
-            out.writeShort(pairs[i]).writeInt(pairs[i + 1]);
+            frame.writeShort(pairs[i]).writeInt(pairs[i + 1]);
         }
-        return out;
+        return frame;
     }
 
-    static ByteBuf goAway(ByteBufAllocator alloc, int lastStream, ErrorCode code, String why) {
-        byte[] text = why.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        int length = Math.min(text.length, 256);
-        return header(alloc, 8 + length, GOAWAY, 0, 0, 8 + length)
-                .writeInt(lastStream)
+    static ByteBuf goAway(
+            ByteBufAllocator alloc, int lastStreamId, ErrorCode code, String debugData) {
+        byte[] text = debugData.getBytes(StandardCharsets.UTF_8);
+        int textLength = Math.min(text.length, MAX_DEBUG_DATA);
+        return header(alloc, GOAWAY_MIN_SIZE + textLength, GOAWAY, 0, 0)
+                .writeInt(lastStreamId)
                 .writeInt(code.ordinal())
-                .writeBytes(text, 0, length);
+                .writeBytes(text, 0, textLength);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
@@ -10,7 +10,7 @@
  * @param streamWindow bytes that a stream may send before it is given credit, 1 to 2^31 - 1
  * @param connectionWindow the same for all streams together, 65,535 to 2^31 - 1
  * @param floodPointsPerSecond points that frames without use may cost a second; see {@link
- *     RateGuard}
+ *     FrameRateLimiter}
  * @param floodPointsBurst points that may be saved up
  * @param stallTimeoutMicros how long a preface, a header block or one frame may take to come whole
  * @param maxOutboundBytes bytes that may wait for a peer that does not read
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
@@ -1,31 +1,32 @@
 package sorrelhoist.protocol.http2;
 
 import io.netty.buffer.ByteBuf;
-import java.util.ArrayDeque;
+import io.netty.buffer.ByteBufAllocator;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** One stream of a connection. Every method is to be called on the connection's event loop. */
+/**
+ * One stream of a connection: its state, its two windows and what waits to be sent. Every method is
+ * to be called on the connection's event loop.
+ */
 public final class Http2Stream {
-    /** {@link Http2StreamListener#onWritable} is told when no more than this waits. */
-    static final int LOW_MARK = 8 << 10;
-
-    final Http2Connection connection;
-    final int id;
-    Http2StreamListener listener;
-    long sendWindow;
-    long receiveWindow;
-    int owed;
-    boolean remoteEnded;
-    boolean localEnded;
-    boolean closed;
-    boolean queued;
-    boolean headersSeen;
-    long movedAt;
-    private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>(2);
-    private int waitingBytes;
-    private boolean wasHigh;
-    private boolean endAsked;
-    private Headers trailers;
+    private final Http2Connection connection;
+    private final int id;
+    private final SendQueue sendQueue = new SendQueue();
+    private Http2StreamListener listener;
+
+    private boolean remoteEnded;
+    private boolean localEnded;
+    private boolean closed;
+    private boolean headersReceived;
+    private boolean endRequested;
+    private Headers pendingTrailers;
+
+    private long sendWindow;
+    private long receiveWindow;
+    private int uncreditedBytes;
+
+    private boolean scheduled;
+    private long lastProgressNanos;
 
     Http2Stream(Http2Connection connection, int id, long sendWindow, long receiveWindow) {
         this.connection = connection;
@@ -51,25 +52,30 @@
 
     /** {@return bytes that wait for windows or for the socket} */
     public int pendingBytes() {
-        return waitingBytes;
+        return sendQueue.bytes();
+    }
+
+    /** {@return whether this side's END_STREAM was sent} */
+    public boolean isHalfClosed() {
+        return localEnded;
     }
 
     /**
      * Sends a header list: the first one at once, a later one as trailers, behind all data.
      *
      * @param headers the fields
-     * @param end whether this side ends with it; trailers always do
+     * @param endStream whether this side ends with it; trailers always do
      */
-    public void writeHeaders(Headers headers, boolean end) {
-        if (closed || endAsked) {
+    public void writeHeaders(Headers headers, boolean endStream) {
+        if (closed || endRequested) {
             return;
         }
-        if (end && waitingBytes > 0) {
-            endAsked = true;
-            trailers = headers;
+        if (endStream && sendQueue.bytes() > 0) {
+            endRequested = true;
+            pendingTrailers = headers;
         } else {
-            endAsked |= end;
-            connection.writeHeaders(this, headers, end);
+            endRequested |= endStream;
+            connection.writeHeaders(this, headers, endStream);
         }
     }
 
@@ -77,19 +83,17 @@
      * Sends data as windows allow.
      *
      * @param data released in any case
-     * @param end whether this side ends with it
+     * @param endStream whether this side ends with it
      */
-    public void writeData(ByteBuf data, boolean end) {
-        if (closed || endAsked) {
+    public void writeData(ByteBuf data, boolean endStream) {
+        if (closed || endRequested) {
             data.release();
             return;
         }
-        waitingBytes += data.readableBytes();
-        wasHigh |= waitingBytes > LOW_MARK;
-        endAsked |= end;
-        if (data.isReadable() || end) {
-            waiting.add(data);
-            connection.enqueue(this);
+        endRequested |= endStream;
+        if (data.isReadable() || endStream) {
+            sendQueue.add(data);
+            connection.scheduleData(this);
         } else {
             data.release();
         }
@@ -102,8 +106,8 @@
      */
     public void consumeBytes(int bytes) {
         if (!closed && !remoteEnded) {
-            owed += bytes;
-            connection.creditStream(this);
+            uncreditedBytes += bytes;
+            connection.returnCredit(this);
         }
     }
 
@@ -118,70 +122,125 @@
         }
     }
 
-    /** {@return whether this side's END_STREAM was sent} */
-    public boolean isHalfClosed() {
-        return localEnded;
+    // ---- Listener and state
+
+    Http2StreamListener listener() {
+        return listener;
     }
 
-    boolean isEnding() {
-        return endAsked;
+    void listener(Http2StreamListener newListener) {
+        listener = newListener;
     }
 
-    boolean hasWork() {
-        return !waiting.isEmpty();
+    boolean isRemoteEnded() {
+        return remoteEnded;
     }
 
-    /** The next bytes of a data frame; fewer than asked for only where no more wait. */
-    ByteBuf take(int most) {
-        ByteBuf first = waiting.peek();
-        int size = Math.min(most, waitingBytes);
-        ByteBuf taken;
-        if (first.readableBytes() == size) {
-            taken = waiting.poll();
-        } else if (first.readableBytes() > size) {
-            taken = first.readRetainedSlice(size);
-        } else {
-            taken = connection.allocate(size);
-            while (taken.readableBytes() < size) {
-                ByteBuf next = waiting.peek();
-                int part = Math.min(next.readableBytes(), size - taken.readableBytes());
-                taken.writeBytes(next, part);
-                if (!next.isReadable()) {
-                    waiting.poll().release();
-                }
-            }
-        }
-        while (!waiting.isEmpty() && !waiting.peek().isReadable()) {
-            waiting.poll().release();
-        }
-        waitingBytes -= size;
-        return taken;
+    void endRemote() {
+        remoteEnded = true;
     }
 
-    /**
-     * Whether the frame being taken ends this side; trailers follow instead where there are any.
-     */
-    boolean endsNow() {
-        return endAsked && waiting.isEmpty() && trailers == null;
+    void endLocal() {
+        localEnded = true;
     }
 
-    Headers trailersNow() {
-        Headers due = waiting.isEmpty() ? trailers : null;
-        trailers = due == null ? trailers : null;
-        return due;
+    boolean areHeadersReceived() {
+        return headersReceived;
     }
 
-    boolean fellLow() {
-        boolean fell = wasHigh && waitingBytes <= LOW_MARK;
-        wasHigh &= !fell;
-        return fell;
+    void headersReceived() {
+        headersReceived = true;
     }
 
-    void drop() {
+    /** The stream is over: nothing of it is kept. */
+    void close() {
         closed = true;
-        waiting.forEach(ByteBuf::release);
-        waiting.clear();
-        waitingBytes = 0;
-        trailers = null;
+        sendQueue.release();
+        pendingTrailers = null;
+    }
+
+    // ---- Receive window
+
+    /** Takes bytes off the receive window. {@return whether they fit into it} */
+    boolean reduceReceiveWindow(int bytes) {
+        receiveWindow -= bytes;
+        return receiveWindow >= 0;
+    }
+
+    /** Counts bytes that need no user to take them: padding. */
+    void addUncreditedBytes(int bytes) {
+        uncreditedBytes += bytes;
+    }
+
+    int uncreditedBytes() {
+        return uncreditedBytes;
+    }
+
+    /** Puts all uncredited bytes back into the receive window. {@return how many} */
+    int creditBytes() {
+        int credited = uncreditedBytes;
+        receiveWindow += credited;
+        uncreditedBytes = 0;
+        return credited;
+    }
+
+    // ---- Send window and queue
+
+    long sendWindow() {
+        return sendWindow;
+    }
+
+    /** Changes the send window. {@return whether it is still one that RFC 9113 allows} */
+    boolean changeSendWindow(long change) {
+        sendWindow += change;
+        return sendWindow <= Frames.MAX_WINDOW_SIZE;
+    }
+
+    boolean isScheduled() {
+        return scheduled;
+    }
+
+    void scheduled(boolean isScheduled) {
+        scheduled = isScheduled;
+    }
+
+    long lastProgressNanos() {
+        return lastProgressNanos;
+    }
+
+    void progressed(long nanos) {
+        lastProgressNanos = nanos;
+    }
+
+    /** {@return whether all that this side sends has been written by the stream's user} */
+    boolean isEndRequested() {
+        return endRequested;
+    }
+
+    boolean hasPendingData() {
+        return !sendQueue.isEmpty();
+    }
+
+    ByteBuf pollData(ByteBufAllocator allocator, int maxBytes) {
+        return sendQueue.poll(allocator, maxBytes);
+    }
+
+    boolean fellBelowLowWaterMark() {
+        return sendQueue.fellBelowLowWaterMark();
+    }
+
+    /** {@return whether the frame of the data that was polled last ends this side} */
+    boolean endsWithLastData() {
+        return endRequested && sendQueue.isEmpty() && pendingTrailers == null;
+    }
+
+    /** {@return trailers that are due now that all data was sent, or null} */
+    Headers pollTrailers() {
+        if (!sendQueue.isEmpty()) {
+            return null;
+        }
+        Headers trailers = pendingTrailers;
+        pendingTrailers = null;
+        return trailers;
     }
 }
--- /dev/null
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/OutboundFlowController.java
@@ -0,0 +1,160 @@
+package sorrelhoist.protocol.http2;
+
+import io.netty.buffer.ByteBuf;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.concurrent.TimeUnit;
+import sorrelhoist.protocol.hpack.Headers;
+
+/**
+ * Sends the data of all streams as the peer's windows and the socket take it. Streams take turns by
+ * bytes, so that none starves another.
+ */
+final class OutboundFlowController {
+    private static final int MAX_TURN_BYTES = 4 << 10;
+
+    private final ConnectionChannel channel;
+    private final FrameWriter writer;
+    private final RemoteSettings remote;
+    private final StreamLifecycle lifecycle;
+    private final FrameRateLimiter rateLimiter;
+    private final ArrayDeque<Http2Stream> turns = new ArrayDeque<>();
+    private final long stallTimeoutNanos;
+    private final EventLoopTimer stallTimer;
+    private long connectionWindow = Frames.DEFAULT_WINDOW_SIZE;
+
+    /**
+     * Creates the controller.
+     *
+     * @param channel tells when the socket takes no more
+     * @param writer writes DATA
+     * @param remote bounds frames
+     * @param lifecycle ends streams whose data was sent
+     * @param rateLimiter told of each frame that was sent
+     * @param stallTimeoutMicros for which a peer may leave the end of an answer untaken
+     */
+    OutboundFlowController(
+            ConnectionChannel channel,
+            FrameWriter writer,
+            RemoteSettings remote,
+            StreamLifecycle lifecycle,
+            FrameRateLimiter rateLimiter,
+            long stallTimeoutMicros) {
+        this.channel = channel;
+        this.writer = writer;
+        this.remote = remote;
+        this.lifecycle = lifecycle;
+        this.rateLimiter = rateLimiter;
+        this.stallTimeoutNanos = TimeUnit.MICROSECONDS.toNanos(stallTimeoutMicros);
+        this.stallTimer = new EventLoopTimer(channel, stallTimeoutMicros, this::resetStalled);
+    }
+
+    /** Puts a stream that has data into the queue of turns, and sends what can be sent. */
+    void schedule(Http2Stream stream) {
+        if (!stream.isScheduled()) {
+            stream.scheduled(true);
+            stream.progressed(System.nanoTime());
+            turns.add(stream);
+            armStallTimer();
+        }
+        writePending();
+    }
+
+    /** The peer widened the connection's window. */
+    void growConnectionWindow(int increment) throws Http2Exception {
+        connectionWindow += increment;
+        if (connectionWindow > Frames.MAX_WINDOW_SIZE) {
+            throw Http2Exception.connection(
+                    ErrorCode.FLOW_CONTROL_ERROR, "the connection's window over 2^31 - 1");
+        }
+    }
+
+    /** Lets each stream in turn send one frame, until windows or the socket take no more. */
+    void writePending() {
+        int blockedInARow = 0;
+        while (!turns.isEmpty() && blockedInARow < turns.size() && channel.isWritable()) {
+            Http2Stream stream = turns.poll();
+            if (stream.isClosed() || !stream.hasPendingData()) {
+                stream.scheduled(false);
+                continue;
+            }
+            int maxBytes = maxBytesOf(stream);
+            if (maxBytes <= 0 && stream.pendingBytes() > 0) {
+                turns.add(stream);
+                blockedInARow++;
+                continue;
+            }
+            blockedInARow = 0;
+            stream.progressed(System.nanoTime());
+            writeData(stream, Math.max(0, maxBytes));
+            afterTurn(stream);
+        }
+    }
+
+    private int maxBytesOf(Http2Stream stream) {
+        long window = Math.min(connectionWindow, stream.sendWindow());
+        return (int) Math.min(window, Math.min(MAX_TURN_BYTES, remote.maxFrameSize()));
+    }
+
+    private void afterTurn(Http2Stream stream) {
+        if (!stream.isClosed() && stream.hasPendingData()) {
+            turns.add(stream);
+        } else {
+            stream.scheduled(false);
+        }
+        if (!stream.isClosed() && stream.fellBelowLowWaterMark()) {
+            stream.listener().onWritable();
+        }
+    }
+
+    private void writeData(Http2Stream stream, int maxBytes) {
+        ByteBuf payload = stream.pollData(channel.allocator(), maxBytes);
+        int size = payload.readableBytes();
+        connectionWindow -= size;
+        stream.changeSendWindow(-size);
+        rateLimiter.dataSent();
+        boolean endStream = stream.endsWithLastData();
+        writer.data(stream.id(), payload, endStream);
+        if (endStream) {
+            lifecycle.endLocal(stream);
+            return;
+        }
+        Headers trailers = stream.pollTrailers();
+        if (trailers != null) {
+            lifecycle.writeHeaders(stream, trailers, true);
+        }
+    }
+
+    /** The connection ends: nothing more is sent. */
+    void clear() {
+        turns.clear();
+    }
+
+    private void armStallTimer() {
+        if (!channel.isClosing()) {
+            stallTimer.arm();
+        }
+    }
+
+    /**
+     * An answer that is complete here and that its peer does not take, for zero windows or a socket
+     * that it does not read, would be held for as long as the peer likes. A stream whose user still
+     * writes is that user's to judge.
+     */
+    private void resetStalled() {
+        long before = System.nanoTime() - stallTimeoutNanos;
+        for (Http2Stream stream : new ArrayList<>(turns)) {
+            if (!stream.isClosed()
+                    && stream.isEndRequested()
+                    && stream.lastProgressNanos() <= before) {
+                Http2StreamListener listener = stream.listener();
+                lifecycle.reset(stream, ErrorCode.CANCEL);
+                listener.onReset(
+                        ErrorCode.CANCEL, false, "the peer did not take the end of its answer");
+            }
+        }
+        if (!turns.isEmpty()) {
+            armStallTimer();
+        }
+    }
+}
--- /dev/null
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLookup.java
@@ -0,0 +1,57 @@
+package sorrelhoist.protocol.http2;
+
+/** Finds the stream that a frame is for, and judges frames whose stream is not open. */
+final class StreamLookup {
+    private final StreamTable streams;
+    private final FrameRateLimiter rateLimiter;
+
+    StreamLookup(StreamTable streams, FrameRateLimiter rateLimiter) {
+        this.streams = streams;
+        this.rateLimiter = rateLimiter;
+    }
+
+    /**
+     * Finds the stream of a frame that needs an open one.
+     *
+     * @param streamId the frame's stream
+     * @param frame the frame's type, for the error's text
+     * @return the stream, or null where the frame is to be ignored: the stream was reset here a
+     *     moment ago
+     */
+    Http2Stream find(int streamId, String frame) throws Http2Exception {
+        Http2Stream stream = streams.get(streamId);
+        if (stream != null) {
+            return stream;
+        }
+        requireNotIdle(streamId, frame);
+        String violation = frame + " on a stream that has ended";
+        rateLimiter.charge(FrameRateLimiter.CLOSED_STREAM_COST, violation);
+        if (!streams.wasResetHere(streamId)) {
+            throw Http2Exception.stream(ErrorCode.STREAM_CLOSED, streamId, violation);
+        }
+        return null;
+    }
+
+    /**
+     * Finds the stream of a frame that costs nothing where the stream has ended.
+     *
+     * @param streamId the frame's stream
+     * @param frame the frame's type, for the error's text
+     * @return the stream, or null where it has ended
+     */
+    Http2Stream findOrEnded(int streamId, String frame) throws Http2Exception {
+        requireNotIdle(streamId, frame);
+        Http2Stream stream = streams.get(streamId);
+        if (stream == null) {
+            rateLimiter.charge(FrameRateLimiter.LATE_FRAME_COST, frame);
+        }
+        return stream;
+    }
+
+    private void requireNotIdle(int streamId, String frame) throws Http2Exception {
+        if (streams.isIdle(streamId)) {
+            throw Http2Exception.connection(
+                    ErrorCode.PROTOCOL_ERROR, frame + " on a stream that was never opened");
+        }
+    }
+}
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamTable.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamTable.java
@@ -12,13 +12,12 @@
  * way (RFC 9113 section 5.1).
  */
 final class StreamTable {
-    private static final int RESETS_KEPT = 1024;
-    private static final int MAX_STREAM_ID = Integer.MAX_VALUE;
+    private static final int MAX_REMEMBERED_RESETS = 1024;
     private final boolean server;
     private final IntObjectHashMap<Http2Stream> open = new IntObjectHashMap<>();
     private final Set<Integer> resetHere = new LinkedHashSet<>();
-    private int lastPeerStream;
-    private int nextStream = 1;
+    private int lastPeerStreamId;
+    private int nextLocalStreamId = 1;
 
     StreamTable(boolean server) {
         this.server = server;
@@ -32,56 +31,56 @@
         return open.get(id);
     }
 
-    void put(Http2Stream s) {
-        open.put(s.id, s);
+    void put(Http2Stream stream) {
+        open.put(stream.id(), stream);
     }
 
     /** {@return whether it was open} */
-    boolean remove(Http2Stream s) {
-        return open.remove(s.id) != null;
+    boolean remove(Http2Stream stream) {
+        return open.remove(stream.id()) != null;
     }
 
-    /** {@return the open ones, as they are now} */
-    List<Http2Stream> all() {
+    /** {@return the open streams, as they are now} */
+    List<Http2Stream> snapshot() {
         return new ArrayList<>(open.values());
     }
 
-    /** {@return whether this side has a number left for one more} */
-    boolean hasNext() {
-        return nextStream > 0 && nextStream < MAX_STREAM_ID - 1;
+    /** {@return whether this side has a number left for one more stream} */
+    boolean hasNextLocalId() {
+        return nextLocalStreamId > 0 && nextLocalStreamId < Frames.MAX_STREAM_ID - 1;
     }
 
     /** {@return the number of the next stream that this side opens} */
-    int next() {
-        int id = nextStream;
-        nextStream += 2;
+    int nextLocalId() {
+        int id = nextLocalStreamId;
+        nextLocalStreamId += 2;
         return id;
     }
 
     /** {@return whether a client's HEADERS with this number open a stream} */
-    boolean opens(int id) {
-        return server && id > lastPeerStream && (id & 1) == 1;
+    boolean isOpenedBy(int id) {
+        return server && id > lastPeerStreamId && (id & 1) == 1;
     }
 
     /** The peer used this number to open a stream. */
     void peerOpened(int id) {
-        lastPeerStream = id;
+        lastPeerStreamId = id;
     }
 
-    int lastPeerStream() {
-        return lastPeerStream;
+    int lastPeerStreamId() {
+        return lastPeerStreamId;
     }
 
     /** {@return whether no stream with this number was ever opened} */
     boolean isIdle(int id) {
-        boolean fromPeer = server == ((id & 1) == 1);
-        return fromPeer ? id > lastPeerStream : id >= nextStream;
+        boolean openedByPeer = server == ((id & 1) == 1);
+        return openedByPeer ? id > lastPeerStreamId : id >= nextLocalStreamId;
     }
 
     /** Remembers that a stream was reset here. */
     void rememberReset(int id) {
         resetHere.add(id);
-        if (resetHere.size() > RESETS_KEPT) {
+        if (resetHere.size() > MAX_REMEMBERED_RESETS) {
             resetHere.remove(resetHere.iterator().next());
         }
     }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/FrameBench.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/FrameBench.java
@@ -26,65 +26,65 @@
 @Fork(1)
 public class FrameBench {
     private static final int TOKENS = 100;
-    private final FrameReader reader = new FrameReader(Frames.DEFAULT_FRAME);
+    private final FrameReader reader = new FrameReader(Frames.DEFAULT_FRAME_SIZE);
     private final ByteBuf frames = Unpooled.buffer();
     private final Pair pair = new Pair();
     private final Http2Stream client = pair.open(true);
     private long seen;
-    private final FrameReader.Sink sink =
-            new FrameReader.Sink() {
+    private final FrameListener listener =
+            new FrameListener() {
                 @Override
-                public void data(int stream, ByteBuf payload, int flowBytes, boolean end) {
+                public void onData(int stream, ByteBuf payload, int flowBytes, boolean end) {
                     seen += payload.readableBytes();
                 }
 
                 @Override
-                public void headers(int stream, ByteBuf fragment, boolean end, boolean whole) {
+                public void onHeaders(int stream, ByteBuf fragment, boolean end, boolean whole) {
                     seen++;
                 }
 
                 @Override
-                public void continuation(int stream, ByteBuf fragment, boolean whole) {
+                public void onContinuation(int stream, ByteBuf fragment, boolean whole) {
                     seen++;
                 }
 
                 @Override
-                public void priority(int stream) {
+                public void onPriority(int stream) {
                     seen++;
                 }
 
                 @Override
-                public void reset(int stream, ErrorCode code) {
+                public void onReset(int stream, ErrorCode code) {
                     seen++;
                 }
 
                 @Override
-                public void settings(ByteBuf pairs) {
+                public void onSettings(ByteBuf pairs) {
                     seen++;
                 }
 
                 @Override
-                public void settingsAck() {
+                public void onSettingsAck() {
                     seen++;
                 }
 
                 @Override
-                public void ping(boolean ack, long content) {
+                public void onPing(boolean ack, long content) {
                     seen++;
                 }
 
                 @Override
-                public void goAway(int lastStream, ErrorCode code) {
+                public void onGoAway(int lastStream, ErrorCode code) {
                     seen++;
                 }
 
                 @Override
-                public void windowUpdate(int stream, int bytes) {
+                public void onWindowUpdate(int stream, int bytes) {
                     seen++;
                 }
 
                 @Override
-                public void unknown(int type) {
+                public void onUnknown(int type) {
                     seen++;
                 }
             };
@@ -103,7 +103,7 @@
     @Benchmark
     public long cutFrames() throws Http2Exception {
         ByteBuf in = frames.duplicate();
-        while (reader.next(in, sink)) {
+        while (reader.next(in, listener)) {
             seen++;
         }
         return seen;
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
@@ -203,8 +203,8 @@
             channel.writeInbound(Unpooled.copiedBuffer(bytes, at, part));
             channel.runPendingTasks();
             at += part;
-            if (connection.heldBytes() > MOST_HELD) {
-                throw new AssertionError("holds " + connection.heldBytes() + " bytes");
+            if (connection.bufferedBytes() > MOST_HELD) {
+                throw new AssertionError("holds " + connection.bufferedBytes() + " bytes");
             }
         }
         channel.checkException();
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Http2ConnectionTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Http2ConnectionTest.java
@@ -113,7 +113,7 @@
                                 0,
                                 16 << 10,
                                 1 << 20,
-                                Frames.DEFAULT_WINDOW,
+                                Frames.DEFAULT_WINDOW_SIZE,
                                 50_000,
                                 100_000,
                                 10_000_000,
@@ -144,7 +144,8 @@
         // The first window went to the only stream that had work then; from there on they took
         // turns.
         assertTrue(
-                bulkBytes <= Frames.DEFAULT_WINDOW + 20_000 + 2 * 4096, "bulk sent " + bulkBytes);
+                bulkBytes <= Frames.DEFAULT_WINDOW_SIZE + 20_000 + 2 * 4096,
+                "bulk sent " + bulkBytes);
     }
 
     @Test
@@ -224,7 +225,7 @@
                 bytes.release();
             }
             for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
-                while (out.readableBytes() >= Frames.HEADER) {
+                while (out.readableBytes() >= Frames.HEADER_SIZE) {
                     int length = out.readUnsignedMedium();
                     int type = out.readUnsignedByte();
                     out.skipBytes(5);
@@ -408,7 +409,7 @@
                         Frames.windowUpdate(p.serverChannel.alloc(), s.id(), 20));
             }
             p.serverChannel.writeInbound(
-                    Frames.rst(p.serverChannel.alloc(), s.id(), ErrorCode.CANCEL));
+                    Frames.rstStream(p.serverChannel.alloc(), s.id(), ErrorCode.CANCEL));
             assertTrue(p.serverChannel.isOpen(), "after " + i + " requests");
         }
         for (int k = 0; k < 100 && p.serverChannel.isOpen(); k++) {
