--- a/protocol/src/main/java/sorrelhoist/protocol/engine/DecodeEvent.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/DecodeEvent.java
@@ -11,15 +11,18 @@
  * @param finish the finish, or null
  */
 public record DecodeEvent(Token token, Finish finish) {
+    private static final int TOKEN = 1;
+    private static final int FINISH = 2;
+
     /** {@return the message in these bytes} */
     public static DecodeEvent parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         Token token = null;
         Finish finish = null;
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> token = Token.read(in.readMessage());
-                case 2 -> finish = Finish.read(in.readMessage());
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            switch (field) {
+                case TOKEN -> token = Token.SCHEMA.read(in.readMessage());
+                case FINISH -> finish = Finish.SCHEMA.read(in.readMessage());
                 default -> in.skipField();
             }
         }
@@ -29,10 +32,14 @@
         return new DecodeEvent(token, finish);
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
-        return token != null
-                ? new ProtoWriter(48).writeMessage(1, token.write()).toByteArray()
-                : new ProtoWriter(16).writeMessage(2, finish.write()).toByteArray();
+        ProtoWriter out = new ProtoWriter();
+        if (token != null) {
+            out.writeMessage(TOKEN, Token.SCHEMA.write(token));
+        } else {
+            out.writeMessage(FINISH, Finish.SCHEMA.write(finish));
+        }
+        return out.toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/EngineApi.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/EngineApi.java
@@ -11,34 +11,34 @@
     /** Reads a prompt. */
     public static final String PREFILL = SERVICE + "Prefill";
 
-    /** Writes an answer. */
+    /** Generates an answer. */
     public static final String DECODE = SERVICE + "Decode";
 
-    /** Holds a place ahead. */
+    /** Reserves a slot and memory ahead. */
     public static final String RESERVE = SERVICE + "Reserve";
 
-    /** Lets go of what is held. */
+    /** Releases a prefill state or a reservation. */
     public static final String RELEASE = SERVICE + "Release";
 
-    /** Asks for the load. */
+    /** Health check; the answer carries the load. */
     public static final String PROBE = SERVICE + "Probe";
 
-    /** Hands a state to another engine. */
+    /** Hands a prefill state to another engine. */
     public static final String FETCH = SERVICE + "Fetch";
 
-    private static final String LOAD = "sorrelhoist-load-bin";
+    private static final String LOAD_REPORT_TRAILER = "sorrelhoist-load-bin";
 
     private EngineApi() {}
 
     /** {@return trailers that carry a load report} */
     public static Headers loadReportTrailers(LoadReport load) {
         return new Headers()
-                .add(LOAD, Base64.getEncoder().withoutPadding().encodeToString(load.toByteArray()));
+                .add(LOAD_REPORT_TRAILER, Base64.getEncoder().withoutPadding().encodeToString(load.toByteArray()));
     }
 
     /** {@return the load report in these trailers, or null where there is none that can be read} */
     public static LoadReport loadReport(Headers trailers) {
-        String value = trailers.get(LOAD);
+        String value = trailers.get(LOAD_REPORT_TRAILER);
         if (value == null) {
             return null;
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/FetchReply.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/FetchReply.java
@@ -1,46 +1,27 @@
 package sorrelhoist.protocol.engine;
 
+import sorrelhoist.protocol.protobuf.MessageSchema;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.protocol.protobuf.ProtoReader;
-import sorrelhoist.protocol.protobuf.ProtoWriter;
+import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * The state.
+ * A prefill state.
  *
  * @param promptTokens tokens in the prompt
  * @param digest of the prompt
- * @param rack where the reader stands: zone/rack
+ * @param rack location of the prefill engine: zone/rack
  */
-public record FetchReply(int promptTokens, long digest, String rack) {
+public record FetchReply(
+        @ProtoField(1) int promptTokens, @ProtoField(2) long digest, @ProtoField(3) String rack) {
+    static final MessageSchema<FetchReply> SCHEMA = MessageSchema.of(FetchReply.class);
+
     /** {@return the message in these bytes} */
     public static FetchReply parse(byte[] bytes) throws ProtoException {
-        return read(new ProtoReader(bytes));
-    }
-
-    static FetchReply read(ProtoReader in) throws ProtoException {
-        int promptTokens = 0;
-        long digest = 0;
-        String rack = "";
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> promptTokens = in.readNonNegativeInt();
-                case 2 -> digest = in.readVarint();
-                case 3 -> rack = in.readString();
-                default -> in.skipField();
-            }
-        }
-        return new FetchReply(promptTokens, digest, rack);
-    }
-
-    ProtoWriter write() {
-        return new ProtoWriter()
-                .writeVarint(1, promptTokens)
-                .writeVarint(2, digest)
-                .writeString(3, rack);
+        return SCHEMA.parse(bytes);
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
-        return write().toByteArray();
+        return SCHEMA.toByteArray(this);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/FetchRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/FetchRequest.java
@@ -1,40 +1,25 @@
 package sorrelhoist.protocol.engine;
 
+import sorrelhoist.protocol.protobuf.MessageSchema;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.protocol.protobuf.ProtoReader;
-import sorrelhoist.protocol.protobuf.ProtoWriter;
+import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * One engine asks another for a state.
+ * One engine asks another for a prefill state.
  *
  * @param stateId the state's name at the engine that holds it
  * @param requester the engine that asks
  */
-public record FetchRequest(String stateId, String requester) {
+public record FetchRequest(@ProtoField(1) String stateId, @ProtoField(2) String requester) {
+    static final MessageSchema<FetchRequest> SCHEMA = MessageSchema.of(FetchRequest.class);
+
     /** {@return the message in these bytes} */
     public static FetchRequest parse(byte[] bytes) throws ProtoException {
-        return read(new ProtoReader(bytes));
-    }
-
-    static FetchRequest read(ProtoReader in) throws ProtoException {
-        String stateId = "";
-        String by = "";
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> stateId = in.readString();
-                case 2 -> by = in.readString();
-                default -> in.skipField();
-            }
-        }
-        return new FetchRequest(stateId, by);
-    }
-
-    ProtoWriter write() {
-        return new ProtoWriter().writeString(1, stateId).writeString(2, requester);
+        return SCHEMA.parse(bytes);
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
-        return write().toByteArray();
+        return SCHEMA.toByteArray(this);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/Finish.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/Finish.java
@@ -1,40 +1,25 @@
 package sorrelhoist.protocol.engine;
 
+import sorrelhoist.protocol.protobuf.MessageSchema;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.protocol.protobuf.ProtoReader;
-import sorrelhoist.protocol.protobuf.ProtoWriter;
+import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * The answer is whole.
+ * The answer is complete.
  *
- * @param tokens one more than the last index
- * @param cachedTokens tokens found kept, not read again
+ * @param tokens how many tokens the answer has: one more than the last index
+ * @param cachedTokens prompt tokens found in the engine's cache, so not read again
  */
-public record Finish(int tokens, int cachedTokens) {
+public record Finish(@ProtoField(1) int tokens, @ProtoField(2) int cachedTokens) {
+    static final MessageSchema<Finish> SCHEMA = MessageSchema.of(Finish.class);
+
     /** {@return the message in these bytes} */
     public static Finish parse(byte[] bytes) throws ProtoException {
-        return read(new ProtoReader(bytes));
-    }
-
-    static Finish read(ProtoReader in) throws ProtoException {
-        int tokens = 0;
-        int keptTokens = 0;
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> tokens = in.readNonNegativeInt();
-                case 2 -> keptTokens = in.readNonNegativeInt();
-                default -> in.skipField();
-            }
-        }
-        return new Finish(tokens, keptTokens);
-    }
-
-    ProtoWriter write() {
-        return new ProtoWriter().writeVarint(1, tokens).writeVarint(2, cachedTokens);
+        return SCHEMA.parse(bytes);
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
-        return write().toByteArray();
+        return SCHEMA.toByteArray(this);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/PrefillReply.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/PrefillReply.java
@@ -1,40 +1,25 @@
 package sorrelhoist.protocol.engine;
 
+import sorrelhoist.protocol.protobuf.MessageSchema;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.protocol.protobuf.ProtoReader;
-import sorrelhoist.protocol.protobuf.ProtoWriter;
+import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * The prompt was read; its state waits.
+ * A prompt was read, and its state can be fetched.
  *
  * @param stateId the state's name at the engine that holds it
- * @param cachedTokens tokens found kept, not read again
+ * @param cachedTokens tokens found in the engine's cache, so not read again
  */
-public record PrefillReply(String stateId, int cachedTokens) {
+public record PrefillReply(@ProtoField(1) String stateId, @ProtoField(2) int cachedTokens) {
+    static final MessageSchema<PrefillReply> SCHEMA = MessageSchema.of(PrefillReply.class);
+
     /** {@return the message in these bytes} */
     public static PrefillReply parse(byte[] bytes) throws ProtoException {
-        return read(new ProtoReader(bytes));
-    }
-
-    static PrefillReply read(ProtoReader in) throws ProtoException {
-        String stateId = "";
-        int keptTokens = 0;
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> stateId = in.readString();
-                case 2 -> keptTokens = in.readNonNegativeInt();
-                default -> in.skipField();
-            }
-        }
-        return new PrefillReply(stateId, keptTokens);
-    }
-
-    ProtoWriter write() {
-        return new ProtoWriter().writeString(1, stateId).writeVarint(2, cachedTokens);
+        return SCHEMA.parse(bytes);
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
-        return write().toByteArray();
+        return SCHEMA.toByteArray(this);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/ReleaseReply.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/ReleaseReply.java
@@ -1,37 +1,24 @@
 package sorrelhoist.protocol.engine;
 
+import sorrelhoist.protocol.protobuf.MessageSchema;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.protocol.protobuf.ProtoReader;
-import sorrelhoist.protocol.protobuf.ProtoWriter;
+import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * Whether something was let go.
+ * The answer to a release.
  *
- * @param released whether something was let go
+ * @param released whether there was anything to release
  */
-public record ReleaseReply(boolean released) {
+public record ReleaseReply(@ProtoField(1) boolean released) {
+    static final MessageSchema<ReleaseReply> SCHEMA = MessageSchema.of(ReleaseReply.class);
+
     /** {@return the message in these bytes} */
     public static ReleaseReply parse(byte[] bytes) throws ProtoException {
-        return read(new ProtoReader(bytes));
-    }
-
-    static ReleaseReply read(ProtoReader in) throws ProtoException {
-        boolean released = false;
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> released = in.readBool();
-                default -> in.skipField();
-            }
-        }
-        return new ReleaseReply(released);
-    }
-
-    ProtoWriter write() {
-        return new ProtoWriter().writeBool(1, released);
+        return SCHEMA.parse(bytes);
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
-        return write().toByteArray();
+        return SCHEMA.toByteArray(this);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/ReserveReply.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/ReserveReply.java
@@ -1,40 +1,25 @@
 package sorrelhoist.protocol.engine;
 
+import sorrelhoist.protocol.protobuf.MessageSchema;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.protocol.protobuf.ProtoReader;
-import sorrelhoist.protocol.protobuf.ProtoWriter;
+import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * Whether a place is held.
+ * Whether a slot is reserved.
  *
- * @param reserved whether it is held
- * @param reservationId the place's name
+ * @param reserved whether it is
+ * @param reservationId the reservation's name
  */
-public record ReserveReply(boolean reserved, String reservationId) {
+public record ReserveReply(@ProtoField(1) boolean reserved, @ProtoField(2) String reservationId) {
+    static final MessageSchema<ReserveReply> SCHEMA = MessageSchema.of(ReserveReply.class);
+
     /** {@return the message in these bytes} */
     public static ReserveReply parse(byte[] bytes) throws ProtoException {
-        return read(new ProtoReader(bytes));
-    }
-
-    static ReserveReply read(ProtoReader in) throws ProtoException {
-        boolean held = false;
-        String placeId = "";
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> held = in.readBool();
-                case 2 -> placeId = in.readString();
-                default -> in.skipField();
-            }
-        }
-        return new ReserveReply(held, placeId);
-    }
-
-    ProtoWriter write() {
-        return new ProtoWriter().writeBool(1, reserved).writeString(2, reservationId);
+        return SCHEMA.parse(bytes);
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
-        return write().toByteArray();
+        return SCHEMA.toByteArray(this);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/ReserveRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/ReserveRequest.java
@@ -1,46 +1,29 @@
 package sorrelhoist.protocol.engine;
 
+import sorrelhoist.protocol.protobuf.MessageSchema;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.protocol.protobuf.ProtoReader;
-import sorrelhoist.protocol.protobuf.ProtoWriter;
+import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * Asks a writer to hold a slot and memory ahead.
+ * Asks a decode engine to reserve a slot and memory ahead.
  *
- * @param requestId the router's name for it, unique over all edges and tries
+ * @param requestId the router's name for the request, unique over all routers and attempts
  * @param promptTokens tokens in the prompt
- * @param maxTokens the most that may be answered
+ * @param maxTokens the most tokens that the answer may have
  */
-public record ReserveRequest(String requestId, int promptTokens, int maxTokens) {
+public record ReserveRequest(
+        @ProtoField(1) String requestId,
+        @ProtoField(2) int promptTokens,
+        @ProtoField(3) int maxTokens) {
+    static final MessageSchema<ReserveRequest> SCHEMA = MessageSchema.of(ReserveRequest.class);
+
     /** {@return the message in these bytes} */
     public static ReserveRequest parse(byte[] bytes) throws ProtoException {
-        return read(new ProtoReader(bytes));
-    }
-
-    static ReserveRequest read(ProtoReader in) throws ProtoException {
-        String requestId = "";
-        int promptTokens = 0;
-        int maxTokens = 0;
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> requestId = in.readString();
-                case 2 -> promptTokens = in.readNonNegativeInt();
-                case 3 -> maxTokens = in.readNonNegativeInt();
-                default -> in.skipField();
-            }
-        }
-        return new ReserveRequest(requestId, promptTokens, maxTokens);
-    }
-
-    ProtoWriter write() {
-        return new ProtoWriter()
-                .writeString(1, requestId)
-                .writeVarint(2, promptTokens)
-                .writeVarint(3, maxTokens);
+        return SCHEMA.parse(bytes);
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
-        return write().toByteArray();
+        return SCHEMA.toByteArray(this);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/InferRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/InferRequest.java
@@ -1,6 +1,7 @@
 package sorrelhoist.protocol.inference;
 
 import java.util.ArrayList;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import sorrelhoist.protocol.protobuf.ProtoException;
@@ -27,39 +28,46 @@
     /** Name of the input tensor that holds the prompt. */
     public static final String TEXT_INPUT = "text_input";
 
+    private static final int MODEL_NAME = 1;
+    private static final int MODEL_VERSION = 2;
+    private static final int ID = 3;
+    private static final int PARAMETERS = 4;
+    private static final int INPUTS = 5;
+    private static final int RAW_CONTENTS = 7;
+
     /** {@return the message in these bytes} */
     public static InferRequest parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         String model = "";
         String version = "";
         String id = "";
-        Map<String, Parameter> parameters = Parameter.none();
+        Map<String, Parameter> parameters = new LinkedHashMap<>();
         List<Tensor> inputs = new ArrayList<>();
-        List<byte[]> raw = new ArrayList<>();
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> model = in.readString();
-                case 2 -> version = in.readString();
-                case 3 -> id = in.readString();
-                case 4 -> Parameter.read(in.readMessage(), parameters);
-                case 5 -> inputs.add(Tensor.read(in.readMessage()));
-                case 7 -> raw.add(in.readBytes());
+        List<byte[]> rawContents = new ArrayList<>();
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            switch (field) {
+                case MODEL_NAME -> model = in.readString();
+                case MODEL_VERSION -> version = in.readString();
+                case ID -> id = in.readString();
+                case PARAMETERS -> Parameter.readEntry(in.readMessage(), parameters);
+                case INPUTS -> inputs.add(Tensor.read(in.readMessage()));
+                case RAW_CONTENTS -> rawContents.add(in.readBytes());
                 default -> in.skipField();
             }
         }
-        return new InferRequest(model, version, id, parameters, inputs, raw);
+        return new InferRequest(model, version, id, parameters, inputs, rawContents);
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
         ProtoWriter out =
-                new ProtoWriter(256)
-                        .writeString(1, modelName)
-                        .writeString(2, modelVersion)
-                        .writeString(3, id);
-        Parameter.write(parameters, 4, out);
-        inputs.forEach(t -> out.writeMessage(5, t.write()));
-        rawContents.forEach(r -> out.writeBytesAlways(7, r));
+                new ProtoWriter()
+                        .writeString(MODEL_NAME, modelName)
+                        .writeString(MODEL_VERSION, modelVersion)
+                        .writeString(ID, id);
+        Parameter.writeEntries(parameters, PARAMETERS, out);
+        inputs.forEach(tensor -> out.writeMessage(INPUTS, tensor.write()));
+        rawContents.forEach(raw -> out.writeBytesAlways(RAW_CONTENTS, raw));
         return out.toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/InferResponse.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/InferResponse.java
@@ -2,6 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import sorrelhoist.protocol.protobuf.ProtoException;
@@ -27,6 +28,14 @@
     /** Name of the parameter that holds how many tokens the answer has. */
     public static final String OUTPUT_TOKENS = "output_tokens";
 
+    private static final int MODEL_NAME = 1;
+    private static final int ID = 3;
+    private static final int PARAMETERS = 4;
+    private static final int OUTPUTS = 5;
+
+    /** Field of ModelStreamInferResponse that holds a response. */
+    private static final int STREAMED_RESPONSE = 2;
+
     /** {@return one piece of an answer} */
     public static InferResponse textChunk(String model, String id, String text) {
         return new InferResponse(model, id, Map.of(), List.of(Tensor.text(TEXT_OUTPUT, text)));
@@ -34,9 +43,9 @@
 
     /** {@return the text of the first text output; empty where there is none} */
     public String text() {
-        for (Tensor t : outputs) {
-            if (t.name().equals(TEXT_OUTPUT) && !t.contents().isEmpty()) {
-                return new String(t.contents().get(0), StandardCharsets.UTF_8);
+        for (Tensor output : outputs) {
+            if (output.name().equals(TEXT_OUTPUT) && !output.contents().isEmpty()) {
+                return new String(output.contents().get(0), StandardCharsets.UTF_8);
             }
         }
         return "";
@@ -44,8 +53,8 @@
 
     /** {@return whether it is marked as the last} */
     public boolean isFinal() {
-        Parameter p = parameters.get(FINAL_RESPONSE);
-        return p != null && Boolean.TRUE.equals(p.value());
+        Parameter parameter = parameters.get(FINAL_RESPONSE);
+        return parameter != null && Boolean.TRUE.equals(parameter.value());
     }
 
     /** {@return the message in these bytes} */
@@ -57,8 +66,8 @@
     public static InferResponse parseStreamResponse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         InferResponse response = new InferResponse("", "", Map.of(), List.of());
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            if (f == 2) {
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            if (field == STREAMED_RESPONSE) {
                 response = read(in.readMessage());
             } else {
                 in.skipField();
@@ -70,14 +79,14 @@
     private static InferResponse read(ProtoReader in) throws ProtoException {
         String model = "";
         String id = "";
-        Map<String, Parameter> parameters = Parameter.none();
+        Map<String, Parameter> parameters = new LinkedHashMap<>();
         List<Tensor> outputs = new ArrayList<>();
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> model = in.readString();
-                case 3 -> id = in.readString();
-                case 4 -> Parameter.read(in.readMessage(), parameters);
-                case 5 -> outputs.add(Tensor.read(in.readMessage()));
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            switch (field) {
+                case MODEL_NAME -> model = in.readString();
+                case ID -> id = in.readString();
+                case PARAMETERS -> Parameter.readEntry(in.readMessage(), parameters);
+                case OUTPUTS -> outputs.add(Tensor.read(in.readMessage()));
                 default -> in.skipField();
             }
         }
@@ -85,19 +94,19 @@
     }
 
     private ProtoWriter write() {
-        ProtoWriter out = new ProtoWriter(128).writeString(1, modelName).writeString(3, id);
-        Parameter.write(parameters, 4, out);
-        outputs.forEach(t -> out.writeMessage(5, t.write()));
+        ProtoWriter out = new ProtoWriter().writeString(MODEL_NAME, modelName).writeString(ID, id);
+        Parameter.writeEntries(parameters, PARAMETERS, out);
+        outputs.forEach(tensor -> out.writeMessage(OUTPUTS, tensor.write()));
         return out;
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
         return write().toByteArray();
     }
 
     /** {@return the bytes of a ModelStreamInferResponse that holds it} */
     public byte[] toStreamResponseBytes() {
-        return new ProtoWriter(160).writeMessage(2, write()).toByteArray();
+        return new ProtoWriter().writeMessage(STREAMED_RESPONSE, write()).toByteArray();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/ModelMessages.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/ModelMessages.java
@@ -23,12 +23,12 @@
 
     /** {@return the bytes of ServerLiveResponse, ServerReadyResponse or ModelReadyResponse} */
     public static byte[] booleanResponse(boolean value) {
-        return new ProtoWriter(2).writeBool(1, value).toByteArray();
+        return new ProtoWriter().writeBool(1, value).toByteArray();
     }
 
     /** {@return the bytes of a HealthCheckResponse} */
     public static byte[] healthCheckResponse(int status) {
-        return new ProtoWriter(2).writeVarint(1, status).toByteArray();
+        return new ProtoWriter().writeVarint(1, status).toByteArray();
     }
 
     /**
@@ -38,8 +38,8 @@
     public static String parseName(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         String name = "";
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            if (f == 1) {
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            if (field == 1) {
                 name = in.readString();
             } else {
                 in.skipField();
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/Parameter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/Parameter.java
@@ -1,6 +1,6 @@
 package sorrelhoist.protocol.inference;
 
-import java.util.LinkedHashMap;
+import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import sorrelhoist.protocol.protobuf.ProtoException;
 import sorrelhoist.protocol.protobuf.ProtoReader;
@@ -12,55 +12,67 @@
  * @param value one of these, or null where the message named none
  */
 public record Parameter(Object value) {
-    static void read(ProtoReader entry, Map<String, Parameter> into) throws ProtoException {
+    private static final int ENTRY_KEY = 1;
+    private static final int ENTRY_VALUE = 2;
+
+    private static final int BOOL = 1;
+    private static final int INT64 = 2;
+    private static final int STRING = 3;
+    private static final int DOUBLE = 4;
+    private static final int UINT64 = 5;
+
+    /** Reads one entry of a map of parameters. */
+    static void readEntry(ProtoReader entry, Map<String, Parameter> parameters)
+            throws ProtoException {
         String key = "";
         Parameter value = new Parameter(null);
-        for (int f = entry.nextField(); f != 0; f = entry.nextField()) {
-            switch (f) {
-                case 1 -> key = entry.readString();
-                case 2 -> value = read(entry.readMessage());
+        for (int field = entry.nextField(); field != 0; field = entry.nextField()) {
+            switch (field) {
+                case ENTRY_KEY -> key = entry.readString();
+                case ENTRY_VALUE -> value = read(entry.readMessage());
                 default -> entry.skipField();
             }
         }
-        into.put(key, value);
+        parameters.put(key, value);
     }
 
     private static Parameter read(ProtoReader in) throws ProtoException {
         Object value = null;
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> value = in.readBool();
-                case 2, 5 -> value = in.readVarint();
-                case 3 -> value = in.readString();
-                case 4 -> value = in.readDouble();
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            switch (field) {
+                case BOOL -> value = in.readBool();
+                case INT64, UINT64 -> value = in.readVarint();
+                case STRING -> value = in.readString();
+                case DOUBLE -> value = in.readDouble();
                 default -> in.skipField();
             }
         }
         return new Parameter(value);
     }
 
-    static void write(Map<String, Parameter> parameters, int field, ProtoWriter out) {
+    /** Writes a map of parameters as the entries of a field. */
+    static void writeEntries(Map<String, Parameter> parameters, int field, ProtoWriter out) {
         parameters.forEach(
-                (key, p) -> {
-                    // A oneof's member is written also where it holds its default: it tells which
-                    // one was chosen.
-                    ProtoWriter value = new ProtoWriter(16);
-                    if (p.value instanceof Boolean b) {
-                        value.writeVarintAlways(1, b ? 1 : 0);
-                    } else if (p.value instanceof Long l) {
-                        value.writeVarintAlways(2, l);
-                    } else if (p.value instanceof String s) {
-                        value.writeBytesAlways(
-                                3, s.getBytes(java.nio.charset.StandardCharsets.UTF_8));
-                    } else if (p.value instanceof Double d) {
-                        value.writeDouble(4, d);
-                    }
-                    out.writeMessage(
-                            field, new ProtoWriter().writeString(1, key).writeMessage(2, value));
+                (key, parameter) -> {
+                    ProtoWriter entry = new ProtoWriter();
+                    entry.writeString(ENTRY_KEY, key);
+                    entry.writeMessage(ENTRY_VALUE, parameter.write());
+                    out.writeMessage(field, entry);
                 });
     }
 
-    static Map<String, Parameter> none() {
-        return new LinkedHashMap<>();
+    /** A oneof's member is written also where it holds its default: it tells which was chosen. */
+    private ProtoWriter write() {
+        ProtoWriter out = new ProtoWriter();
+        if (value instanceof Boolean flag) {
+            out.writeVarintAlways(BOOL, flag ? 1 : 0);
+        } else if (value instanceof Long number) {
+            out.writeVarintAlways(INT64, number);
+        } else if (value instanceof String text) {
+            out.writeBytesAlways(STRING, text.getBytes(StandardCharsets.UTF_8));
+        } else if (value instanceof Double number) {
+            out.writeDouble(DOUBLE, number);
+        }
+        return out;
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/Tensor.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/Tensor.java
@@ -1,7 +1,10 @@
 package sorrelhoist.protocol.inference;
 
+import java.nio.ByteBuffer;
+import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import sorrelhoist.protocol.protobuf.ProtoException;
 import sorrelhoist.protocol.protobuf.ProtoReader;
@@ -25,24 +28,32 @@
         return new Tensor(name, BYTES, List.of(1L), List.of(text.getBytes(StandardCharsets.UTF_8)));
     }
 
+    private static final int NAME = 1;
+    private static final int DATATYPE = 2;
+    private static final int SHAPE = 3;
+    private static final int CONTENTS = 5;
+
+    /** Field of InferTensorContents that holds the elements of datatype BYTES. */
+    private static final int BYTES_CONTENTS = 8;
+
     static Tensor read(ProtoReader in) throws ProtoException {
         String name = "";
         String datatype = "";
         List<Long> shape = new ArrayList<>();
         List<byte[]> contents = new ArrayList<>();
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> name = in.readString();
-                case 2 -> datatype = in.readString();
-                case 3 -> shape(in, shape);
-                case 5 -> contents(in.readMessage(), contents);
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            switch (field) {
+                case NAME -> name = in.readString();
+                case DATATYPE -> datatype = in.readString();
+                case SHAPE -> readShape(in, shape);
+                case CONTENTS -> readContents(in.readMessage(), contents);
                 default -> in.skipField();
             }
         }
         return new Tensor(name, datatype, shape, contents);
     }
 
-    private static void shape(ProtoReader in, List<Long> shape) throws ProtoException {
+    private static void readShape(ProtoReader in, List<Long> shape) throws ProtoException {
         if (!in.isPacked()) {
             shape.add(in.readVarint());
             return;
@@ -53,9 +64,9 @@
         }
     }
 
-    private static void contents(ProtoReader in, List<byte[]> contents) throws ProtoException {
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            if (f == 8) {
+    private static void readContents(ProtoReader in, List<byte[]> contents) throws ProtoException {
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            if (field == BYTES_CONTENTS) {
                 contents.add(in.readBytes());
             } else {
                 in.skipField();
@@ -64,16 +75,16 @@
     }
 
     ProtoWriter write() {
-        ProtoWriter out = new ProtoWriter(96).writeString(1, name).writeString(2, datatype);
+        ProtoWriter out = new ProtoWriter().writeString(NAME, name).writeString(DATATYPE, datatype);
         if (!shape.isEmpty()) {
-            ProtoWriter packed = new ProtoWriter(16);
+            ProtoWriter packed = new ProtoWriter();
             shape.forEach(packed::writePackedVarint);
-            out.writeMessage(3, packed);
+            out.writeMessage(SHAPE, packed);
         }
         if (!contents.isEmpty()) {
-            ProtoWriter held = new ProtoWriter(64);
-            contents.forEach(c -> held.writeBytesAlways(8, c));
-            out.writeMessage(5, held);
+            ProtoWriter elements = new ProtoWriter();
+            contents.forEach(e -> elements.writeBytesAlways(BYTES_CONTENTS, e));
+            out.writeMessage(CONTENTS, elements);
         }
         return out;
     }
@@ -90,23 +101,19 @@
             return contents;
         }
         List<byte[]> elements = new ArrayList<>();
-        int at = 0;
-        while (at < raw.length) {
-            if (raw.length - at < 4) {
+        ByteBuffer in = ByteBuffer.wrap(raw).order(ByteOrder.LITTLE_ENDIAN);
+        while (in.hasRemaining()) {
+            if (in.remaining() < Integer.BYTES) {
                 throw new ProtoException("raw contents of \"" + name + "\" are cut short");
             }
-            long size =
-                    raw[at] & 0xFFL
-                            | (raw[at + 1] & 0xFFL) << 8
-                            | (raw[at + 2] & 0xFFL) << 16
-                            | (raw[at + 3] & 0xFFL) << 24;
-            at += 4;
-            if (size > raw.length - at) {
+            long size = Integer.toUnsignedLong(in.getInt());
+            if (size > in.remaining()) {
                 throw new ProtoException(
                         "raw contents of \"" + name + "\" are shorter than they say");
             }
-            elements.add(java.util.Arrays.copyOfRange(raw, at, at + (int) size));
-            at += (int) size;
+            byte[] element = new byte[(int) size];
+            in.get(element);
+            elements.add(element);
         }
         return elements;
     }
@@ -115,11 +122,11 @@
     @Override
     public boolean equals(Object other) {
         return other instanceof Tensor t
-                && java.util.Arrays.equals(t.write().toByteArray(), write().toByteArray());
+                && Arrays.equals(t.write().toByteArray(), write().toByteArray());
     }
 
     @Override
     public int hashCode() {
-        return java.util.Arrays.hashCode(write().toByteArray());
+        return Arrays.hashCode(write().toByteArray());
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/EdgeMessage.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/EdgeMessage.java
@@ -1,46 +1,63 @@
 package sorrelhoist.protocol.plan;
 
+import sorrelhoist.protocol.protobuf.MessageSchema;
 import sorrelhoist.protocol.protobuf.ProtoException;
+import sorrelhoist.protocol.protobuf.ProtoField;
 import sorrelhoist.protocol.protobuf.ProtoReader;
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
-/** What an edge tells or asks its planner. */
+/** A router's message to its planner: one of several kinds. */
 public sealed interface EdgeMessage {
     /**
-     * Its first word.
+     * The first message of a stream.
      *
-     * @param hello who it is
+     * @param hello who the router is
      */
-    record Handshake(Hello hello) implements EdgeMessage {}
+    record Handshake(Hello hello) implements EdgeMessage {
+        private static final int FIELD = 1;
+    }
 
     /**
-     * Asks for a probe.
+     * Asks for a health check of an engine.
      *
-     * @param engine of which engine
+     * @param engine the engine's name
      */
-    record ProbeRequest(String engine) implements EdgeMessage {}
+    record ProbeRequest(@ProtoField(1) String engine) implements EdgeMessage {
+        private static final int FIELD = 2;
+        private static final MessageSchema<ProbeRequest> SCHEMA =
+                MessageSchema.of(ProbeRequest.class);
+    }
 
     /**
-     * A message to other routers.
+     * A message to be relayed to other routers.
      *
-     * @param recipient a router's number; -1 for all
+     * @param recipient a router's replica number; -1 for all
      * @param body the message
      */
-    record RelayRequest(int recipient, String body) implements EdgeMessage {}
+    record RelayRequest(
+            @ProtoField(value = 1, zigZag = true) int recipient, @ProtoField(2) String body)
+            implements EdgeMessage {
+        private static final int FIELD = 3;
+        private static final MessageSchema<RelayRequest> SCHEMA =
+                MessageSchema.of(RelayRequest.class);
+    }
 
-    /** Asks for the whole roster. */
-    record RosterRequest() implements EdgeMessage {}
+    /** Asks for the complete roster. */
+    record RosterRequest() implements EdgeMessage {
+        private static final int FIELD = 4;
+    }
 
     /** {@return the message in these bytes, or null where it is of a kind not known yet} */
     static EdgeMessage parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         EdgeMessage message = null;
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> message = new Handshake(Hello.read(in.readMessage()));
-                case 2 -> message = probe(in.readMessage());
-                case 3 -> message = tell(in.readMessage());
-                case 4 -> {
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            switch (field) {
+                case Handshake.FIELD ->
+                        message = new Handshake(Hello.SCHEMA.read(in.readMessage()));
+                case ProbeRequest.FIELD -> message = ProbeRequest.SCHEMA.read(in.readMessage());
+                case RelayRequest.FIELD -> message = RelayRequest.SCHEMA.read(in.readMessage());
+                case RosterRequest.FIELD -> {
                     in.skipField();
                     message = new RosterRequest();
                 }
@@ -50,43 +67,17 @@
         return message;
     }
 
-    private static ProbeRequest probe(ProtoReader in) throws ProtoException {
-        String engine = "";
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            if (f == 1) {
-                engine = in.readString();
-            } else {
-                in.skipField();
-            }
-        }
-        return new ProbeRequest(engine);
-    }
-
-    private static RelayRequest tell(ProtoReader in) throws ProtoException {
-        long to = 0;
-        String body = "";
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> to = in.readZigZag();
-                case 2 -> body = in.readString();
-                default -> in.skipField();
-            }
-        }
-        return new RelayRequest((int) to, body);
-    }
-
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     default byte[] toByteArray() {
-        ProtoWriter out = new ProtoWriter(64);
-        if (this instanceof Handshake g) {
-            out.writeMessage(1, g.hello().write());
-        } else if (this instanceof ProbeRequest p) {
-            out.writeMessage(2, new ProtoWriter().writeString(1, p.engine()));
-        } else if (this instanceof RelayRequest t) {
-            out.writeMessage(
-                    3, new ProtoWriter().writeZigZag(1, t.recipient()).writeString(2, t.body()));
+        ProtoWriter out = new ProtoWriter();
+        if (this instanceof Handshake handshake) {
+            out.writeMessage(Handshake.FIELD, Hello.SCHEMA.write(handshake.hello()));
+        } else if (this instanceof ProbeRequest request) {
+            out.writeMessage(ProbeRequest.FIELD, ProbeRequest.SCHEMA.write(request));
+        } else if (this instanceof RelayRequest request) {
+            out.writeMessage(RelayRequest.FIELD, RelayRequest.SCHEMA.write(request));
         } else {
-            out.writeMessage(4, new ProtoWriter());
+            out.writeMessage(RosterRequest.FIELD, new ProtoWriter());
         }
         return out.toByteArray();
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/Peer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/Peer.java
@@ -1,43 +1,27 @@
 package sorrelhoist.protocol.plan;
 
+import sorrelhoist.protocol.protobuf.MessageSchema;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.protocol.protobuf.ProtoReader;
-import sorrelhoist.protocol.protobuf.ProtoWriter;
+import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * Another edge.
+ * Another router.
  *
  * @param edge its name
  * @param zone its zone
  * @param address where it is reached
  */
-public record Peer(String edge, String zone, String address) {
+public record Peer(
+        @ProtoField(1) String edge, @ProtoField(2) String zone, @ProtoField(3) String address) {
+    static final MessageSchema<Peer> SCHEMA = MessageSchema.of(Peer.class);
+
     /** {@return the message in these bytes} */
     public static Peer parse(byte[] bytes) throws ProtoException {
-        return read(new ProtoReader(bytes));
-    }
-
-    static Peer read(ProtoReader in) throws ProtoException {
-        String edge = "";
-        String zone = "";
-        String address = "";
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> edge = in.readString();
-                case 2 -> zone = in.readString();
-                case 3 -> address = in.readString();
-                default -> in.skipField();
-            }
-        }
-        return new Peer(edge, zone, address);
-    }
-
-    ProtoWriter write() {
-        return new ProtoWriter().writeString(1, edge).writeString(2, zone).writeString(3, address);
+        return SCHEMA.parse(bytes);
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
-        return write().toByteArray();
+        return SCHEMA.toByteArray(this);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/PeerList.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/PeerList.java
@@ -1,32 +1,25 @@
 package sorrelhoist.protocol.plan;
 
-import java.util.ArrayList;
 import java.util.List;
+import sorrelhoist.protocol.protobuf.MessageSchema;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.protocol.protobuf.ProtoReader;
-import sorrelhoist.protocol.protobuf.ProtoWriter;
+import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * The other edges that are attached.
+ * The other routers that are attached to the planner.
  *
  * @param peers all of them
  */
-public record PeerList(List<Peer> peers) {
-    static PeerList read(ProtoReader in) throws ProtoException {
-        List<Peer> peers = new ArrayList<>();
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            if (f == 1) {
-                peers.add(Peer.read(in.readMessage()));
-            } else {
-                in.skipField();
-            }
-        }
-        return new PeerList(peers);
+public record PeerList(@ProtoField(1) List<Peer> peers) {
+    static final MessageSchema<PeerList> SCHEMA = MessageSchema.of(PeerList.class);
+
+    /** {@return the message in these bytes} */
+    public static PeerList parse(byte[] bytes) throws ProtoException {
+        return SCHEMA.parse(bytes);
     }
 
-    ProtoWriter write() {
-        ProtoWriter out = new ProtoWriter();
-        peers.forEach(p -> out.writeMessage(1, p.write()));
-        return out;
+    /** {@return the message's bytes} */
+    public byte[] toByteArray() {
+        return SCHEMA.toByteArray(this);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/PlanEvent.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/PlanEvent.java
@@ -5,13 +5,13 @@
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
 /**
- * What a planner tells an edge: one of these is not null.
+ * A planner's message to a router: one of its parts is not null.
  *
- * @param slot its place among its peers
+ * @param slot the router's place among its replicas
  * @param roster engines
- * @param probe how a probe ended
+ * @param probe how a health check ended
  * @param peerMessage another router's message
- * @param peers the other edges
+ * @param peers the other routers
  */
 public record PlanEvent(
         ReplicaSlot slot,
@@ -19,30 +19,36 @@
         ProbeResult probe,
         PeerMessage peerMessage,
         PeerList peers) {
-    /** Path of the stream between edge and planner. */
+    /** Path of the stream between router and planner. */
     public static final String ATTACH = "/sorrelhoist.plan.v1.Planner/Attach";
 
-    /** {@return an event of this seat} */
-    public static PlanEvent of(ReplicaSlot seat) {
-        return new PlanEvent(seat, null, null, null, null);
+    private static final int SLOT = 1;
+    private static final int ROSTER = 2;
+    private static final int PROBE = 3;
+    private static final int PEER_MESSAGE = 4;
+    private static final int PEERS = 5;
+
+    /** {@return an event that tells a router its place} */
+    public static PlanEvent of(ReplicaSlot slot) {
+        return new PlanEvent(slot, null, null, null, null);
     }
 
-    /** {@return an event of this roster} */
+    /** {@return an event that carries a roster} */
     public static PlanEvent of(Roster roster) {
         return new PlanEvent(null, roster, null, null, null);
     }
 
-    /** {@return an event of this probe} */
+    /** {@return an event that tells how a health check ended} */
     public static PlanEvent of(ProbeResult probe) {
         return new PlanEvent(null, null, probe, null, null);
     }
 
-    /** {@return an event of this news} */
-    public static PlanEvent of(PeerMessage news) {
-        return new PlanEvent(null, null, null, news, null);
+    /** {@return an event that carries another router's message} */
+    public static PlanEvent of(PeerMessage peerMessage) {
+        return new PlanEvent(null, null, null, peerMessage, null);
     }
 
-    /** {@return an event of these peers} */
+    /** {@return an event that lists the other routers} */
     public static PlanEvent of(PeerList peers) {
         return new PlanEvent(null, null, null, null, peers);
     }
@@ -53,32 +59,32 @@
     public static PlanEvent parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         PlanEvent event = new PlanEvent(null, null, null, null, null);
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            switch (f) {
-                case 1 -> event = of(ReplicaSlot.read(in.readMessage()));
-                case 2 -> event = of(Roster.read(in.readMessage()));
-                case 3 -> event = of(ProbeResult.read(in.readMessage()));
-                case 4 -> event = of(PeerMessage.read(in.readMessage()));
-                case 5 -> event = of(PeerList.read(in.readMessage()));
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            switch (field) {
+                case SLOT -> event = of(ReplicaSlot.SCHEMA.read(in.readMessage()));
+                case ROSTER -> event = of(Roster.SCHEMA.read(in.readMessage()));
+                case PROBE -> event = of(ProbeResult.SCHEMA.read(in.readMessage()));
+                case PEER_MESSAGE -> event = of(PeerMessage.SCHEMA.read(in.readMessage()));
+                case PEERS -> event = of(PeerList.SCHEMA.read(in.readMessage()));
                 default -> in.skipField();
             }
         }
         return event;
     }
 
-    /** {@return its bytes} */
+    /** {@return the message's bytes} */
     public byte[] toByteArray() {
-        ProtoWriter out = new ProtoWriter(256);
+        ProtoWriter out = new ProtoWriter();
         if (slot != null) {
-            out.writeMessage(1, slot.write());
+            out.writeMessage(SLOT, ReplicaSlot.SCHEMA.write(slot));
         } else if (roster != null) {
-            out.writeMessage(2, roster.write());
+            out.writeMessage(ROSTER, Roster.SCHEMA.write(roster));
         } else if (probe != null) {
-            out.writeMessage(3, probe.write());
+            out.writeMessage(PROBE, ProbeResult.SCHEMA.write(probe));
         } else if (peers != null) {
-            out.writeMessage(5, peers.write());
+            out.writeMessage(PEERS, PeerList.SCHEMA.write(peers));
         } else {
-            out.writeMessage(4, peerMessage.write());
+            out.writeMessage(PEER_MESSAGE, PeerMessage.SCHEMA.write(peerMessage));
         }
         return out.toByteArray();
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoReader.java
@@ -4,6 +4,7 @@
 import java.nio.CharBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 
 /**
  * Reads one message of the protobuf wire format, field by field: call {@link #nextField}, then the
@@ -14,37 +15,40 @@
     /** Messages within messages, at most. */
     private static final int MAX_DEPTH = 32;
 
+    private static final int WIRE_TYPE_BITS = 3;
+    private static final int WIRE_TYPE_MASK = 0x7;
     private static final int VARINT = 0;
     private static final int FIXED64 = 1;
     private static final int BYTES = 2;
     private static final int FIXED32 = 5;
     private final byte[] data;
-    private final int depth;
-    private int at;
     private final int end;
+    private final int depth;
+    private int position;
     private int field;
-    private int type;
+    private int wireType;
 
     /** Reads a whole array. */
     public ProtoReader(byte[] data) {
         this(data, 0, data.length, 0);
     }
 
-    private ProtoReader(byte[] data, int from, int end, int depth) {
+    private ProtoReader(byte[] data, int start, int end, int depth) {
         this.data = data;
-        this.at = from;
+        this.position = start;
         this.end = end;
         this.depth = depth;
     }
 
     /** {@return the next field's number, or 0 at the end} */
     public int nextField() throws ProtoException {
-        if (at == end) {
-            return field = 0;
+        if (position == end) {
+            field = 0;
+            return 0;
         }
         long tag = varint();
-        field = (int) (tag >>> 3);
-        type = (int) (tag & 7);
+        field = (int) (tag >>> WIRE_TYPE_BITS);
+        wireType = (int) (tag & WIRE_TYPE_MASK);
         if (tag > 0xFFFFFFFFL || field == 0) {
             throw new ProtoException("field number 0 or above 2^29 - 1");
         }
@@ -53,7 +57,7 @@
 
     /** {@return a field of type int32, int64, uint32, uint64 or enum} */
     public long readVarint() throws ProtoException {
-        need(VARINT);
+        requireWireType(VARINT);
         return varint();
     }
 
@@ -79,59 +83,66 @@
 
     /** {@return a field of type double} */
     public double readDouble() throws ProtoException {
-        need(FIXED64);
-        return Double.longBitsToDouble(fixed(8));
+        requireWireType(FIXED64);
+        return Double.longBitsToDouble(fixed(Long.BYTES));
     }
 
     /** {@return a field of type string; it has to be UTF-8} */
     public String readString() throws ProtoException {
-        need(BYTES);
-        int size = size();
-        int from = at;
-        at += size;
-        boolean ascii = true;
-        for (int i = from; i < at && ascii; i++) {
-            ascii = data[i] >= 0;
-        }
-        if (ascii) {
-            return new String(data, from, size, StandardCharsets.ISO_8859_1);
+        requireWireType(BYTES);
+        int length = length();
+        int start = position;
+        position += length;
+        if (isAscii(start, position)) {
+            return new String(data, start, length, StandardCharsets.ISO_8859_1);
         }
         try {
             CharBuffer text =
-                    StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(data, from, size));
+                    StandardCharsets.UTF_8
+                            .newDecoder()
+                            .decode(ByteBuffer.wrap(data, start, length));
             return text.toString();
         } catch (CharacterCodingException e) {
             throw new ProtoException("field " + field + " is not UTF-8");
         }
     }
 
+    private boolean isAscii(int start, int limit) {
+        for (int i = start; i < limit; i++) {
+            if (data[i] < 0) {
+                return false;
+            }
+        }
+        return true;
+    }
+
     /** {@return a field of type bytes, copied} */
     public byte[] readBytes() throws ProtoException {
-        need(BYTES);
-        int size = size();
-        at += size;
-        return java.util.Arrays.copyOfRange(data, at - size, at);
+        requireWireType(BYTES);
+        int length = length();
+        position += length;
+        return Arrays.copyOfRange(data, position - length, position);
     }
 
     /** {@return a reader of a nested message, or of a packed field} */
     public ProtoReader readMessage() throws ProtoException {
-        need(BYTES);
+        requireWireType(BYTES);
         if (depth >= MAX_DEPTH) {
             throw new ProtoException("messages nested more than " + MAX_DEPTH + " deep");
         }
-        int size = size();
-        at += size;
-        return new ProtoReader(data, at - size, at, depth + 1);
+        int length = length();
+        position += length;
+        return new ProtoReader(data, position - length, position, depth + 1);
     }
 
     /** {@return whether the field holds several values in one, as repeated numbers may come} */
     public boolean isPacked() {
-        return type == BYTES;
+        return wireType == BYTES;
     }
 
     /** {@return whether nothing is left; for packed fields} */
     public boolean atEnd() {
-        return at == end;
+        return position == end;
     }
 
     /** {@return the next value of a packed field of varints} */
@@ -139,41 +150,41 @@
         return varint();
     }
 
-    /** Passes over the field, whatever it is. */
+    /** Skips the field, whatever its type. */
     public void skipField() throws ProtoException {
-        switch (type) {
+        switch (wireType) {
             case VARINT -> varint();
-            case FIXED64 -> fixed(8);
-            case FIXED32 -> fixed(4);
-            case BYTES -> at += size();
+            case FIXED64 -> fixed(Long.BYTES);
+            case FIXED32 -> fixed(Integer.BYTES);
+            case BYTES -> position += length();
             default ->
                     throw new ProtoException(
-                            "wire type " + type + " of field " + field + " is not taken");
+                            "wire type " + wireType + " of field " + field + " is not taken");
         }
     }
 
-    private void need(int wanted) throws ProtoException {
-        if (type != wanted) {
+    private void requireWireType(int expected) throws ProtoException {
+        if (wireType != expected) {
             throw new ProtoException(
-                    "field " + field + " has wire type " + type + ", expected " + wanted);
+                    "field " + field + " has wire type " + wireType + ", expected " + expected);
         }
     }
 
-    private int size() throws ProtoException {
-        long size = varint();
-        if (size < 0 || size > end - at) {
+    private int length() throws ProtoException {
+        long length = varint();
+        if (length < 0 || length > end - position) {
             throw new ProtoException("field " + field + " is longer than its message");
         }
-        return (int) size;
+        return (int) length;
     }
 
     private long varint() throws ProtoException {
         long value = 0;
         for (int shift = 0; shift < 64; shift += 7) {
-            if (at == end) {
+            if (position == end) {
                 throw new ProtoException("the message is cut short");
             }
-            byte b = data[at++];
+            byte b = data[position++];
             value |= (b & 0x7FL) << shift;
             if (b >= 0) {
                 return value;
@@ -183,12 +194,12 @@
     }
 
     private long fixed(int bytes) throws ProtoException {
-        if (end - at < bytes) {
+        if (end - position < bytes) {
             throw new ProtoException("the message is cut short");
         }
         long value = 0;
         for (int i = 0; i < bytes; i++) {
-            value |= (data[at++] & 0xFFL) << 8 * i;
+            value |= (data[position++] & 0xFFL) << 8 * i;
         }
         return value;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
@@ -8,32 +8,38 @@
  * proto3 has it.
  */
 public final class ProtoWriter {
+    private static final int DEFAULT_CAPACITY = 64;
+    private static final int MAX_VARINT_BYTES = 10;
+    private static final int WIRE_TYPE_BITS = 3;
+    private static final int VARINT = 0;
+    private static final int FIXED64 = 1;
+    private static final int BYTES = 2;
     private byte[] data;
     private int size;
 
     /** Makes an empty message. */
     public ProtoWriter() {
-        this(64);
+        this(DEFAULT_CAPACITY);
     }
 
-    /** Makes an empty message with room for so many bytes. */
-    public ProtoWriter(int room) {
-        data = new byte[room];
+    /** Makes an empty message with an initial capacity in bytes. */
+    public ProtoWriter(int initialCapacity) {
+        data = new byte[initialCapacity];
     }
 
     /** Writes a field of type int32, int64, uint32, uint64 or enum. */
     public ProtoWriter writeVarint(int field, long value) {
         if (value != 0) {
-            tag(field, 0);
-            varint(value);
+            writeTag(field, VARINT);
+            writeRawVarint(value);
         }
         return this;
     }
 
     /** Writes a varint field also where it is 0: for members of a oneof. */
     public ProtoWriter writeVarintAlways(int field, long value) {
-        tag(field, 0);
-        varint(value);
+        writeTag(field, VARINT);
+        writeRawVarint(value);
         return this;
     }
 
@@ -49,12 +55,12 @@
 
     /** Writes a field of type double. */
     public ProtoWriter writeDouble(int field, double value) {
-        if (Double.doubleToRawLongBits(value) != 0) {
-            tag(field, 1);
-            long bits = Double.doubleToRawLongBits(value);
-            room(8);
-            for (int i = 0; i < 8; i++) {
-                data[size++] = (byte) (bits >>> 8 * i);
+        long bits = Double.doubleToRawLongBits(value);
+        if (bits != 0) {
+            writeTag(field, FIXED64);
+            ensureCapacity(Long.BYTES);
+            for (int i = 0; i < Long.BYTES; i++) {
+                data[size++] = (byte) (bits >>> Byte.SIZE * i);
             }
         }
         return this;
@@ -77,9 +83,9 @@
      * and oneofs.
      */
     public ProtoWriter writeBytesAlways(int field, byte[] value) {
-        tag(field, 2);
-        varint(value.length);
-        room(value.length);
+        writeTag(field, BYTES);
+        writeRawVarint(value.length);
+        ensureCapacity(value.length);
         System.arraycopy(value, 0, data, size, value.length);
         size += value.length;
         return this;
@@ -87,9 +93,9 @@
 
     /** Writes a nested message. */
     public ProtoWriter writeMessage(int field, ProtoWriter value) {
-        tag(field, 2);
-        varint(value.size);
-        room(value.size);
+        writeTag(field, BYTES);
+        writeRawVarint(value.size);
+        ensureCapacity(value.size);
         System.arraycopy(value.data, 0, data, size, value.size);
         size += value.size;
         return this;
@@ -97,7 +103,7 @@
 
     /** Writes a bare varint, as packed fields hold them. */
     public ProtoWriter writePackedVarint(long value) {
-        varint(value);
+        writeRawVarint(value);
         return this;
     }
 
@@ -106,12 +112,12 @@
         return Arrays.copyOf(data, size);
     }
 
-    private void tag(int field, int type) {
-        varint((long) field << 3 | type);
+    private void writeTag(int field, int wireType) {
+        writeRawVarint((long) field << WIRE_TYPE_BITS | wireType);
     }
 
-    private void varint(long value) {
-        room(10);
+    private void writeRawVarint(long value) {
+        ensureCapacity(MAX_VARINT_BYTES);
         long rest = value;
         while ((rest & ~0x7FL) != 0) {
             data[size++] = (byte) (rest | 0x80);
@@ -120,7 +126,7 @@
         data[size++] = (byte) rest;
     }
 
-    private void room(int bytes) {
+    private void ensureCapacity(int bytes) {
         if (data.length - size < bytes) {
             data = Arrays.copyOf(data, Math.max(2 * data.length, size + bytes));
         }
