--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/ClientCall.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/ClientCall.java
@@ -1,6 +1,7 @@
 package sorrelhoist.protocol.grpc;
 
 import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
 import java.util.ArrayDeque;
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.http2.ErrorCode;
@@ -53,35 +54,37 @@
          * @param call the call
          * @param status the server's, or what stands for it
          * @param trailers the server's; empty where none came
-         * @param end how it came about
+         * @param termination how it came about
          */
-        void onClose(ClientCall call, Status status, Headers trailers, Termination end);
+        void onClose(ClientCall call, Status status, Headers trailers, Termination termination);
     }
 
     private final String path;
     private final Headers metadata;
     private final Listener listener;
-    private final MessageReader reader;
-    private final ArrayDeque<byte[]> unsent = new ArrayDeque<>(1);
+    private final MessageDeframer deframer;
+    private final ArrayDeque<byte[]> pendingMessages = new ArrayDeque<>(1);
     private boolean halfClosed;
     private Http2Stream stream;
     private boolean closed;
-    private boolean answered;
-    private int early;
+    private boolean headersReceived;
+
+    /** Bytes of the message that is not complete yet for which credit was given. */
+    private int creditedBytes;
 
     /**
      * Makes a call; {@link GrpcChannel#start} starts it.
      *
      * @param path /package.Service/Method
      * @param metadata further fields, grpc-timeout among them, or null
-     * @param maxMessage bytes that one message of the server's may have
+     * @param maxMessageBytes bytes that one message of the server's may have
      * @param listener who is told
      */
-    public ClientCall(String path, Headers metadata, int maxMessage, Listener listener) {
+    public ClientCall(String path, Headers metadata, int maxMessageBytes, Listener listener) {
         this.path = path;
         this.metadata = metadata;
         this.listener = listener;
-        this.reader = new MessageReader(maxMessage);
+        this.deframer = new MessageDeframer(maxMessageBytes);
     }
 
     /** Sends a message, at once or when the call has a stream. */
@@ -90,27 +93,27 @@
             return;
         }
         if (stream == null) {
-            unsent.add(message);
+            pendingMessages.add(message);
         } else {
-            stream.writeData(GrpcServer.framed(message), false);
+            stream.writeData(MessageFramer.frame(message), false);
         }
     }
 
     /** Sends a message and says that no more follow. */
     public void sendLast(byte[] message) {
         if (stream == null) {
-            unsent.add(message);
+            pendingMessages.add(message);
             halfClosed = true;
         } else if (!closed) {
             halfClosed = true;
-            stream.writeData(GrpcServer.framed(message), true);
+            stream.writeData(MessageFramer.frame(message), true);
         }
     }
 
     /** Says that no more messages follow. */
     public void halfClose() {
         if (!halfClosed && stream != null) {
-            stream.writeData(io.netty.buffer.Unpooled.EMPTY_BUFFER, true);
+            stream.writeData(Unpooled.EMPTY_BUFFER, true);
         }
         halfClosed = true;
     }
@@ -161,99 +164,99 @@
         if (stream == null) {
             return false;
         }
-        while (!unsent.isEmpty()) {
-            byte[] next = unsent.poll();
-            stream.writeData(GrpcServer.framed(next), halfClosed && unsent.isEmpty());
+        while (!pendingMessages.isEmpty()) {
+            byte[] next = pendingMessages.poll();
+            stream.writeData(MessageFramer.frame(next), halfClosed && pendingMessages.isEmpty());
         }
         return true;
     }
 
-    void notSent(String why) {
-        close(new Status(StatusCode.UNAVAILABLE, why), new Headers(), Termination.NOT_SENT);
+    void notSent(String reason) {
+        close(new Status(StatusCode.UNAVAILABLE, reason), new Headers(), Termination.NOT_SENT);
     }
 
-    private void close(Status status, Headers trailers, Termination end) {
+    private void close(Status status, Headers trailers, Termination termination) {
         if (!closed) {
             closed = true;
-            listener.onClose(this, status, trailers, end);
+            listener.onClose(this, status, trailers, termination);
         }
     }
 
-    private void breakOff(StatusCode code, String why) {
+    private void fail(StatusCode code, String reason) {
         stream.reset(ErrorCode.PROTOCOL_ERROR);
-        close(new Status(code, why), new Headers(), Termination.BROKEN);
+        close(new Status(code, reason), new Headers(), Termination.BROKEN);
     }
 
     @Override
-    public void onHeaders(Headers headers, boolean end) {
+    public void onHeaders(Headers headers, boolean endStream) {
         if (closed) {
             return;
         }
-        if (!answered) {
-            answered = true;
+        if (!headersReceived) {
+            headersReceived = true;
             if (!"200".equals(headers.get(":status"))) {
-                breakOff(StatusCode.UNKNOWN, "HTTP status " + headers.get(":status"));
+                fail(StatusCode.UNKNOWN, "HTTP status " + headers.get(":status"));
                 return;
             }
             listener.onHeaders(this, headers);
         }
-        if (!end) {
-            return;
+        if (endStream) {
+            onTrailers(headers);
         }
-        String status = headers.get("grpc-status");
-        if (status == null) {
-            breakOff(StatusCode.UNKNOWN, "the call ended without grpc-status");
-        } else if (reader.isPartial()) {
-            breakOff(StatusCode.INTERNAL, "the call ended in the middle of a message");
+    }
+
+    private void onTrailers(Headers trailers) {
+        String code = trailers.get("grpc-status");
+        if (code == null) {
+            fail(StatusCode.UNKNOWN, "the call ended without grpc-status");
+        } else if (deframer.isPartial()) {
+            fail(StatusCode.INTERNAL, "the call ended in the middle of a message");
         } else {
-            close(
-                    new Status(
-                            StatusCode.parse(status),
-                            Status.decodeMessage(headers.get("grpc-message"))),
-                    headers,
-                    Termination.STATUS);
+            String message = Status.decodeMessage(trailers.get("grpc-message"));
+            close(new Status(StatusCode.parse(code), message), trailers, Termination.STATUS);
             if (!stream.isHalfClosed()) {
                 // The answer came before all was sent: what is left has no reader. A stream that
-                // has ended on both
-                // sides needs no reset, and servers count resets.
+                // has ended on both sides needs no reset, and servers count resets.
                 stream.reset(ErrorCode.CANCEL);
             }
         }
     }
 
     @Override
-    public void onData(ByteBuf data, boolean end) {
-        Status bad =
-                reader.read(
-                        data,
-                        (message, wireBytes) -> {
-                            int owed = wireBytes - early;
-                            early = 0;
-                            if (!closed) {
-                                listener.onMessage(this, message, owed);
-                            }
-                        });
+    public void onData(ByteBuf data, boolean endStream) {
+        Status error = deframer.read(data, this::deliver);
         if (closed) {
             return;
         }
-        if (bad != null) {
-            breakOff(bad.code(), bad.message());
-        } else if (end) {
-            breakOff(StatusCode.UNKNOWN, "the call ended without trailers");
-        } else if (reader.partialBytes() > early) {
-            // A message may be longer than the window: its beginning is credited before it is
-            // whole.
-            stream.consumeBytes(reader.partialBytes() - early);
-            early = reader.partialBytes();
+        if (error != null) {
+            fail(error.code(), error.message());
+        } else if (endStream) {
+            fail(StatusCode.UNKNOWN, "the call ended without trailers");
+        } else {
+            creditPartialMessage();
         }
     }
 
-    @Override
-    public void onReset(ErrorCode code, boolean unprocessed, String why) {
-        if (unprocessed) {
-            close(new Status(StatusCode.UNAVAILABLE, why), new Headers(), Termination.UNPROCESSED);
-        } else {
-            close(new Status(StatusCode.UNAVAILABLE, why), new Headers(), Termination.BROKEN);
+    private void deliver(byte[] message, int wireBytes) {
+        int uncreditedBytes = wireBytes - creditedBytes;
+        creditedBytes = 0;
+        if (!closed) {
+            listener.onMessage(this, message, uncreditedBytes);
+        }
+    }
+
+    /** A message may be longer than the window: its beginning is credited before its end comes. */
+    private void creditPartialMessage() {
+        int partialBytes = deframer.partialBytes();
+        if (partialBytes > creditedBytes) {
+            stream.consumeBytes(partialBytes - creditedBytes);
+            creditedBytes = partialBytes;
         }
     }
+
+    @Override
+    public void onReset(ErrorCode code, boolean unprocessed, String reason) {
+        Termination termination = unprocessed ? Termination.UNPROCESSED : Termination.BROKEN;
+        close(new Status(StatusCode.UNAVAILABLE, reason), new Headers(), termination);
+    }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcChannel.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcChannel.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.http2.ErrorCode;
 import sorrelhoist.protocol.http2.Http2Connection;
 import sorrelhoist.protocol.http2.Http2Limits;
@@ -41,11 +42,11 @@
     private final String address;
     private final Options options;
     private final List<Http2Connection> open = new ArrayList<>();
-    private final List<Http2Connection> dialing = new ArrayList<>();
-    private final ArrayDeque<ClientCall> queued = new ArrayDeque<>();
+    private final List<Http2Connection> connecting = new ArrayList<>();
+    private final ArrayDeque<ClientCall> pendingCalls = new ArrayDeque<>();
     private boolean shutdown;
-    private boolean idleWatched;
-    private long lastCall;
+    private boolean idleCheckScheduled;
+    private long lastCallNanos;
 
     /**
      * Makes a channel without connections.
@@ -78,145 +79,146 @@
 
     /** Starts a call: at once, or when a connection is there. */
     public void start(ClientCall call) {
-        lastCall = System.nanoTime();
+        lastCallNanos = System.nanoTime();
         if (shutdown) {
             call.notSent("the channel is shut");
             return;
         }
         if (!open(call)) {
-            queued.add(call);
-            dialMore();
+            pendingCalls.add(call);
+            connectIfNeeded();
         }
     }
 
     /** {@return a new call with this channel's limit on messages} */
-    public ClientCall newCall(
-            String path,
-            sorrelhoist.protocol.hpack.Headers metadata,
-            ClientCall.Listener listener) {
+    public ClientCall newCall(String path, Headers metadata, ClientCall.Listener listener) {
         return new ClientCall(path, metadata, options.maxMessageBytes(), listener);
     }
 
+    /** Starts a call on the connection with the fewest streams. {@return whether there was one} */
     private boolean open(ClientCall call) {
-        Http2Connection least = null;
-        for (Http2Connection c : open) {
-            if (c.canOpenStream()
-                    && (least == null || c.openStreamCount() < least.openStreamCount())) {
-                least = c;
+        Http2Connection leastLoaded = null;
+        for (Http2Connection connection : open) {
+            if (connection.canOpenStream()
+                    && (leastLoaded == null
+                            || connection.openStreamCount() < leastLoaded.openStreamCount())) {
+                leastLoaded = connection;
             }
         }
-        return least != null && call.open(least, address);
+        return leastLoaded != null && call.open(leastLoaded, address);
     }
 
-    /** One connection is dialled at a time, and only while calls wait for it. */
-    private void dialMore() {
-        if (shutdown
-                || queued.isEmpty()
-                || !dialing.isEmpty()
-                || open.size() >= options.maxConnections()) {
+    /** One connection is opened at a time, and only while calls wait for it. */
+    private void connectIfNeeded() {
+        boolean needed = !shutdown && !pendingCalls.isEmpty() && connecting.isEmpty();
+        if (!needed || open.size() >= options.maxConnections()) {
             return;
         }
         Http2Connection connection = Http2Connection.client(options.limits(), this);
-        dialing.add(connection);
+        connecting.add(connection);
         ConnectionAttempt attempt =
-                LoopbackTransport.connect(loop, address, options.connectTimeoutMicros(), connection)
-                        .onFailure(
-                                why ->
-                                        dialFailed(
-                                                connection,
-                                                "cannot connect to "
-                                                        + address
-                                                        + ": "
-                                                        + why.getMessage()));
+                LoopbackTransport.connect(
+                        loop, address, options.connectTimeoutMicros(), connection);
+        attempt.onFailure(
+                cause ->
+                        connectionFailed(
+                                connection,
+                                "cannot connect to " + address + ": " + cause.getMessage()));
         loop.schedule(
-                () -> {
-                    if (dialing.contains(connection)) {
-                        dialFailed(connection, address + " accepted no HTTP/2 connection in time");
-                        attempt.close();
-                    }
-                },
+                () -> checkReady(connection, attempt),
                 options.connectTimeoutMicros(),
                 TimeUnit.MICROSECONDS);
     }
 
-    private void dialFailed(Http2Connection connection, String why) {
-        if (!dialing.remove(connection)) {
+    /** A socket may be accepted by a process that hangs: settings have to come in time too. */
+    private void checkReady(Http2Connection connection, ConnectionAttempt attempt) {
+        if (connecting.contains(connection)) {
+            connectionFailed(connection, address + " accepted no HTTP/2 connection in time");
+            attempt.close();
+        }
+    }
+
+    private void connectionFailed(Http2Connection connection, String reason) {
+        if (!connecting.remove(connection)) {
             return;
         }
         // Calls may still wait for room on another connection that is open.
         if (open.isEmpty()) {
-            List<ClientCall> lost = new ArrayList<>(queued);
-            queued.clear();
-            lost.forEach(c -> c.notSent(why));
+            failPendingCalls(reason);
         }
-        dialMore();
+        connectIfNeeded();
+    }
+
+    private void failPendingCalls(String reason) {
+        List<ClientCall> failed = new ArrayList<>(pendingCalls);
+        pendingCalls.clear();
+        failed.forEach(call -> call.notSent(reason));
     }
 
     @Override
     public void onReady(Http2Connection connection) {
-        if (dialing.remove(connection)) {
+        if (connecting.remove(connection)) {
             open.add(connection);
-            drainQueue();
-            watchIdle();
+            startPendingCalls();
+            scheduleIdleCheck();
         }
     }
 
-    private void drainQueue() {
-        queued.removeIf(ClientCall::isClosed);
-        while (!queued.isEmpty() && open(queued.peek())) {
-            queued.poll();
+    private void startPendingCalls() {
+        pendingCalls.removeIf(ClientCall::isClosed);
+        while (!pendingCalls.isEmpty() && open(pendingCalls.peek())) {
+            pendingCalls.poll();
         }
-        dialMore();
+        connectIfNeeded();
     }
 
     @Override
     public void onStreamClosed(Http2Connection connection) {
-        lastCall = System.nanoTime();
-        if (!queued.isEmpty()) {
-            loop.execute(this::drainQueue);
+        lastCallNanos = System.nanoTime();
+        if (!pendingCalls.isEmpty()) {
+            loop.execute(this::startPendingCalls);
         }
     }
 
     @Override
     public void onGoAway(Http2Connection connection) {
         open.remove(connection);
-        drainQueue();
+        startPendingCalls();
     }
 
     @Override
-    public void onClosed(Http2Connection connection, String why) {
+    public void onClosed(Http2Connection connection, String reason) {
         open.remove(connection);
-        dialFailed(connection, address + ": " + why);
-        if (!queued.isEmpty()) {
-            drainQueue();
+        connectionFailed(connection, address + ": " + reason);
+        if (!pendingCalls.isEmpty()) {
+            startPendingCalls();
         }
     }
 
-    private void watchIdle() {
-        if (!idleWatched && options.idleTimeoutMicros() > 0) {
-            idleWatched = true;
-            loop.schedule(
-                    () -> {
-                        idleWatched = false;
-                        if (System.nanoTime() - lastCall
-                                >= TimeUnit.MICROSECONDS.toNanos(options.idleTimeoutMicros())) {
-                            closeIdle();
-                        }
-                        if (!open.isEmpty()) {
-                            watchIdle();
-                        }
-                    },
-                    options.idleTimeoutMicros(),
-                    TimeUnit.MICROSECONDS);
+    private void scheduleIdleCheck() {
+        if (!idleCheckScheduled && options.idleTimeoutMicros() > 0) {
+            idleCheckScheduled = true;
+            loop.schedule(this::checkIdle, options.idleTimeoutMicros(), TimeUnit.MICROSECONDS);
+        }
+    }
+
+    private void checkIdle() {
+        idleCheckScheduled = false;
+        long idleNanos = System.nanoTime() - lastCallNanos;
+        if (idleNanos >= TimeUnit.MICROSECONDS.toNanos(options.idleTimeoutMicros())) {
+            closeIdle();
+        }
+        if (!open.isEmpty()) {
+            scheduleIdleCheck();
         }
     }
 
     /** Closes connections that carry no call. */
     public void closeIdle() {
-        for (Http2Connection c : new ArrayList<>(open)) {
-            if (c.openStreamCount() == 0) {
-                open.remove(c);
-                c.close(ErrorCode.NO_ERROR, "idle");
+        for (Http2Connection connection : new ArrayList<>(open)) {
+            if (connection.openStreamCount() == 0) {
+                open.remove(connection);
+                connection.close(ErrorCode.NO_ERROR, "idle");
             }
         }
     }
@@ -224,10 +226,10 @@
     /** Ends all connections and calls. */
     public void shutdown() {
         shutdown = true;
-        List<ClientCall> lost = new ArrayList<>(queued);
-        queued.clear();
-        lost.forEach(c -> c.notSent("the channel is shut"));
-        new ArrayList<>(open).forEach(c -> c.close(ErrorCode.NO_ERROR, "shut down"));
+        failPendingCalls("the channel is shut");
+        for (Http2Connection connection : new ArrayList<>(open)) {
+            connection.close(ErrorCode.NO_ERROR, "shut down");
+        }
         open.clear();
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcServer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcServer.java
@@ -1,8 +1,6 @@
 package sorrelhoist.protocol.grpc;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufAllocator;
-import io.netty.buffer.PooledByteBufAllocator;
 import java.util.HashMap;
 import java.util.Map;
 import sorrelhoist.protocol.hpack.Headers;
@@ -11,7 +9,7 @@
 import sorrelhoist.protocol.http2.Http2Stream;
 import sorrelhoist.protocol.http2.Http2StreamListener;
 
-/** gRPC over HTTP/2 at the serving side: finds a call's method, and refuses what is no gRPC. */
+/** gRPC over HTTP/2 at the serving side: finds a call's method, and rejects what is no gRPC. */
 public final class GrpcServer implements Http2Connection.StreamAcceptor {
     /** One method. */
     public interface MethodHandler {
@@ -24,17 +22,22 @@
         ServerCall.Listener open(ServerCall call);
     }
 
-    private static final ByteBufAllocator ALLOC = PooledByteBufAllocator.DEFAULT;
+    /** A method that takes one message and is done with it when the message is complete. */
+    public interface UnaryHandler {
+        /** Takes the request; the call is closed now or later. */
+        void call(ServerCall call, byte[] request);
+    }
+
     private final Map<String, MethodHandler> methods = new HashMap<>();
-    private final int maxMessage;
+    private final int maxMessageBytes;
 
     /**
      * Makes a server without methods.
      *
-     * @param maxMessage bytes that one message may have
+     * @param maxMessageBytes bytes that one message may have
      */
-    public GrpcServer(int maxMessage) {
-        this.maxMessage = maxMessage;
+    public GrpcServer(int maxMessageBytes) {
+        this.maxMessageBytes = maxMessageBytes;
     }
 
     /**
@@ -49,12 +52,6 @@
         return this;
     }
 
-    /** A method that takes one message and is done with it when the message has come whole. */
-    public interface UnaryHandler {
-        /** Takes the request; the call is closed now or later. */
-        void call(ServerCall call, byte[] request);
-    }
-
     /**
      * Adds a method that takes one message.
      *
@@ -63,98 +60,66 @@
      * @return this
      */
     public GrpcServer addUnaryMethod(String path, UnaryHandler method) {
-        return addMethod(
-                path,
-                call ->
-                        new ServerCall.Listener() {
-                            private byte[] request;
-
-                            @Override
-                            public void onMessage(byte[] message) {
-                                if (request != null) {
-                                    call.close(
-                                            new Status(
-                                                    StatusCode.INVALID_ARGUMENT,
-                                                    "send one message"),
-                                            null);
-                                }
-                                request = message;
-                            }
-
-                            @Override
-                            public void onHalfClose() {
-                                if (request == null) {
-                                    call.close(
-                                            new Status(
-                                                    StatusCode.INVALID_ARGUMENT,
-                                                    "the request's message is missing"),
-                                            null);
-                                } else {
-                                    method.call(call, request);
-                                }
-                            }
-                        });
+        return addMethod(path, call -> new UnaryCallListener(call, method));
     }
 
     @Override
-    public Http2StreamListener accept(Http2Stream stream, Headers headers, boolean end) {
-        long timeout = GrpcTimeout.NONE;
-        Status bad = null;
-        try {
-            timeout = GrpcTimeout.parse(headers.get("grpc-timeout"));
-        } catch (IllegalArgumentException e) {
-            bad = new Status(StatusCode.INVALID_ARGUMENT, e.getMessage());
-        }
-        ServerCall call = new ServerCall(stream, headers, timeout, maxMessage);
+    public Http2StreamListener accept(Http2Stream stream, Headers headers, boolean endStream) {
         if (!headers.get("content-type", "").startsWith("application/grpc")) {
             stream.writeHeaders(new Headers().add(":status", "415"), true);
-            return new Deaf();
+            return new RejectedStreamListener();
         }
-        MethodHandler method = methods.get(call.path());
-        if (bad == null && !"POST".equals(headers.get(":method"))) {
-            bad = new Status(StatusCode.INTERNAL, "gRPC calls are POST requests");
-        } else if (bad == null && !"identity".equals(headers.get("grpc-encoding", "identity"))) {
-            bad =
-                    new Status(
-                            StatusCode.UNIMPLEMENTED,
-                            "grpc-encoding \""
-                                    + headers.get("grpc-encoding")
-                                    + "\" is not taken: send identity");
-        } else if (bad == null && method == null) {
-            bad = new Status(StatusCode.UNIMPLEMENTED, "no method " + call.path());
+        long timeoutMicros = GrpcTimeout.NONE;
+        Status rejection;
+        try {
+            timeoutMicros = GrpcTimeout.parse(headers.get("grpc-timeout"));
+            rejection = rejection(headers);
+        } catch (IllegalArgumentException e) {
+            rejection = new Status(StatusCode.INVALID_ARGUMENT, e.getMessage());
         }
-        if (bad != null) {
-            call.close(bad, null);
-            return new Deaf();
+        ServerCall call = new ServerCall(stream, headers, timeoutMicros, maxMessageBytes);
+        if (rejection != null) {
+            call.close(rejection, null);
+            return new RejectedStreamListener();
         }
-        call.listener(method.open(call));
-        if (end) {
+        call.listener(methods.get(call.path()).open(call));
+        if (endStream) {
             call.onHeaders(new Headers(), true);
         }
         return call;
     }
 
-    static ByteBuf framed(byte[] message) {
-        return ALLOC.buffer(5 + message.length)
-                .writeByte(0)
-                .writeInt(message.length)
-                .writeBytes(message);
+    /** {@return why a call with these headers is rejected, or null} */
+    private Status rejection(Headers headers) {
+        if (!"POST".equals(headers.get(":method"))) {
+            return new Status(StatusCode.INTERNAL, "gRPC calls are POST requests");
+        }
+        String encoding = headers.get("grpc-encoding", "identity");
+        if (!"identity".equals(encoding)) {
+            return new Status(
+                    StatusCode.UNIMPLEMENTED,
+                    "grpc-encoding \"" + encoding + "\" is not taken: send identity");
+        }
+        String path = headers.get(":path");
+        return methods.containsKey(path)
+                ? null
+                : new Status(StatusCode.UNIMPLEMENTED, "no method " + path);
     }
 
     /** For streams that were answered before they were read. */
-    private static final class Deaf implements Http2StreamListener {
+    private static final class RejectedStreamListener implements Http2StreamListener {
         @Override
-        public void onHeaders(Headers headers, boolean end) {
+        public void onHeaders(Headers headers, boolean endStream) {
             // Nobody reads it.
         }
 
         @Override
-        public void onData(ByteBuf data, boolean end) {
+        public void onData(ByteBuf data, boolean endStream) {
             // Nobody reads it.
         }
 
         @Override
-        public void onReset(ErrorCode code, boolean unprocessed, String why) {
+        public void onReset(ErrorCode code, boolean unprocessed, String reason) {
             // It was answered.
         }
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcTimeout.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcTimeout.java
@@ -7,7 +7,8 @@
     /** No time-out was given. */
     public static final long NONE = -1;
 
-    private static final int DIGITS = 8;
+    private static final int MAX_DIGITS = 8;
+    private static final long MAX_NUMBER = 99_999_999;
 
     private GrpcTimeout() {}
 
@@ -27,12 +28,12 @@
         for (int i = 0; i < digits; i++) {
             char c = value.charAt(i);
             if (c < '0' || c > '9') {
-                throw bad(value);
+                throw malformed(value);
             }
             number = number * 10 + c - '0';
         }
-        if (digits < 1 || digits > DIGITS) {
-            throw bad(value);
+        if (digits < 1 || digits > MAX_DIGITS) {
+            throw malformed(value);
         }
         return switch (value.charAt(digits)) {
             case 'H' -> TimeUnit.HOURS.toMicros(number);
@@ -41,25 +42,21 @@
             case 'm' -> TimeUnit.MILLISECONDS.toMicros(number);
             case 'u' -> number;
             case 'n' -> (number + 999) / 1000;
-            default -> throw bad(value);
+            default -> throw malformed(value);
         };
     }
 
-    private static IllegalArgumentException bad(String value) {
+    private static IllegalArgumentException malformed(String value) {
         return new IllegalArgumentException(
-                "grpc-timeout \""
-                        + value
-                        + "\": give one to eight digits and H, M, S, m,"
-                        + " u or n");
+                "grpc-timeout \"" + value + "\": give one to eight digits and H, M, S, m, u or n");
     }
 
     /** {@return the header's value for so many microseconds; never longer than they are} */
     public static String format(long micros) {
-        long most = 99_999_999;
-        return micros <= most
-                ? Math.max(1, micros) + "u"
-                : micros / 1000 <= most
-                        ? micros / 1000 + "m"
-                        : Math.min(most, micros / 1_000_000) + "S";
+        if (micros <= MAX_NUMBER) {
+            return Math.max(1, micros) + "u";
+        }
+        long millis = micros / 1000;
+        return millis <= MAX_NUMBER ? millis + "m" : Math.min(MAX_NUMBER, micros / 1_000_000) + "S";
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/ServerCall.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/ServerCall.java
@@ -18,29 +18,29 @@
         default void onHalfClose() {}
 
         /** The call is over before it was closed here: the client left, or its connection broke. */
-        default void onCancel(String why) {}
+        default void onCancel(String reason) {}
 
-        /** What waits for the client has fallen to a low mark. */
+        /** So few bytes wait for the client that more can be sent. */
         default void onReady() {}
     }
 
     private final Http2Stream stream;
     private final Headers headers;
     private final long timeoutMicros;
-    private final MessageReader reader;
+    private final MessageDeframer deframer;
     private Listener listener;
-    private boolean answered;
+    private boolean headersSent;
     private boolean closed;
 
-    ServerCall(Http2Stream stream, Headers headers, long timeoutMicros, int maxMessage) {
+    ServerCall(Http2Stream stream, Headers headers, long timeoutMicros, int maxMessageBytes) {
         this.stream = stream;
         this.headers = headers;
         this.timeoutMicros = timeoutMicros;
-        this.reader = new MessageReader(maxMessage);
+        this.deframer = new MessageDeframer(maxMessageBytes);
     }
 
-    void listener(Listener l) {
-        listener = l;
+    void listener(Listener newListener) {
+        listener = newListener;
     }
 
     /** {@return the path: /package.Service/Method} */
@@ -78,13 +78,11 @@
         if (isClosed()) {
             return;
         }
-        if (!answered) {
-            answered = true;
-            stream.writeHeaders(
-                    new Headers().add(":status", "200").add("content-type", "application/grpc"),
-                    false);
+        if (!headersSent) {
+            headersSent = true;
+            stream.writeHeaders(responseHeaders(), false);
         }
-        stream.writeData(GrpcServer.framed(message), false);
+        stream.writeData(MessageFramer.frame(message), false);
     }
 
     /**
@@ -98,10 +96,7 @@
             return;
         }
         closed = true;
-        Headers last = new Headers();
-        if (!answered) {
-            last.add(":status", "200").add("content-type", "application/grpc");
-        }
+        Headers last = headersSent ? new Headers() : responseHeaders();
         last.add("grpc-status", Integer.toString(status.code().ordinal()));
         if (!status.message().isEmpty()) {
             last.add("grpc-message", status.encodedMessage());
@@ -112,6 +107,10 @@
         stream.writeHeaders(last, true);
     }
 
+    private static Headers responseHeaders() {
+        return new Headers().add(":status", "200").add("content-type", "application/grpc");
+    }
+
     /**
      * Ends the call without a status: for a client that takes nothing, so that no status could
      * reach it.
@@ -122,47 +121,46 @@
     }
 
     @Override
-    public void onHeaders(Headers trailers, boolean end) {
-        ended();
+    public void onHeaders(Headers trailers, boolean endStream) {
+        halfClosed();
     }
 
     @Override
-    public void onData(ByteBuf data, boolean end) {
+    public void onData(ByteBuf data, boolean endStream) {
         stream.consumeBytes(data.readableBytes());
         if (closed) {
             return;
         }
-        Status bad =
-                reader.read(
+        Status error =
+                deframer.read(
                         data,
-                        (message, size) -> {
+                        (message, wireBytes) -> {
                             if (!closed) {
                                 listener.onMessage(message);
                             }
                         });
-        if (bad == null && end && reader.isPartial()) {
-            bad = new Status(StatusCode.INVALID_ARGUMENT, "the last message is cut short");
+        if (error == null && endStream && deframer.isPartial()) {
+            error = new Status(StatusCode.INVALID_ARGUMENT, "the last message is cut short");
         }
-        if (bad != null) {
-            Listener told = listener;
-            close(bad, null);
-            told.onCancel(bad.message());
-        } else if (end) {
-            ended();
+        if (error != null) {
+            close(error, null);
+            listener.onCancel(error.message());
+        } else if (endStream) {
+            halfClosed();
         }
     }
 
-    private void ended() {
+    private void halfClosed() {
         if (!closed) {
             listener.onHalfClose();
         }
     }
 
     @Override
-    public void onReset(ErrorCode code, boolean unprocessed, String why) {
+    public void onReset(ErrorCode code, boolean unprocessed, String reason) {
         if (!closed) {
             closed = true;
-            listener.onCancel(why);
+            listener.onCancel(reason);
         }
     }
 
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/Status.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/Status.java
@@ -19,17 +19,19 @@
 
     /** {@return the message as the grpc-message trailer carries it: percent-encoded UTF-8} */
     public String encodedMessage() {
-        StringBuilder out = new StringBuilder();
+        StringBuilder encoded = new StringBuilder();
         for (byte b : message.getBytes(StandardCharsets.UTF_8)) {
             if (b >= ' ' && b <= '~' && b != '%') {
-                out.append((char) b);
+                encoded.append((char) b);
             } else {
-                out.append('%')
-                        .append(Character.toUpperCase(Character.forDigit(b >> 4 & 0xF, 16)))
-                        .append(Character.toUpperCase(Character.forDigit(b & 0xF, 16)));
+                encoded.append('%').append(hexDigit(b >> 4)).append(hexDigit(b));
             }
         }
-        return out.toString();
+        return encoded.toString();
+    }
+
+    private static char hexDigit(int value) {
+        return Character.toUpperCase(Character.forDigit(value & 0xF, 16));
     }
 
     /** {@return the text of a grpc-message trailer; what is wrongly encoded stays as it is} */
@@ -37,18 +39,23 @@
         if (encoded == null || encoded.indexOf('%') < 0) {
             return encoded == null ? "" : encoded;
         }
-        byte[] out = new byte[encoded.length()];
+        byte[] decoded = new byte[encoded.length()];
         int size = 0;
         for (int i = 0; i < encoded.length(); i++) {
-            char c = encoded.charAt(i);
-            int high =
-                    c == '%' && i + 2 < encoded.length()
-                            ? Character.digit(encoded.charAt(i + 1), 16)
-                            : -1;
-            int low = high >= 0 ? Character.digit(encoded.charAt(i + 2), 16) : -1;
-            out[size++] = (byte) (low >= 0 ? high << 4 | low : c);
-            i += low >= 0 ? 2 : 0;
+            int octet = escapedOctet(encoded, i);
+            decoded[size++] = (byte) (octet >= 0 ? octet : encoded.charAt(i));
+            i += octet >= 0 ? 2 : 0;
+        }
+        return new String(decoded, 0, size, StandardCharsets.UTF_8);
+    }
+
+    /** {@return the octet that is escaped at this place, or -1 where none is} */
+    private static int escapedOctet(String encoded, int index) {
+        if (encoded.charAt(index) != '%' || index + 2 >= encoded.length()) {
+            return -1;
         }
-        return new String(out, 0, size, StandardCharsets.UTF_8);
+        int high = Character.digit(encoded.charAt(index + 1), 16);
+        int low = Character.digit(encoded.charAt(index + 2), 16);
+        return high < 0 || low < 0 ? -1 : high << 4 | low;
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcPartsTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcPartsTest.java
@@ -51,33 +51,33 @@
             wire.writeByte(0).writeInt(m.length).writeBytes(m);
         }
         for (int piece = 1; piece <= wire.readableBytes(); piece++) {
-            MessageReader reader = new MessageReader(1000);
+            MessageDeframer deframer = new MessageDeframer(1000);
             List<byte[]> got = new ArrayList<>();
             ByteBuf in = wire.duplicate();
             while (in.isReadable()) {
                 assertNull(
-                        reader.read(
+                        deframer.read(
                                 in.readSlice(Math.min(piece, in.readableBytes())),
                                 (m, size) -> got.add(m)));
             }
             assertEquals(4, got.size());
             assertArrayEquals(messages[2], got.get(2));
-            assertEquals(0, reader.partialBytes());
+            assertEquals(0, deframer.partialBytes());
         }
     }
 
     @Test
     void tooLongAndCompressedMessagesAreRefused() {
-        MessageReader reader = new MessageReader(1000);
-        assertNotNull(reader.read(Unpooled.buffer().writeByte(0).writeInt(1001), (m, s) -> {}));
+        MessageDeframer deframer = new MessageDeframer(1000);
+        assertNotNull(deframer.read(Unpooled.buffer().writeByte(0).writeInt(1001), (m, s) -> {}));
         assertEquals(
                 StatusCode.UNIMPLEMENTED,
-                new MessageReader(1000)
+                new MessageDeframer(1000)
                         .read(Unpooled.buffer().writeByte(1).writeInt(1), (m, s) -> {})
                         .code());
         assertEquals(
                 StatusCode.RESOURCE_EXHAUSTED,
-                new MessageReader(1000)
+                new MessageDeframer(1000)
                         .read(Unpooled.buffer().writeByte(0).writeInt(-1), (m, s) -> {})
                         .code());
     }
