--- a/lab/src/main/java/sorrelhoist/lab/soak/ClientTraffic.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/ClientTraffic.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.TimeUnit;
 import sorrelhoist.lab.soak.FleetRules.RequestClass;
 import sorrelhoist.protocol.http1.HttpBodyDecoder;
+import sorrelhoist.protocol.http1.HttpDecodeException;
 import sorrelhoist.protocol.http1.HttpHead;
 import sorrelhoist.protocol.http1.HttpHeadDecoder;
-import sorrelhoist.protocol.http1.HttpMessageDecoder;
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
@@ -291,14 +291,14 @@
                 while (in.isReadable() && request != null) {
                     read(in);
                 }
-            } catch (HttpMessageDecoder.HttpDecodeException e) {
+            } catch (HttpDecodeException e) {
                 ctx.close();
             } finally {
                 in.release();
             }
         }
 
-        private void read(ByteBuf in) throws HttpMessageDecoder.HttpDecodeException {
+        private void read(ByteBuf in) throws HttpDecodeException {
             if (head == null) {
                 head = heads.next(in);
                 if (head == null) {
--- a/lab/src/main/java/sorrelhoist/lab/soak/DiscoveryStandIn.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/DiscoveryStandIn.java
@@ -19,9 +19,9 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import sorrelhoist.lab.soak.WorkerEntry.State;
+import sorrelhoist.protocol.http1.HttpDecodeException;
 import sorrelhoist.protocol.http1.HttpHead;
 import sorrelhoist.protocol.http1.HttpHeadDecoder;
-import sorrelhoist.protocol.http1.HttpMessageDecoder;
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
@@ -140,7 +140,7 @@
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message)
-                throws HttpMessageDecoder.HttpDecodeException {
+                throws HttpDecodeException {
             ByteBuf in = (ByteBuf) message;
             held.writeBytes(in);
             in.release();
--- a/lab/src/main/java/sorrelhoist/lab/soak/WorkerStandIn.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/WorkerStandIn.java
@@ -19,9 +19,9 @@
 import sorrelhoist.lab.soak.RequestTrace.HoldTrace;
 import sorrelhoist.lab.soak.WorkerEntry.Role;
 import sorrelhoist.protocol.http1.HttpBodyDecoder;
+import sorrelhoist.protocol.http1.HttpDecodeException;
 import sorrelhoist.protocol.http1.HttpHead;
 import sorrelhoist.protocol.http1.HttpHeadDecoder;
-import sorrelhoist.protocol.http1.HttpMessageDecoder;
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
@@ -239,7 +239,7 @@
                     head = null;
                     answer(asked);
                 }
-            } catch (HttpMessageDecoder.HttpDecodeException e) {
+            } catch (HttpDecodeException e) {
                 ctx.close();
             }
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpBodyDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpBodyDecoder.java
@@ -1,7 +1,6 @@
 package sorrelhoist.protocol.http1;
 
 import io.netty.buffer.ByteBuf;
-import sorrelhoist.protocol.http1.HttpMessageDecoder.HttpDecodeException;
 
 /**
  * Reads one message's content part by part as its bytes come (RFC 9112, sections 6 and 7); keeps
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpClient.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpClient.java
@@ -85,7 +85,7 @@
                     result.complete(response);
                     ctx.close();
                 }
-            } catch (HttpMessageDecoder.HttpDecodeException e) {
+            } catch (HttpDecodeException e) {
                 result.completeExceptionally(e);
                 ctx.close();
             } finally {
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadDecoder.java
@@ -4,7 +4,6 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import sorrelhoist.protocol.http1.HttpMessageDecoder.HttpDecodeException;
 
 /**
  * Parses heads of HTTP/1.1 messages (RFC 9112, sections 2 to 5) however their bytes are cut. What
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessageDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessageDecoder.java
@@ -9,22 +9,6 @@
  * content-length beside chunked.
  */
 public final class HttpMessageDecoder {
-    /** What was wrong with a message, and the status that says so. */
-    public static final class HttpDecodeException extends Exception {
-        private static final long serialVersionUID = 1;
-        private final int status;
-
-        HttpDecodeException(int status, String message) {
-            super(message, null, false, false);
-            this.status = status;
-        }
-
-        /** {@return the response's status} */
-        public int status() {
-            return status;
-        }
-    }
-
     private static final int MAX_HEAD = 16 << 10;
     private final int maxBody;
     private final HttpHeadDecoder heads;
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpServerHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpServerHandler.java
@@ -43,7 +43,7 @@
                         request,
                         response -> ctx.executor().execute(() -> answer(ctx, request, response)));
             }
-        } catch (HttpMessageDecoder.HttpDecodeException e) {
+        } catch (HttpDecodeException e) {
             over = true;
             HttpMessage refusal =
                     HttpMessage.response(e.status(), "text/plain", e.getMessage() + "\n");
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/LineReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/LineReader.java
@@ -1,7 +1,6 @@
 package sorrelhoist.protocol.http1;
 
 import io.netty.buffer.ByteBuf;
-import sorrelhoist.protocol.http1.HttpMessageDecoder.HttpDecodeException;
 
 /**
  * Reads lines that end with CR LF however their bytes are cut, within a bound that several lines
--- a/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
@@ -9,6 +9,7 @@
 import sorrelhoist.protocol.engine.DecodeRequest;
 import sorrelhoist.protocol.hpack.HpackDecoder;
 import sorrelhoist.protocol.hpack.HpackException;
+import sorrelhoist.protocol.http1.HttpDecodeException;
 import sorrelhoist.protocol.http1.HttpMessage;
 import sorrelhoist.protocol.http1.HttpMessageDecoder;
 import sorrelhoist.protocol.http2.Fuzzed;
@@ -70,14 +71,13 @@
                 }
                 default -> http(bytes, random);
             }
-        } catch (ProtoException | HpackException | HttpMessageDecoder.HttpDecodeException e) {
+        } catch (ProtoException | HpackException | HttpDecodeException e) {
             return bytes.length;
         }
         return bytes.length;
     }
 
-    private static void http(byte[] noise, SplittableRandom random)
-            throws HttpMessageDecoder.HttpDecodeException {
+    private static void http(byte[] noise, SplittableRandom random) throws HttpDecodeException {
         String text =
                 "POST /a HTTP/1.1\r\nhost: h\r\n"
                         + (random.nextBoolean()
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyTest.java
@@ -13,16 +13,15 @@
 
 class HttpBodyTest {
     private static HttpBodyDecoder body(int status, Map<String, String> headers)
-            throws HttpMessageDecoder.HttpDecodeException {
+            throws HttpDecodeException {
         return HttpBodyDecoder.forHead(new HttpHead("", "", status, headers));
     }
 
-    private static HttpBodyDecoder chunked() throws HttpMessageDecoder.HttpDecodeException {
+    private static HttpBodyDecoder chunked() throws HttpDecodeException {
         return body(200, Map.of("transfer-encoding", "chunked"));
     }
 
-    private static String read(HttpBodyDecoder body, ByteBuf in)
-            throws HttpMessageDecoder.HttpDecodeException {
+    private static String read(HttpBodyDecoder body, ByteBuf in) throws HttpDecodeException {
         StringBuilder all = new StringBuilder();
         for (ByteBuf part = body.next(in); part != null; part = body.next(in)) {
             all.append(part.toString(StandardCharsets.US_ASCII));
@@ -65,14 +64,11 @@
         for (String bad :
                 new String[] {"xyz\r\n", "-1\r\n", "\r\n", "c0000000\r\n", "2\r\nabc\r\n", "4\n"}) {
             HttpBodyDecoder body = chunked();
-            assertThrows(
-                    HttpMessageDecoder.HttpDecodeException.class,
-                    () -> read(body, bytes(bad)),
-                    bad);
+            assertThrows(HttpDecodeException.class, () -> read(body, bytes(bad)), bad);
         }
         HttpBodyDecoder endless = chunked();
         assertThrows(
-                HttpMessageDecoder.HttpDecodeException.class,
+                HttpDecodeException.class,
                 () -> {
                     for (int i = 0; i < 100; i++) {
                         read(endless, bytes(i == 0 ? "1;" : "x".repeat(1000)));
@@ -80,7 +76,7 @@
                 });
         for (String length : new String[] {"-1", "+1", "1x", "", "9999999999", "5, 5"}) {
             assertThrows(
-                    HttpMessageDecoder.HttpDecodeException.class,
+                    HttpDecodeException.class,
                     () -> body(200, Map.of("content-length", length)),
                     length);
         }
@@ -91,17 +87,11 @@
     void noiseIsSaidAtOnceWithoutALineFeed() throws Exception {
         for (String noise : new String[] {"\u0007", "ICY", "HTTP/2", "http/1.1", " HTTP/1.1"}) {
             HttpHeadDecoder heads = new HttpHeadDecoder(false, 1000);
-            assertThrows(
-                    HttpMessageDecoder.HttpDecodeException.class,
-                    () -> heads.next(bytes(noise)),
-                    noise);
+            assertThrows(HttpDecodeException.class, () -> heads.next(bytes(noise)), noise);
         }
         for (String noise : new String[] {"x", "-", "12345678", "1\u0007", "2\r\nabc"}) {
             HttpBodyDecoder body = chunked();
-            assertThrows(
-                    HttpMessageDecoder.HttpDecodeException.class,
-                    () -> read(body, bytes(noise)),
-                    noise);
+            assertThrows(HttpDecodeException.class, () -> read(body, bytes(noise)), noise);
         }
         assertEquals(
                 200,
@@ -114,7 +104,7 @@
     void aHeadThatDoesNotEndIsBounded() {
         HttpHeadDecoder heads = new HttpHeadDecoder(false, 1000);
         assertThrows(
-                HttpMessageDecoder.HttpDecodeException.class,
+                HttpDecodeException.class,
                 () -> {
                     for (int i = 0; i < 100; i++) {
                         assertFalse(
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpParserTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpParserTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void requestsAreTheSameWhereverTheyAreCut() throws HttpMessageDecoder.HttpDecodeException {
+    void requestsAreTheSameWhereverTheyAreCut() throws HttpDecodeException {
         for (int piece = 1; piece <= TWO.length(); piece++) {
             HttpMessageDecoder parser = new HttpMessageDecoder(true, 1000);
             List<String> got = new ArrayList<>();
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void responsesEndByLengthChunksOrClose() throws HttpMessageDecoder.HttpDecodeException {
+    void responsesEndByLengthChunksOrClose() throws HttpDecodeException {
         HttpMessageDecoder parser = new HttpMessageDecoder(false, 1000);
         assertEquals(204, parser.next(bytes("HTTP/1.1 204 No Content\r\n\r\n")).status());
         assertNull(parser.next(bytes("HTTP/1.0 200 OK\r\n\r\nall of")));
@@ -86,7 +86,7 @@
         };
         for (String text : bad) {
             assertThrows(
-                    HttpMessageDecoder.HttpDecodeException.class,
+                    HttpDecodeException.class,
                     () -> {
                         HttpMessageDecoder p = new HttpMessageDecoder(true, 1000);
                         ByteBuf in = bytes(text);
@@ -105,7 +105,7 @@
             for (HttpMessage m = p.next(in); m != null; m = p.next(in)) {
                 assertEquals(0, m.status());
             }
-        } catch (HttpMessageDecoder.HttpDecodeException e) {
+        } catch (HttpDecodeException e) {
             assertEquals(4, e.status() / 100);
         }
     }
