--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpBodyDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpBodyDecoder.java
@@ -3,39 +3,54 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Reads one message's content part by part as its bytes come (RFC 9112, sections 6 and 7); keeps
- * none of it.
+ * Decodes one message's content part by part as its bytes arrive (RFC 9112, sections 6 and 7);
+ * keeps none of it.
  */
 public final class HttpBodyDecoder {
-    private enum At {
-        LENGTH,
+    private enum State {
+        FIXED_LENGTH,
         CHUNK_SIZE,
-        CHUNK,
+        CHUNK_DATA,
         CHUNK_END,
         TRAILERS,
-        TO_CLOSE,
-        ENDED
+        UNTIL_CLOSE,
+        COMPLETE
     }
 
-    private static final int MAX_LINES = 16 << 10;
-    private static final int MAX_DIGITS = 7; // of a chunk's size: 256 MiB
+    /** The declared length of a message that does not declare one. */
+    private static final long UNDECLARED = -1;
+
+    private static final int NO_CONTENT = 204;
+    private static final int NOT_MODIFIED = 304;
+
+    /** Limit of all lines between the data of two chunks, and of the trailers. */
+    private static final int MAX_LINE_BYTES = 16 << 10;
+
+    /** Digits of a chunk's size: less than 256 MiB. */
+    private static final int MAX_SIZE_DIGITS = 7;
+
     private final long declaredLength;
-    private final LineReader lines =
-            new LineReader(
-                    MAX_LINES, "more than " + MAX_LINES + " bytes in place of a chunk", this::look);
-    private At at;
-    private long left;
-
-    private HttpBodyDecoder(At at, long length) {
-        this.at = at;
-        this.declaredLength = length;
-        this.left = Math.max(0, length);
+    private final LineDecoder lines =
+            new LineDecoder(
+                    MAX_LINE_BYTES,
+                    "more than " + MAX_LINE_BYTES + " bytes in place of a chunk",
+                    this::checkPartialLine);
+    private State state;
+
+    /** Bytes still to come of the content, or of its present chunk. */
+    private long remainingBytes;
+
+    private HttpBodyDecoder(State state, long declaredLength) {
+        this.state = state;
+        this.declaredLength = declaredLength;
+        this.remainingBytes = Math.max(0, declaredLength);
     }
 
     /**
-     * Finds out how a message is framed.
+     * Creates the decoder of a message's content from how its head says it is framed.
      *
      * @param head the message's head
+     * @return the decoder, at the start of the content
      * @throws HttpDecodeException where its framing could be read in two ways, or not at all
      */
     public static HttpBodyDecoder forHead(HttpHead head) throws HttpDecodeException {
@@ -44,114 +59,135 @@
         if (coding != null) {
             if (length != null || !coding.equalsIgnoreCase("chunked")) {
                 throw new HttpDecodeException(
-                        400, "transfer-encoding has to be chunked, without content-length");
+                        "transfer-encoding has to be chunked, without content-length");
             }
-            return new HttpBodyDecoder(At.CHUNK_SIZE, -1);
+            return new HttpBodyDecoder(State.CHUNK_SIZE, UNDECLARED);
         }
         if (length != null) {
-            if (!length.matches("[0-9]{1,9}")) {
-                throw new HttpDecodeException(400, "content-length is no number");
-            }
-            long size = Long.parseLong(length);
-            return new HttpBodyDecoder(size == 0 ? At.ENDED : At.LENGTH, size);
+            return ofLength(length);
+        }
+        return hasNoContent(head.status())
+                ? new HttpBodyDecoder(State.COMPLETE, 0)
+                : new HttpBodyDecoder(State.UNTIL_CLOSE, UNDECLARED);
+    }
+
+    private static HttpBodyDecoder ofLength(String text) throws HttpDecodeException {
+        if (!text.matches("[0-9]{1,9}")) {
+            throw new HttpDecodeException("content-length is no number");
         }
-        int status = head.status();
-        boolean none = status == 0 || status == 204 || status == 304 || status < 200;
-        return new HttpBodyDecoder(none ? At.ENDED : At.TO_CLOSE, none ? 0 : -1);
+        long length = Long.parseLong(text);
+        return new HttpBodyDecoder(length == 0 ? State.COMPLETE : State.FIXED_LENGTH, length);
     }
 
-    /** {@return bytes as declared, or -1 where the message does not say} */
+    /** {@return whether a message that declares no content has none; a request's status is 0} */
+    private static boolean hasNoContent(int status) {
+        return status < 200 || status == NO_CONTENT || status == NOT_MODIFIED;
+    }
+
+    /** {@return the content's length in bytes as declared, or -1 where the head does not say} */
     public long declaredLength() {
         return declaredLength;
     }
 
-    /** {@return whether all has come} */
+    /** {@return whether all of the content has arrived} */
     public boolean isComplete() {
-        return at == At.ENDED;
+        return state == State.COMPLETE;
     }
 
     /** {@return whether the end of the connection is the end of the content} */
     public boolean endsWithConnection() {
-        return at == At.TO_CLOSE;
+        return state == State.UNTIL_CLOSE;
     }
 
     /**
-     * Reads on.
+     * Decodes on.
      *
-     * @param in bytes as they came
+     * @param in bytes as they arrived
      * @return the next part, as a slice that lives as long as {@code in}; null where more bytes are
-     *     needed or all ended
+     *     needed or the content is complete
+     * @throws HttpDecodeException where the framing is invalid
      */
     public ByteBuf next(ByteBuf in) throws HttpDecodeException {
-        while (at != At.ENDED && in.isReadable()) {
-            if (at == At.LENGTH || at == At.CHUNK || at == At.TO_CLOSE) {
-                int part =
-                        (int)
-                                Math.min(
-                                        at == At.TO_CLOSE ? Integer.MAX_VALUE : left,
-                                        in.readableBytes());
-                left -= part;
-                if (left == 0 && at != At.TO_CLOSE) {
-                    at = at == At.CHUNK ? At.CHUNK_END : At.ENDED;
+        while (state != State.COMPLETE && in.isReadable()) {
+            switch (state) {
+                case UNTIL_CLOSE -> {
+                    return in.readSlice(in.readableBytes());
+                }
+                case FIXED_LENGTH -> {
+                    return nextPart(in, State.COMPLETE);
+                }
+                case CHUNK_DATA -> {
+                    return nextPart(in, State.CHUNK_END);
+                }
+                default -> {
+                    String line = lines.next(in);
+                    if (line != null) {
+                        decodeLine(line);
+                    }
                 }
-                return in.readSlice(part);
-            }
-            String whole = lines.next(in);
-            if (whole != null) {
-                take(whole);
             }
         }
         return null;
     }
 
-    private void look(StringBuilder line) throws HttpDecodeException {
+    private ByteBuf nextPart(ByteBuf in, State atEnd) {
+        int size = (int) Math.min(remainingBytes, in.readableBytes());
+        remainingBytes -= size;
+        if (remainingBytes == 0) {
+            state = atEnd;
+        }
+        return in.readSlice(size);
+    }
+
+    private void checkPartialLine(StringBuilder line) throws HttpDecodeException {
         char last = line.charAt(line.length() - 1);
-        if (at == At.CHUNK_SIZE && !maySize(line) || at == At.CHUNK_END && last != '\r') {
-            throw new HttpDecodeException(400, "a chunk's size is no number, or does not fit");
+        if (state == State.CHUNK_SIZE && !mayBecomeSize(line)
+                || state == State.CHUNK_END && last != '\r') {
+            throw new HttpDecodeException("a chunk's size is no number, or does not fit");
         }
     }
 
     /**
-     * {@return whether the part of a size that has come can become one: digits, then white space or
-     * an extension}
+     * {@return whether the part of a size that has arrived can become one: digits, then white space
+     * or an extension}
      */
-    private static boolean maySize(StringBuilder line) {
+    private static boolean mayBecomeSize(StringBuilder line) {
         int digits = 0;
-        while (digits < line.length() && hex(line.charAt(digits))) {
+        while (digits < line.length() && isHexDigit(line.charAt(digits))) {
             digits++;
         }
         return digits > 0
-                && digits <= MAX_DIGITS
+                && digits <= MAX_SIZE_DIGITS
                 && (digits == line.length() || " \t;\r".indexOf(line.charAt(digits)) >= 0);
     }
 
-    private static boolean hex(char c) {
+    private static boolean isHexDigit(char c) {
         return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F';
     }
 
-    private void take(String whole) throws HttpDecodeException {
-        if (at == At.CHUNK_SIZE) {
-            left = size(whole);
-            at = left == 0 ? At.TRAILERS : At.CHUNK;
-            lines.more();
-        } else if (at == At.CHUNK_END) {
-            if (!whole.isEmpty()) {
-                throw new HttpDecodeException(400, "a chunk is longer than it said");
+    private void decodeLine(String line) throws HttpDecodeException {
+        if (state == State.CHUNK_SIZE) {
+            remainingBytes = chunkSize(line);
+            state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK_DATA;
+            lines.resetLimit();
+        } else if (state == State.CHUNK_END) {
+            if (!line.isEmpty()) {
+                throw new HttpDecodeException("a chunk is longer than it said");
             }
-            at = At.CHUNK_SIZE;
-        } else if (whole.isEmpty()) {
-            at = At.ENDED;
+            state = State.CHUNK_SIZE;
+        } else if (line.isEmpty()) {
+            state = State.COMPLETE;
         }
     }
 
-    private static long size(String whole) throws HttpDecodeException {
-        int semicolon = whole.indexOf(';');
-        String size = (semicolon < 0 ? whole : whole.substring(0, semicolon)).strip();
-        if (size.isEmpty()
-                || size.length() > MAX_DIGITS
-                || !size.chars().allMatch(c -> hex((char) c))) {
-            throw new HttpDecodeException(400, "a chunk's size is no number");
+    private static long chunkSize(String line) throws HttpDecodeException {
+        int semicolon = line.indexOf(';');
+        String digits = (semicolon < 0 ? line : line.substring(0, semicolon)).strip();
+        if (digits.isEmpty()
+                || digits.length() > MAX_SIZE_DIGITS
+                || !digits.chars().allMatch(c -> isHexDigit((char) c))) {
+            throw new HttpDecodeException("a chunk's size is no number");
         }
-        return Long.parseLong(size, 16);
+        return Long.parseLong(digits, 16);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpClient.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpClient.java
@@ -8,19 +8,20 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
+import sorrelhoist.protocol.net.ConnectionAttempt;
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
- * Calls an HTTP/1.1 server: one connection a request, which is enough for a registry asked once a
- * second.
+ * Sends requests to an HTTP/1.1 server, each on a connection of its own, which is enough for a
+ * registry that is polled once a second.
  */
 public final class HttpClient {
-    private static final int MAX_BODY = 16 << 20;
+    private static final int MAX_BODY_BYTES = 16 << 20;
     private final EventLoop loop;
     private final String address;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
      * @param loop where it runs, and completes what it returns
      * @param address 127.0.0.1:PORT
@@ -35,24 +36,19 @@
      * Sends a request.
      *
      * @param request the request
-     * @param timeoutMicros until it has failed
-     * @return the response, or why there is none
+     * @param timeoutMicros until it has failed, in microseconds
+     * @return the response, or the failure: an {@link IOException}, {@link TimeoutException} or
+     *     {@link HttpDecodeException}
      */
     public CompletableFuture<HttpMessage> send(HttpMessage request, long timeoutMicros) {
         CompletableFuture<HttpMessage> result = new CompletableFuture<>();
-        var attempt =
+        ConnectionAttempt attempt =
                 LoopbackTransport.connect(
                         loop, address, timeoutMicros, new Handler(request, result));
         attempt.onFailure(result::completeExceptionally);
         loop.schedule(
                 () -> {
-                    if (result.completeExceptionally(
-                            new TimeoutException(
-                                    "no answer from "
-                                            + address
-                                            + " in "
-                                            + timeoutMicros / 1000
-                                            + " ms"))) {
+                    if (result.completeExceptionally(timeout(timeoutMicros))) {
                         attempt.close();
                     }
                 },
@@ -61,10 +57,15 @@
         return result;
     }
 
+    private TimeoutException timeout(long timeoutMicros) {
+        return new TimeoutException(
+                "no answer from " + address + " in " + timeoutMicros / 1000 + " ms");
+    }
+
     private final class Handler extends ChannelInboundHandlerAdapter {
         private final HttpMessage request;
         private final CompletableFuture<HttpMessage> result;
-        private final HttpMessageDecoder parser = new HttpMessageDecoder(false, MAX_BODY);
+        private final HttpMessageDecoder decoder = new HttpMessageDecoder(false, MAX_BODY_BYTES);
 
         Handler(HttpMessage request, CompletableFuture<HttpMessage> result) {
             this.request = request;
@@ -73,14 +74,14 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ctx.writeAndFlush(HttpWriter.write(ctx.alloc(), request, address, true));
+            ctx.writeAndFlush(HttpMessageEncoder.encodeRequest(ctx.alloc(), request, address));
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf in = (ByteBuf) message;
             try {
-                HttpMessage response = parser.next(in);
+                HttpMessage response = decoder.next(in);
                 if (response != null && response.status() >= 200) {
                     result.complete(response);
                     ctx.close();
@@ -95,9 +96,9 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            HttpMessage last = parser.completeAtClose();
-            if (last != null) {
-                result.complete(last);
+            HttpMessage response = decoder.completeAtClose();
+            if (response != null) {
+                result.complete(response);
             }
             result.completeExceptionally(
                     new IOException("the connection to " + address + " ended early"));
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpDecodeException.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpDecodeException.java
@@ -2,6 +2,9 @@
 
 /** A message that is no valid HTTP/1.1, or exceeds a limit of its decoder. */
 public final class HttpDecodeException extends Exception {
+    static final int BAD_REQUEST = 400;
+    static final int CONTENT_TOO_LARGE = 413;
+    static final int HEADER_FIELDS_TOO_LARGE = 431;
     private static final long serialVersionUID = 1;
     private final int status;
 
@@ -16,6 +19,15 @@
         this.status = status;
     }
 
+    /**
+     * Creates the exception for a malformed message.
+     *
+     * @param message what is wrong, for the peer
+     */
+    HttpDecodeException(String message) {
+        this(BAD_REQUEST, message);
+    }
+
     /** {@return the status of the response that reports the error} */
     public int status() {
         return status;
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHead.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHead.java
@@ -19,13 +19,20 @@
 
     /** {@return the target's path, without its query} */
     public String path() {
-        int query = target.indexOf('?');
-        return query < 0 ? target : target.substring(0, query);
+        return pathOf(target);
     }
 
     /** {@return whether another message may follow on the connection (RFC 9112, section 9.3)} */
     public boolean isKeepAlive() {
-        String connection = header("connection");
+        return isKeepAlive(header("connection"));
+    }
+
+    static String pathOf(String target) {
+        int query = target.indexOf('?');
+        return query < 0 ? target : target.substring(0, query);
+    }
+
+    static boolean isKeepAlive(String connection) {
         return connection == null || !connection.toLowerCase(Locale.ROOT).contains("close");
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadDecoder.java
@@ -6,130 +6,156 @@
 import java.util.Map;
 
 /**
- * Parses heads of HTTP/1.1 messages (RFC 9112, sections 2 to 5) however their bytes are cut. What
- * two readers could take for two different things is refused: bare line feeds, white space before a
- * colon, content-length twice.
+ * Decodes heads of HTTP/1.1 messages (RFC 9112, sections 2 to 5) however their bytes are cut. What
+ * two decoders could take for two different things is an error: bare line feeds, white space before
+ * a colon, two values of content-length.
  */
 public final class HttpHeadDecoder {
-    private static final String RESPONSE = "HTTP/1.";
-    private static final int MAX_START_LINES =
-            4; // empty lines before a message (RFC 9112, section 2.2)
-    private final boolean requests;
-    private final LineReader lines;
-    private int empty;
-    private boolean started;
+    private static final String HTTP_1 = "HTTP/1.";
+    private static final String CONTENT_LENGTH = "content-length";
+
+    /** Empty lines before a message (RFC 9112, section 2.2). */
+    private static final int MAX_EMPTY_LINES = 4;
+
+    private final boolean decodesRequests;
+    private final LineDecoder lines;
+    private int emptyLines;
+    private boolean startLineDecoded;
     private String method = "";
     private String target = "";
     private int status;
     private Map<String, String> headers = new LinkedHashMap<>();
 
     /**
-     * Makes a parser.
+     * Creates a decoder at the start of a message.
      *
      * @param requests whether requests are expected, or responses
-     * @param maxHead bytes of one head at most
+     * @param maxHeadBytes limit of one head, in bytes
      */
-    public HttpHeadDecoder(boolean requests, int maxHead) {
-        this.requests = requests;
+    public HttpHeadDecoder(boolean requests, int maxHeadBytes) {
+        this.decodesRequests = requests;
         this.lines =
-                new LineReader(maxHead, "a head of more than " + maxHead + " bytes", this::look);
+                new LineDecoder(
+                        maxHeadBytes,
+                        "a head of more than " + maxHeadBytes + " bytes",
+                        this::checkPartialLine);
     }
 
-    /** {@return whether bytes of a head have come that is not whole yet} */
+    /** {@return whether bytes of a head have arrived that is not complete} */
     public boolean hasPartialHead() {
-        return lines.begun();
+        return lines.hasReceivedBytes();
     }
 
-    /** {@return the next whole head, or null where more bytes are needed} */
+    /**
+     * Decodes on.
+     *
+     * @param in bytes as they arrived; read as far as the end of a head
+     * @return the next complete head, or null where more bytes are needed
+     * @throws HttpDecodeException where the bytes are no head, or it exceeds the limit
+     */
     public HttpHead next(ByteBuf in) throws HttpDecodeException {
-        for (String whole = lines.next(in); whole != null; whole = lines.next(in)) {
-            if (!started) {
-                if (!whole.isEmpty()) {
-                    startLine(whole);
-                    started = true;
-                } else if (++empty > MAX_START_LINES) {
-                    throw new HttpDecodeException(400, "empty lines in place of a message");
-                }
-            } else if (!whole.isEmpty()) {
-                field(whole);
+        for (String line = lines.next(in); line != null; line = lines.next(in)) {
+            if (!startLineDecoded) {
+                decodeStartLineOrSkip(line);
+            } else if (!line.isEmpty()) {
+                decodeField(line);
             } else {
-                HttpHead head = new HttpHead(method, target, status, headers);
-                headers = new LinkedHashMap<>();
-                lines.more();
-                empty = 0;
-                started = false;
-                return head;
+                return takeHead();
             }
         }
         return null;
     }
 
-    private void look(StringBuilder line) throws HttpDecodeException {
-        if (!started && !mayBegin(line)) {
-            throw new HttpDecodeException(400, "the first line is no HTTP/1.1");
+    private HttpHead takeHead() {
+        HttpHead head = new HttpHead(method, target, status, headers);
+        headers = new LinkedHashMap<>();
+        lines.resetLimit();
+        emptyLines = 0;
+        startLineDecoded = false;
+        return head;
+    }
+
+    private void checkPartialLine(StringBuilder line) throws HttpDecodeException {
+        if (!startLineDecoded && !mayBecomeStartLine(line)) {
+            throw invalidStartLine();
         }
     }
 
-    /** {@return whether the part of a first line that has come can become one} */
-    private boolean mayBegin(StringBuilder line) {
+    private boolean mayBecomeStartLine(StringBuilder line) {
         int last = line.length() - 1;
         if (line.charAt(0) == '\r') {
             return last == 0;
         }
-        return requests
+        return decodesRequests
                 ? last > 0 || isToken(line.toString())
-                : last >= RESPONSE.length() || line.charAt(last) == RESPONSE.charAt(last);
+                : last >= HTTP_1.length() || line.charAt(last) == HTTP_1.charAt(last);
+    }
+
+    private void decodeStartLineOrSkip(String line) throws HttpDecodeException {
+        if (!line.isEmpty()) {
+            decodeStartLine(line);
+            startLineDecoded = true;
+        } else if (++emptyLines > MAX_EMPTY_LINES) {
+            throw new HttpDecodeException("empty lines in place of a message");
+        }
     }
 
-    private void startLine(String whole) throws HttpDecodeException {
-        String[] parts = whole.split(" ", 3);
-        boolean fits =
-                requests
-                        ? parts.length == 3
-                                && version(parts[2])
-                                && !parts[1].isEmpty()
-                                && !parts[0].isEmpty()
-                        : parts.length >= 2
-                                && version(parts[0])
-                                && parts[1].matches("[1-5][0-9][0-9]");
-        if (!fits) {
-            throw new HttpDecodeException(400, "the first line is no HTTP/1.1");
+    private void decodeStartLine(String line) throws HttpDecodeException {
+        String[] parts = line.split(" ", 3);
+        if (decodesRequests ? !isRequestLine(parts) : !isStatusLine(parts)) {
+            throw invalidStartLine();
         }
-        method = requests ? parts[0] : "";
-        target = requests ? parts[1] : "";
-        status = requests ? 0 : Integer.parseInt(parts[1]);
+        method = decodesRequests ? parts[0] : "";
+        target = decodesRequests ? parts[1] : "";
+        status = decodesRequests ? 0 : Integer.parseInt(parts[1]);
+    }
+
+    private static boolean isRequestLine(String[] parts) {
+        return parts.length == 3
+                && isVersion(parts[2])
+                && !parts[1].isEmpty()
+                && !parts[0].isEmpty();
     }
 
-    private static boolean version(String text) {
+    private static boolean isStatusLine(String[] parts) {
+        return parts.length >= 2 && isVersion(parts[0]) && parts[1].matches("[1-5][0-9][0-9]");
+    }
+
+    private static boolean isVersion(String text) {
         return text.equals("HTTP/1.1") || text.equals("HTTP/1.0");
     }
 
-    private void field(String whole) throws HttpDecodeException {
-        int colon = whole.indexOf(':');
-        String name = colon <= 0 ? "" : whole.substring(0, colon).toLowerCase(Locale.ROOT);
+    private static HttpDecodeException invalidStartLine() {
+        return new HttpDecodeException("the first line is no HTTP/1.1");
+    }
+
+    private void decodeField(String line) throws HttpDecodeException {
+        int colon = line.indexOf(':');
+        String name = colon <= 0 ? "" : line.substring(0, colon).toLowerCase(Locale.ROOT);
         if (!isToken(name)) {
-            throw new HttpDecodeException(400, "a field name with a forbidden character");
+            throw new HttpDecodeException("a field name with a forbidden character");
         }
-        String value = whole.substring(colon + 1).strip();
-        if (name.equals("content-length")
-                && headers.containsKey(name)
-                && !headers.get(name).equals(value)) {
-            throw new HttpDecodeException(400, "two values of content-length");
+        String value = line.substring(colon + 1).strip();
+        if (!name.equals(CONTENT_LENGTH)) {
+            headers.merge(name, value, (first, next) -> first + ", " + next);
+        } else if (!headers.getOrDefault(name, value).equals(value)) {
+            throw new HttpDecodeException("two values of content-length");
+        } else {
+            headers.put(name, value);
         }
-        headers.merge(name, value, (a, b) -> name.equals("content-length") ? a : a + ", " + b);
     }
 
     /** {@return whether it is a token (RFC 9110, section 5.6.2)} */
     static boolean isToken(String name) {
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
-            boolean fits =
+            boolean allowed =
                     c >= 'a' && c <= 'z'
                             || c >= '0' && c <= '9'
                             || c == '-'
                             || c >= 'A' && c <= 'Z'
                             || "!#$%&'*+.^_`|~".indexOf(c) >= 0;
-            if (!fits) {
+            if (!allowed) {
                 return false;
             }
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessage.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessage.java
@@ -1,11 +1,12 @@
 package sorrelhoist.protocol.http1;
 
+import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.Map;
 
 /**
- * A request or a response of HTTP/1.1 (RFC 9112), whole.
+ * A complete request or response of HTTP/1.1 (RFC 9112).
  *
  * @param method the request's method; empty for responses
  * @param target the request's target; empty for responses
@@ -15,20 +16,32 @@
  */
 public record HttpMessage(
         String method, String target, int status, Map<String, String> headers, byte[] body) {
-    /** {@return a request} */
+    /**
+     * Makes a request.
+     *
+     * @param method its method
+     * @param target its target, with the query
+     * @param headers fields by lower-case name
+     * @param body the content
+     * @return the request
+     */
     public static HttpMessage request(
             String method, String target, Map<String, String> headers, byte[] body) {
         return new HttpMessage(method, target, 0, headers, body);
     }
 
-    /** {@return a response} */
+    /**
+     * Makes a response.
+     *
+     * @param status its status
+     * @param contentType the type of its content; empty for no such field
+     * @param body the content
+     * @return the response
+     */
     public static HttpMessage response(int status, String contentType, String body) {
-        return new HttpMessage(
-                "",
-                "",
-                status,
-                contentType.isEmpty() ? Map.of() : Map.of("content-type", contentType),
-                body.getBytes(StandardCharsets.UTF_8));
+        Map<String, String> headers =
+                contentType.isEmpty() ? Map.of() : Map.of("content-type", contentType);
+        return new HttpMessage("", "", status, headers, body.getBytes(StandardCharsets.UTF_8));
     }
 
     /** {@return a field's value, or null} */
@@ -38,8 +51,7 @@
 
     /** {@return the target's path, without its query} */
     public String path() {
-        int query = target.indexOf('?');
-        return query < 0 ? target : target.substring(0, query);
+        return HttpHead.pathOf(target);
     }
 
     /** {@return a value of the target's query, or null} */
@@ -51,8 +63,7 @@
         for (String pair : target.substring(query + 1).split("&")) {
             int equals = pair.indexOf('=');
             if (equals > 0 && pair.substring(0, equals).equals(name)) {
-                return java.net.URLDecoder.decode(
-                        pair.substring(equals + 1), StandardCharsets.UTF_8);
+                return URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8);
             }
         }
         return null;
@@ -63,8 +74,7 @@
         return new String(body, StandardCharsets.UTF_8);
     }
 
-    boolean keepsAlive() {
-        String connection = header("connection");
-        return connection == null || !connection.toLowerCase(Locale.ROOT).contains("close");
+    boolean isKeepAlive() {
+        return HttpHead.isKeepAlive(header("connection"));
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpServerHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpServerHandler.java
@@ -8,55 +8,64 @@
 
 /** Serves HTTP/1.1 on one connection, one request after the other. */
 public final class HttpServerHandler extends ChannelInboundHandlerAdapter {
-    private static final int MAX_BODY = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
-    /** Takes requests. */
+    /** Handles requests. */
     public interface RequestHandler {
         /**
-         * Takes a request.
+         * Handles a request.
          *
-         * @param request whole
-         * @param answer takes the response, now or later, on any thread; once
+         * @param request complete
+         * @param respond takes the response, now or later, on any thread; once
          */
-        void handle(HttpMessage request, Consumer<HttpMessage> answer);
+        void handle(HttpMessage request, Consumer<HttpMessage> respond);
     }
 
-    private final HttpMessageDecoder parser = new HttpMessageDecoder(true, MAX_BODY);
-    private final RequestHandler service;
-    private boolean over;
+    private final HttpMessageDecoder decoder = new HttpMessageDecoder(true, MAX_BODY_BYTES);
+    private final RequestHandler requestHandler;
 
-    /** Makes the handler of one connection. */
-    public HttpServerHandler(RequestHandler service) {
-        this.service = service;
+    /** Whether the last request that is served here has been read. */
+    private boolean lastRequestRead;
+
+    /** Creates the handler of one connection. */
+    public HttpServerHandler(RequestHandler requestHandler) {
+        this.requestHandler = requestHandler;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf in = (ByteBuf) message;
         try {
-            for (HttpMessage m = over ? null : parser.next(in);
-                    m != null;
-                    m = over ? null : parser.next(in)) {
-                HttpMessage request = m;
-                over |= !request.keepsAlive();
-                service.handle(
-                        request,
-                        response -> ctx.executor().execute(() -> answer(ctx, request, response)));
+            for (HttpMessage request = next(in); request != null; request = next(in)) {
+                lastRequestRead |= !request.isKeepAlive();
+                handle(ctx, request);
             }
         } catch (HttpDecodeException e) {
-            over = true;
-            HttpMessage refusal =
-                    HttpMessage.response(e.status(), "text/plain", e.getMessage() + "\n");
-            ctx.writeAndFlush(HttpWriter.write(ctx.alloc(), refusal, "", true))
-                    .addListener(ChannelFutureListener.CLOSE);
+            lastRequestRead = true;
+            respond(
+                    ctx,
+                    HttpMessage.response(e.status(), "text/plain", e.getMessage() + "\n"),
+                    true);
         } finally {
             in.release();
         }
     }
 
-    private void answer(ChannelHandlerContext ctx, HttpMessage request, HttpMessage response) {
-        boolean close = !request.keepsAlive();
-        var written = ctx.writeAndFlush(HttpWriter.write(ctx.alloc(), response, "", close));
+    private HttpMessage next(ByteBuf in) throws HttpDecodeException {
+        return lastRequestRead ? null : decoder.next(in);
+    }
+
+    private void handle(ChannelHandlerContext ctx, HttpMessage request) {
+        requestHandler.handle(
+                request,
+                response ->
+                        ctx.executor()
+                                .execute(() -> respond(ctx, response, !request.isKeepAlive())));
+    }
+
+    private static void respond(ChannelHandlerContext ctx, HttpMessage response, boolean close) {
+        ByteBuf bytes = HttpMessageEncoder.encodeResponse(ctx.alloc(), response, close);
+        var written = ctx.writeAndFlush(bytes);
         if (close) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/net/AcceptErrors.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/AcceptErrorHandler.java
@@ -13,37 +13,41 @@
  * while descriptors are used up, so a pause is needed, but a short one. Connections that are
  * accepted afterwards may have waited since the first failure.
  */
-final class AcceptErrors extends ChannelInboundHandlerAdapter {
-    private static final AttributeKey<Long> WAITED_FROM =
-            AttributeKey.valueOf(AcceptErrors.class, "waitedFrom");
+final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
+    private static final AttributeKey<Long> WAITING_SINCE_NANOS =
+            AttributeKey.valueOf(AcceptErrorHandler.class, "waitingSince");
     private static final long PAUSE_MILLIS = 20;
     private static final long NOT_FAILING = Long.MIN_VALUE;
-    private long failingSince = NOT_FAILING;
+
+    /** When accepting began to fail, or {@link #NOT_FAILING}. */
+    private long failingSinceNanos = NOT_FAILING;
 
     /**
-     * What it was before the read that is under way; Netty tells of a failure behind the read's
-     * end.
+     * What it was before the read that is under way: Netty reports a failure behind the read's end.
      */
-    private long failedBefore = NOT_FAILING;
+    private long previouslyFailingSinceNanos = NOT_FAILING;
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object accepted) {
-        if (failingSince != NOT_FAILING) {
-            ((Channel) accepted).attr(WAITED_FROM).set(failingSince);
+        if (failingSinceNanos != NOT_FAILING) {
+            ((Channel) accepted).attr(WAITING_SINCE_NANOS).set(failingSinceNanos);
         }
         context.fireChannelRead(accepted);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        failedBefore = failingSince;
-        failingSince = NOT_FAILING;
+        previouslyFailingSinceNanos = failingSinceNanos;
+        failingSinceNanos = NOT_FAILING;
         context.fireChannelReadComplete();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        failingSince = failedBefore == NOT_FAILING ? System.nanoTime() : failedBefore;
+        failingSinceNanos =
+                previouslyFailingSinceNanos == NOT_FAILING
+                        ? System.nanoTime()
+                        : previouslyFailingSinceNanos;
         ChannelConfig config = context.channel().config();
         if (config.isAutoRead()) {
             config.setAutoRead(false);
@@ -57,7 +61,7 @@
      * for not at all}
      */
     static long waitedNanos(Channel accepted) {
-        Long from = accepted.attr(WAITED_FROM).get();
-        return from == null ? 0 : System.nanoTime() - from;
+        Long waitingSince = accepted.attr(WAITING_SINCE_NANOS).get();
+        return waitingSince == null ? 0 : System.nanoTime() - waitingSince;
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/net/BlockingWaits.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/BlockingIoHandler.java
@@ -17,37 +17,37 @@
  * <p>Netty's NIO handler waits in whole milliseconds, rounded to the nearest one. With less than
  * half a millisecond left it polls without waiting, again and again, until the timer is due. On a
  * machine with part of a processor that loop spends the time that the router needs for its work.
- * Here the time that is left is rounded up before the handler sees it, so a timer rings up to one
+ * Here the time that is left is rounded up before the handler sees it, so a timer fires up to one
  * millisecond late and nothing polls.
  */
-final class BlockingWaits implements IoHandler {
-    private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
+final class BlockingIoHandler implements IoHandler {
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final InternalLogger LOGGER =
-            InternalLoggerFactory.getInstance(BlockingWaits.class);
+            InternalLoggerFactory.getInstance(BlockingIoHandler.class);
     private final IoHandler handler;
     private final ReadDelayEstimator readDelay;
 
-    BlockingWaits(IoHandler handler, ReadDelayEstimator readDelay) {
+    BlockingIoHandler(IoHandler handler, ReadDelayEstimator readDelay) {
         this.handler = handler;
         this.readDelay = readDelay;
     }
 
-    /** {@return a factory whose handlers are those of the given factory, without polling} */
-    static IoHandlerFactory around(IoHandlerFactory factory) {
-        return around(factory, null);
+    /** {@return a factory whose handlers are those of the given factory, without busy polling} */
+    static IoHandlerFactory wrap(IoHandlerFactory factory) {
+        return wrap(factory, null);
     }
 
     /**
-     * Makes a factory whose handlers are those of another one, without polling.
+     * Makes a factory whose handlers are those of another one, without busy polling.
      *
      * @param factory the other one
-     * @param readDelay told of each pass of the loop, where there is only one; or null
+     * @param readDelay is told of each poll of the loop, where there is only one; or null
      */
-    static IoHandlerFactory around(IoHandlerFactory factory, ReadDelayEstimator readDelay) {
+    static IoHandlerFactory wrap(IoHandlerFactory factory, ReadDelayEstimator readDelay) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
-                return new BlockingWaits(factory.newHandler(executor), readDelay);
+                return new BlockingIoHandler(factory.newHandler(executor), readDelay);
             }
 
             @Override
@@ -60,14 +60,14 @@
     /**
      * Rounds a delay up to whole milliseconds.
      *
-     * @param nanos the delay; what is due already stays as it is
+     * @param nanos the delay; a delay that is over stays as it is
      * @return the delay to wait for
      */
-    static long roundedUp(long nanos) {
-        if (nanos <= 0 || nanos > Long.MAX_VALUE - MILLISECOND) {
+    static long roundUpToMillis(long nanos) {
+        if (nanos <= 0 || nanos > Long.MAX_VALUE - NANOS_PER_MILLI) {
             return nanos;
         }
-        return (nanos + MILLISECOND - 1) / MILLISECOND * MILLISECOND;
+        return (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
     }
 
     /**
@@ -77,7 +77,7 @@
     @Override
     public int run(IoHandlerContext context) {
         if (readDelay != null) {
-            readDelay.looks();
+            readDelay.pollStarted();
         }
         try {
             return handler.run(new RoundedContext(context, readDelay));
@@ -127,7 +127,7 @@
 
         @Override
         public long delayNanos(long currentTimeNanos) {
-            return roundedUp(context.delayNanos(currentTimeNanos));
+            return roundUpToMillis(context.delayNanos(currentTimeNanos));
         }
 
         @Override
@@ -146,7 +146,7 @@
         @Override
         public boolean shouldReportActiveIoTime() {
             if (readDelay != null) {
-                readDelay.found();
+                readDelay.pollFinished();
             }
             return context.shouldReportActiveIoTime();
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/net/ConnectionAttempt.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/ConnectionAttempt.java
@@ -6,58 +6,64 @@
 import java.util.function.Consumer;
 
 /**
- * An attempt to connect. Its failure is told once, on the event loop and never within the call that
- * made the attempt, also where the system had no socket for it. (Netty's own future tells of that
- * on another thread, and its channel throws when it is closed.)
+ * An attempt to connect. Its failure is reported once, on the event loop and never within the call
+ * that made the attempt, also where the system had no socket for it. (Netty's own future reports
+ * that on another thread, and its channel throws when it is closed.)
  */
 public final class ConnectionAttempt {
     private final EventLoop loop;
-    private final ChannelFuture attempt;
-    private final Throwable noSocket;
 
-    private ConnectionAttempt(EventLoop loop, ChannelFuture attempt, Throwable noSocket) {
+    /** Netty's attempt; null where there was no socket. */
+    private final ChannelFuture connectFuture;
+
+    private final Throwable socketFailure;
+
+    private ConnectionAttempt(
+            EventLoop loop, ChannelFuture connectFuture, Throwable socketFailure) {
         this.loop = loop;
-        this.attempt = attempt;
-        this.noSocket = noSocket;
+        this.connectFuture = connectFuture;
+        this.socketFailure = socketFailure;
     }
 
-    static ConnectionAttempt on(EventLoop loop, ChannelFuture attempt) {
-        return new ConnectionAttempt(loop, attempt, null);
+    static ConnectionAttempt started(EventLoop loop, ChannelFuture connectFuture) {
+        return new ConnectionAttempt(loop, connectFuture, null);
     }
 
-    static ConnectionAttempt withoutSocket(EventLoop loop, Throwable why) {
-        return new ConnectionAttempt(loop, null, why);
+    static ConnectionAttempt withoutSocket(EventLoop loop, Throwable cause) {
+        return new ConnectionAttempt(loop, null, cause);
     }
 
     /**
-     * Hears of its failure.
+     * Adds a listener for the failure of the attempt.
      *
-     * @param failed told why, on the event loop, in a later task
+     * @param listener is given the cause, on the event loop, in a later task
      * @return this
      */
-    public ConnectionAttempt onFailure(Consumer<Throwable> failed) {
-        if (attempt == null) {
-            loop.execute(() -> failed.accept(noSocket));
+    public ConnectionAttempt onFailure(Consumer<Throwable> listener) {
+        if (connectFuture == null) {
+            loop.execute(() -> listener.accept(socketFailure));
         } else {
-            attempt.addListener(
-                    f -> {
-                        if (!f.isSuccess()) {
-                            loop.execute(() -> failed.accept(f.cause()));
+            connectFuture.addListener(
+                    future -> {
+                        if (!future.isSuccess()) {
+                            loop.execute(() -> listener.accept(future.cause()));
                         }
                     });
         }
         return this;
     }
 
-    /** {@return the connection, which may not stand yet; null where there was no socket} */
+    /**
+     * {@return the connection, which may not be established yet; null where there was no socket}
+     */
     public Channel channel() {
-        return attempt == null ? null : attempt.channel();
+        return connectFuture == null ? null : connectFuture.channel();
     }
 
-    /** Gives it up, or closes the connection if it stands. */
+    /** Gives the attempt up, or closes the connection if it is established. */
     public void close() {
-        if (attempt != null) {
-            attempt.channel().close();
+        if (connectFuture != null) {
+            connectFuture.channel().close();
         }
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/net/LoopbackTransport.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/LoopbackTransport.java
@@ -19,33 +19,36 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** Netty's sockets, on loopback addresses alone (127.0.0.0/8). */
+/** Makes listeners and connections on loopback addresses alone (127.0.0.0/8). */
 public final class LoopbackTransport {
-    /** The address that is listened on where none is given. */
+    /** The address of a listener where none is given. */
     public static final String LOOPBACK = "127.0.0.1";
 
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int MAX_PORT = (1 << 16) - 1;
+
     private LoopbackTransport() {}
 
-    /** {@return event loops of daemon threads} */
+    /** {@return a group of event loops with a daemon thread each} */
     public static EventLoopGroup newEventLoops(int threads, String name) {
         return new MultiThreadIoEventLoopGroup(
                 threads,
                 new DefaultThreadFactory(name, true),
-                BlockingWaits.around(NioIoHandler.newFactory()));
+                BlockingIoHandler.wrap(NioIoHandler.newFactory()));
     }
 
     /**
-     * Makes one event loop, of a daemon thread, that tells how late it reads.
+     * Makes one event loop, with a daemon thread, that can tell how late it reads.
      *
      * @param name of its thread
-     * @param readDelay told of each of its passes
+     * @param readDelay is told of each of its polls
      * @return a group of that loop alone
      */
     public static EventLoopGroup newEventLoop(String name, ReadDelayEstimator readDelay) {
         return new MultiThreadIoEventLoopGroup(
                 1,
                 new DefaultThreadFactory(name, true),
-                BlockingWaits.around(NioIoHandler.newFactory(), readDelay));
+                BlockingIoHandler.wrap(NioIoHandler.newFactory(), readDelay));
     }
 
     /**
@@ -78,38 +81,37 @@
                 new ServerBootstrap()
                         .group(loops)
                         .channel(NioServerSocketChannel.class)
-                        .option(ChannelOption.SO_BACKLOG, 1024)
+                        .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        .handler(new AcceptErrors())
-                        .childHandler(
-                                new ChannelInitializer<Channel>() {
-                                    @Override
-                                    protected void initChannel(Channel channel) {
-                                        channel.pipeline().addLast(handler.get());
-                                    }
-                                })
+                        .handler(new AcceptErrorHandler())
+                        .childHandler(initializer(handler))
                         .bind(address)
                         .awaitUninterruptibly();
         if (!bound.isSuccess()) {
+            String target = address.getHostString() + ":" + address.getPort();
             throw new IOException(
-                    "cannot listen on "
-                            + address.getHostString()
-                            + ":"
-                            + address.getPort()
-                            + ": "
-                            + bound.cause().getMessage(),
+                    "cannot listen on " + target + ": " + bound.cause().getMessage(),
                     bound.cause());
         }
         return bound.channel();
     }
 
+    private static ChannelHandler initializer(Supplier<ChannelHandler> handler) {
+        return new ChannelInitializer<Channel>() {
+            @Override
+            protected void initChannel(Channel channel) {
+                channel.pipeline().addLast(handler.get());
+            }
+        };
+    }
+
     /**
      * {@return for how many nanoseconds a connection may have waited because accepting failed; 0
      * for not at all}
      */
     public static long acceptDelayNanos(Channel accepted) {
-        return AcceptErrors.waitedNanos(accepted);
+        return AcceptErrorHandler.waitedNanos(accepted);
     }
 
     /** {@return the port of a listener} */
@@ -122,20 +124,20 @@
      *
      * @param loop the connection's event loop
      * @param address host:port; the host has to be a loopback address
-     * @param timeoutMicros until the attempt fails
+     * @param timeoutMicros until the attempt fails, in microseconds
      * @param handler the connection's handler
      * @return the attempt
      */
     public static ConnectionAttempt connect(
             EventLoop loop, String address, long timeoutMicros, ChannelHandler handler) {
-        InetSocketAddress to = parseAddress(address);
+        InetSocketAddress remote = parseAddress(address);
         NioSocketChannel channel;
         try {
             channel = new NioSocketChannel();
         } catch (ChannelException e) {
             return ConnectionAttempt.withoutSocket(loop, e);
         }
-        return ConnectionAttempt.on(
+        return ConnectionAttempt.started(
                 loop,
                 new Bootstrap()
                         .group(loop)
@@ -145,15 +147,15 @@
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                                 (int) Math.max(1, timeoutMicros / 1000))
                         .handler(handler)
-                        .connect(to));
+                        .connect(remote));
     }
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
      * @param address 127.X.X.X:PORT
-     * @return the same
-     * @throws IllegalArgumentException where it is none, or leads elsewhere
+     * @return the address
+     * @throws IllegalArgumentException where it is none, or no loopback address
      */
     public static InetSocketAddress parseAddress(String address) {
         int colon = address == null ? -1 : address.lastIndexOf(':');
@@ -164,11 +166,11 @@
         }
         try {
             int port = Integer.parseInt(address.substring(colon + 1));
-            if (port > 0 && port < 1 << 16) {
+            if (port > 0 && port <= MAX_PORT) {
                 return new InetSocketAddress(local ? LOOPBACK : host, port);
             }
         } catch (NumberFormatException e) {
-            // Said below, as for a port out of range.
+            // Reported below, as for a port out of range.
         }
         throw new IllegalArgumentException(
                 "address \"" + address + "\": the port has to be from 1 to 65535");
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyDecoderTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class HttpBodyTest {
+class HttpBodyDecoderTest {
     private static HttpBodyDecoder body(int status, Map<String, String> headers)
             throws HttpDecodeException {
         return HttpBodyDecoder.forHead(new HttpHead("", "", status, headers));
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpParserTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpMessageDecoderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** HTTP/1.1 messages however they are cut, and what two readers could take for two things. */
-class HttpParserTest {
+class HttpMessageDecoderTest {
     private static final String TWO =
             "POST /a?x=1%202 HTTP/1.1\r\n"
                     + "Host: h\r\n"
--- a/protocol/src/test/java/sorrelhoist/protocol/net/BlockingWaitsTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/net/BlockingIoHandlerTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-class BlockingWaitsTest {
+class BlockingIoHandlerTest {
     private static final int TIMERS = 200;
     private static final long DELAY_MICROS =
             1_300; // 0.3 ms beyond a whole millisecond: rounding to the nearest is too early
@@ -25,13 +25,13 @@
 
     @Test
     void aDelayIsRoundedUpToTheNextMillisecond() {
-        assertEquals(1_000_000, BlockingWaits.roundedUp(1));
-        assertEquals(1_000_000, BlockingWaits.roundedUp(499_999));
-        assertEquals(1_000_000, BlockingWaits.roundedUp(1_000_000));
-        assertEquals(2_000_000, BlockingWaits.roundedUp(1_000_001));
-        assertEquals(0, BlockingWaits.roundedUp(0));
-        assertEquals(-5, BlockingWaits.roundedUp(-5));
-        assertEquals(Long.MAX_VALUE, BlockingWaits.roundedUp(Long.MAX_VALUE));
+        assertEquals(1_000_000, BlockingIoHandler.roundUpToMillis(1));
+        assertEquals(1_000_000, BlockingIoHandler.roundUpToMillis(499_999));
+        assertEquals(1_000_000, BlockingIoHandler.roundUpToMillis(1_000_000));
+        assertEquals(2_000_000, BlockingIoHandler.roundUpToMillis(1_000_001));
+        assertEquals(0, BlockingIoHandler.roundUpToMillis(0));
+        assertEquals(-5, BlockingIoHandler.roundUpToMillis(-5));
+        assertEquals(Long.MAX_VALUE, BlockingIoHandler.roundUpToMillis(Long.MAX_VALUE));
     }
 
     @Test
@@ -47,7 +47,9 @@
                                 });
         EventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(
-                        1, new DefaultThreadFactory("polls", true), BlockingWaits.around(counting));
+                        1,
+                        new DefaultThreadFactory("polls", true),
+                        BlockingIoHandler.wrap(counting));
         try {
             EventLoop loop = group.next();
             CountDownLatch rung = new CountDownLatch(TIMERS);
