--- a/planner/src/main/java/sorrelhoist/planner/EdgeSession.java
+++ b/planner/src/main/java/sorrelhoist/planner/EdgeSession.java
@@ -6,17 +6,20 @@
 import sorrelhoist.protocol.grpc.Status;
 import sorrelhoist.protocol.grpc.StatusCode;
 import sorrelhoist.protocol.plan.EdgeMessage;
+import sorrelhoist.protocol.plan.Hello;
 import sorrelhoist.protocol.plan.Peer;
 import sorrelhoist.protocol.plan.PlanEvent;
 import sorrelhoist.protocol.protobuf.ProtoException;
 
-/** One edge's stream. */
+/** The stream to one edge. Its state belongs to the planner's loop. */
 final class EdgeSession implements ServerCall.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(EdgeSession.class);
-    private static final int MAX_BEHIND = 4 << 20;
+    private static final int MAX_UNSENT_BYTES = 4 << 20;
+
     private final Planner planner;
     private final ServerCall call;
-    private String edge;
+
+    /** The edge's name, zone and address; null until it has introduced itself. */
     private Peer peer;
 
     EdgeSession(Planner planner, ServerCall call) {
@@ -24,69 +27,84 @@
         this.call = call;
     }
 
+    /** {@return the edge's name; null until it has introduced itself} */
     String edge() {
-        return edge;
+        return peer == null ? null : peer.edge();
     }
 
+    /** {@return the edge as other edges see it; null until it has introduced itself} */
     Peer peer() {
         return peer;
     }
 
-    /** Sends an event. An edge that does not read is cut off: it comes back and gets the whole. */
+    /**
+     * Sends an event. An edge that does not read is disconnected: it connects again, and gets the
+     * complete list.
+     */
     void send(PlanEvent event) {
-        if (call.pendingBytes() > MAX_BEHIND) {
+        if (call.pendingBytes() > MAX_UNSENT_BYTES) {
             close(new Status(StatusCode.RESOURCE_EXHAUSTED, "the edge does not read its plan"));
         } else {
             call.send(event.toByteArray());
         }
     }
 
+    /** Ends the stream. */
     void close(Status status) {
         call.close(status, null);
-        gone(status.message());
+        disconnected(status.message());
     }
 
     @Override
     public void onMessage(byte[] bytes) {
         try {
-            EdgeMessage message = EdgeMessage.parse(bytes);
-            if (message instanceof EdgeMessage.Handshake g) {
-                if (edge == null && !g.hello().edge().isEmpty()) {
-                    edge = g.hello().edge();
-                    peer = new Peer(edge, g.hello().zone(), g.hello().address());
-                    planner.attached(this);
-                }
-            } else if (edge == null) {
-                close(
-                        new Status(
-                                StatusCode.INVALID_ARGUMENT,
-                                "the first message has to be a hello with the edge's name"));
-            } else if (message instanceof EdgeMessage.ProbeRequest p) {
-                planner.probe(this, p.engine());
-            } else if (message instanceof EdgeMessage.RelayRequest t) {
-                planner.tell(this, t);
-            } else if (message instanceof EdgeMessage.RosterRequest) {
-                planner.sendRoster(this);
-            }
+            handle(EdgeMessage.parse(bytes));
         } catch (ProtoException e) {
             close(new Status(StatusCode.INVALID_ARGUMENT, e.getMessage()));
         }
     }
 
+    private void handle(EdgeMessage message) {
+        if (message instanceof EdgeMessage.Handshake handshake) {
+            introduced(handshake.hello());
+        } else if (peer == null) {
+            close(
+                    new Status(
+                            StatusCode.INVALID_ARGUMENT,
+                            "the first message has to be a hello with the edge's name"));
+        } else if (message instanceof EdgeMessage.ProbeRequest probe) {
+            planner.probe(this, probe.engine());
+        } else if (message instanceof EdgeMessage.RelayRequest relay) {
+            planner.relay(this, relay);
+        } else if (message instanceof EdgeMessage.RosterRequest) {
+            planner.sendRoster(this);
+        }
+    }
+
+    private void introduced(Hello hello) {
+        if (peer == null && !hello.edge().isEmpty()) {
+            peer = new Peer(hello.edge(), hello.zone(), hello.address());
+            planner.edgeAttached(this);
+        }
+    }
+
     @Override
     public void onHalfClose() {
         close(Status.OK);
     }
 
     @Override
-    public void onCancel(String why) {
-        gone(why);
+    public void onCancel(String reason) {
+        disconnected(reason);
     }
 
-    private void gone(String why) {
-        if (edge != null) {
-            LOG.atInfo().addKeyValue("event", "edge_left").addKeyValue("edge", edge).log(why);
-            planner.left(this);
+    private void disconnected(String reason) {
+        if (peer != null) {
+            LOG.atInfo()
+                    .addKeyValue("event", "edge_detached")
+                    .addKeyValue("edge", peer.edge())
+                    .log(reason);
+            planner.edgeLeft(this);
         }
     }
 }
--- a/planner/src/main/java/sorrelhoist/planner/Planner.java
+++ b/planner/src/main/java/sorrelhoist/planner/Planner.java
@@ -4,15 +4,11 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sorrelhoist.core.members.EndpointTracker;
-import sorrelhoist.core.members.EngineTable;
 import sorrelhoist.core.members.RegistryView;
 import sorrelhoist.core.members.ReplicaSlots;
 import sorrelhoist.protocol.grpc.GrpcServer;
@@ -26,55 +22,68 @@
 import sorrelhoist.protocol.plan.PeerMessage;
 import sorrelhoist.protocol.plan.PlanEvent;
 import sorrelhoist.protocol.plan.ReplicaSlot;
-import sorrelhoist.protocol.plan.Roster;
-import sorrelhoist.protocol.plan.RosterEntry;
 
 /**
- * A planner: reads the registry, numbers the edges, keeps each told, probes for them and passes on
- * what they tell each other. Everything runs on one event loop; what it decides stands in {@code
- * core.members}.
+ * A planner: reads the registry, assigns replica slots to edges, sends them the endpoint list,
+ * probes engines for them and relays their messages. All its state belongs to one event loop.
  */
 public final class Planner {
     private static final Logger LOG = LoggerFactory.getLogger(Planner.class);
-    private static final long SEAT_LOOK_MILLIS = 1000;
-    private static final int MAX_TELL = 256;
+    private static final long SLOT_CHECK_INTERVAL_MILLIS = 1000;
+    private static final int MAX_RELAYED_LENGTH = 256;
+    private static final int MAX_EDGE_MESSAGE_BYTES = 1 << 20;
+    private static final long MICROS_PER_MILLI = 1000;
+    private static final long STOP_QUIET_MILLIS = 100;
+    private static final long STOP_TIMEOUT_MILLIS = 500;
+
     private final PlannerSettings settings;
     private final EventLoopGroup loops = LoopbackTransport.newEventLoops(1, "planner");
     private final EventLoop loop = loops.next();
-    private final EndpointTracker book;
-    private final ReplicaSlots seats;
-    private final RegistryClient registry;
-    private final Prober prober;
-    private final Map<String, EdgeSession> sessions = new LinkedHashMap<>();
+    private final EndpointTracker endpoints;
+    private final ReplicaSlots slots;
+    private final RegistryPoller registry;
+    private final EngineProber prober;
+    private final EdgeSessions edges = new EdgeSessions();
+    private final ProblemLog problems = new ProblemLog();
     private Channel listener;
-    private boolean known;
-    private boolean stopped;
-    private long epoch;
-    private String lastTrouble = "";
+    private boolean registryRead;
+    private long slotEpoch;
 
     /**
-     * Makes a planner; {@link #start} starts it.
+     * Creates a planner; {@link #start} starts it.
      *
-     * @param settings what it is told
+     * @param settings its settings
      */
     public Planner(PlannerSettings settings) {
         this.settings = settings;
-        this.book = new EndpointTracker(settings.doubtMs() * 1000);
-        this.seats = new ReplicaSlots(settings.edges(), settings.seatMs() * 1000);
-        this.registry =
+        this.endpoints = new EndpointTracker(settings.doubtMs() * MICROS_PER_MILLI);
+        this.slots = new ReplicaSlots(settings.edges(), settings.seatMs() * MICROS_PER_MILLI);
+        RegistryClient client =
                 new RegistryClient(
                         loop,
                         settings.registry(),
                         settings.app(),
-                        settings.registryTimeoutMs() * 1000);
+                        settings.registryTimeoutMs() * MICROS_PER_MILLI);
+        this.registry =
+                new RegistryPoller(
+                        loop, client, settings.pollMs(), this::instancesListed, problems);
         this.prober =
-                new Prober(loop, book, settings.probeTimeoutMs() * 1000, settings.probesAtOnce());
+                new EngineProber(
+                        loop,
+                        endpoints,
+                        settings.probeTimeoutMs() * MICROS_PER_MILLI,
+                        settings.probesAtOnce());
     }
 
-    /** Listens and reads. {@return this} */
+    /**
+     * Listens for edges, and reads the registry.
+     *
+     * @return this
+     * @throws IOException if the port cannot be listened on
+     */
     public Planner start() throws IOException {
         GrpcServer server =
-                new GrpcServer(1 << 20)
+                new GrpcServer(MAX_EDGE_MESSAGE_BYTES)
                         .addMethod(PlanEvent.ATTACH, call -> new EdgeSession(this, call));
         listener =
                 LoopbackTransport.listen(
@@ -85,9 +94,12 @@
                                         Http2Limits.SERVER,
                                         server,
                                         new Http2Connection.Listener() {}));
-        loop.execute(this::poll);
+        loop.execute(registry::poll);
         loop.scheduleAtFixedRate(
-                this::lookAtSeats, SEAT_LOOK_MILLIS, SEAT_LOOK_MILLIS, TimeUnit.MILLISECONDS);
+                this::expireSlots,
+                SLOT_CHECK_INTERVAL_MILLIS,
+                SLOT_CHECK_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
         LOG.atInfo()
                 .addKeyValue("event", "started")
                 .addKeyValue("port", port())
@@ -95,7 +107,7 @@
         return this;
     }
 
-    /** {@return the port on which edges are told} */
+    /** {@return the port on which edges are served} */
     public int port() {
         return LoopbackTransport.localPort(listener);
     }
@@ -104,187 +116,120 @@
     public void stop() {
         loop.execute(
                 () -> {
-                    stopped = true;
+                    registry.stop();
                     prober.stop();
                     listener.close();
-                    each(s -> s.close(new Status(StatusCode.UNAVAILABLE, "the planner stops")));
-                    loops.shutdownGracefully(100, 500, TimeUnit.MILLISECONDS);
+                    Status stopping = new Status(StatusCode.UNAVAILABLE, "the planner stops");
+                    edges.forEach(session -> session.close(stopping));
+                    loops.shutdownGracefully(
+                            STOP_QUIET_MILLIS, STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                 });
     }
 
-    private static long now() {
-        return System.currentTimeMillis() * 1000;
-    }
-
-    // ---- The registry
-    // -------------------------------------------------------------------------------------
-
-    private void poll() {
-        if (stopped) {
-            return;
-        }
-        registry.fetch()
-                .whenComplete(
-                        (list, trouble) -> {
-                            if (trouble == null) {
-                                take(list);
-                            } else {
-                                Throwable cause =
-                                        trouble.getCause() == null ? trouble : trouble.getCause();
-                                say("registry_away", String.valueOf(cause.getMessage()));
-                            }
-                            if (!stopped) {
-                                loop.schedule(this::poll, settings.pollMs(), TimeUnit.MILLISECONDS);
-                            }
-                        });
-    }
-
-    /** Says a lasting trouble once. */
-    private void say(String event, String trouble) {
-        if (!trouble.equals(lastTrouble)) {
-            lastTrouble = trouble;
-            LOG.atWarn().addKeyValue("event", event).log(trouble);
-        }
+    private static long nowMicros() {
+        return TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
     }
 
-    private void take(List<RegistryView.Instance> list) {
-        List<EndpointTracker.TrackedEndpoint> changed = book.update(now(), list);
-        if (book.warnings().isEmpty()) {
-            lastTrouble = "";
+    private void instancesListed(List<RegistryView.Instance> instances) {
+        List<EndpointTracker.TrackedEndpoint> changed = endpoints.update(nowMicros(), instances);
+        if (endpoints.warnings().isEmpty()) {
+            problems.clear();
         } else {
-            say("roster_trouble", String.join("; ", book.warnings()));
+            problems.report("endpoint_list_warning", String.join("; ", endpoints.warnings()));
         }
-        if (!known) {
-            known = true;
-            each(this::sendRoster);
+        if (!registryRead) {
+            registryRead = true;
+            edges.forEach(this::sendRoster);
         } else if (!changed.isEmpty()) {
-            PlanEvent update = PlanEvent.of(roster(Roster.UPDATE, changed));
-            each(s -> s.send(update));
+            edges.broadcast(RosterEncoder.update(changed, endpoints.epoch(), nowMicros()));
         }
-        changed.forEach(
-                l ->
-                        LOG.atInfo()
-                                .addKeyValue("event", "engine")
-                                .addKeyValue("engine", l.entry().id())
-                                .addKeyValue("state", l.entry().state())
-                                .log("roster changed"));
+        changed.forEach(Planner::logChange);
     }
 
-    private Roster roster(int form, List<EndpointTracker.TrackedEndpoint> lines) {
-        long now = now();
-        long learned =
-                lines.stream()
-                        .mapToLong(EndpointTracker.TrackedEndpoint::learnedAt)
-                        .max()
-                        .orElse(now);
-        return new Roster(
-                form,
-                lines.stream().map(l -> line(l, now)).toList(),
-                book.epoch(),
-                form == Roster.UPDATE ? Math.max(0, now - learned) : 0);
-    }
-
-    private static RosterEntry line(EndpointTracker.TrackedEndpoint l, long now) {
-        EngineTable.ListedEngine e = l.entry();
-        long up =
-                e.incarnation() > 0 ? Math.max(0, now - e.incarnation() * 1000) : e.uptimeMicros();
-        return new RosterEntry(
-                e.id(),
-                e.zone(),
-                e.rack(),
-                e.kind(),
-                e.state().ordinal(),
-                e.size(),
-                e.incarnation(),
-                up,
-                e.address());
-    }
-
-    // ---- The edges
-    // ----------------------------------------------------------------------------------------
-
-    /** Sending may cut a session off, so the list is a copy. */
-    private void each(Consumer<EdgeSession> what) {
-        List.copyOf(sessions.values()).forEach(what);
-    }
-
-    void attached(EdgeSession session) {
-        EdgeSession before = sessions.put(session.edge(), session);
-        if (before != null) {
-            before.close(new Status(StatusCode.ABORTED, "the edge attached anew"));
-            sessions.put(session.edge(), session);
+    private static void logChange(EndpointTracker.TrackedEndpoint endpoint) {
+        LOG.atInfo()
+                .addKeyValue("event", "endpoint_changed")
+                .addKeyValue("engine", endpoint.entry().id())
+                .addKeyValue("state", endpoint.entry().state())
+                .log("endpoint changed");
+    }
+
+    /** An edge has introduced itself. */
+    void edgeAttached(EdgeSession session) {
+        EdgeSession former = edges.add(session);
+        if (former != null) {
+            former.close(new Status(StatusCode.ABORTED, "the edge attached anew"));
+            edges.add(session);
         }
-        seats.join(session.edge());
+        slots.join(session.edge());
         LOG.atInfo()
                 .addKeyValue("event", "edge_attached")
                 .addKeyValue("edge", session.edge())
                 .log("edge attached");
-        tellSeats();
-        // Before the registry was read there is no roster: a list of none would stop every edge.
-        if (known) {
+        sendSlots();
+        // Before the registry was read there is no list: an empty one would stop every edge.
+        if (registryRead) {
             sendRoster(session);
         }
     }
 
-    void sendRoster(EdgeSession session) {
-        if (known) {
-            session.send(PlanEvent.of(roster(Roster.COMPLETE, book.endpoints())));
-        } else {
-            session.send(PlanEvent.of(new Roster(Roster.UNAVAILABLE, List.of(), 0, 0)));
+    /** An edge's stream has ended. */
+    void edgeLeft(EdgeSession session) {
+        if (edges.remove(session)) {
+            slots.leave(nowMicros(), session.edge());
         }
     }
 
-    void left(EdgeSession session) {
-        if (sessions.remove(session.edge(), session)) {
-            seats.leave(now(), session.edge());
-        }
+    /** Sends an edge the complete endpoint list. */
+    void sendRoster(EdgeSession session) {
+        session.send(
+                registryRead
+                        ? RosterEncoder.complete(endpoints, nowMicros())
+                        : RosterEncoder.unavailable());
     }
 
-    private void lookAtSeats() {
-        if (seats.expireLeases(now())) {
-            tellSeats();
+    private void expireSlots() {
+        if (slots.expireLeases(nowMicros())) {
+            sendSlots();
         }
     }
 
-    private void tellSeats() {
-        epoch++;
-        each(
-                s -> {
-                    s.send(
+    private void sendSlots() {
+        slotEpoch++;
+        edges.forEach(
+                session -> {
+                    session.send(PlanEvent.of(new PeerList(edges.peersOf(session))));
+                    ReplicaSlots.Slot slot = slots.slotOf(session.edge());
+                    session.send(
                             PlanEvent.of(
-                                    new PeerList(
-                                            sessions.values().stream()
-                                                    .filter(o -> o != s)
-                                                    .map(EdgeSession::peer)
-                                                    .filter(p -> !p.address().isEmpty())
-                                                    .toList())));
-                    ReplicaSlots.Slot seat = seats.slotOf(s.edge());
-                    s.send(PlanEvent.of(new ReplicaSlot(seat.replicas(), seat.index(), epoch)));
+                                    new ReplicaSlot(slot.replicas(), slot.index(), slotEpoch)));
                 });
     }
 
-    void probe(EdgeSession asker, String engine) {
-        prober.probe(engine, answer -> asker.send(PlanEvent.of(answer)));
+    /** Probes an engine for an edge. */
+    void probe(EdgeSession session, String engine) {
+        prober.probe(engine, result -> session.send(PlanEvent.of(result)));
     }
 
-    void tell(EdgeSession from, EdgeMessage.RelayRequest message) {
-        if (message.body().length() > MAX_TELL) {
+    /** Relays an edge's message to another edge, or to all others. */
+    void relay(EdgeSession sender, EdgeMessage.RelayRequest request) {
+        if (request.body().length() > MAX_RELAYED_LENGTH) {
             return; // no edge of this project sends more
         }
-        PlanEvent news =
-                PlanEvent.of(new PeerMessage(seats.slotOf(from.edge()).index(), message.body()));
-        if (message.recipient() >= 0) {
-            EdgeSession to = sessions.get(String.valueOf(seats.edgeAt(message.recipient())));
-            if (to != null) {
-                to.send(news);
+        int senderIndex = slots.slotOf(sender.edge()).index();
+        PlanEvent message = PlanEvent.of(new PeerMessage(senderIndex, request.body()));
+        if (request.recipient() >= 0) {
+            EdgeSession recipient = edges.of(String.valueOf(slots.edgeAt(request.recipient())));
+            if (recipient != null) {
+                recipient.send(message);
             }
-        } else {
-            each(
-                    s -> {
-                        if (s != from) {
-                            s.send(news);
-                        }
-                    });
+            return;
         }
+        edges.forEach(
+                session -> {
+                    if (session != sender) {
+                        session.send(message);
+                    }
+                });
     }
 }
--- a/planner/src/main/java/sorrelhoist/planner/RegistryClient.java
+++ b/planner/src/main/java/sorrelhoist/planner/RegistryClient.java
@@ -5,6 +5,7 @@
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -15,119 +16,138 @@
 
 /**
  * Reads a Eureka registry's list over its REST API: all of it at first, then deltas, and all of it
- * again wherever a delta's hash code shows that something was missed.
+ * again if a delta's hash code shows that something was missed.
  */
 final class RegistryClient {
-    private static final Map<String, String> ACCEPT = Map.of("accept", "application/json");
+    private static final String ALL_PATH = "/eureka/apps";
+    private static final String DELTA_PATH = "/eureka/apps/delta";
+    private static final Map<String, String> HEADERS = Map.of("accept", "application/json");
+    private static final int STATUS_OK = 200;
+    private static final String APPLICATIONS = "applications";
+    private static final String DEFAULT_ACTION = "MODIFIED";
+    private static final String DEFAULT_STATUS = "UNKNOWN";
+
     private final ObjectMapper json = new ObjectMapper();
     private final HttpClient http;
-    private final String app;
-    private final long timeout;
+    private final String application;
+    private final long timeoutMicros;
     private final RegistryView view = new RegistryView();
 
-    RegistryClient(EventLoop loop, String address, String app, long timeoutMicros) {
+    /**
+     * Creates a client.
+     *
+     * @param loop the loop on which it runs
+     * @param address the registry's address
+     * @param application the application whose instances are the engines
+     * @param timeoutMicros until a request has failed
+     */
+    RegistryClient(EventLoop loop, String address, String application, long timeoutMicros) {
         this.http = new HttpClient(loop, address);
-        this.app = app;
-        this.timeout = timeoutMicros;
+        this.application = application;
+        this.timeoutMicros = timeoutMicros;
     }
 
-    /** {@return the engines' instances as listed now, or why they can't be told} */
+    /** {@return the engines' instances as they are listed now, or why they cannot be fetched} */
     CompletableFuture<List<RegistryView.Instance>> fetch() {
-        return (view.isComplete() ? delta() : full())
-                .thenApply(
-                        v ->
-                                v.instances().stream()
-                                        .filter(i -> i.app().equalsIgnoreCase(app))
-                                        .toList());
+        return (view.isComplete() ? fetchDelta() : fetchAll()).thenApply(this::engines);
+    }
+
+    private List<RegistryView.Instance> engines(RegistryView registry) {
+        return registry.instances().stream()
+                .filter(instance -> instance.app().equalsIgnoreCase(application))
+                .toList();
     }
 
-    private CompletableFuture<RegistryView> full() {
-        return get("/eureka/apps")
+    private CompletableFuture<RegistryView> fetchAll() {
+        return get(ALL_PATH)
                 .thenApply(
                         root -> {
-                            List<RegistryView.Instance> all = new ArrayList<>();
-                            instances(root).forEach(i -> all.add(instance(i)));
-                            view.replaceAll(all);
+                            view.replaceAll(
+                                    instances(root).stream()
+                                            .map(RegistryClient::instance)
+                                            .toList());
                             return view;
                         });
     }
 
-    private CompletableFuture<RegistryView> delta() {
-        return get("/eureka/apps/delta")
+    private CompletableFuture<RegistryView> fetchDelta() {
+        return get(DELTA_PATH)
                 .thenCompose(
-                        root -> {
-                            List<RegistryView.Change> changes = new ArrayList<>();
-                            instances(root)
-                                    .forEach(
-                                            i ->
-                                                    changes.add(
-                                                            new RegistryView.Change(
-                                                                    i.path("actionType")
-                                                                            .asText("MODIFIED"),
-                                                                    instance(i))));
-                            String hash =
-                                    root.path("applications").path("apps__hashcode").asText("");
-                            return view.applyDelta(changes, hash)
-                                    ? CompletableFuture.completedFuture(view)
-                                    : full();
-                        });
+                        root ->
+                                applyDelta(root)
+                                        ? CompletableFuture.completedFuture(view)
+                                        : fetchAll());
+    }
+
+    private boolean applyDelta(JsonNode root) {
+        List<RegistryView.Change> changes =
+                instances(root).stream().map(RegistryClient::change).toList();
+        String hashCode = root.path(APPLICATIONS).path("apps__hashcode").asText("");
+        return view.applyDelta(changes, hashCode);
     }
 
     private CompletableFuture<JsonNode> get(String path) {
-        return http.send(HttpMessage.request("GET", path, ACCEPT, new byte[0]), timeout)
-                .thenApply(
-                        r -> {
-                            if (r.status() != 200) {
-                                throw new IllegalStateException(
-                                        "the registry answered " + r.status() + " to GET " + path);
-                            }
-                            try {
-                                JsonNode root = json.readTree(r.body());
-                                if (!root.path("applications").isObject()) {
-                                    throw new IllegalStateException(
-                                            "the registry's answer to GET "
-                                                    + path
-                                                    + " holds no applications");
-                                }
-                                return root;
-                            } catch (IOException e) {
-                                throw new IllegalStateException(
-                                        "the registry's answer to GET " + path + " is no JSON", e);
-                            }
-                        });
+        HttpMessage request = HttpMessage.request("GET", path, HEADERS, new byte[0]);
+        return http.send(request, timeoutMicros).thenApply(response -> parse(path, response));
     }
 
-    /** A list of one may come as the one itself: the published JSON is made from XML. */
-    private static List<JsonNode> list(JsonNode node) {
-        List<JsonNode> all = new ArrayList<>();
-        if (node.isArray()) {
-            node.forEach(all::add);
-        } else if (node.isObject()) {
-            all.add(node);
+    private JsonNode parse(String path, HttpMessage response) {
+        if (response.status() != STATUS_OK) {
+            throw new RegistryException(
+                    "the registry answered " + response.status() + " to GET " + path);
+        }
+        JsonNode root;
+        try {
+            root = json.readTree(response.body());
+        } catch (IOException e) {
+            throw new RegistryException("the registry's answer to GET " + path + " is no JSON", e);
+        }
+        if (!root.path(APPLICATIONS).isObject()) {
+            throw new RegistryException(
+                    "the registry's answer to GET " + path + " holds no applications");
         }
-        return all;
+        return root;
     }
 
     private static List<JsonNode> instances(JsonNode root) {
-        List<JsonNode> all = new ArrayList<>();
-        for (JsonNode application : list(root.path("applications").path("application"))) {
-            list(application.path("instance")).forEach(all::add);
+        List<JsonNode> instances = new ArrayList<>();
+        for (JsonNode app : elements(root.path(APPLICATIONS).path("application"))) {
+            instances.addAll(elements(app.path("instance")));
+        }
+        return instances;
+    }
+
+    /** {@return a list's elements; a list of one may come as the one itself, as made from XML} */
+    private static List<JsonNode> elements(JsonNode node) {
+        List<JsonNode> elements = new ArrayList<>();
+        if (node.isArray()) {
+            node.forEach(elements::add);
+        } else if (node.isObject()) {
+            elements.add(node);
         }
-        return all;
+        return elements;
+    }
+
+    private static RegistryView.Change change(JsonNode node) {
+        return new RegistryView.Change(
+                node.path("actionType").asText(DEFAULT_ACTION), instance(node));
     }
 
-    private static RegistryView.Instance instance(JsonNode i) {
+    private static RegistryView.Instance instance(JsonNode node) {
         Map<String, String> metadata = new LinkedHashMap<>();
-        for (var f = i.path("metadata").fields(); f.hasNext(); ) {
-            var e = f.next();
-            metadata.put(e.getKey(), e.getValue().asText());
+        Iterator<Map.Entry<String, JsonNode>> fields = node.path("metadata").fields();
+        while (fields.hasNext()) {
+            Map.Entry<String, JsonNode> field = fields.next();
+            metadata.put(field.getKey(), field.getValue().asText());
         }
-        String id = i.path("instanceId").asText(i.path("hostName").asText(""));
+        String id = node.path("instanceId").asText(node.path("hostName").asText(""));
+        String host = node.path("ipAddr").asText("");
+        String port = node.path("port").path("$").asText("0");
         return new RegistryView.Instance(
-                i.path("app").asText(""),
+                node.path("app").asText(""),
                 id,
-                i.path("status").asText("UNKNOWN"),
-                i.path("ipAddr").asText("") + ":" + i.path("port").path("$").asText("0"),
+                node.path("status").asText(DEFAULT_STATUS),
+                host + ":" + port,
                 metadata);
     }
 }
