--- a/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
@@ -29,7 +29,7 @@
 import sorrelhoist.core.record.ReplayComparison;
 import sorrelhoist.core.record.RequestTimeline;
 import sorrelhoist.core.record.SegmentRetention;
-import sorrelhoist.edge.record.RecordFolder;
+import sorrelhoist.edge.record.RecordDirectory;
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing;
 
@@ -427,7 +427,7 @@
                     "record: " + folder + ": no such folder: give the edge's record.folder");
             return 2;
         }
-        Files.write(folder.resolve(RecordFolder.KEEP), new byte[0]);
+        Files.write(folder.resolve(RecordDirectory.PRESERVE_REQUEST_FILE), new byte[0]);
         System.out.println(
                 "asked: the edge keeps its record with its next write, within a second while it"
                         + " runs");
--- a/app/src/main/java/sorrelhoist/app/command/WireRecord.java
+++ b/app/src/main/java/sorrelhoist/app/command/WireRecord.java
@@ -15,7 +15,7 @@
 import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.core.record.Recorder;
 import sorrelhoist.core.record.SegmentRetention;
-import sorrelhoist.edge.record.RecordWork;
+import sorrelhoist.edge.record.RecordWriter;
 import sorrelhoist.routing.Routing.Action;
 import sorrelhoist.routing.Routing.Event;
 import sorrelhoist.routing.Routing.RoutingSettings;
@@ -57,7 +57,7 @@
                     router,
                     new Recorder(
                             new RecordEntry.Header(
-                                    RecordWork.BUILD, "router-" + router, start, settings, seed),
+                                    RecordWriter.BUILD, "router-" + router, start, settings, seed),
                             chunk -> write(file, chunk)));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/app/src/test/java/sorrelhoist/app/HardCasesTest.java
+++ b/app/src/test/java/sorrelhoist/app/HardCasesTest.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import sorrelhoist.edge.EngineServingState;
 import sorrelhoist.lab.load.InferenceClient;
 import sorrelhoist.planner.Planner;
 import sorrelhoist.protocol.net.LoopbackTransport;
@@ -85,7 +86,12 @@
         fleet.tell("w1", "drain");
         LocalFleet.await(
                 "both edges to have heard",
-                () -> fleet.edges.stream().allMatch(e -> e.serving("w1") == 0));
+                () ->
+                        fleet.edges.stream()
+                                .allMatch(
+                                        e ->
+                                                e.servingState("w1")
+                                                        == EngineServingState.NOT_SERVING));
         oneAnswerEach(burst(0, 20, "x"));
         oneAnswerEach(burst(1, 20, "y"));
         fleet.nothingLeft(0);
@@ -199,6 +205,6 @@
                                 + "transfer-encoding: chunked\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
         assertTrue(InferenceProbe.served(fleet, 0));
-        assertEquals(0, fleet.edges.get(0).open());
+        assertEquals(0, fleet.edges.get(0).openRequests());
     }
 }
--- a/app/src/test/java/sorrelhoist/app/LocalFleet.java
+++ b/app/src/test/java/sorrelhoist/app/LocalFleet.java
@@ -238,14 +238,7 @@
     void nothingLeft(int edge) {
         await(
                 "edge " + edge + " to hold nothing",
-                () -> {
-                    for (int n : edges.get(edge).counts().join()) {
-                        if (n != 0) {
-                            return false;
-                        }
-                    }
-                    return true;
-                });
+                () -> edges.get(edge).usage().join().equals(Edge.Usage.IDLE));
     }
 
     @Override
--- a/app/src/test/java/sorrelhoist/app/PathTest.java
+++ b/app/src/test/java/sorrelhoist/app/PathTest.java
@@ -107,7 +107,7 @@
             int pause = i;
             fleet.loops.next().schedule(() -> asked.cancel(false), pause, TimeUnit.MILLISECONDS);
         }
-        LocalFleet.await("requests to be gone", () -> fleet.edges.get(0).open() == 0);
+        LocalFleet.await("requests to be gone", () -> fleet.edges.get(0).openRequests() == 0);
         fleet.nothingLeft(0);
         assertTrue(
                 client.send(InferenceProbe.ask("after", 5, 3_000_000), (n, t) -> {})
--- a/app/src/test/java/sorrelhoist/app/StreamsTest.java
+++ b/app/src/test/java/sorrelhoist/app/StreamsTest.java
@@ -174,7 +174,7 @@
                         3_000_000);
         assertTrue(fleet.client(0).send(ask, (i, t) -> {}).get(5, TimeUnit.SECONDS).served());
         var before =
-                fleet.edges.get(0).known().join().keys().stream()
+                fleet.edges.get(0).knowledge().join().keys().stream()
                         .filter(k -> k.name().equals("session-7"))
                         .findFirst()
                         .orElseThrow();
@@ -188,10 +188,10 @@
         LocalFleet.await(
                 "the new edge to remember",
                 () ->
-                        fleet.edges.get(1).known().join().keys().stream()
+                        fleet.edges.get(1).knowledge().join().keys().stream()
                                 .anyMatch(k -> k.name().equals("session-7")));
         var after =
-                fleet.edges.get(1).known().join().keys().stream()
+                fleet.edges.get(1).knowledge().join().keys().stream()
                         .filter(k -> k.name().equals("session-7"))
                         .findFirst()
                         .orElseThrow();
@@ -258,7 +258,7 @@
     }
 
     private long sessions(int edge) {
-        return fleet.edges.get(edge).known().join().keys().stream()
+        return fleet.edges.get(edge).knowledge().join().keys().stream()
                 .filter(k -> k.name().startsWith("session-"))
                 .count();
     }
--- a/app/src/test/java/sorrelhoist/edge/TracingBench.java
+++ b/app/src/test/java/sorrelhoist/edge/TracingBench.java
@@ -1,5 +1,6 @@
 package sorrelhoist.edge;
 
+import io.opentelemetry.api.trace.Span;
 import io.opentelemetry.sdk.OpenTelemetrySdk;
 import io.opentelemetry.sdk.trace.SdkTracerProvider;
 import io.opentelemetry.sdk.trace.samplers.Sampler;
@@ -13,6 +14,8 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
+import sorrelhoist.core.request.AttemptId;
+import sorrelhoist.core.request.InferenceRequest;
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.routing.Reason;
 
@@ -41,17 +44,33 @@
 
     private int request(Tracing tracing) {
         Headers metadata = new Headers();
-        Object request = tracing.request(headers, 0);
-        Object read =
-                tracing.attempt(request, "prefill", "r1", "edge.1.2", 0, metadata, Reason.UNKNOWN);
-        tracing.attemptEnded(read, "DONE");
-        Object write =
-                tracing.attempt(request, "decode", "w1", "edge.1.2", 1, metadata, Reason.UNKNOWN);
-        tracing.attemptEnded(write, "DONE");
-        tracing.requestEnded(request, "Served", null);
+        RequestTrace trace = tracing.startRequest(headers, 0);
+        InferenceRequest request =
+                new InferenceRequest("", 0, 0, null, null, 0, "", 0, 1, 0, 0, trace);
+        Span prefill =
+                tracing.startAttempt(
+                        attempt(EngineAttempt.Phase.PREFILL, 0, "r1", request), metadata);
+        tracing.attemptEnded(prefill, Tracing.ATTEMPT_DONE);
+        Span decode =
+                tracing.startAttempt(
+                        attempt(EngineAttempt.Phase.DECODE, 1, "w1", request), metadata);
+        tracing.attemptEnded(decode, Tracing.ATTEMPT_DONE);
+        tracing.requestEnded(trace, Tracing.REQUEST_SERVED, null);
         return metadata.size();
     }
 
+    private static EngineAttempt attempt(
+            EngineAttempt.Phase phase, int number, String engine, InferenceRequest request) {
+        return new EngineAttempt(
+                phase,
+                new AttemptId(1, number),
+                engine,
+                "edge.1.2",
+                request,
+                Long.MAX_VALUE,
+                Reason.UNKNOWN);
+    }
+
     /** Off. */
     @Benchmark
     public int off() {
--- /dev/null
+++ b/edge/src/main/java/sorrelhoist/edge/AttemptListener.java
@@ -0,0 +1,96 @@
+package sorrelhoist.edge;
+
+import sorrelhoist.core.request.AttemptId;
+import sorrelhoist.core.request.Router;
+import sorrelhoist.protocol.engine.EngineApi;
+import sorrelhoist.protocol.engine.LoadReport;
+import sorrelhoist.protocol.grpc.ClientCall;
+import sorrelhoist.protocol.grpc.Status;
+import sorrelhoist.protocol.hpack.Headers;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.ServerLoad;
+
+/**
+ * Listens to an engine's answer to an attempt, on the connection's thread, and reports the end of
+ * the attempt to the router. Subclasses read the messages.
+ */
+abstract class AttemptListener implements ClientCall.Listener {
+    /** The detail of an outcome that tells that the engine found no state to fetch. */
+    private static final int DETAIL_STATE_MISSING = 1;
+
+    private static final int NO_DETAIL = 0;
+
+    final RouterEventLoop router;
+    final AttemptId attempt;
+    private final EngineAttempts attempts;
+
+    AttemptListener(RouterEventLoop router, EngineAttempts attempts, AttemptId attempt) {
+        this.router = router;
+        this.attempts = attempts;
+        this.attempt = attempt;
+    }
+
+    /**
+     * Reports a complete answer to the router, on the router's thread.
+     *
+     * @return false if the answer is not complete though the call ended well
+     */
+    abstract boolean reportCompleted(Router r, ServerLoad load);
+
+    @Override
+    public void onClose(
+            ClientCall call, Status status, Headers trailers, ClientCall.Termination termination) {
+        if (termination == ClientCall.Termination.CANCELLED) {
+            return; // the router cancelled it, and knows
+        }
+        ServerLoad load = serverLoad(trailers);
+        router.execute(r -> reportEnd(r, status, termination, load));
+    }
+
+    private void reportEnd(
+            Router r, Status status, ClientCall.Termination termination, ServerLoad load) {
+        EngineAttempts.InFlight ended = attempts.remove(attempt);
+        if (ended == null) {
+            return;
+        }
+        boolean ok = termination == ClientCall.Termination.STATUS && status.isOk();
+        if (ok && reportCompleted(r, load)) {
+            attempts.traceEnd(ended, Tracing.ATTEMPT_DONE);
+            return;
+        }
+        Outcome outcome = ok ? Outcome.ERROR : AttemptOutcomes.of(status, termination);
+        attempts.traceEnd(ended, outcome.toString());
+        boolean stateMissing = AttemptOutcomes.isStateMissing(status, termination);
+        r.attemptFailed(
+                router.now(),
+                attempt,
+                outcome,
+                stateMissing ? DETAIL_STATE_MISSING : NO_DETAIL,
+                load);
+    }
+
+    /** Gives up on an engine that sent a malformed message. The attempt may have run there. */
+    final void malformedMessage(ClientCall call) {
+        call.cancel();
+        router.execute(
+                r -> {
+                    EngineAttempts.InFlight ended = attempts.remove(attempt);
+                    if (ended != null) {
+                        attempts.traceEnd(ended, Tracing.ATTEMPT_MALFORMED);
+                        r.attemptFailed(
+                                router.now(), attempt, Outcome.ERROR, NO_DETAIL, ServerLoad.NONE);
+                    }
+                });
+    }
+
+    private static ServerLoad serverLoad(Headers trailers) {
+        LoadReport report = EngineApi.loadReport(trailers);
+        return report == null
+                ? ServerLoad.NONE
+                : new ServerLoad(
+                        report.memoryUtilization(),
+                        report.queuedTokens(),
+                        report.inFlightRequests(),
+                        report.queuedRequests());
+    }
+}
--- a/edge/src/main/java/sorrelhoist/edge/Edge.java
+++ b/edge/src/main/java/sorrelhoist/edge/Edge.java
@@ -4,31 +4,19 @@
 import io.netty.channel.EventLoopGroup;
 import io.opentelemetry.api.OpenTelemetry;
 import java.io.IOException;
-import java.nio.file.Path;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sorrelhoist.core.members.EngineTable;
 import sorrelhoist.core.record.DecisionListener;
-import sorrelhoist.core.record.SegmentRetention;
+import sorrelhoist.core.request.Router;
 import sorrelhoist.core.request.RouterSettings;
-import sorrelhoist.core.scheduling.BackgroundScheduler;
-import sorrelhoist.core.statetransfer.DonorSelection;
-import sorrelhoist.core.statetransfer.MessageAuthenticator;
-import sorrelhoist.core.statetransfer.ProcessIdentityTranslator;
-import sorrelhoist.edge.past.FolderDisk;
-import sorrelhoist.edge.past.PastWork;
-import sorrelhoist.edge.record.RecordFolder;
-import sorrelhoist.edge.record.RecordWork;
-import sorrelhoist.edge.teach.Learner;
-import sorrelhoist.edge.teach.Teacher;
 import sorrelhoist.protocol.grpc.GrpcChannel;
 import sorrelhoist.protocol.grpc.GrpcServer;
 import sorrelhoist.protocol.http2.Http2Connection;
@@ -37,215 +25,113 @@
 import sorrelhoist.routing.Knowledge;
 
 /**
- * An edge: client listener, router, engine connections and the stream to the planner, put together.
+ * An edge: the client listener, the router's event loop, the connections to engines, the stream to
+ * the planner and the background tasks, put together. Thread-safe.
  */
 public final class Edge implements Http2Connection.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Edge.class);
-    private static final int SEGMENTS = 8; // so that an eighth of the record goes at a time
-    private static final long MINUTE = 60_000_000;
-    private static final int MESSAGE_OVERHEAD = 64 << 10;
-    private static final long LOOK_MILLIS = 20;
-    private static final BackgroundScheduler.Job PAST =
-            new BackgroundScheduler.Job("past", 1, 50_000, 16 << 20, 10_000_000);
-    private static final BackgroundScheduler.Job RECORD =
-            new BackgroundScheduler.Job("record", 3, 50_000, 64 << 20, 100_000);
-    private static final BackgroundScheduler.Job TEACH =
-            new BackgroundScheduler.Job("teach", 2, 30_000, 4 << 20, 5_000_000);
+    private static final String NETWORK_THREAD_NAME = "edge-net";
+    private static final int MESSAGE_OVERHEAD_BYTES = 64 << 10;
+    private static final int MAX_ENGINE_MESSAGE_BYTES = 1 << 20;
+    private static final long MICROS_PER_MILLI = 1000;
+    private static final long POLL_INTERVAL_MILLIS = 20;
+    private static final long CLOSE_TIMEOUT_MILLIS = 1000;
+    private static final long NETWORK_STOP_TIMEOUT_MILLIS = 500;
+
     private final EdgeSettings settings;
     private final EventLoopGroup network;
-    private final RouterLoop loop;
-    private final Engines engines;
-    private final PlannerLink planner;
     private final Tracing tracing;
-    private final PastWork past;
-    private final RecordWork record;
-    private final Teacher teacher;
-    private final Learner learner;
+    private final RouterEventLoop router;
+    private final EngineConnections connections;
+    private final EngineCommandHandler engines;
+    private final PlannerClient planner;
+    private final Optional<RecordingTask> recording;
+    private final Optional<PersistenceTask> persistence;
+    private final Optional<StateTransferTask> stateTransfer;
     private final Set<Http2Connection> clients = ConcurrentHashMap.newKeySet();
+    private final AtomicBoolean stopped = new AtomicBoolean();
     private Channel listener;
     private volatile boolean draining;
-    private final AtomicBoolean stopped = new AtomicBoolean();
 
     /**
-     * Makes an edge that traces nothing; {@link #start} starts it.
+     * Creates an edge that traces nothing; {@link #start} starts it.
      *
-     * @param settings what it is told
+     * @param settings its settings
      */
     public Edge(EdgeSettings settings) {
         this(settings, null);
     }
 
     /**
-     * Makes an edge; {@link #start} starts it.
+     * Creates an edge; {@link #start} starts it.
      *
-     * @param settings what it is told
-     * @param telemetry takes its spans; null for none
+     * @param settings its settings
+     * @param telemetry takes its trace spans; null for none
      */
     public Edge(EdgeSettings settings, OpenTelemetry telemetry) {
         this.settings = settings;
         this.tracing = new Tracing(telemetry);
-        EdgeSettings.ServingSettings s = settings.serving();
         long incarnation = System.currentTimeMillis();
-        network = LoopbackTransport.newEventLoops(s.threads(), "edge-net");
-        RouterSettings router = settings.router(incarnation);
-        record =
-                settings.record().folder().isEmpty() ? null : openRecord(settings.record(), router);
-        loop = new RouterLoop(router, record == null ? DecisionListener.NONE : record.tap());
-        EngineTable table =
-                new EngineTable(
-                        settings.zones(),
-                        settings.kinds().stream().map(EdgeSettings.KindSettings::name).toList());
-        engines =
-                new Engines(
-                        settings.name(),
-                        loop,
-                        network,
-                        table,
-                        new GrpcChannel.Options(
-                                s.connectionsPerEngine(),
-                                s.dialMs() * 1000,
-                                s.idleMs() * 1000,
-                                1 << 20,
-                                Http2Limits.CLIENT),
-                        tracing);
-        past = settings.pastFolder().isEmpty() ? null : openPast(settings.pastFolder());
-        // What is known of engines can only be taken once the engines themselves are.
-        planner =
-                new PlannerLink(
-                        settings,
-                        incarnation,
-                        loop,
-                        table,
-                        network.next(),
-                        () -> recall(table),
-                        this::tellLearner);
-        MessageAuthenticator seal =
-                settings.teachKeys().isEmpty() ? null : seal(settings.teachKeys());
-        teacher =
-                seal == null
-                        ? null
-                        : new Teacher(
-                                settings.name(),
-                                seal,
-                                most ->
-                                        ProcessIdentityTranslator.toIncarnations(
-                                                loop.known(most), table),
-                                what -> loop.post(r -> what.run()),
-                                () -> loop.due(TEACH));
-        learner =
-                seal == null
-                        ? null
-                        : new Learner(
-                                settings.name(),
-                                settings.zone(),
-                                seal,
-                                network.next(),
-                                this::known,
-                                k ->
-                                        loop.post(
-                                                r ->
-                                                        loop.learn(
-                                                                ProcessIdentityTranslator
-                                                                        .toLocalStartTimes(
-                                                                                k, table),
-                                                                0)));
-        loop.connect(engines, planner);
+        network =
+                LoopbackTransport.newEventLoops(settings.serving().threads(), NETWORK_THREAD_NAME);
+        RouterSettings routerSettings = settings.router(incarnation);
+        recording = RecordingTask.open(settings.record(), routerSettings);
+        router =
+                new RouterEventLoop(
+                        routerSettings,
+                        recording
+                                .map(RecordingTask::decisionListener)
+                                .orElse(DecisionListener.NONE));
+        EngineTable engineTable = engineTable(settings);
+        connections =
+                new EngineConnections(network, engineTable, channelOptions(settings.serving()));
+        engines = new EngineCommandHandler(settings.name(), router, connections, tracing);
+        persistence = PersistenceTask.open(settings.pastFolder(), router, engineTable);
+        stateTransfer =
+                StateTransferTask.create(settings, router, engineTable, network, this::knowledge);
+        PlanEventHandler planEvents =
+                new PlanEventHandler(
+                        router,
+                        engineTable,
+                        this::enginesListed,
+                        donors -> stateTransfer.ifPresent(task -> task.donorsChanged(donors)));
+        planner = new PlannerClient(settings, incarnation, network.next(), planEvents);
+        router.connect(engines, planner);
     }
 
-    private static MessageAuthenticator seal(List<EdgeSettings.KeySettings> keys) {
-        Map<String, String> secrets = new LinkedHashMap<>();
-        keys.forEach(k -> secrets.put(k.id(), k.secret()));
-        return new MessageAuthenticator(secrets);
+    private static EngineTable engineTable(EdgeSettings settings) {
+        return new EngineTable(
+                settings.zones(),
+                settings.kinds().stream().map(EdgeSettings.KindSettings::name).toList());
     }
 
-    private void tellLearner(List<DonorSelection.Donor> peers) {
-        if (learner != null) {
-            learner.peers(peers);
-        }
-    }
-
-    private static RecordWork openRecord(EdgeSettings.RecordSettings s, RouterSettings router) {
-        long bytes = (long) s.megabytes() << 20;
-        SegmentRetention.Limits bounds =
-                new SegmentRetention.Limits(
-                        Math.max(1 << 20, bytes / SEGMENTS),
-                        bytes,
-                        s.minutes() * MINUTE,
-                        (long) s.keptMegabytes() << 20);
-        try {
-            return new RecordWork(new RecordFolder(Path.of(s.folder())), bounds, router);
-        } catch (IOException e) {
-            LOG.atWarn()
-                    .addKeyValue("event", "record_unwritten")
-                    .log(
-                            "record.folder {} cannot be used, so nothing is " + "recorded: {}",
-                            s.folder(),
-                            e.toString());
-            return null;
-        }
-    }
-
-    /** Keeps the record that is there now, with a word why. */
-    public void keepRecord(String why) {
-        if (record != null) {
-            loop.post(r -> record.keep(loop.now(), why));
-        }
+    private static GrpcChannel.Options channelOptions(EdgeSettings.ServingSettings serving) {
+        return new GrpcChannel.Options(
+                serving.connectionsPerEngine(),
+                serving.dialMs() * MICROS_PER_MILLI,
+                serving.idleMs() * MICROS_PER_MILLI,
+                MAX_ENGINE_MESSAGE_BYTES,
+                Http2Limits.CLIENT);
     }
 
-    private PastWork openPast(String folder) {
-        try {
-            return new PastWork(new FolderDisk(Path.of(folder)), loop.now());
-        } catch (IOException e) {
-            LOG.atWarn()
-                    .addKeyValue("event", "past_unreadable")
-                    .log("pastFolder {} cannot be used: {}", folder, e.toString());
-            return null;
-        }
-    }
-
-    /** Takes the own past, the newest first, and keeps it from then on; on the router's thread. */
-    private void recall(EngineTable table) {
-        if (past != null) {
-            keepPast(table);
-        }
-        if (learner != null) {
-            learner.ready();
-        }
-    }
-
-    private void keepPast(EngineTable table) {
-        past.restore(loop.now())
-                .forEach(
-                        m ->
-                                loop.learn(
-                                        ProcessIdentityTranslator.toLocalStartTimes(
-                                                m.knowledge(), table),
-                                        m.age()));
-        loop.background(
-                PAST,
-                now -> {
-                    int keys = past.keysDue(now);
-                    if (keys > 0) {
-                        past.write(
-                                now,
-                                ProcessIdentityTranslator.toIncarnations(loop.known(keys), table));
-                    }
-                    return past.nextAt();
-                });
-    }
-
-    /** {@return what this edge knows, for tests} */
-    public CompletableFuture<Knowledge> known() {
-        CompletableFuture<Knowledge> result = new CompletableFuture<>();
-        loop.post(r -> result.complete(loop.known(Integer.MAX_VALUE)));
-        return result;
+    /** What is known of engines can only be taken once the engines are; on the router's thread. */
+    private void enginesListed() {
+        persistence.ifPresent(PersistenceTask::restoreAndStart);
+        stateTransfer.ifPresent(StateTransferTask::ready);
     }
 
-    /** Listens, and looks for its planner. {@return this} */
+    /**
+     * Listens for clients, and connects to the planner.
+     *
+     * @return this
+     * @throws IOException if the port cannot be listened on
+     */
     public Edge start() throws IOException {
-        InferenceApi api =
-                new InferenceApi(settings, loop, tracing, () -> loop.ready() && !draining);
-        GrpcServer server = api.server(settings.serving().maxPromptBytes() + MESSAGE_OVERHEAD);
+        InferenceService service =
+                new InferenceService(
+                        settings, router, tracing, () -> router.isReady() && !draining);
+        GrpcServer server =
+                service.server(settings.serving().maxPromptBytes() + MESSAGE_OVERHEAD_BYTES);
         Http2Limits limits =
                 Http2Limits.SERVER.withMaxStreams(settings.serving().streamsPerConnection());
         listener =
@@ -253,19 +139,8 @@
                         network,
                         settings.port(),
                         () -> Http2Connection.server(limits, server, this));
-        if (teacher != null) {
-            server.addMethod(Teacher.TEACH, teacher::open);
-            loop.background(
-                    TEACH,
-                    now -> {
-                        long wait = teacher.slice(loop::moved);
-                        return wait == Long.MAX_VALUE ? wait : now + wait;
-                    });
-        }
-        if (record != null) {
-            loop.background(RECORD, now -> record.slice(loop::moved) ? now : Long.MAX_VALUE);
-            loop.post(r -> record.onDue(() -> loop.due(RECORD)));
-        }
+        stateTransfer.ifPresent(task -> task.start(server));
+        recording.ifPresent(task -> task.start(router));
         planner.start(port());
         LOG.atInfo()
                 .addKeyValue("event", "started")
@@ -280,37 +155,63 @@
         return LoopbackTransport.localPort(listener);
     }
 
-    /** {@return requests without a final answer, a moment ago} */
-    public int open() {
-        return loop.open();
+    /** {@return the number of requests without a final result, a moment ago} */
+    public int openRequests() {
+        return router.openRequests();
     }
 
-    /** {@return whether a roster was heard of} */
+    /** {@return whether an endpoint list was received} */
     public boolean isReady() {
-        return loop.ready();
+        return router.isReady();
     }
 
     /**
-     * {@return whether an engine serves, as this edge was last told: 1, 0, or -1 for one that it
-     * does not know}
+     * {@return whether an engine serves, as this edge was last told}
+     *
+     * @param engine the engine's id
      */
-    public int serving(String engine) {
-        return loop.serving(engine);
+    public EngineServingState servingState(String engine) {
+        return router.servingState(engine);
+    }
+
+    /** {@return what this edge knows of engines and prefixes} */
+    public CompletableFuture<Knowledge> knowledge() {
+        CompletableFuture<Knowledge> result = new CompletableFuture<>();
+        router.execute(r -> result.complete(router.knowledge(Integer.MAX_VALUE)));
+        return result;
     }
 
-    /** What is still held, for tests: open, known, out and held requests, and calls to engines. */
-    public CompletableFuture<int[]> counts() {
-        var result = new CompletableFuture<int[]>();
-        loop.post(
+    /**
+     * What an edge holds at a moment.
+     *
+     * @param openRequests requests without a final result
+     * @param knownRequests requests of which anything is known, ended ones too
+     * @param runningAttempts attempts without an outcome
+     * @param wantedReservations reservations that are not released
+     * @param attemptsInFlight calls to engines for attempts
+     */
+    public record Usage(
+            int openRequests,
+            int knownRequests,
+            int runningAttempts,
+            int wantedReservations,
+            int attemptsInFlight) {
+        /** What an idle edge holds. */
+        public static final Usage IDLE = new Usage(0, 0, 0, 0, 0);
+    }
+
+    /** {@return what this edge holds, for tests} */
+    public CompletableFuture<Usage> usage() {
+        CompletableFuture<Usage> result = new CompletableFuture<>();
+        router.execute(
                 r ->
                         result.complete(
-                                new int[] {
-                                    r.openRequests(),
-                                    r.known(),
-                                    r.runningAttempts(),
-                                    r.wantedReservations(),
-                                    engines.flights()
-                                }));
+                                new Usage(
+                                        r.openRequests(),
+                                        r.known(),
+                                        r.runningAttempts(),
+                                        r.wantedReservations(),
+                                        engines.attemptsInFlight())));
         return result;
     }
 
@@ -320,44 +221,43 @@
     }
 
     @Override
-    public void onClosed(Http2Connection connection, String why) {
+    public void onClosed(Http2Connection connection, String reason) {
         clients.remove(connection);
         LOG.atDebug()
                 .addKeyValue("event", "client_closed")
-                .log("a client's connection ended: {}", why);
+                .log("a client's connection ended: {}", reason);
     }
 
     /**
-     * Ends in good order: takes no new requests, lets running answers end within their time, then
-     * stops. Blocks.
+     * Shuts down gracefully: takes no new requests, lets running answers end within their time,
+     * then stops. Blocks.
      *
-     * @param hurry asked again and again; true ends the wait
+     * @param hurry polled meanwhile; true ends the wait
      */
-    public void drain(java.util.function.BooleanSupplier hurry) {
+    public void drain(BooleanSupplier hurry) {
         draining = true;
         LOG.atInfo()
                 .addKeyValue("event", "draining")
-                .addKeyValue("open", open())
+                .addKeyValue("open", openRequests())
                 .log("edge drains");
-        loop.post(sorrelhoist.core.request.Router::startDraining);
+        router.execute(Router::startDraining);
         clients.forEach(c -> c.executor().execute(c::shutdownGracefully));
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(settings.serving().drainMs());
-        while (loop.open() > 0 && System.nanoTime() < end && !hurry.getAsBoolean()) {
-            pause();
-        }
-        loop.post(r -> r.failAllRequests(loop.now(), "the edge stops"));
-        long last = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
-        while ((loop.open() > 0 || !clients.isEmpty()) && System.nanoTime() < last) {
-            pause();
-        }
+        awaitUntil(
+                () -> router.openRequests() == 0 || hurry.getAsBoolean(),
+                settings.serving().drainMs());
+        router.execute(r -> r.failAllRequests(router.now(), "the edge stops"));
+        awaitUntil(() -> router.openRequests() == 0 && clients.isEmpty(), CLOSE_TIMEOUT_MILLIS);
         stop();
     }
 
-    private static void pause() {
-        try {
-            Thread.sleep(LOOK_MILLIS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
+    private static void awaitUntil(BooleanSupplier condition, long timeoutMillis) {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        while (!condition.getAsBoolean() && System.nanoTime() < end) {
+            try {
+                Thread.sleep(POLL_INTERVAL_MILLIS);
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+            }
         }
     }
 
@@ -369,18 +269,12 @@
         if (listener != null) {
             listener.close();
         }
-        if (learner != null) {
-            learner.stop();
-        }
+        stateTransfer.ifPresent(StateTransferTask::stop);
         planner.stop();
-        engines.stop();
-        if (past != null) {
-            past.stop();
-        }
-        if (record != null) {
-            loop.last(() -> record.stop(loop.now()));
-        }
-        loop.stop();
-        network.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
+        connections.shutdown();
+        persistence.ifPresent(PersistenceTask::stop);
+        recording.ifPresent(task -> router.executeAndWait(() -> task.stop(router.now())));
+        router.stop();
+        network.shutdownGracefully(0, NETWORK_STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/edge/src/main/java/sorrelhoist/edge/EdgeSettings.java
+++ b/edge/src/main/java/sorrelhoist/edge/EdgeSettings.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import sorrelhoist.core.request.RouterSettings;
-import sorrelhoist.routing.Routing;
 
 /**
- * What an edge is told at its start.
+ * An edge's settings, as its settings file holds them: the names of the components are the keys.
+ * Times end in Ms, for milliseconds.
  *
  * @param name its name, the same after a restart
- * @param zone where it stands; one of zones
+ * @param zone the zone that it runs in; one of zones
  * @param zones all zones, in the same order at every edge
  * @param port to listen on; 0 for one that the system picks
  * @param planner the planner's address
@@ -17,14 +17,14 @@
  * @param classes request classes, the first for those that name none
  * @param tenants tenants, the first for those that name none; may be empty
  * @param kinds kinds of engines
- * @param limits what is permitted
- * @param rules the rules' figures
+ * @param limits what the router may do
+ * @param rules the engines' physical limits
  * @param serving how clients and engines are served
  * @param traceShare share of requests whose spans are logged, 0 for none; clients that sample
  *     decide for theirs
- * @param pastFolder where it keeps what it knows for its next life; empty for nowhere
- * @param teachKeys secrets with which edges teach each other, the signing one first; empty for no
- *     teaching
+ * @param pastFolder where it persists what it knows for its next incarnation; empty for nowhere
+ * @param teachKeys secrets with which edges sign state transfers, the signing one first; empty for
+ *     no state transfer
  * @param record where and how much of its decisions it records
  * @param seed of all randomness
  */
@@ -51,10 +51,10 @@
      * The record of decisions.
      *
      * @param folder where it lies, one for each edge; empty for none
-     * @param megabytes of what is not kept: the window that is always there
-     * @param minutes after which what is not kept is let go
-     * @param keptMegabytes of what is kept, because a rule was in danger or somebody asked; the
-     *     oldest goes
+     * @param megabytes of what is not preserved: the window that is always there
+     * @param minutes after which what is not preserved is deleted
+     * @param keptMegabytes of what is preserved, after an anomaly or on request; the oldest is
+     *     deleted first
      */
     public record RecordSettings(String folder, int megabytes, int minutes, int keptMegabytes) {}
 
@@ -70,13 +70,13 @@
      * A request class.
      *
      * @param name its name
-     * @param aimMs a first token within this time earns full worth
+     * @param aimMs latency objective: a first token within this time earns the full weight
      * @param aimMsPer1000 added for each 1,000 prompt tokens
      * @param deadlineMs until the first token, where the client did not say
      * @param deadlineMsPer1000 added for each 1,000 prompt tokens
-     * @param worth of one request, compared between classes
-     * @param repeat safe, keyed or unsafe
-     * @param scope for keyed classes: the engines that drop repeats: all, zone or cell
+     * @param worth priority weight of one request, compared between classes
+     * @param repeat idempotency: safe, keyed (idempotent with a key) or unsafe
+     * @param scope for keyed classes: the engines that recognize repeats: all, zone or cell
      * @param repeatWindowMs for keyed classes: how long
      */
     public record ClassSettings(
@@ -94,7 +94,7 @@
      * A tenant.
      *
      * @param name its name
-     * @param perSecond requests a second within its share, over all edges
+     * @param perSecond its quota, in requests a second over all edges
      */
     public record TenantSettings(String name, double perSecond) {}
 
@@ -108,19 +108,19 @@
     public record KindSettings(String name, String role, long memoryTokens) {}
 
     /**
-     * What is permitted.
+     * What the router may do.
      *
-     * @param maxAttempts sends a request may have
+     * @param maxAttempts attempts that a request may have
      * @param cancel whether attempts may be cancelled
      * @param probes whether engines may be probed
-     * @param backoffHints whether clients are told when to come back
+     * @param backoffHints whether clients are told when to retry
      * @param maxBackoffMs the longest hint that a client heeds
-     * @param writersRead whether a writer reads the prompt itself when it finds no state
-     * @param tells whether edges may tell each other
-     * @param probePrice points for one probe a request
-     * @param tellPrice points for 256 delivered bytes a request
+     * @param writersRead whether a decode engine prefills itself when it finds no state
+     * @param tells whether edges may gossip
+     * @param probePrice cost of one probe a request, in points
+     * @param tellPrice cost of 256 gossiped bytes a request, in points
      * @param reports how load reports come: none, outcomes or probes
-     * @param overShareWorth worth of a tenant's requests beyond its share, 0 to 1
+     * @param overShareWorth weight of a tenant's requests beyond its quota, 0 to 1
      */
     public record LimitSettings(
             int maxAttempts,
@@ -136,13 +136,13 @@
             double overShareWorth) {}
 
     /**
-     * The rules' figures.
+     * The engines' physical limits, within which the router has to stay.
      *
-     * @param coldFrom share of its work that a started engine can do
-     * @param coldMs until it is warm
-     * @param fallMultiple sent more than this multiple of what it can do
-     * @param fallMs for this long, it falls over
-     * @param releaseMs a held state is taken or let go within this time
+     * @param coldFrom share of its capacity that an engine has as it starts
+     * @param coldMs until it is warmed up
+     * @param fallMultiple an engine that is sent more than this multiple of its capacity
+     * @param fallMs for this long, crashes
+     * @param releaseMs a reserved prefill state is fetched or released within this time
      */
     public record RuleSettings(
             double coldFrom, long coldMs, double fallMultiple, long fallMs, long releaseMs) {}
@@ -151,8 +151,8 @@
      * How clients and engines are served.
      *
      * @param marginMs by how much answers come before a client's time is up
-     * @param resumes whether broken streams go on elsewhere
-     * @param stallMs how long a client may take nothing of a running answer
+     * @param resumes whether broken streams are resumed at another engine
+     * @param stallMs how long a client may read nothing of a running answer
      * @param maxOpen requests open at once
      * @param defaultMaxTokens answered at most, where a client did not say
      * @param mostMaxTokens that a client may ask for
@@ -179,71 +179,12 @@
             int streamsPerConnection,
             long drainMs) {}
 
-    /** {@return the same for the decisions} */
+    /**
+     * {@return the settings of this edge's router}
+     *
+     * @param incarnation grows with every start
+     */
     public RouterSettings router(long incarnation) {
-        Routing.RoutingSettings decide =
-                new Routing.RoutingSettings(
-                        routers,
-                        0,
-                        zones.indexOf(zone),
-                        false,
-                        limits.overShareWorth(),
-                        switch (limits.reports()) {
-                            case "outcomes" -> Routing.LoadReportMode.IN_OUTCOMES;
-                            case "probes" -> Routing.LoadReportMode.IN_PROBES;
-                            default -> Routing.LoadReportMode.NONE;
-                        },
-                        classes.stream()
-                                .map(
-                                        c ->
-                                                new Routing.RequestClass(
-                                                        c.aimMs() * 1000,
-                                                        c.aimMsPer1000() * 1000,
-                                                        c.worth(),
-                                                        Routing.Idempotency.valueOf(
-                                                                upper(c.repeat())),
-                                                        Routing.IdempotencyScope.valueOf(
-                                                                upper(c.scope())),
-                                                        c.repeatWindowMs() * 1000))
-                                .toList(),
-                        tenants.stream().map(t -> new Routing.Tenant(t.perSecond())).toList(),
-                        kinds.stream()
-                                .map(
-                                        k ->
-                                                new Routing.ServerKind(
-                                                        Routing.Role.valueOf(upper(k.role())),
-                                                        k.memoryTokens()))
-                                .toList(),
-                        new Routing.Capabilities(
-                                limits.maxAttempts(),
-                                limits.cancel(),
-                                limits.probes(),
-                                limits.backoffHints(),
-                                limits.maxBackoffMs() * 1000,
-                                limits.writersRead(),
-                                limits.tells(),
-                                limits.probePrice(),
-                                limits.tellPrice()),
-                        new Routing.ServerLimits(
-                                rules.coldFrom(),
-                                rules.coldMs() * 1000,
-                                rules.fallMultiple(),
-                                rules.fallMs() * 1000,
-                                rules.releaseMs() * 1000));
-        return new RouterSettings(
-                name,
-                incarnation,
-                decide,
-                classes.stream().map(c -> c.deadlineMs() * 1000).toList(),
-                classes.stream().map(c -> c.deadlineMsPer1000() * 1000).toList(),
-                serving.marginMs() * 1000,
-                serving.resumes(),
-                serving.stallMs() * 1000,
-                serving.maxOpen(),
-                seed ^ incarnation);
-    }
-
-    private static String upper(String word) {
-        return word.toUpperCase(java.util.Locale.ROOT);
+        return RouterSettingsFactory.create(this, incarnation);
     }
 }
--- /dev/null
+++ b/edge/src/main/java/sorrelhoist/edge/PlanEventHandler.java
@@ -0,0 +1,154 @@
+package sorrelhoist.edge;
+
+import java.util.List;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import sorrelhoist.core.members.EngineTable;
+import sorrelhoist.core.statetransfer.DonorSelection;
+import sorrelhoist.protocol.plan.PeerList;
+import sorrelhoist.protocol.plan.PlanEvent;
+import sorrelhoist.protocol.plan.ProbeResult;
+import sorrelhoist.protocol.plan.ReplicaSlot;
+import sorrelhoist.protocol.plan.Roster;
+import sorrelhoist.protocol.plan.RosterEntry;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.ServerState;
+
+/**
+ * Translates what the planner sends into events of the router. Called on the planner stream's
+ * thread; the endpoint list is taken on the router's.
+ */
+final class PlanEventHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(PlanEventHandler.class);
+
+    /** Server states by their number on the wire. */
+    private static final ServerState[] STATES = {
+        ServerState.SERVING, ServerState.DRAINING, ServerState.GONE
+    };
+
+    /** Kinds of lists by their number on the wire. */
+    private static final ListUpdateKind[] UPDATE_KINDS = {
+        ListUpdateKind.UPDATE, ListUpdateKind.COMPLETE, ListUpdateKind.UNAVAILABLE
+    };
+
+    private final RouterEventLoop router;
+    private final EngineTable engines;
+    private final Consumer<List<DonorSelection.Donor>> onPeers;
+    private Runnable onFirstRoster;
+
+    /**
+     * Creates a handler.
+     *
+     * @param router takes the events
+     * @param engines takes the listed engines; used on the router's thread
+     * @param onFirstRoster run once, on the router's thread, after the first list with engines
+     * @param onPeers takes the other edges whenever they change
+     */
+    PlanEventHandler(
+            RouterEventLoop router,
+            EngineTable engines,
+            Runnable onFirstRoster,
+            Consumer<List<DonorSelection.Donor>> onPeers) {
+        this.router = router;
+        this.engines = engines;
+        this.onFirstRoster = onFirstRoster;
+        this.onPeers = onPeers;
+    }
+
+    /** Handles an event from the planner. */
+    void handle(PlanEvent event) {
+        if (event.slot() != null && event.slot().replicaCount() > 0) {
+            slotAssigned(event.slot());
+        } else if (event.roster() != null) {
+            router.execute(r -> rosterReceived(event.roster()));
+        } else if (event.probe() != null) {
+            probeAnswered(event.probe());
+        } else if (event.peers() != null) {
+            onPeers.accept(donors(event.peers()));
+        } else if (event.peerMessage() != null) {
+            router.execute(
+                    r ->
+                            r.peerMessageReceived(
+                                    router.now(),
+                                    event.peerMessage().sender(),
+                                    event.peerMessage().body()));
+        }
+    }
+
+    private void slotAssigned(ReplicaSlot slot) {
+        LOG.atInfo()
+                .addKeyValue("event", "replica_slot")
+                .addKeyValue("replicas", slot.replicaCount())
+                .addKeyValue("index", slot.index())
+                .log("replica slot assigned");
+        router.execute(r -> r.routerCountChanged(router.now(), slot.replicaCount(), slot.index()));
+    }
+
+    private void probeAnswered(ProbeResult result) {
+        boolean answered = result.answered();
+        ServerLoad load =
+                answered
+                        ? new ServerLoad(
+                                result.memoryUtilization(),
+                                result.queuedTokens(),
+                                result.inFlightRequests(),
+                                result.queuedRequests())
+                        : ServerLoad.NONE;
+        Outcome outcome = answered ? Outcome.DONE : Outcome.TIMED_OUT;
+        router.execute(
+                r ->
+                        r.probeCompleted(
+                                router.now(),
+                                result.engine(),
+                                outcome,
+                                result.latencyMicros(),
+                                load));
+    }
+
+    private static List<DonorSelection.Donor> donors(PeerList peers) {
+        return peers.peers().stream()
+                .map(p -> new DonorSelection.Donor(p.edge(), p.zone(), p.address()))
+                .toList();
+    }
+
+    private void rosterReceived(Roster roster) {
+        if (roster.form() < 0 || roster.form() >= UPDATE_KINDS.length) {
+            return;
+        }
+        ListUpdateKind kind = UPDATE_KINDS[roster.form()];
+        List<EngineTable.ListedEngine> listed =
+                roster.entries().stream().map(PlanEventHandler::listedEngine).toList();
+        List<Server> servers = engines.update(router.now(), listed);
+        engines.warnings()
+                .forEach(w -> LOG.atWarn().addKeyValue("event", "engine_excluded").log(w));
+        LOG.atInfo()
+                .addKeyValue("event", "endpoint_list")
+                .addKeyValue("kind", kind)
+                .addKeyValue("engines", servers.size())
+                .addKeyValue("epoch", roster.epoch())
+                .addKeyValue("age_us", roster.ageMicros())
+                .log("endpoint list received");
+        router.updateEndpoints(kind, servers);
+        if (!servers.isEmpty()) {
+            onFirstRoster.run();
+            onFirstRoster = () -> {};
+        }
+    }
+
+    private static EngineTable.ListedEngine listedEngine(RosterEntry entry) {
+        return new EngineTable.ListedEngine(
+                entry.id(),
+                entry.zone(),
+                entry.rack(),
+                entry.kind(),
+                STATES[Math.min(Math.max(0, entry.state()), STATES.length - 1)],
+                entry.size(),
+                entry.incarnation(),
+                entry.uptimeMicros(),
+                entry.address());
+    }
+}
--- /dev/null
+++ b/edge/src/main/java/sorrelhoist/edge/ReservationCalls.java
@@ -0,0 +1,161 @@
+package sorrelhoist.edge;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import sorrelhoist.core.request.Command;
+import sorrelhoist.protocol.engine.EngineApi;
+import sorrelhoist.protocol.engine.ReleaseRequest;
+import sorrelhoist.protocol.engine.ReserveReply;
+import sorrelhoist.protocol.engine.ReserveRequest;
+import sorrelhoist.protocol.grpc.ClientCall;
+import sorrelhoist.protocol.grpc.GrpcChannel;
+import sorrelhoist.protocol.grpc.Status;
+import sorrelhoist.protocol.hpack.Headers;
+import sorrelhoist.protocol.protobuf.ProtoException;
+
+/**
+ * The calls that reserve decode slots at engines, and that release what is reserved. Its state
+ * belongs to the router's thread.
+ */
+final class ReservationCalls {
+    private static final Logger LOG = LoggerFactory.getLogger(ReservationCalls.class);
+
+    /** A release may take this multiple of the time that a connection may take. */
+    private static final int RELEASE_TIMEOUT_FACTOR = 4;
+
+    private final RouterEventLoop router;
+    private final EngineConnections connections;
+    private final Map<Long, EngineCall> releasesInFlight = new HashMap<>();
+
+    ReservationCalls(RouterEventLoop router, EngineConnections connections) {
+        this.router = router;
+        this.connections = connections;
+    }
+
+    /** Reserves a decode slot; an engine that cannot be reached is not reported. */
+    void reserve(Command.ReserveDecodeSlot command) {
+        GrpcChannel channel = connections.channelTo(command.engine());
+        if (channel == null) {
+            return;
+        }
+        Headers metadata = deadlineIn(connections.connectTimeoutMicros());
+        ClientCall call =
+                channel.newCall(EngineApi.RESERVE, metadata, new ReserveListener(command));
+        ReserveRequest request =
+                new ReserveRequest(
+                        command.requestName(),
+                        (int) command.request().promptTokens(),
+                        command.request().maxOutputTokens());
+        new EngineCall(channel, call).start(request.toByteArray());
+    }
+
+    /** Releases what is reserved for a request; the end of the call is reported. */
+    void release(Command.ReleaseReservation command) {
+        GrpcChannel channel = connections.channelTo(command.engine());
+        if (channel == null) {
+            router.execute(r -> r.releaseCompleted(router.now(), command.releaseId(), false));
+            return;
+        }
+        Headers metadata = deadlineIn(connections.connectTimeoutMicros() * RELEASE_TIMEOUT_FACTOR);
+        ClientCall call =
+                channel.newCall(
+                        EngineApi.RELEASE, metadata, new ReleaseListener(command.releaseId()));
+        EngineCall engineCall = new EngineCall(channel, call);
+        releasesInFlight.put(command.releaseId(), engineCall);
+        ReleaseRequest request =
+                new ReleaseRequest(
+                        command.requestName(),
+                        command.prefillState(),
+                        command.decodeSlot(),
+                        command.upToAttempt());
+        engineCall.start(request.toByteArray());
+    }
+
+    /** Cancels a release, if it is in flight. */
+    void abandonRelease(long releaseId) {
+        EngineCall call = releasesInFlight.remove(releaseId);
+        if (call != null) {
+            call.cancel();
+        }
+    }
+
+    /** Logs that no engine has confirmed the release of a reservation in time. */
+    void logExpiredRelease(Command.ReportExpiredRelease command) {
+        LOG.atWarn()
+                .addKeyValue("event", "release_expired")
+                .addKeyValue("request", command.requestName())
+                .addKeyValue("engine", command.engine())
+                .addKeyValue("calls", command.releaseCalls())
+                .log("the reservation of a request was not released in time");
+    }
+
+    private Headers deadlineIn(long micros) {
+        long now = router.now();
+        return CallMetadata.withDeadline(now + micros, now);
+    }
+
+    /** Reports whether an engine has reserved a slot. */
+    private final class ReserveListener implements ClientCall.Listener {
+        private final Command.ReserveDecodeSlot command;
+
+        ReserveListener(Command.ReserveDecodeSlot command) {
+            this.command = command;
+        }
+
+        @Override
+        public void onMessage(ClientCall call, byte[] message, int wireBytes) {
+            try {
+                ReserveReply reply = ReserveReply.parse(message);
+                router.execute(
+                        r ->
+                                r.decodeSlotAnswered(
+                                        router.now(),
+                                        command.requestId(),
+                                        command.engine(),
+                                        reply.reserved(),
+                                        reply.reservationId()));
+            } catch (ProtoException e) {
+                call.cancel();
+            }
+        }
+
+        @Override
+        public void onClose(
+                ClientCall call,
+                Status status,
+                Headers trailers,
+                ClientCall.Termination termination) {
+            // Nothing waits for an engine that does not answer.
+        }
+    }
+
+    /** Reports the end of a release. */
+    private final class ReleaseListener implements ClientCall.Listener {
+        private final long releaseId;
+
+        ReleaseListener(long releaseId) {
+            this.releaseId = releaseId;
+        }
+
+        @Override
+        public void onMessage(ClientCall call, byte[] message, int wireBytes) {
+            call.consumeBytes(wireBytes);
+        }
+
+        @Override
+        public void onClose(
+                ClientCall call,
+                Status status,
+                Headers trailers,
+                ClientCall.Termination termination) {
+            boolean released = termination == ClientCall.Termination.STATUS && status.isOk();
+            router.execute(
+                    r -> {
+                        releasesInFlight.remove(releaseId);
+                        r.releaseCompleted(router.now(), releaseId, released);
+                    });
+        }
+    }
+}
--- /dev/null
+++ b/edge/src/main/java/sorrelhoist/edge/RouterSettingsFactory.java
@@ -0,0 +1,101 @@
+package sorrelhoist.edge;
+
+import java.util.List;
+import java.util.Locale;
+import sorrelhoist.core.request.RouterSettings;
+import sorrelhoist.routing.Routing;
+
+/** Translates an edge's settings into its router's. Milliseconds become microseconds. */
+final class RouterSettingsFactory {
+    private static final long MICROS_PER_MILLI = 1000;
+
+    /** The index that a router assumes among the edges until its planner tells it. */
+    private static final int INITIAL_SELF = 0;
+
+    private RouterSettingsFactory() {}
+
+    /** {@return the router's settings} */
+    static RouterSettings create(EdgeSettings edge, long incarnation) {
+        List<EdgeSettings.ClassSettings> classes = edge.classes();
+        EdgeSettings.ServingSettings serving = edge.serving();
+        return new RouterSettings(
+                edge.name(),
+                incarnation,
+                routing(edge),
+                classes.stream().map(c -> micros(c.deadlineMs())).toList(),
+                classes.stream().map(c -> micros(c.deadlineMsPer1000())).toList(),
+                micros(serving.marginMs()),
+                serving.resumes(),
+                micros(serving.stallMs()),
+                serving.maxOpen(),
+                edge.seed() ^ incarnation);
+    }
+
+    private static Routing.RoutingSettings routing(EdgeSettings edge) {
+        return new Routing.RoutingSettings(
+                edge.routers(),
+                INITIAL_SELF,
+                edge.zones().indexOf(edge.zone()),
+                false,
+                edge.limits().overShareWorth(),
+                loadReportMode(edge.limits().reports()),
+                edge.classes().stream().map(RouterSettingsFactory::requestClass).toList(),
+                edge.tenants().stream().map(t -> new Routing.Tenant(t.perSecond())).toList(),
+                edge.kinds().stream().map(RouterSettingsFactory::serverKind).toList(),
+                capabilities(edge.limits()),
+                serverLimits(edge.rules()));
+    }
+
+    private static Routing.LoadReportMode loadReportMode(String word) {
+        return switch (word) {
+            case "outcomes" -> Routing.LoadReportMode.IN_OUTCOMES;
+            case "probes" -> Routing.LoadReportMode.IN_PROBES;
+            default -> Routing.LoadReportMode.NONE;
+        };
+    }
+
+    private static Routing.RequestClass requestClass(EdgeSettings.ClassSettings c) {
+        return new Routing.RequestClass(
+                micros(c.aimMs()),
+                micros(c.aimMsPer1000()),
+                c.worth(),
+                Routing.Idempotency.valueOf(upperCase(c.repeat())),
+                Routing.IdempotencyScope.valueOf(upperCase(c.scope())),
+                micros(c.repeatWindowMs()));
+    }
+
+    private static Routing.ServerKind serverKind(EdgeSettings.KindSettings kind) {
+        return new Routing.ServerKind(
+                Routing.Role.valueOf(upperCase(kind.role())), kind.memoryTokens());
+    }
+
+    private static Routing.Capabilities capabilities(EdgeSettings.LimitSettings limits) {
+        return new Routing.Capabilities(
+                limits.maxAttempts(),
+                limits.cancel(),
+                limits.probes(),
+                limits.backoffHints(),
+                micros(limits.maxBackoffMs()),
+                limits.writersRead(),
+                limits.tells(),
+                limits.probePrice(),
+                limits.tellPrice());
+    }
+
+    private static Routing.ServerLimits serverLimits(EdgeSettings.RuleSettings rules) {
+        return new Routing.ServerLimits(
+                rules.coldFrom(),
+                micros(rules.coldMs()),
+                rules.fallMultiple(),
+                micros(rules.fallMs()),
+                micros(rules.releaseMs()));
+    }
+
+    private static long micros(long millis) {
+        return millis * MICROS_PER_MILLI;
+    }
+
+    private static String upperCase(String word) {
+        return word.toUpperCase(Locale.ROOT);
+    }
+}
--- a/edge/src/main/java/sorrelhoist/edge/Tracing.java
+++ b/edge/src/main/java/sorrelhoist/edge/Tracing.java
@@ -13,118 +13,165 @@
 import sorrelhoist.core.explain.ReasonFormatter;
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.Outcome;
 
 /**
- * A span for each request and one for each attempt, under the client's own trace (W3C Trace
- * Context). Where it is off, the client's header is passed on as it came and nothing else is done.
+ * A span for each request and one for each of its attempts, under the client's own trace (W3C Trace
+ * Context). While tracing is off, the client's header is passed on as it came and nothing else is
+ * done. Thread-safe.
  */
 final class Tracing {
+    /** The outcome of a request that was served. */
+    static final String REQUEST_SERVED = "Served";
+
+    /** The outcome of a request whose client cancelled it. */
+    static final String REQUEST_CANCELLED = "Cancelled";
+
+    /** The outcome of a request whose client read nothing for too long. */
+    static final String REQUEST_STALLED = "Stalled";
+
+    /** The outcome of an attempt whose answer was complete. */
+    static final String ATTEMPT_DONE = "DONE";
+
+    /** The outcome of an attempt that the router cancelled. */
+    static final String ATTEMPT_DROPPED = "dropped";
+
+    /** The outcome of an attempt whose engine sent a malformed message. */
+    static final String ATTEMPT_MALFORMED = "nonsense";
+
+    private static final String INSTRUMENTATION = "sorrelhoist.edge";
+    private static final String REQUEST_SPAN = "infer";
     private static final String TRACEPARENT = "traceparent";
+    private static final String TRACESTATE = "tracestate";
     private static final AttributeKey<String> OUTCOME =
             AttributeKey.stringKey("sorrelhoist.outcome");
-    private static final AttributeKey<String> REASON = AttributeKey.stringKey("sorrelhoist.reason");
-    private static final AttributeKey<String> WHY = AttributeKey.stringKey("sorrelhoist.why");
+    private static final AttributeKey<String> REASON_KIND =
+            AttributeKey.stringKey("sorrelhoist.reason");
+    private static final AttributeKey<String> REASON_TEXT =
+            AttributeKey.stringKey("sorrelhoist.why");
     private static final AttributeKey<String> ENGINE = AttributeKey.stringKey("sorrelhoist.engine");
-    private static final AttributeKey<String> NAME = AttributeKey.stringKey("sorrelhoist.request");
-    private static final AttributeKey<Long> NUMBER = AttributeKey.longKey("sorrelhoist.attempt");
-    private static final AttributeKey<Long> TRIED =
+    private static final AttributeKey<String> REQUEST_NAME =
+            AttributeKey.stringKey("sorrelhoist.request");
+    private static final AttributeKey<Long> ATTEMPT_NUMBER =
+            AttributeKey.longKey("sorrelhoist.attempt");
+    private static final AttributeKey<Long> PREVIOUS_ATTEMPTS =
             AttributeKey.longKey("rpc.grpc.previous_attempts");
-    private static final TextMapGetter<Headers> GET =
-            new TextMapGetter<>() {
-                @Override
-                public Iterable<String> keys(Headers headers) {
-                    return List.of(TRACEPARENT, "tracestate");
-                }
-
-                @Override
-                public String get(Headers headers, String key) {
-                    return headers == null ? null : headers.get(key);
-                }
-            };
 
     private final Tracer tracer;
 
-    /** Makes one; null for off. */
+    /**
+     * Creates the tracing of an edge.
+     *
+     * @param telemetry takes the spans; null for none
+     */
     Tracing(OpenTelemetry telemetry) {
-        this.tracer = telemetry == null ? null : telemetry.getTracer("sorrelhoist.edge");
+        this.tracer = telemetry == null ? null : telemetry.getTracer(INSTRUMENTATION);
     }
 
-    /**
-     * {@return what stands for a request's span: a context, or where it is off the client's header
-     * or null}
-     */
-    Object request(Headers headers, int previousAttempts) {
+    /** Starts a request's span. {@return its trace context} */
+    RequestTrace startRequest(Headers headers, int previousAttempts) {
         if (tracer == null) {
-            return headers.get(TRACEPARENT);
+            String traceparent = headers.get(TRACEPARENT);
+            return traceparent == null ? RequestTrace.NONE : new RequestTrace(null, traceparent);
         }
         Context parent =
-                W3CTraceContextPropagator.getInstance().extract(Context.root(), headers, GET);
+                W3CTraceContextPropagator.getInstance()
+                        .extract(Context.root(), headers, HeadersGetter.INSTANCE);
         Span span =
-                tracer.spanBuilder("infer")
+                tracer.spanBuilder(REQUEST_SPAN)
                         .setParent(parent)
                         .setSpanKind(SpanKind.SERVER)
-                        .setAttribute(TRIED, (long) previousAttempts)
+                        .setAttribute(PREVIOUS_ATTEMPTS, (long) previousAttempts)
                         .startSpan();
-        return parent.with(span);
+        return new RequestTrace(parent.with(span), null);
     }
 
     /**
-     * Ends a request's span; the reason is Decide's, or null where the request ended without one.
+     * Ends a request's span.
+     *
+     * @param request the request's trace context
+     * @param outcome how it ended
+     * @param reason the routing policy's reason; null if it ended without one
      */
-    void requestEnded(Object request, String outcome, Reason why) {
-        if (request instanceof Context c) {
-            if (why != null) {
-                Span.fromContext(c)
-                        .setAttribute(REASON, why.kind().toString())
-                        .setAttribute(WHY, ReasonFormatter.describeFailure(why));
-            }
-            end(Span.fromContext(c), outcome, outcome.equals("Served"));
+    void requestEnded(RequestTrace request, String outcome, Reason reason) {
+        if (request.context() == null) {
+            return;
+        }
+        Span span = Span.fromContext(request.context());
+        if (reason != null) {
+            span.setAttribute(REASON_KIND, reason.kind().toString())
+                    .setAttribute(REASON_TEXT, ReasonFormatter.describeFailure(reason));
         }
+        end(span, outcome, outcome.equals(REQUEST_SERVED));
     }
 
-    /** {@return what stands for an attempt's span; puts its trace context into the metadata} */
-    Object attempt(
-            Object request,
-            String what,
-            String engine,
-            String name,
-            int number,
-            Headers metadata,
-            Reason why) {
-        if (request instanceof String header) {
-            metadata.add(TRACEPARENT, header);
+    /**
+     * Starts an attempt's span, and puts its trace context into the metadata of its call.
+     *
+     * @return the span; null if the request is not traced here
+     */
+    Span startAttempt(EngineAttempt attempt, Headers metadata) {
+        RequestTrace request = (RequestTrace) attempt.request().attachment();
+        if (request.traceparent() != null) {
+            metadata.add(TRACEPARENT, request.traceparent());
         }
-        if (!(request instanceof Context c)) {
+        if (request.context() == null) {
             return null;
         }
         Span span =
-                tracer.spanBuilder(what)
-                        .setParent(c)
+                tracer.spanBuilder(attempt.phase().spanName())
+                        .setParent(request.context())
                         .setSpanKind(SpanKind.CLIENT)
-                        .setAttribute(ENGINE, engine)
-                        .setAttribute(NAME, name)
-                        .setAttribute(NUMBER, (long) number)
-                        .setAttribute(REASON, why.kind().toString())
+                        .setAttribute(ENGINE, attempt.engine())
+                        .setAttribute(REQUEST_NAME, attempt.requestName())
+                        .setAttribute(ATTEMPT_NUMBER, (long) attempt.id().number())
+                        .setAttribute(REASON_KIND, attempt.reason().kind().toString())
                         .startSpan();
         if (span.isRecording()) {
-            span.setAttribute(WHY, ReasonFormatter.describeSelection(why));
+            span.setAttribute(REASON_TEXT, ReasonFormatter.describeSelection(attempt.reason()));
         }
         W3CTraceContextPropagator.getInstance()
-                .inject(c.with(span), metadata, (h, k, v) -> h.add(k, v));
+                .inject(
+                        request.context().with(span),
+                        metadata,
+                        (h, key, value) -> h.add(key, value));
         return span;
     }
 
-    void attemptEnded(Object attempt, String outcome) {
-        if (attempt instanceof Span span) {
-            end(span, outcome, outcome.equals("READ") || outcome.equals("DONE"));
+    /**
+     * Ends an attempt's span.
+     *
+     * @param span the span; may be null
+     * @param outcome how the attempt ended
+     */
+    void attemptEnded(Span span, String outcome) {
+        if (span != null) {
+            boolean succeeded =
+                    outcome.equals(ATTEMPT_DONE) || outcome.equals(Outcome.READ.toString());
+            end(span, outcome, succeeded);
         }
     }
 
-    private static void end(Span span, String outcome, boolean good) {
+    private static void end(Span span, String outcome, boolean succeeded) {
         span.setAttribute(OUTCOME, outcome);
-        if (!good) {
+        if (!succeeded) {
             span.setStatus(StatusCode.ERROR, outcome);
         }
         span.end();
     }
+
+    /** Reads a client's trace context from its headers. */
+    private enum HeadersGetter implements TextMapGetter<Headers> {
+        INSTANCE;
+
+        @Override
+        public Iterable<String> keys(Headers headers) {
+            return List.of(TRACEPARENT, TRACESTATE);
+        }
+
+        @Override
+        public String get(Headers headers, String key) {
+            return headers == null ? null : headers.get(key);
+        }
+    }
 }
--- a/edge/src/test/java/sorrelhoist/edge/past/PastStoreTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/persistence/SnapshotStoreTest.java
@@ -1,4 +1,4 @@
-package sorrelhoist.edge.past;
+package sorrelhoist.edge.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,16 +15,16 @@
 import org.junit.jupiter.api.io.TempDir;
 import sorrelhoist.core.statetransfer.SnapshotLog;
 
-/** A past that is killed at every point of every write, and one that is damaged or foreign. */
-class PastStoreTest {
+/** A store that is killed at every point of every write, and one that is damaged or foreign. */
+class SnapshotStoreTest {
     private static final int STEPS = 12;
 
-    /** A disk in memory that is killed after so many bytes and operations. */
-    private static final class DyingDisk implements Disk {
+    /** Storage in memory that fails after so many bytes and operations. */
+    private static final class FailingStorage implements SnapshotStorage {
         private final Map<String, byte[]> files;
         private int left;
 
-        DyingDisk(Map<String, byte[]> files, int left) {
+        FailingStorage(Map<String, byte[]> files, int left) {
             this.files = files;
             this.left = left;
         }
@@ -88,11 +88,11 @@
     }
 
     /** Writes until it is killed. {@return the last step that was reported as written} */
-    private static int play(PastStore store) {
+    private static int writeUntilKilled(SnapshotStore store) {
         for (int step = 0; step < STEPS; step++) {
             try {
                 if (step % 5 == 4) {
-                    store.snapshot(step, payload(step));
+                    store.replaceAll(step, payload(step));
                 } else {
                     store.append(step, payload(step));
                 }
@@ -108,9 +108,9 @@
         int kills = 0;
         for (int at = 1; ; at++) {
             Map<String, byte[]> files = new HashMap<>();
-            int written = play(new PastStore(new DyingDisk(files, at)));
-            DyingDisk after = new DyingDisk(files, Integer.MAX_VALUE);
-            PastStore store = new PastStore(after);
+            int written = writeUntilKilled(new SnapshotStore(new FailingStorage(files, at)));
+            FailingStorage after = new FailingStorage(files, Integer.MAX_VALUE);
+            SnapshotStore store = new SnapshotStore(after);
             List<SnapshotLog.Frame> frames = store.restore();
             long newest = frames.stream().mapToLong(SnapshotLog.Frame::savedAt).max().orElse(-1);
             assertTrue(
@@ -123,7 +123,7 @@
             store.append(100, payload(3));
             assertEquals(
                     100,
-                    new PastStore(after)
+                    new SnapshotStore(after)
                             .restore().stream()
                                     .mapToLong(SnapshotLog.Frame::savedAt)
                                     .max()
@@ -139,35 +139,35 @@
     @Test
     void anAppendThatFailsHalfwayHidesNothingThatFollows() throws IOException {
         Map<String, byte[]> files = new HashMap<>();
-        DyingDisk disk = new DyingDisk(files, Integer.MAX_VALUE);
-        PastStore store = new PastStore(disk);
+        FailingStorage storage = new FailingStorage(files, Integer.MAX_VALUE);
+        SnapshotStore store = new SnapshotStore(storage);
         store.append(1, payload(1));
-        disk.left = 10;
+        storage.left = 10;
         try {
             store.append(2, payload(2));
         } catch (IOException expected) {
-            disk.left = Integer.MAX_VALUE;
+            storage.left = Integer.MAX_VALUE;
         }
         store.append(3, payload(3));
-        assertTrue(new PastStore(disk).restore().stream().anyMatch(f -> f.savedAt() == 3));
+        assertTrue(new SnapshotStore(storage).restore().stream().anyMatch(f -> f.savedAt() == 3));
     }
 
     @Test
     void damagedAndForeignFilesAreSetAsideAndNeverFatal(@TempDir Path folder) throws IOException {
-        PastStore store = new PastStore(new FolderDisk(folder));
-        store.snapshot(1, payload(1));
+        SnapshotStore store = new SnapshotStore(new DirectoryStorage(folder));
+        store.replaceAll(1, payload(1));
         store.append(2, payload(2));
         store.append(3, payload(3));
         byte[] log = Files.readAllBytes(folder.resolve("past.log"));
         log[log.length - 1] ^= 1;
         Files.write(folder.resolve("past.log"), log);
         Files.writeString(folder.resolve("past.snapshot"), "somebody else's notes");
-        PastStore after = new PastStore(new FolderDisk(folder));
+        SnapshotStore after = new SnapshotStore(new DirectoryStorage(folder));
         assertEquals(
                 List.of(2L), after.restore().stream().map(SnapshotLog.Frame::savedAt).toList());
         assertTrue(Files.exists(folder.resolve("past.snapshot.aside")));
         assertTrue(Files.exists(folder.resolve("past.log.aside")));
         after.append(9, payload(9));
-        assertEquals(1, new PastStore(new FolderDisk(folder)).restore().size());
+        assertEquals(1, new SnapshotStore(new DirectoryStorage(folder)).restore().size());
     }
 }
--- a/edge/src/test/java/sorrelhoist/edge/record/RecordWorkTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
@@ -18,14 +18,23 @@
 import sorrelhoist.core.record.Recording;
 import sorrelhoist.core.record.SegmentRetention;
 import sorrelhoist.core.request.RouterSettings;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.Capabilities;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.LoadReportMode;
+import sorrelhoist.routing.Routing.PeerMessage;
+import sorrelhoist.routing.Routing.RequestClass;
+import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.ServerKind;
+import sorrelhoist.routing.Routing.ServerLimits;
 
 /**
  * A disk that is slow, full or away costs the record its chunks, says so, and costs nobody else
  * anything.
  */
-class RecordWorkTest {
-    private static final RoutingSettings DECIDE =
+class RecordWriterTest {
+    private static final RoutingSettings ROUTING =
             new RoutingSettings(
                     1,
                     0,
@@ -42,25 +51,26 @@
                     new ServerLimits(0.26, 2000, 3, 3000, 500_000));
     private static final RouterSettings ROUTER =
             new RouterSettings(
-                    "edge-1", 42, DECIDE, List.of(4_000_000L), List.of(0L), 0, true, 1, 100, 7);
-    private static final SegmentRetention.Limits ROOMY =
+                    "edge-1", 42, ROUTING, List.of(4_000_000L), List.of(0L), 0, true, 1, 100, 7);
+    private static final SegmentRetention.Limits LARGE_LIMITS =
             new SegmentRetention.Limits(1 << 20, 1 << 30, Long.MAX_VALUE / 2, 1 << 30);
 
     @TempDir Path folder;
 
-    private RecordWork work(RecordFolder on, SegmentRetention.Limits bounds) throws IOException {
-        return new RecordWork(on, bounds, ROUTER);
+    private RecordWriter newWriter(RecordDirectory directory, SegmentRetention.Limits limits)
+            throws IOException {
+        return new RecordWriter(directory, limits, ROUTER);
     }
 
-    private static void tell(RecordWork work, int from, int count) {
+    private static void record(RecordWriter writer, int from, int count) {
         for (int i = from; i < from + count; i++) {
-            work.tap()
+            writer.decisionListener()
                     .onDecision(
                             i, new PeerMessage(i, "some news of servers, number " + i), List.of());
         }
     }
 
-    private Recording tape() throws IOException, CorruptRecordException {
+    private Recording recording() throws IOException, CorruptRecordException {
         List<byte[]> files = new ArrayList<>();
         try (Stream<Path> list = Files.list(folder)) {
             for (Path f :
@@ -72,31 +82,34 @@
         return Recording.of(files);
     }
 
-    /** All but the mark at the end, which says by its number that nothing is missing before it. */
-    private static void allThatIsThereIsRight(Recording tape) {
-        for (Recording.NumberedEntry l : tape.entries().subList(0, tape.entries().size() - 1)) {
+    /**
+     * All but the marker at the end, which says by its number that nothing is missing before it.
+     */
+    private static void assertEntriesAreInOrder(Recording recording) {
+        for (Recording.NumberedEntry l :
+                recording.entries().subList(0, recording.entries().size() - 1)) {
             assertEquals(
                     l.number(), ((PeerMessage) ((RecordEntry.Decision) l.entry()).event()).from());
         }
     }
 
     @Test
-    void whatIsToldIsThereAfterTheEnd() throws Exception {
-        RecordWork work = work(new RecordFolder(folder), ROOMY);
-        tell(work, 0, 50_000);
-        work.stop(1_000_000);
-        Recording tape = tape();
-        assertTrue(tape.isComplete() && tape.faults().isEmpty());
-        assertEquals(50_001, tape.entries().size());
-        allThatIsThereIsRight(tape);
+    void whatWasDecidedIsRecordedAfterTheEnd() throws Exception {
+        RecordWriter writer = newWriter(new RecordDirectory(folder), LARGE_LIMITS);
+        record(writer, 0, 50_000);
+        writer.stop(1_000_000);
+        Recording recording = recording();
+        assertTrue(recording.isComplete() && recording.faults().isEmpty());
+        assertEquals(50_001, recording.entries().size());
+        assertEntriesAreInOrder(recording);
     }
 
     @Test
-    void aDiskThatHangsCostsChunksThatAreCounted() throws Exception {
+    void aDiskThatHangsDropsChunksThatAreCounted() throws Exception {
         CountDownLatch hangs = new CountDownLatch(1);
-        RecordWork work =
-                work(
-                        new RecordFolder(folder) {
+        RecordWriter writer =
+                newWriter(
+                        new RecordDirectory(folder) {
                             @Override
                             protected void append(String name, byte[] chunk) throws IOException {
                                 try {
@@ -107,30 +120,30 @@
                                 super.append(name, chunk);
                             }
                         },
-                        ROOMY);
+                        LARGE_LIMITS);
         int told = 600_000; // more than may wait
-        tell(work, 0, told);
+        record(writer, 0, told);
         hangs.countDown();
-        while (work.pending() > 0) {
-            work.slice(n -> {});
+        while (writer.pendingBytes() > 0) {
+            writer.runSlice(n -> {});
             Thread.onSpinWait();
         }
-        tell(work, told, 1000);
-        work.stop(told + 1000);
-        Recording tape = tape();
-        assertEquals(1, tape.gaps().size());
-        long missing = tape.gaps().get(0)[1] - tape.gaps().get(0)[0];
+        record(writer, told, 1000);
+        writer.stop(told + 1000);
+        Recording recording = recording();
+        assertEquals(1, recording.gaps().size());
+        long missing = recording.gaps().get(0)[1] - recording.gaps().get(0)[0];
         assertTrue(missing > 0);
-        assertEquals(told + 1000, tape.entries().size() - 1 + missing);
-        allThatIsThereIsRight(tape);
+        assertEquals(told + 1000, recording.entries().size() - 1 + missing);
+        assertEntriesAreInOrder(recording);
     }
 
     @Test
-    void aDiskThatIsFullForAWhileLeavesAGapAndSoundFiles() throws Exception {
+    void aDiskThatIsFullForAWhileLeavesAGapAndValidFiles() throws Exception {
         int[] writes = {0};
-        RecordWork work =
-                work(
-                        new RecordFolder(folder) {
+        RecordWriter writer =
+                newWriter(
+                        new RecordDirectory(folder) {
                             @Override
                             protected void append(String name, byte[] chunk) throws IOException {
                                 if (++writes[0] == 3 || writes[0] == 4) {
@@ -141,27 +154,31 @@
                                 super.append(name, chunk);
                             }
                         },
-                        ROOMY);
-        tell(work, 0, 20_000);
-        work.stop(1_000_000);
-        Recording tape = tape();
-        assertEquals(1, tape.gaps().size());
-        assertEquals(List.of(), tape.faults());
-        assertEquals(20_001, tape.entries().size() + tape.gaps().get(0)[1] - tape.gaps().get(0)[0]);
-        allThatIsThereIsRight(tape);
+                        LARGE_LIMITS);
+        record(writer, 0, 20_000);
+        writer.stop(1_000_000);
+        Recording recording = recording();
+        assertEquals(1, recording.gaps().size());
+        assertEquals(List.of(), recording.faults());
+        assertEquals(
+                20_001,
+                recording.entries().size()
+                        + recording.gaps().get(0)[1]
+                        - recording.gaps().get(0)[0]);
+        assertEntriesAreInOrder(recording);
     }
 
     @Test
-    void theWindowIsBoundedAndWhatIsKeptStays() throws Exception {
-        RecordWork work =
-                work(
-                        new RecordFolder(folder),
+    void theWindowIsBoundedAndWhatIsPreservedStays() throws Exception {
+        RecordWriter writer =
+                newWriter(
+                        new RecordDirectory(folder),
                         new SegmentRetention.Limits(
                                 200_000, 800_000, Long.MAX_VALUE / 2, 10_000_000));
-        tell(work, 0, 50_000);
-        work.keep(50_000, "somebody asked");
-        tell(work, 50_001, 100_000);
-        work.stop(1_000_000);
+        record(writer, 0, 50_000);
+        writer.preserve(50_000, "somebody asked");
+        record(writer, 50_001, 100_000);
+        writer.stop(1_000_000);
         long kept = 0;
         long others = 0;
         try (Stream<Path> list = Files.list(folder)) {
@@ -176,7 +193,7 @@
         assertTrue(kept > 500_000 && kept <= 900_000, kept + " kept");
         assertTrue(others > 500_000 && others <= 900_000, others + " others");
         assertTrue(
-                tape().entries().stream()
+                recording().entries().stream()
                         .anyMatch(
                                 l ->
                                         l.entry() instanceof RecordEntry.Marker m
@@ -184,32 +201,32 @@
     }
 
     @Test
-    void whoeverPutsTheFileThereGetsItKept() throws Exception {
-        RecordWork work = work(new RecordFolder(folder), ROOMY);
-        tell(work, 0, 5000);
-        Files.write(folder.resolve(RecordFolder.KEEP), new byte[0]);
-        tell(work, 5000, 5000);
-        work.stop(1_000_000);
-        assertFalse(Files.exists(folder.resolve(RecordFolder.KEEP)));
+    void aPreserveRequestFilePreservesTheRecord() throws Exception {
+        RecordWriter writer = newWriter(new RecordDirectory(folder), LARGE_LIMITS);
+        record(writer, 0, 5000);
+        Files.write(folder.resolve(RecordDirectory.PRESERVE_REQUEST_FILE), new byte[0]);
+        record(writer, 5000, 5000);
+        writer.stop(1_000_000);
+        assertFalse(Files.exists(folder.resolve(RecordDirectory.PRESERVE_REQUEST_FILE)));
         try (Stream<Path> list = Files.list(folder)) {
             assertTrue(list.anyMatch(f -> f.getFileName().toString().startsWith("kept-")));
         }
-        assertEquals(10_001, tape().entries().size());
+        assertEquals(10_001, recording().entries().size());
     }
 
     @Test
-    void aSecondLifeLeavesTheFirstOnesFilesAndCountsThem() throws Exception {
-        RecordWork first = work(new RecordFolder(folder), ROOMY);
-        tell(first, 0, 1000);
+    void aSecondIncarnationLeavesTheFirstOnesFilesAndCountsThem() throws Exception {
+        RecordWriter first = newWriter(new RecordDirectory(folder), LARGE_LIMITS);
+        record(first, 0, 1000);
         first.stop(1000);
-        RecordWork second =
-                new RecordWork(
-                        new RecordFolder(folder),
-                        ROOMY,
+        RecordWriter second =
+                new RecordWriter(
+                        new RecordDirectory(folder),
+                        LARGE_LIMITS,
                         new RouterSettings(
                                 "edge-1",
                                 43,
-                                DECIDE,
+                                ROUTING,
                                 List.of(4_000_000L),
                                 List.of(0L),
                                 0,
@@ -217,11 +234,11 @@
                                 1,
                                 100,
                                 7));
-        tell(second, 0, 10);
+        record(second, 0, 10);
         second.stop(10);
-        Recording tape = tape();
-        assertEquals(43, tape.header().incarnation());
-        assertEquals(11, tape.entries().size());
-        assertEquals(1, tape.faults().size(), tape.faults().toString());
+        Recording recording = recording();
+        assertEquals(43, recording.header().incarnation());
+        assertEquals(11, recording.entries().size());
+        assertEquals(1, recording.faults().size(), recording.faults().toString());
     }
 }
