--- a/adapter/src/main/java/sorrelhoist/adapter/ActionEncoder.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/ActionEncoder.java
@@ -6,31 +6,54 @@
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
 import java.util.List;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.adapter.SimulatorProtocol.Field;
+import sorrelhoist.adapter.SimulatorProtocol.Sent;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Cancel;
+import sorrelhoist.routing.Routing.CloseIdle;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.FetchList;
+import sorrelhoist.routing.Routing.Follow;
+import sorrelhoist.routing.Routing.Log;
+import sorrelhoist.routing.Routing.Move;
+import sorrelhoist.routing.Routing.Probe;
+import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.Routing.Release;
+import sorrelhoist.routing.Routing.Reserve;
+import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.Routing.Tell;
+import sorrelhoist.routing.Routing.Timer;
 
-/** Writes one reply; nothing of it leaves before the whole is there. */
+/**
+ * Encodes the actions of one round into one reply line. The line is buffered, so that a round that
+ * fails leaves nothing of its reply on the wire.
+ */
 final class ActionEncoder {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private final StringWriter text = new StringWriter();
+    private final StringWriter buffer = new StringWriter();
     private final JsonGenerator json;
 
+    /** Begins the reply to a round. */
     ActionEncoder(long round) {
         try {
-            json = JSON.createGenerator(text);
+            json = JSON.createGenerator(buffer);
             json.writeStartObject();
-            json.writeNumberField("round", round);
-            json.writeArrayFieldStart("output");
+            json.writeNumberField(Field.ROUND, round);
+            json.writeArrayFieldStart(Field.OUTPUT);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    void add(long instance, List<Action> actions) {
+    /** Adds a router's actions, in their order. */
+    void add(long routerId, List<Action> actions) {
         try {
             for (Action action : actions) {
                 json.writeStartObject();
-                fields(instance, action);
+                if (!writeRequestAction(routerId, action)) {
+                    writeRouterAction(routerId, action);
+                }
                 json.writeEndObject();
             }
         } catch (IOException e) {
@@ -38,7 +61,8 @@
         }
     }
 
-    String line() {
+    /** Ends the reply. {@return it, with a line feed} */
+    String finish() {
         try {
             json.writeEndArray();
             json.writeEndObject();
@@ -46,71 +70,73 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return text + "\n";
+        return buffer + "\n";
     }
 
-    private void fields(long instance, Action action) throws IOException {
-        if (action instanceof Send a) {
-            head("assign", instance, a.id(), a.server());
-            json.writeNumberField("cut-at-us", a.cutAt());
-        } else if (action instanceof Timer a) {
-            head("arm", instance);
-            json.writeNumberField("wait-us", a.delayMicros());
-            json.writeNumberField("label", a.token());
-        } else if (action instanceof Release a) {
-            head("unhold", instance, a.id());
-        } else if (action instanceof Refuse a) {
-            head("turn-away", instance, a.id());
-            json.writeNumberField("backoff-us", a.backoffMicros());
-        } else if (action instanceof Fail a) {
-            head("drop-request", instance, a.id());
-        } else if (action instanceof Cancel a) {
-            head("abandon", instance, a.id());
-            json.writeNumberField("hop", a.attempt());
-        } else if (action instanceof Reserve a) {
-            head("ahead", instance, a.id(), a.server());
-        } else if (action instanceof Move a) {
-            head("relocate", instance, a.id());
+    /** Writes an action that concerns one request. {@return false if it concerns none} */
+    private boolean writeRequestAction(long routerId, Action action) throws IOException {
+        if (action instanceof Send send) {
+            writeHead(Sent.SEND_ATTEMPT, routerId, send.id(), send.server());
+            json.writeNumberField(Field.ATTEMPT_TIMEOUT_AT_MICROS, send.cutAt());
+        } else if (action instanceof Release release) {
+            writeHead(Sent.RELEASE_RESERVATION, routerId, release.id());
+        } else if (action instanceof Refuse rejection) {
+            writeHead(Sent.REJECT_REQUEST, routerId, rejection.id());
+            json.writeNumberField(Field.BACKOFF_MICROS, rejection.backoffMicros());
+        } else if (action instanceof Fail failure) {
+            writeHead(Sent.FAIL_REQUEST, routerId, failure.id());
+        } else if (action instanceof Cancel cancel) {
+            writeHead(Sent.CANCEL_ATTEMPT, routerId, cancel.id());
+            json.writeNumberField(Field.ATTEMPT, cancel.attempt());
+        } else if (action instanceof Reserve reserve) {
+            writeHead(Sent.RESERVE, routerId, reserve.id(), reserve.server());
+        } else if (action instanceof Move move) {
+            writeHead(Sent.MIGRATE, routerId, move.id());
         } else {
-            aside(instance, action);
+            return false;
         }
+        return true;
     }
 
-    /** Actions that concern no request. */
-    private void aside(long instance, Action action) throws IOException {
-        if (action instanceof Probe a) {
-            head("poll", instance);
-            json.writeStringField("worker", a.server());
-        } else if (action instanceof CloseIdle a) {
-            head("close", instance);
-            json.writeStringField("worker", a.server());
-        } else if (action instanceof Tell a) {
-            head("write-peer", instance);
-            json.writeNumberField("dst", a.to());
-            json.writeStringField("body", a.body());
-        } else if (action instanceof Follow a) {
-            head("follow", instance);
-            json.writeBooleanField("want", a.on());
+    private void writeRouterAction(long routerId, Action action) throws IOException {
+        if (action instanceof Timer timer) {
+            writeHead(Sent.SET_TIMER, routerId);
+            json.writeNumberField(Field.TIMER_DELAY_MICROS, timer.delayMicros());
+            json.writeNumberField(Field.TIMER_TOKEN, timer.token());
+        } else if (action instanceof Probe probe) {
+            writeHead(Sent.PROBE, routerId);
+            json.writeStringField(Field.SERVER, probe.server());
+        } else if (action instanceof CloseIdle close) {
+            writeHead(Sent.CLOSE_IDLE_CONNECTIONS, routerId);
+            json.writeStringField(Field.SERVER, close.server());
+        } else if (action instanceof Tell message) {
+            writeHead(Sent.SEND_PEER_MESSAGE, routerId);
+            json.writeNumberField(Field.PEER_RECIPIENT, message.to());
+            json.writeStringField(Field.PEER_BODY, message.body());
+        } else if (action instanceof Follow follow) {
+            writeHead(Sent.FOLLOW_DISCOVERY, routerId);
+            json.writeBooleanField(Field.FOLLOW_WANTED, follow.on());
         } else if (action instanceof FetchList) {
-            head("snapshot", instance);
-        } else if (action instanceof Log a) {
-            head("trace", instance);
-            json.writeStringField("note-text", a.text());
+            writeHead(Sent.FETCH_ENDPOINT_LIST, routerId);
+        } else if (action instanceof Log log) {
+            writeHead(Sent.WRITE_LOG, routerId);
+            json.writeStringField(Field.LOG_TEXT, log.text());
         }
     }
 
-    private void head(String op, long instance) throws IOException {
-        json.writeStringField("op", op);
-        json.writeNumberField("router-id", instance);
+    private void writeHead(String operation, long routerId) throws IOException {
+        json.writeStringField(Field.OPERATION, operation);
+        json.writeNumberField(Field.ROUTER_ID, routerId);
     }
 
-    private void head(String op, long instance, long id) throws IOException {
-        head(op, instance);
-        json.writeNumberField("msg-id", id);
+    private void writeHead(String operation, long routerId, long requestId) throws IOException {
+        writeHead(operation, routerId);
+        json.writeNumberField(Field.REQUEST_ID, requestId);
     }
 
-    private void head(String op, long instance, long id, String server) throws IOException {
-        head(op, instance, id);
-        json.writeStringField("worker", server);
+    private void writeHead(String operation, long routerId, long requestId, String server)
+            throws IOException {
+        writeHead(operation, routerId, requestId);
+        json.writeStringField(Field.SERVER, server);
     }
 }
--- a/adapter/src/main/java/sorrelhoist/adapter/InvalidMessageException.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/InvalidMessageException.java
@@ -1,16 +1,55 @@
 package sorrelhoist.adapter;
 
-/** What was wrong on the wire, and where; its message is one plain line. */
+import com.fasterxml.jackson.core.JsonProcessingException;
+
+/**
+ * A message that breaks the protocol: malformed JSON, a missing or mistyped field, a value out of
+ * range, an unknown word. The message is one plain line that names the field and the place.
+ */
 public final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Makes one that says so. */
+    /**
+     * Creates an exception.
+     *
+     * @param message what is wrong, in one line
+     */
     public InvalidMessageException(String message) {
         super(message);
     }
 
-    /** The same fault, with the place put before it. */
+    private InvalidMessageException(String message, Throwable cause) {
+        super(message, cause);
+    }
+
+    static InvalidMessageException malformedJson(String detail) {
+        return new InvalidMessageException("malformed JSON: " + detail);
+    }
+
+    static InvalidMessageException malformedJson(JsonProcessingException cause) {
+        String detail = cause.getOriginalMessage().replaceAll("\\s+", " ");
+        return new InvalidMessageException("malformed JSON: " + detail, cause);
+    }
+
+    static InvalidMessageException missingField(String field) {
+        return new InvalidMessageException("required field \"" + field + "\" is missing");
+    }
+
+    static InvalidMessageException wrongType(String field, String expected) {
+        return new InvalidMessageException("field \"" + field + "\" should be " + expected);
+    }
+
+    static InvalidMessageException outOfRange(String field) {
+        return new InvalidMessageException("field \"" + field + "\" is out of range");
+    }
+
+    static InvalidMessageException unknownWord(String field, Object word) {
+        return new InvalidMessageException(
+                "field \"" + field + "\": unknown word \"" + word + "\"");
+    }
+
+    /** {@return the same problem, with the place where it stands put before it} */
     InvalidMessageException at(String place) {
-        return new InvalidMessageException(place + ": " + getMessage());
+        return new InvalidMessageException(place + ": " + getMessage(), this);
     }
 }
--- a/adapter/src/main/java/sorrelhoist/adapter/JsonObject.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/JsonObject.java
@@ -10,61 +10,72 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON object with typed access; a missing or odd field is named in the fault. */
+/**
+ * An immutable JSON object with typed access to its fields. A field that is missing, mistyped or
+ * out of range leads to an {@link InvalidMessageException} that names it; JSON's null counts as
+ * absent.
+ */
 public final class JsonObject {
     private static final JsonFactory JSON = new JsonFactory();
+    private static final double LONG_LIMIT = 0x1p63;
 
-    private final Map<String, Object> values;
+    private final Map<String, Object> fields;
 
-    private JsonObject(Map<String, Object> values) {
-        this.values = values;
+    private JsonObject(Map<String, Object> fields) {
+        this.fields = fields;
     }
 
-    /** Parses one line that must hold exactly one object. */
-    public static JsonObject parse(String line) throws InvalidMessageException {
-        try (JsonParser parser = JSON.createParser(line)) {
+    /**
+     * Parses a text that has to hold exactly one object.
+     *
+     * @param json the text
+     * @return the object
+     * @throws InvalidMessageException if it is not JSON, or not one object
+     */
+    public static JsonObject parse(String json) throws InvalidMessageException {
+        try (JsonParser parser = JSON.createParser(json)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new InvalidMessageException("malformed JSON: an object was expected");
+                throw InvalidMessageException.malformedJson("an object was expected");
             }
-            JsonObject fields = new JsonObject(object(parser));
+            JsonObject object = new JsonObject(readFields(parser));
             if (parser.nextToken() != null) {
-                throw new InvalidMessageException(
-                        "malformed JSON: more than one value on the line");
+                throw InvalidMessageException.malformedJson("more than one value on the line");
             }
-            return fields;
+            return object;
         } catch (JsonProcessingException e) {
-            throw new InvalidMessageException(
-                    "malformed JSON: " + e.getOriginalMessage().replaceAll("\\s+", " "));
+            throw InvalidMessageException.malformedJson(e);
         } catch (IOException e) {
             throw new InvalidMessageException("unreadable line: " + e.getMessage());
         }
     }
 
-    private static Map<String, Object> object(JsonParser parser) throws IOException {
-        Map<String, Object> map = new LinkedHashMap<>();
+    private static Map<String, Object> readFields(JsonParser parser) throws IOException {
+        Map<String, Object> fields = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
-            map.put(name, value(parser));
+            fields.put(name, readValue(parser));
         }
-        return map;
+        return fields;
     }
 
-    private static Object value(JsonParser parser) throws IOException {
+    private static Object readValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
-            case START_OBJECT -> object(parser);
-            case START_ARRAY -> {
-                List<Object> list = new ArrayList<>();
-                while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(parser));
-                }
-                yield list;
-            }
-            default -> scalar(parser);
+            case START_OBJECT -> readFields(parser);
+            case START_ARRAY -> readElements(parser);
+            default -> readScalar(parser);
         };
     }
 
-    static Object scalar(JsonParser parser) throws IOException {
+    private static List<Object> readElements(JsonParser parser) throws IOException {
+        List<Object> elements = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            elements.add(readValue(parser));
+        }
+        return elements;
+    }
+
+    static Object readScalar(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case VALUE_STRING -> parser.getText();
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
@@ -74,127 +85,181 @@
         };
     }
 
-    static JsonObject of(Map<String, Object> values) {
-        return new JsonObject(values);
+    static JsonObject of(Map<String, Object> fields) {
+        return new JsonObject(fields);
     }
 
-    /** A text that has to be there. */
+    /**
+     * {@return a required string}
+     *
+     * @param name the field
+     */
     public String getString(String name) throws InvalidMessageException {
-        String text = getString(name, null);
-        return text == null ? missing(name) : text;
+        requireField(name);
+        return getString(name, null);
     }
 
-    /** A text. */
-    public String getString(String name, String otherwise) throws InvalidMessageException {
-        Object value = values.get(name);
+    /**
+     * {@return an optional string}
+     *
+     * @param name the field
+     * @param defaultValue the value if the field is absent
+     */
+    public String getString(String name, String defaultValue) throws InvalidMessageException {
+        Object value = fields.get(name);
         if (value != null && !(value instanceof String)) {
-            throw new InvalidMessageException("field \"" + name + "\" should be text");
+            throw InvalidMessageException.wrongType(name, "text");
         }
-        return value == null ? otherwise : (String) value;
+        return value == null ? defaultValue : (String) value;
     }
 
-    /** A whole number that has to be there. */
-    public long getLong(String name, long least) throws InvalidMessageException {
-        return values.get(name) == null ? missing(name) : getLong(name, least, 0);
+    /**
+     * {@return a required whole number}
+     *
+     * @param name the field
+     * @param min the least value that is in range
+     */
+    public long getLong(String name, long min) throws InvalidMessageException {
+        requireField(name);
+        return getLong(name, min, 0);
     }
 
-    /** A whole number. */
-    public long getLong(String name, long least, long otherwise) throws InvalidMessageException {
-        double value = getDouble(name, otherwise);
-        Object raw = values.get(name);
-        long whole = raw instanceof Number n ? n.longValue() : otherwise;
-        if (value != Math.rint(value) || value >= 0x1p63 || raw != null && whole < least) {
-            throw new InvalidMessageException("field \"" + name + "\" is out of range");
+    /**
+     * {@return an optional whole number}
+     *
+     * @param name the field
+     * @param min the least value that is in range
+     * @param defaultValue the value if the field is absent; it need not be in range
+     */
+    public long getLong(String name, long min, long defaultValue) throws InvalidMessageException {
+        double exact = getDouble(name, defaultValue);
+        Object value = fields.get(name);
+        long whole = value instanceof Number number ? number.longValue() : defaultValue;
+        boolean belowMin = value != null && whole < min;
+        if (exact != Math.rint(exact) || exact >= LONG_LIMIT || belowMin) {
+            throw InvalidMessageException.outOfRange(name);
         }
         return whole;
     }
 
+    /** {@return a required index, from 0 and below a size} */
     int getIndex(String name, int size) throws InvalidMessageException {
-        return getIndex(name, size, getLong(name, 0));
+        return checkIndex(name, size, getLong(name, 0));
     }
 
+    /** {@return an optional index, from 0 and below a size; 0 if absent} */
     int getIndexOrZero(String name, int size) throws InvalidMessageException {
-        return getIndex(name, size, getLong(name, 0, 0));
+        return checkIndex(name, size, getLong(name, 0, 0));
     }
 
-    private static int getIndex(String name, int size, long value) throws InvalidMessageException {
+    private static int checkIndex(String name, int size, long value)
+            throws InvalidMessageException {
         if (value >= size) {
-            throw new InvalidMessageException("field \"" + name + "\" is out of range");
+            throw InvalidMessageException.outOfRange(name);
         }
         return (int) value;
     }
 
-    /** A number. */
-    public double getDouble(String name, double otherwise) throws InvalidMessageException {
-        Object value = values.get(name);
+    /**
+     * {@return an optional number}
+     *
+     * @param name the field
+     * @param defaultValue the value if the field is absent
+     */
+    public double getDouble(String name, double defaultValue) throws InvalidMessageException {
+        Object value = fields.get(name);
         if (value != null && !(value instanceof Number)) {
-            throw new InvalidMessageException("field \"" + name + "\" should be a number");
+            throw InvalidMessageException.wrongType(name, "a number");
         }
-        return value == null ? otherwise : ((Number) value).doubleValue();
+        return value == null ? defaultValue : ((Number) value).doubleValue();
     }
 
-    /** True or false; false where absent. */
+    /**
+     * {@return an optional boolean, false if absent}
+     *
+     * @param name the field
+     */
     public boolean getBoolean(String name) throws InvalidMessageException {
-        Object value = values.get(name);
+        Object value = fields.get(name);
         if (value != null && !(value instanceof Boolean)) {
-            throw new InvalidMessageException("field \"" + name + "\" should be true or false");
+            throw InvalidMessageException.wrongType(name, "true or false");
         }
         return Boolean.TRUE.equals(value);
     }
 
-    /** A nested object; empty where absent. */
+    /**
+     * {@return an optional nested object, without fields if absent}
+     *
+     * @param name the field
+     */
     public JsonObject getObject(String name) throws InvalidMessageException {
-        return getObject(name, values.get(name));
+        return toObject(name, fields.get(name));
     }
 
+    /** {@return a required nested object} */
     JsonObject getRequiredObject(String name) throws InvalidMessageException {
-        return values.get(name) == null ? missing(name) : getObject(name);
+        requireField(name);
+        return getObject(name);
     }
 
-    @SuppressWarnings("unchecked")
-    private static JsonObject getObject(String name, Object value) throws InvalidMessageException {
+    @SuppressWarnings("unchecked") // the maps in fields are made here and in JsonObjectReader
+    private static JsonObject toObject(String name, Object value) throws InvalidMessageException {
         if (value == null) {
             return new JsonObject(Map.of());
         }
         if (!(value instanceof Map)) {
-            throw new InvalidMessageException("field \"" + name + "\" should be an object");
+            throw InvalidMessageException.wrongType(name, "an object");
         }
         return new JsonObject((Map<String, Object>) value);
     }
 
-    /** A list of objects. */
+    /**
+     * {@return an optional list of objects, empty if absent}
+     *
+     * @param name the field
+     */
     public List<JsonObject> getObjects(String name) throws InvalidMessageException {
-        List<JsonObject> rows = new ArrayList<>();
-        for (Object value : getList(name)) {
-            rows.add(getObject(name, value));
+        List<JsonObject> objects = new ArrayList<>();
+        for (Object element : getList(name)) {
+            objects.add(toObject(name, element));
         }
-        return rows;
+        return objects;
     }
 
-    /** A list of plain values; empty where absent. */
+    /**
+     * {@return an optional list of plain values, empty if absent}
+     *
+     * @param name the field
+     */
     public List<?> getList(String name) throws InvalidMessageException {
-        Object value = values.get(name);
+        Object value = fields.get(name);
         if (value != null && !(value instanceof List)) {
-            throw new InvalidMessageException("field \"" + name + "\" should be a list");
+            throw InvalidMessageException.wrongType(name, "a list");
         }
         return value == null ? List.of() : (List<?>) value;
     }
 
-    /** Whether it is there. */
+    /**
+     * {@return whether a field is there and not null}
+     *
+     * @param name the field
+     */
     public boolean contains(String name) {
-        return values.get(name) != null;
+        return fields.get(name) != null;
     }
 
-    /** All numbers of this object by name. */
+    /** {@return all fields by name; each has to be a number} */
     Map<String, Double> toDoubles() throws InvalidMessageException {
-        Map<String, Double> numbers = new LinkedHashMap<>();
-        for (String name : values.keySet()) {
-            numbers.put(name, getDouble(name, 0));
+        Map<String, Double> doubles = new LinkedHashMap<>();
+        for (String name : fields.keySet()) {
+            doubles.put(name, getDouble(name, 0));
         }
-        return numbers;
+        return doubles;
     }
 
-    private static <T> T missing(String name) throws InvalidMessageException {
-        throw new InvalidMessageException("required field \"" + name + "\" is missing");
+    private void requireField(String name) throws InvalidMessageException {
+        if (!contains(name)) {
+            throw InvalidMessageException.missingField(name);
+        }
     }
 }
--- a/adapter/src/main/java/sorrelhoist/adapter/JsonObjectReader.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/JsonObjectReader.java
@@ -15,31 +15,55 @@
 import java.util.Map;
 
 /**
- * JSON objects one behind the other, however they are laid out and wherever their bytes are cut.
+ * An incremental reader of concatenated JSON objects, independent of white space and of where the
+ * byte stream is cut. Not thread-safe.
  */
 public final class JsonObjectReader {
     private static final int MAX_DEPTH = 64;
-    private static final int MAX_TEXT = 1 << 20;
+    private static final int MAX_STRING_LENGTH = 1 << 20;
     private static final JsonFactory JSON =
             JsonFactory.builder()
                     .streamReadConstraints(
-                            StreamReadConstraints.builder().maxStringLength(MAX_TEXT).build())
+                            StreamReadConstraints.builder()
+                                    .maxStringLength(MAX_STRING_LENGTH)
+                                    .build())
                     .build();
-    private final int mostBytes;
+
+    private final int maxObjectBytes;
     private final JsonParser parser;
-    private final Deque<Open> open = new ArrayDeque<>();
-    private int bytes;
+    private final Deque<OpenContainer> openContainers = new ArrayDeque<>();
+    private int bytesSinceLastObject;
+
+    /** An object or an array whose end has not been read; exactly one of the two is not null. */
+    private record OpenContainer(String name, Map<String, Object> fields, List<Object> elements) {
+        static OpenContainer object(String name) {
+            return new OpenContainer(name, new LinkedHashMap<>(), null);
+        }
+
+        static OpenContainer array(String name) {
+            return new OpenContainer(name, null, new ArrayList<>());
+        }
 
-    /** An object or a list whose end has not come. */
-    private record Open(String name, Map<String, Object> object, List<Object> list) {}
+        Object value() {
+            return fields != null ? fields : elements;
+        }
+
+        void add(String childName, Object child) {
+            if (fields != null) {
+                fields.put(childName, child);
+            } else {
+                elements.add(child);
+            }
+        }
+    }
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
-     * @param maxObjectBytes of one object
+     * @param maxObjectBytes the largest size of one object, in bytes
      */
     public JsonObjectReader(int maxObjectBytes) {
-        this.mostBytes = maxObjectBytes;
+        this.maxObjectBytes = maxObjectBytes;
         try {
             this.parser = JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
@@ -48,84 +72,80 @@
     }
 
     /**
-     * Takes what came. Ask {@link #next} until it has nothing before giving more.
+     * Feeds bytes. Call {@link #next} until it returns null before feeding more.
      *
-     * @param some bytes; not used after {@code next} gave null
-     * @throws InvalidMessageException where an object is larger than the limit
+     * @param bytes the bytes that were received; not referenced after {@code next} returned null
+     * @throws InvalidMessageException if an object is larger than the limit
      */
-    public void feed(byte[] some) throws InvalidMessageException {
-        bytes += some.length;
-        if (!open.isEmpty() && bytes > mostBytes) {
-            throw new InvalidMessageException("an object of more than " + mostBytes + " bytes");
+    public void feed(byte[] bytes) throws InvalidMessageException {
+        bytesSinceLastObject += bytes.length;
+        if (!openContainers.isEmpty() && bytesSinceLastObject > maxObjectBytes) {
+            throw new InvalidMessageException(
+                    "an object of more than " + maxObjectBytes + " bytes");
         }
         try {
-            ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(some, 0, some.length);
+            ByteArrayFeeder feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
+            feeder.feedInput(bytes, 0, bytes.length);
         } catch (IOException e) {
             throw new InvalidMessageException("unreadable JSON: " + e.getMessage());
         }
     }
 
-    /** {@return whether no object has begun whose end has not come} */
+    /** {@return whether the reader stands between two objects, with none begun} */
     public boolean isBetweenObjects() {
-        return open.isEmpty();
+        return openContainers.isEmpty();
     }
 
     /**
-     * Reads on.
+     * Reads the next object.
      *
-     * @return the next whole object, or null where more bytes are needed
-     * @throws InvalidMessageException where it is no JSON, or something else than objects
+     * @return the next complete object, or null if more bytes are needed
+     * @throws InvalidMessageException if the bytes are not JSON, or not an object
      */
     public JsonObject next() throws InvalidMessageException {
         try {
-            for (JsonToken t = parser.nextToken();
-                    t != null && t != JsonToken.NOT_AVAILABLE;
-                    t = parser.nextToken()) {
-                Map<String, Object> whole = take(t);
-                if (whole != null) {
-                    bytes = 0;
-                    return JsonObject.of(whole);
+            JsonToken token = parser.nextToken();
+            while (token != null && token != JsonToken.NOT_AVAILABLE) {
+                Map<String, Object> complete = accept(token);
+                if (complete != null) {
+                    bytesSinceLastObject = 0;
+                    return JsonObject.of(complete);
                 }
+                token = parser.nextToken();
             }
             return null;
         } catch (JsonProcessingException e) {
-            throw new InvalidMessageException(
-                    "malformed JSON: " + e.getOriginalMessage().replaceAll("\\s+", " "));
+            throw InvalidMessageException.malformedJson(e);
         } catch (IOException e) {
             throw new InvalidMessageException("unreadable JSON: " + e.getMessage());
         }
     }
 
-    private Map<String, Object> take(JsonToken t) throws IOException, InvalidMessageException {
-        if (open.isEmpty() && t != JsonToken.START_OBJECT) {
-            throw new InvalidMessageException("malformed JSON: an object was expected");
+    /** {@return the fields of the outermost object if this token completes it, else null} */
+    private Map<String, Object> accept(JsonToken token)
+            throws IOException, InvalidMessageException {
+        if (openContainers.isEmpty() && token != JsonToken.START_OBJECT) {
+            throw InvalidMessageException.malformedJson("an object was expected");
         }
-        if (open.size() > MAX_DEPTH) {
-            throw new InvalidMessageException(
-                    "malformed JSON: nested more than " + MAX_DEPTH + " deep");
+        if (openContainers.size() > MAX_DEPTH) {
+            throw InvalidMessageException.malformedJson("nested more than " + MAX_DEPTH + " deep");
         }
-        if (t == JsonToken.START_OBJECT) {
-            open.push(new Open(parser.currentName(), new LinkedHashMap<>(), null));
-        } else if (t == JsonToken.START_ARRAY) {
-            open.push(new Open(parser.currentName(), null, new ArrayList<>()));
-        } else if (t == JsonToken.END_OBJECT || t == JsonToken.END_ARRAY) {
-            Open ended = open.pop();
-            if (open.isEmpty()) {
-                return ended.object;
+        switch (token) {
+            case START_OBJECT -> openContainers.push(OpenContainer.object(parser.currentName()));
+            case START_ARRAY -> openContainers.push(OpenContainer.array(parser.currentName()));
+            case END_OBJECT, END_ARRAY -> {
+                OpenContainer ended = openContainers.pop();
+                if (openContainers.isEmpty()) {
+                    return ended.fields();
+                }
+                openContainers.peek().add(ended.name(), ended.value());
             }
-            put(ended.name, ended.object != null ? ended.object : ended.list);
-        } else if (t != JsonToken.FIELD_NAME) {
-            put(parser.currentName(), JsonObject.scalar(parser));
+            case FIELD_NAME -> {
+                // The parser keeps the name until the value comes.
+            }
+            default ->
+                    openContainers.peek().add(parser.currentName(), JsonObject.readScalar(parser));
         }
         return null;
     }
-
-    private void put(String name, Object value) {
-        Open in = open.peek();
-        if (in.object != null) {
-            in.object.put(name, value);
-        } else {
-            in.list.add(value);
-        }
-    }
 }
--- a/adapter/src/main/java/sorrelhoist/adapter/Main.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/Main.java
@@ -1,20 +1,28 @@
 package sorrelhoist.adapter;
 
-/** Command line entry: {@code wirehost} serves the wire protocol on standard input and output. */
+import java.util.Set;
+
+/** The entry point of the adapter's own small jar. */
 public final class Main {
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
+    private static final String COMMAND = "simulator-adapter";
+
+    /** The command's former name, accepted for one release. */
+    private static final String FORMER_COMMAND = "wirehost";
+
+    private static final Set<String> COMMANDS = Set.of(COMMAND, FORMER_COMMAND);
 
     private Main() {}
 
     /**
-     * Runs the named subcommand and exits with its status.
+     * Serves the simulator on standard input and output, and exits with the status.
      *
-     * @param args exactly one word, {@code wirehost}
+     * @param args exactly one word, {@code simulator-adapter}
      */
     public static void main(String[] args) {
-        if (args.length != 1 || !args[0].equals("wirehost")) {
-            System.err.println("usage: java -jar sorrelhoist-adapter-host.jar wirehost");
-            System.exit(USAGE);
+        if (args.length != 1 || !COMMANDS.contains(args[0])) {
+            System.err.println("usage: java -jar sorrelhoist-adapter-host.jar " + COMMAND);
+            System.exit(EXIT_USAGE);
         }
         System.exit(new SimulatorAdapter().run(System.in, System.out, System.err));
     }
--- a/adapter/src/main/java/sorrelhoist/adapter/SimulatorAdapter.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/SimulatorAdapter.java
@@ -10,60 +10,74 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import sorrelhoist.adapter.SimulatorProtocol.Field;
+import sorrelhoist.adapter.SimulatorProtocol.Received;
 import sorrelhoist.routing.Routing.Action;
 import sorrelhoist.routing.Routing.Event;
 import sorrelhoist.routing.Routing.RoutingSettings;
 import sorrelhoist.routing.RoutingPolicy;
 
 /**
- * Hosts many instances of {@link RoutingPolicy} on the wire, JSON line by line: translates, decides
- * nothing.
+ * Hosts any number of {@link RoutingPolicy} instances behind the simulator's line protocol: one
+ * JSON object a line, one reply for each batch. Not thread-safe.
  */
 public final class SimulatorAdapter {
-    private static final int OK = 0;
-    private static final int FAULT = 1;
-    private static final int LISTS = 16;
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_FAILURE = 1;
+    private static final int MAX_ENDPOINT_LISTS = 16;
 
-    private record Instance(RoutingPolicy decide, RoutingSettings settings) {}
-
-    private final Map<Long, Instance> instances = new HashMap<>();
-    private final Map<Long, JsonObject> lists = new HashMap<>();
-
-    /** Hears what the hosted instances are told and say; changes nothing. */
+    /** Observes the hosted policies' decisions; changes nothing. */
     public interface DecisionListener {
-        /** Hears nothing. */
+        /** A listener that does nothing. */
         DecisionListener NONE = new DecisionListener() {};
 
-        /** An instance was started. */
-        default void started(long router, RoutingSettings settings, long seed) {}
-
-        /** An instance was told something, and said something. */
-        default void told(long router, long now, Event event, List<Action> actions) {}
+        /**
+         * A router was started.
+         *
+         * @param routerId the router
+         * @param settings its settings
+         * @param seed of its randomness
+         */
+        default void onRouterStarted(long routerId, RoutingSettings settings, long seed) {}
+
+        /**
+         * A router took an event.
+         *
+         * @param routerId the router
+         * @param nowMicros the time of the event, in microseconds
+         * @param event the event
+         * @param actions what the router decided upon it
+         */
+        default void onDecision(long routerId, long nowMicros, Event event, List<Action> actions) {}
     }
 
-    private final DecisionListener hearing;
+    private record HostedRouter(RoutingPolicy policy, EventDecoder decoder) {}
 
-    /** Makes a host without instances; {@code hello} starts them. */
+    private final DecisionListener listener;
+    private final Map<Long, HostedRouter> routers = new HashMap<>();
+    private final Map<Long, JsonObject> endpointLists = new HashMap<>();
+
+    /** Creates an adapter without routers; the simulator starts them. */
     public SimulatorAdapter() {
         this(DecisionListener.NONE);
     }
 
     /**
-     * Makes a host without instances.
+     * Creates an adapter without routers; the simulator starts them.
      *
-     * @param hearing hears all that is told and said
+     * @param listener observes all decisions
      */
-    public SimulatorAdapter(DecisionListener hearing) {
-        this.hearing = hearing;
+    public SimulatorAdapter(DecisionListener listener) {
+        this.listener = listener;
     }
 
     /**
-     * Serves batches until the input ends.
+     * Serves batches until the input ends or a batch is invalid.
      *
      * @param in batches, one a line
-     * @param out replies, one a line, each flushed
-     * @param err takes one plain line where the input was at fault
-     * @return 0 at the end of input, 1 after a fault
+     * @param out receives a reply a line, each flushed
+     * @param err receives one plain line if a batch was invalid or the input could not be read
+     * @return the exit status: 0 at the end of the input, 1 after an error
      */
     public int run(InputStream in, OutputStream out, PrintStream err) {
         long lineNumber = 0;
@@ -72,94 +86,107 @@
                     new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 lineNumber++;
-                out.write(reply(line, lineNumber).getBytes(StandardCharsets.UTF_8));
+                out.write(handleLine(line, lineNumber).getBytes(StandardCharsets.UTF_8));
                 out.flush();
             }
-            return OK;
+            return EXIT_OK;
         } catch (InvalidMessageException e) {
             err.println(e.getMessage());
         } catch (IOException e) {
             err.println("line " + lineNumber + ": the pipe failed: " + e.getMessage());
         }
-        return FAULT;
+        return EXIT_FAILURE;
     }
 
-    private String reply(String line, long lineNumber) throws InvalidMessageException {
+    private String handleLine(String line, long lineNumber) throws InvalidMessageException {
         JsonObject batch;
         long round;
         try {
             batch = JsonObject.parse(line);
-            round = batch.getLong("round", 0);
+            round = batch.getLong(Field.ROUND, 0);
         } catch (InvalidMessageException e) {
             throw e.at("line " + lineNumber);
         }
         try {
-            return reply(batch, round);
+            return handleBatch(batch, round);
         } catch (InvalidMessageException e) {
             throw e.at("round " + round);
         }
     }
 
-    private String reply(JsonObject batch, long round) throws InvalidMessageException {
-        long now = batch.getLong("time-us", 0);
-        List<JsonObject> messages = batch.getObjects("msgs");
+    private String handleBatch(JsonObject batch, long round) throws InvalidMessageException {
+        long nowMicros = batch.getLong(Field.TIME_MICROS, 0);
+        List<JsonObject> messages = batch.getObjects(Field.MESSAGES);
         ActionEncoder reply = new ActionEncoder(round);
         for (int i = 0; i < messages.size(); i++) {
             try {
-                take(now, messages.get(i), reply);
+                handleMessage(nowMicros, messages.get(i), reply);
             } catch (InvalidMessageException e) {
                 throw e.at("message " + i);
             } catch (IllegalArgumentException e) {
+                // The policy's own complaint about its input, a clock that goes back for one.
                 throw new InvalidMessageException(e.getMessage()).at("message " + i);
             }
         }
-        return reply.line();
+        return reply.finish();
     }
 
-    private void take(long now, JsonObject message, ActionEncoder reply)
+    private void handleMessage(long nowMicros, JsonObject message, ActionEncoder reply)
             throws InvalidMessageException {
-        String op = message.getString("op");
-        switch (op) {
-            case "list" -> {
-                message.getList("rows-in");
-                lists.put((long) message.getIndex("buffer", LISTS), message);
-            }
-            case "hello" -> start(message);
-            case "teardown" -> {
-                instance(message);
-                instances.remove(message.getLong("router-id", 0));
-            }
+        String operation = message.getString(Field.OPERATION);
+        switch (operation) {
+            case Received.DEFINE_ENDPOINT_LIST -> defineEndpointList(message);
+            case Received.START_ROUTER -> startRouter(message);
+            case Received.STOP_ROUTER -> stopRouter(message);
             default -> {
-                Instance instance = instance(message);
-                Event event = SettingsDecoder.event(op, message, instance.settings(), lists);
-                long id = message.getLong("router-id", 0);
-                List<Action> actions = instance.decide().onEvent(now, event);
-                hearing.told(id, now, event, actions);
-                reply.add(id, actions);
+                HostedRouter router = router(message);
+                Event event = router.decoder().decode(operation, message);
+                List<Action> actions = router.policy().onEvent(nowMicros, event);
+                long routerId = routerId(message);
+                listener.onDecision(routerId, nowMicros, event, actions);
+                reply.add(routerId, actions);
             }
         }
     }
 
-    private void start(JsonObject message) throws InvalidMessageException {
-        long id = message.getLong("router-id", 0);
+    private void defineEndpointList(JsonObject message) throws InvalidMessageException {
+        message.getList(Field.LIST_ROWS); // its rows are read where the list is used
+        endpointLists.put((long) message.getIndex(Field.LIST_NUMBER, MAX_ENDPOINT_LISTS), message);
+    }
+
+    private void startRouter(JsonObject message) throws InvalidMessageException {
+        long routerId = routerId(message);
         RoutingSettings settings;
         try {
-            settings = SettingsDecoder.decode(message.getRequiredObject("boot-info"));
+            settings = SettingsDecoder.decode(message.getRequiredObject(Field.SETTINGS));
         } catch (InvalidMessageException e) {
-            throw e.at("boot-info");
+            throw e.at(Field.SETTINGS);
         }
-        long seed = message.getLong("nonce64", Long.MIN_VALUE);
-        hearing.started(id, settings, seed);
-        instances.put(id, new Instance(new RoutingPolicy(settings, seed), settings));
+        long seed = message.getLong(Field.SEED, Long.MIN_VALUE);
+        listener.onRouterStarted(routerId, settings, seed);
+        routers.put(
+                routerId,
+                new HostedRouter(
+                        new RoutingPolicy(settings, seed),
+                        new EventDecoder(settings, endpointLists)));
+    }
+
+    private void stopRouter(JsonObject message) throws InvalidMessageException {
+        router(message);
+        routers.remove(routerId(message));
     }
 
-    private Instance instance(JsonObject message) throws InvalidMessageException {
-        long id = message.getLong("router-id", 0);
-        Instance instance = instances.get(id);
-        if (instance == null) {
+    private HostedRouter router(JsonObject message) throws InvalidMessageException {
+        long routerId = routerId(message);
+        HostedRouter router = routers.get(routerId);
+        if (router == null) {
             throw new InvalidMessageException(
-                    "field \"router-id\": instance " + id + " was not started");
+                    "field \"router-id\": instance " + routerId + " was not started");
         }
-        return instance;
+        return router;
+    }
+
+    private static long routerId(JsonObject message) throws InvalidMessageException {
+        return message.getLong(Field.ROUTER_ID, 0);
     }
 }
--- a/adapter/src/test/java/sorrelhoist/adapter/FieldsReaderTest.java
+++ b/adapter/src/test/java/sorrelhoist/adapter/JsonObjectReaderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FieldsReaderTest {
+class JsonObjectReaderTest {
     private static final String TWO =
             "{\"rev\":41,\"all\":true,\"targets\":[{\"uid\":\"s-\u00e9\",\"load\":0.5}]}\n\n\n"
                     + "{\n"
--- /dev/null
+++ b/adapter/src/test/java/sorrelhoist/adapter/SettingsDecoderTest.java
@@ -0,0 +1,44 @@
+package sorrelhoist.adapter;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.routing.Routing.Capabilities;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.LoadReportMode;
+import sorrelhoist.routing.Routing.RequestClass;
+import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.ServerKind;
+import sorrelhoist.routing.Routing.ServerLimits;
+import sorrelhoist.routing.Routing.Tenant;
+
+class SettingsDecoderTest {
+    @Test
+    void settingsAreTranslated() throws InvalidMessageException {
+        RoutingSettings s = SettingsDecoder.decode(JsonObject.parse(SimulatorMessages.SETTINGS));
+        assertEquals(
+                List.of(
+                        new RequestClass(
+                                1_000_000,
+                                40_000,
+                                2.5,
+                                Idempotency.SAFE,
+                                IdempotencyScope.ZONE,
+                                0)),
+                s.classes());
+        assertEquals(
+                List.of(new ServerKind(Role.READ, 2000), new ServerKind(Role.WRITE, 3000)),
+                s.serverKinds());
+        assertEquals(List.of(new Tenant(4)), s.tenants());
+        assertEquals(
+                new Capabilities(5, true, false, true, 900_000, true, false, 0, 0),
+                s.capabilities());
+        assertEquals(new ServerLimits(0.26, 12_000_000, 3, 3_000_000, 500_000), s.serverLimits());
+        assertEquals(LoadReportMode.IN_OUTCOMES, s.loadReportMode());
+        assertFalse(s.subscribesToDiscovery());
+    }
+}
--- a/app/src/main/java/sorrelhoist/app/command/WireRecord.java
+++ b/app/src/main/java/sorrelhoist/app/command/WireRecord.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void started(long router, RoutingSettings settings, long seed) {
+    public void onRouterStarted(long router, RoutingSettings settings, long seed) {
         try {
             finish(router);
             long start = ++starts;
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void told(long router, long now, Event event, List<Action> actions) {
+    public void onDecision(long router, long now, Event event, List<Action> actions) {
         recorders.get(router).onDecision(now, event, actions);
     }
 
