--- a/standin/src/main/java/sorrelhoist/standin/Trace.java
+++ b/standin/src/main/java/sorrelhoist/standin/TraceWriter.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedWriter;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,22 +13,23 @@
 import java.util.Map;
 
 /**
- * What a stand-in saw on the wire, as JSON lines for the judge; each is on disk before the next is
- * begun.
+ * Writes what a stand-in saw on the wire as JSON lines for the judge. Each line is flushed before
+ * the next, as the process may be killed at any time.
  */
-public final class Trace {
+public final class TraceWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final BufferedWriter out;
-    private final String who;
+    private final String source;
 
     /**
      * Opens a trace.
      *
-     * @param file appended to; null for none
-     * @param who names this stand-in in every line
+     * @param file appended to; null to write nothing
+     * @param source the name of the stand-in, part of every line
+     * @throws IOException if the file cannot be opened
      */
-    public Trace(Path file, String who) throws IOException {
-        this.who = who;
+    public TraceWriter(Path file, String source) throws IOException {
+        this.source = source;
         this.out =
                 file == null
                         ? null
@@ -38,35 +40,35 @@
                                 StandardOpenOption.APPEND);
     }
 
-    /** {@return microseconds since 1970} */
-    public static long now() {
-        Instant t = Instant.now();
-        return t.getEpochSecond() * 1_000_000 + t.getNano() / 1000;
+    /** {@return the wall clock's time, microseconds since 1970} */
+    public static long nowMicros() {
+        Instant now = Instant.now();
+        return now.getEpochSecond() * 1_000_000 + now.getNano() / 1000;
     }
 
     /**
-     * Writes a line.
+     * Writes a line with the time of now.
      *
      * @param event what happened
-     * @param pairs names and values
+     * @param fields keys and values by turns
      */
-    public synchronized void line(String event, Object... pairs) {
+    public synchronized void write(String event, Object... fields) {
         if (out == null) {
             return;
         }
         Map<String, Object> line = new LinkedHashMap<>();
-        line.put("t", now());
-        line.put("who", who);
+        line.put("t", nowMicros());
+        line.put("who", source);
         line.put("ev", event);
-        for (int i = 0; i < pairs.length; i += 2) {
-            line.put((String) pairs[i], pairs[i + 1]);
+        for (int i = 0; i < fields.length; i += 2) {
+            line.put((String) fields[i], fields[i + 1]);
         }
         try {
             out.write(JSON.writeValueAsString(line));
             out.write('\n');
             out.flush();
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         }
     }
 }
--- a/standin/src/main/java/sorrelhoist/standin/engine/EngineControl.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/EngineControl.java
@@ -4,25 +4,25 @@
 import sorrelhoist.protocol.protobuf.ProtoReader;
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
-/**
- * The one method by which a stand-in engine is told what to suffer: a line of text in, a line out.
- */
+/** The gRPC method by which faults are injected into an engine: a line of text in, a line out. */
 public final class EngineControl {
-    /** Its path. */
+    /** The path of the method. */
     public static final String PATH = "/sorrelhoist.standin.v1.Control/Do";
 
+    private static final int LINE_FIELD = 1;
+
     private EngineControl() {}
 
-    /** {@return the bytes of a line} */
+    /** {@return the message that carries a line} */
     public static byte[] encode(String line) {
-        return new ProtoWriter().writeString(1, line).toByteArray();
+        return new ProtoWriter().writeString(LINE_FIELD, line).toByteArray();
     }
 
-    static String parse(byte[] bytes) throws ProtoException {
-        ProtoReader in = new ProtoReader(bytes);
+    static String parse(byte[] message) throws ProtoException {
+        ProtoReader in = new ProtoReader(message);
         String line = "";
-        for (int f = in.nextField(); f != 0; f = in.nextField()) {
-            if (f == 1) {
+        for (int field = in.nextField(); field != 0; field = in.nextField()) {
+            if (field == LINE_FIELD) {
                 line = in.readString();
             } else {
                 in.skipField();
--- a/standin/src/main/java/sorrelhoist/standin/engine/EngineSettings.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/EngineSettings.java
@@ -1,38 +1,37 @@
 package sorrelhoist.standin.engine;
 
 /**
- * A stand-in engine. Times in microseconds.
+ * The configuration of a stand-in engine. The components' names are keys of its settings file.
  *
  * @param id its name, the same after a restart
- * @param kind its kind's name
- * @param role read, write or both
+ * @param kind the name of its kind
+ * @param role read (prefill), write (decode) or both
  * @param zone its zone
  * @param rack its rack
- * @param port to listen on; 0 for one that the system picks
+ * @param port port to listen on; 0 for one that the system picks
  * @param registry the registry's address, or empty for none
- * @param renewMicros between heartbeats
- * @param leaseMicros after which the registry lets it expire
- * @param slots requests at once
+ * @param renewMicros microseconds between renewals of its lease
+ * @param leaseMicros microseconds after which the registry lets the lease expire
+ * @param slots prefills at once, and likewise decodes
  * @param queue requests that may wait
- * @param memoryTokens memory for states and answers, in tokens
- * @param keptTokens further memory for kept beginnings, in tokens
- * @param readPerSecond prompt tokens a second
- * @param stepMicros a step's time, without what it reads and writes
- * @param perAnswerMicros added to a step for each answer that runs
- * @param chunkTokens prompt tokens read in one step at most
- * @param moveTokensPerSecond rate at which a state comes from the same rack
- * @param farTokensPerSecond rate at which it comes from another
- * @param readsItself whether a writer without a state reads the prompt
- * @param warm whether it has been warmed up before it serves: it then says that it started an hour
- *     ago
+ * @param memoryTokens memory for prefill states and answers, in tokens
+ * @param keptTokens further memory for cached prompt prefixes, in tokens
+ * @param readPerSecond prompt tokens that it prefills a second
+ * @param stepMicros microseconds of a step, without what it prefills and decodes
+ * @param perAnswerMicros microseconds that each decode adds to a step
+ * @param chunkTokens most prompt tokens that are prefilled in one step
+ * @param moveTokensPerSecond tokens a second at which a state is fetched in the same rack
+ * @param farTokensPerSecond tokens a second at which a state is fetched from another rack
+ * @param readsItself whether it prefills the prompt of a decode request that names no state
+ * @param warm whether it is warm from the start; it then reports that it started an hour ago
  * @param coldFrom share of its speed with which it starts otherwise
- * @param coldMicros until it is warm
- * @param fallMultiple sent more than this multiple of what it can do
- * @param fallMicros for this long, it falls over while cold
- * @param warmSendsPerSecond what it can do when warm, in sends a second, as the fall is counted
- * @param stateLimitMicros after which a state that nobody took is freed
- * @param trace file for what it sees; empty for none
- * @param seed of its randomness
+ * @param coldMicros microseconds until it is warm
+ * @param fallMultiple multiple of its capacity that makes it crash while it is cold
+ * @param fallMicros microseconds over which the requests for that are counted
+ * @param warmSendsPerSecond its capacity when warm, in requests a second; 0 for never to crash
+ * @param stateLimitMicros microseconds after which a state that nobody fetched is freed
+ * @param trace file for its trace; empty for none
+ * @param seed seed of its random choices
  */
 public record EngineSettings(
         String id,
@@ -64,11 +63,16 @@
         long stateLimitMicros,
         String trace,
         long seed) {
-    boolean reads() {
+    boolean servesPrefill() {
         return !role.equals("write");
     }
 
-    boolean writes() {
+    boolean servesDecode() {
         return !role.equals("read");
     }
+
+    /** {@return its rack's name together with its zone's} */
+    String rackPath() {
+        return zone + "/" + rack;
+    }
 }
--- a/standin/src/main/java/sorrelhoist/standin/registry/Lease.java
+++ b/standin/src/main/java/sorrelhoist/standin/registry/Lease.java
@@ -1,41 +1,68 @@
 package sorrelhoist.standin.registry;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Locale;
 
 /**
  * One registered instance.
  *
- * @param app its application's name, upper case
- * @param id its instance id
- * @param info the instance as registered
- * @param status what it said of itself
- * @param override what an operator said instead, or null
- * @param renewedAt last heartbeat, microseconds
- * @param durationMicros after which it expires without one
- * @param changedAt last change, microseconds
+ * @param application the name of its application, upper case
+ * @param instanceId its id
+ * @param info the instance as it was registered
+ * @param ownStatus the status that it reports
+ * @param overriddenStatus the status that an operator set in its place, or null
+ * @param renewedAtMicros the last renewal, microseconds since 1970
+ * @param durationMicros microseconds after which it expires without a renewal
+ * @param changedAtMicros the last change, microseconds since 1970
  */
 record Lease(
-        String app,
-        String id,
+        String application,
+        String instanceId,
         ObjectNode info,
-        String status,
-        String override,
-        long renewedAt,
+        String ownStatus,
+        String overriddenStatus,
+        long renewedAtMicros,
         long durationMicros,
-        long changedAt) {
-    String effective() {
-        return override != null ? override : status;
+        long changedAtMicros) {
+    /** {@return the key of an instance; the case of the application's name does not matter} */
+    static String key(String application, String instanceId) {
+        return application.toUpperCase(Locale.ROOT) + "/" + instanceId;
     }
 
-    Lease renewed(long now) {
-        return new Lease(app, id, info, status, override, now, durationMicros, changedAt);
+    String key() {
+        return key(application, instanceId);
     }
 
-    Lease with(String newStatus, String newOverride, long now) {
-        return new Lease(app, id, info, newStatus, newOverride, renewedAt, durationMicros, now);
+    /** {@return the status that is published} */
+    String status() {
+        return overriddenStatus != null ? overriddenStatus : ownStatus;
     }
 
-    boolean expired(long now) {
-        return now - renewedAt > durationMicros;
+    Lease renewed(long nowMicros) {
+        return new Lease(
+                application,
+                instanceId,
+                info,
+                ownStatus,
+                overriddenStatus,
+                nowMicros,
+                durationMicros,
+                changedAtMicros);
+    }
+
+    Lease withStatus(String newOwnStatus, String newOverriddenStatus, long nowMicros) {
+        return new Lease(
+                application,
+                instanceId,
+                info,
+                newOwnStatus,
+                newOverriddenStatus,
+                renewedAtMicros,
+                durationMicros,
+                nowMicros);
+    }
+
+    boolean isExpired(long nowMicros) {
+        return nowMicros - renewedAtMicros > durationMicros;
     }
 }
--- a/standin/src/main/java/sorrelhoist/standin/registry/XmlInstance.java
+++ b/standin/src/main/java/sorrelhoist/standin/registry/XmlParser.java
@@ -8,11 +8,11 @@
 import javax.xml.stream.XMLStreamException;
 import javax.xml.stream.XMLStreamReader;
 
-/** Reads a registration in XML into the tree that the same one in JSON would give. */
-final class XmlInstance {
+/** Parses an XML document into the JSON tree of which {@link XmlWriter} would make it. */
+final class XmlParser {
     private static final int MAX_DEPTH = 16;
 
-    private XmlInstance() {}
+    private XmlParser() {}
 
     static ObjectNode parse(String xml) throws XMLStreamException {
         XMLInputFactory factory = XMLInputFactory.newInstance();
@@ -22,36 +22,43 @@
         XMLStreamReader in = factory.createXMLStreamReader(new StringReader(xml));
         in.nextTag();
         ObjectNode root = new ObjectMapper().createObjectNode();
-        read(in, root, 0);
+        element(in, root, 0);
         return root;
     }
 
-    private static void read(XMLStreamReader in, ObjectNode into, int depth)
+    private static void element(XMLStreamReader in, ObjectNode parent, int depth)
             throws XMLStreamException {
         if (depth > MAX_DEPTH) {
             throw new XMLStreamException("elements nested more than " + MAX_DEPTH + " deep");
         }
         String name = in.getLocalName();
-        ObjectNode node = into.objectNode();
+        ObjectNode node = parent.objectNode();
         for (int i = 0; i < in.getAttributeCount(); i++) {
             node.put("@" + in.getAttributeLocalName(i), in.getAttributeValue(i));
         }
+        String text = content(in, node, depth);
+        if (node.isEmpty()) {
+            parent.put(name, text);
+        } else {
+            if (!text.isEmpty()) {
+                node.put("$", text);
+            }
+            parent.set(name, node);
+        }
+    }
+
+    /** Adds the elements up to the end of this one to a node. {@return the text between them} */
+    private static String content(XMLStreamReader in, ObjectNode node, int depth)
+            throws XMLStreamException {
         StringBuilder text = new StringBuilder();
         for (int event = in.next(); event != XMLStreamConstants.END_ELEMENT; event = in.next()) {
             if (event == XMLStreamConstants.START_ELEMENT) {
-                read(in, node, depth + 1);
+                element(in, node, depth + 1);
             } else if (event == XMLStreamConstants.CHARACTERS
                     || event == XMLStreamConstants.CDATA) {
                 text.append(in.getText());
             }
         }
-        if (node.isEmpty()) {
-            into.put(name, text.toString().strip());
-        } else {
-            if (!text.toString().isBlank()) {
-                node.put("$", text.toString().strip());
-            }
-            into.set(name, node);
-        }
+        return text.toString().strip();
     }
 }
--- a/standin/src/test/java/sorrelhoist/standin/RegistryTest.java
+++ b/standin/src/test/java/sorrelhoist/standin/registry/RegistryStandInTest.java
@@ -1,4 +1,4 @@
-package sorrelhoist.standin;
+package sorrelhoist.standin.registry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,13 +16,12 @@
 import sorrelhoist.protocol.http1.HttpClient;
 import sorrelhoist.protocol.http1.HttpMessage;
 import sorrelhoist.protocol.net.LoopbackTransport;
-import sorrelhoist.standin.registry.RegistryStandIn;
 
 /**
- * Eureka's REST operations as published, in JSON and XML, and what the stand-in can be told to
- * suffer.
+ * Eureka's REST operations as published, in JSON and XML, and the faults that the stand-in injects
+ * into itself on command.
  */
-class RegistryTest {
+class RegistryStandInTest {
     private final EventLoopGroup loops = LoopbackTransport.newEventLoops(1, "registry-test");
     private RegistryStandIn registry;
     private HttpClient http;
@@ -75,7 +74,7 @@
     }
 
     @Test
-    void aLifeInJson() throws Exception {
+    void instancesAreRegisteredRenewedOverriddenAndDeletedInJson() throws Exception {
         assertEquals(204, register("e1", 90));
         JsonNode apps = get("/eureka/apps").get("applications");
         assertEquals("UP_1_", apps.get("apps__hashcode").asText());
@@ -105,7 +104,7 @@
     }
 
     @Test
-    void registrationAndListsInXml() throws Exception {
+    void instancesAreRegisteredAndListedInXml() throws Exception {
         String xml =
                 "<instance><instanceId>x1</instanceId><hostName>127.0.0.1</hostName><app>ENGINES</app><status>UP</status><port"
                     + " enabled=\"true\">99</port><leaseInfo><durationInSecs>90</durationInSecs>"
@@ -140,7 +139,7 @@
     }
 
     @Test
-    void aLeaseThatNobodyRenewsExpires() throws Exception {
+    void leasesThatAreNotRenewedExpire() throws Exception {
         register("short", 1);
         register("long", 90);
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
@@ -156,7 +155,7 @@
     }
 
     @Test
-    void itErrsListsNothingAndLagsWhenTold() throws Exception {
+    void faultsOnCommandMakeItFailListNothingAndLag() throws Exception {
         register("e1", 90);
         assertEquals(200, call("POST", "/control?do=empty%2060000", "", "").status());
         assertEquals(0, get("/eureka/apps").at("/applications/application").size());
@@ -172,7 +171,7 @@
     }
 
     @Test
-    void itHangsWhenTold() throws Exception {
+    void aFaultOnCommandMakesItHang() throws Exception {
         call("POST", "/control?do=hang%2060000", "", "");
         try {
             http.send(HttpMessage.request("GET", "/eureka/apps", Map.of(), new byte[0]), 100_000)
