--- a/app/src/test/java/sorrelhoist/lab/soak/MemoryTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/MemoryTest.java
@@ -39,7 +39,7 @@
                         "-Dio.netty.allocator.maxOrder=6",
                         "-Dio.netty.allocator.useCacheForAllThreads=false")) {
             assertEquals(200, one.ask());
-            one.fleet.run(() -> one.fleet.workers.forEach(w -> w.standIn.hang(true)));
+            one.fleet.runOnLoop(() -> one.fleet.workers.forEach(w -> w.standIn.setHanging(true)));
             List<Future<Integer>> answers = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 answers.add(
@@ -57,7 +57,7 @@
             assertTrue(
                     statuses.stream().allMatch(s -> s == 502 || s == 503 || s == 504),
                     statuses + one.router.process.log());
-            one.fleet.run(() -> one.fleet.workers.forEach(w -> w.standIn.hang(false)));
+            one.fleet.runOnLoop(() -> one.fleet.workers.forEach(w -> w.standIn.setHanging(false)));
             assertTrue(one.router.process.isAlive(), one.router.process.log());
             int status = one.ask();
             for (int i = 0; i < 10 && status != 200; i++) {
--- a/app/src/test/java/sorrelhoist/lab/soak/OneRouter.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/OneRouter.java
@@ -24,7 +24,7 @@
     static final int NOTHING_CAME = 0;
     static final int CLOSED = -1;
     final SoakFleet fleet;
-    final SoakFleet.RouterUnit router;
+    final RouterNode router;
     private final AtomicInteger asked = new AtomicInteger();
 
     /**
@@ -89,7 +89,7 @@
         RequestTrace trace =
                 new RequestTrace(
                         "t" + asked.incrementAndGet(), FleetRules.RequestClass.SAFE, 0, 0, 0, true);
-        fleet.run(() -> fleet.log.opened(trace));
+        fleet.runOnLoop(() -> fleet.log.add(trace));
         String body =
                 "{\"model\":\"m\",\"messages\":[],\"text\":\"" + "x".repeat(characters) + "\"}";
         socket.getOutputStream()
--- a/app/src/test/java/sorrelhoist/lab/soak/SoakTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/SoakTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import sorrelhoist.lab.soak.RequestTrace.AttemptTrace;
-import sorrelhoist.lab.soak.RequestTrace.HoldTrace;
+import sorrelhoist.lab.soak.RequestTrace.StateTrace;
 import sorrelhoist.lab.soak.ScheduledFault.Kind;
 import sorrelhoist.lab.soak.WorkerEntry.Role;
 
@@ -28,26 +28,27 @@
     private final TrafficLog log = new TrafficLog();
     private final FleetTimeline time = new FleetTimeline();
     private final long start = time.startedAt;
-    private final FleetTimeline.RouterLife life = new FleetTimeline.RouterLife(0, 0, start);
+    private final FleetTimeline.RouterIncarnation life =
+            new FleetTimeline.RouterIncarnation(0, 0, start);
 
     private RequestTrace request(FleetRules.RequestClass requestClass) {
         life.readyAt = start;
-        if (time.lives.isEmpty()) {
-            time.lives.add(life);
+        if (time.incarnations.isEmpty()) {
+            time.incarnations.add(life);
         }
         RequestTrace request = new RequestTrace("r", requestClass, 0, 0, 2 * SECOND, true);
         request.sentAt = start + SECOND;
         request.status = 200;
-        request.whole = true;
+        request.complete = true;
         request.answeredAt = start + 2 * SECOND;
-        log.opened(request);
+        log.add(request);
         return request;
     }
 
     private AttemptTrace attempt(RequestTrace request, Role role, String worker, long at) {
         AttemptTrace attempt = new AttemptTrace(role, worker, at);
         attempt.arrivedAt = at;
-        attempt.toldMillis = 100;
+        attempt.budgetMillis = 100;
         attempt.endedAt = at + SECOND / 10;
         attempt.streamFinished = role == Role.WRITE;
         request.attempts.add(attempt);
@@ -79,10 +80,10 @@
         RequestTrace request = request(FleetRules.RequestClass.SAFE);
         request.status = 0;
         request.answeredAt = RequestTrace.NEVER;
-        request.whole = false;
-        request.leftAt = request.sentAt + 4 * SECOND;
+        request.complete = false;
+        request.abandonedAt = request.sentAt + 4 * SECOND;
         life.endedAt = start + 59 * SECOND;
-        life.termAt = start + 50 * SECOND;
+        life.terminatedAt = start + 50 * SECOND;
         finds(Invariant.ANSWERED);
     }
 
@@ -91,8 +92,8 @@
         RequestTrace request = request(FleetRules.RequestClass.SAFE);
         request.status = 0;
         request.answeredAt = RequestTrace.NEVER;
-        request.whole = false;
-        request.brokenAt = request.sentAt + SECOND / 2;
+        request.complete = false;
+        request.closedAt = request.sentAt + SECOND / 2;
         finds(Invariant.ANSWERED);
     }
 
@@ -106,7 +107,7 @@
     @Test
     void anAttemptForAClientThatLeftIsSeen() {
         RequestTrace request = sound(FleetRules.RequestClass.SAFE);
-        request.leftAt = start + SECOND;
+        request.abandonedAt = start + SECOND;
         finds(Invariant.NOTHING_AFTER_CLIENT_LEFT);
     }
 
@@ -139,27 +140,27 @@
     @Test
     void aSendToADrainingWorkerAfterTheGraceIsSeen() {
         sound(FleetRules.RequestClass.SAFE);
-        time.told("w1", 0, 0, start, false);
+        time.recordNotification("w1", 0, 0, start, false);
         finds(Invariant.DRAIN);
     }
 
     @Test
     void aDeadlineBeyondWhatIsLeftIsSeen() {
-        sound(FleetRules.RequestClass.SAFE).attempts.get(0).toldMillis = 1800;
+        sound(FleetRules.RequestClass.SAFE).attempts.get(0).budgetMillis = 1800;
         finds(Invariant.DEADLINE_TOLD);
     }
 
     @Test
     void aStateThatIsNotReleasedIsSeen() {
         RequestTrace request = sound(FleetRules.RequestClass.SAFE);
-        request.holds.add(new HoldTrace("w0", start + SECOND));
+        request.states.add(new StateTrace("w0", start + SECOND));
         finds(Invariant.RELEASED);
     }
 
     @Test
     void aLateEventAndAStreamThatNobodyFinishedAreSeen() {
         RequestTrace request = sound(FleetRules.RequestClass.SAFE);
-        request.longestEventDelay = SECOND / 2;
+        request.maxEventDelay = SECOND / 2;
         request.attempts.get(0).streamFinished = false;
         finds(Invariant.EVENTS_IN_TIME, Invariant.WHOLE_STREAMS);
     }
@@ -167,14 +168,14 @@
     @Test
     void aColdWorkerThatIsPushedOverIsSeen() {
         FleetTimeline.WorkerStart started = new FleetTimeline.WorkerStart("w1", start);
-        started.toldAt.put(0, start);
-        time.starts.add(started);
+        started.notifiedAt.put(0, start);
+        time.workerStarts.add(started);
         life.readyAt = start;
-        time.lives.add(life);
+        time.incarnations.add(life);
         for (int i = 0; i < 900; i++) {
             RequestTrace request =
                     new RequestTrace("r" + i, FleetRules.RequestClass.SAFE, 0, 0, 2 * SECOND, true);
-            log.opened(request);
+            log.add(request);
             attempt(request, Role.WRITE, "w1", start + SECOND + i * SECOND / 900).endedAt =
                     start + 2 * SECOND;
         }
@@ -183,7 +184,7 @@
 
     @Test
     void aProcessThatEndsOrIsNotReadyIsSeen() {
-        time.lives.add(life);
+        time.incarnations.add(life);
         life.endedAt = start + 20 * SECOND;
         life.exitStatus = 1;
         finds(Invariant.READY, Invariant.ALIVE);
@@ -191,8 +192,8 @@
 
     @Test
     void whatAHarnessThatWasLateSawIsNoViolation() {
-        sound(FleetRules.RequestClass.SAFE).attempts.get(0).toldMillis = 1800;
-        time.harnessLate(start + SECOND, start + 2 * SECOND);
+        sound(FleetRules.RequestClass.SAFE).attempts.get(0).budgetMillis = 1800;
+        time.recordHarnessLag(start + SECOND, start + 2 * SECOND);
         finds();
     }
 
--- a/app/src/test/java/sorrelhoist/lab/soak/SystemCallFaultsTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/SystemCallFaultsTest.java
@@ -29,7 +29,7 @@
     private static final int FEW = 3;
     @TempDir private Path folder;
     private OneRouter one;
-    private SoakFleet.RouterUnit router;
+    private RouterNode router;
     private SystemCallFaults faults;
 
     @BeforeEach
@@ -55,7 +55,7 @@
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
     void whereNoSocketCanBeMadeRequestsAreAnsweredAndServedAsSoonAsOneCan(Errno error)
             throws Exception {
-        one.fleet.run(() -> router.links.forEach(FaultProxy::reset));
+        one.fleet.runOnLoop(() -> router.links.forEach(FaultProxy::reset));
         failing(SystemCall.SOCKET, error);
     }
 
@@ -63,7 +63,7 @@
     @EnumSource(names = {"EADDRNOTAVAIL", "ENETUNREACH", "ETIMEDOUT", "EHOSTUNREACH"})
     void whereNoConnectionCanBeMadeRequestsAreAnsweredAndServedAsSoonAsOneCan(Errno error)
             throws Exception {
-        one.fleet.run(() -> router.links.forEach(FaultProxy::reset));
+        one.fleet.runOnLoop(() -> router.links.forEach(FaultProxy::reset));
         failing(SystemCall.CONNECT, error);
     }
 
@@ -81,7 +81,7 @@
             assertTrue(took < AT_ONCE_MILLIS, "answered after " + took + " ms");
         }
         assertTrue(faults.failures(call) > 0, "the fault was never met");
-        faults.heal(call);
+        faults.clear(call);
         assertServedAgain();
     }
 
@@ -93,7 +93,7 @@
     void aMomentWithoutDescriptorsIsSurvived() throws Exception {
         List<SystemCall> needing = List.of(SystemCall.OPEN, SystemCall.SOCKET, SystemCall.ACCEPT);
         try (Socket kept = one.connect()) {
-            one.fleet.run(() -> router.links.forEach(FaultProxy::reset));
+            one.fleet.runOnLoop(() -> router.links.forEach(FaultProxy::reset));
             needing.forEach(call -> faults.fail(call, Errno.EMFILE, 1));
             int status = one.ask(kept);
             assertTrue(
@@ -101,7 +101,7 @@
                     "answered " + status + ": " + router.process.log());
             try (Socket waiting = one.connect()) {
                 awaitFailures(SystemCall.ACCEPT);
-                needing.forEach(faults::heal);
+                needing.forEach(faults::clear);
                 assertServedAgain();
                 assertEquals(200, one.ask(waiting), "what waited in the queue");
             }
@@ -116,7 +116,7 @@
         faults.fail(SystemCall.ACCEPT, error, 1);
         try (Socket waiting = one.connect()) {
             awaitFailures(SystemCall.ACCEPT);
-            faults.heal(SystemCall.ACCEPT);
+            faults.clear(SystemCall.ACCEPT);
             assertServedAgain();
             assertEquals(200, one.ask(waiting), "what waited in the queue");
         }
@@ -130,15 +130,16 @@
             OneRouter.Sent sent = one.send(waiting, 0);
             awaitFailures(SystemCall.ACCEPT);
             Thread.sleep(WAITED_MILLIS);
-            faults.heal(SystemCall.ACCEPT);
+            faults.clear(SystemCall.ACCEPT);
             assertEquals(200, sent.answer());
-            RequestTrace.AttemptTrace write = one.fleet.call(() -> sent.trace().attempts.get(1));
+            RequestTrace.AttemptTrace write =
+                    one.fleet.callOnLoop(() -> sent.trace().attempts.get(1));
             long left =
                     OneRouter.BUDGET_MILLIS
                             - TimeUnit.NANOSECONDS.toMillis(write.arrivedAt - sentAt);
             assertTrue(
-                    write.toldMillis <= left + SLACK_MILLIS,
-                    "told " + write.toldMillis + " of " + left + " ms");
+                    write.budgetMillis <= left + SLACK_MILLIS,
+                    "told " + write.budgetMillis + " of " + left + " ms");
         }
     }
 
--- a/lab/src/main/java/sorrelhoist/lab/soak/DiscoveryStandIn.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/DiscoveryStandIn.java
@@ -25,16 +25,16 @@
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
- * Discovery's agent beside one router: a list of workers, and watches that stay open. It can fall
- * silent in many ways.
+ * A stand-in for the discovery agent beside one router: it lists workers and keeps watches open. It
+ * can fall silent in many ways.
  */
 final class DiscoveryStandIn {
     private static final long HEARTBEAT_MILLIS = 2000;
-    private static final int PARTS = 5;
-    private static final long PART_MILLIS = 300;
+    private static final int SLOW_PARTS = 5;
+    private static final long PART_PAUSE_MILLIS = 300;
     private final EventLoop loop;
     private final Map<String, WorkerEntry> entries = new LinkedHashMap<>();
-    private final Map<String, Long> changedIn = new LinkedHashMap<>();
+    private final Map<String, Long> changedInVersion = new LinkedHashMap<>();
     private final Set<Watch> watches = new HashSet<>();
     private volatile Channel listener;
     private int port;
@@ -59,44 +59,46 @@
     }
 
     /** {@return whether a change that is made now is written to a watch at once} */
-    boolean isHeard() {
+    boolean deliversChanges() {
         return listener != null
                 && !silent
                 && !slow
-                && watches.stream().anyMatch(w -> w.listed && !w.muted);
+                && watches.stream().anyMatch(watch -> watch.listed && !watch.muted);
     }
 
-    List<WorkerEntry> list() {
+    List<WorkerEntry> listedWorkers() {
         return entries.values().stream().filter(e -> e.state() != State.LEFT).toList();
     }
 
-    /** Tells a change of one worker. */
-    void change(WorkerEntry entry) {
+    /** Publishes a change of one worker. */
+    void publish(WorkerEntry entry) {
         version++;
         entries.put(entry.uid(), entry);
-        changedIn.put(entry.uid(), version);
-        watches.stream().filter(w -> w.listed).forEach(w -> w.say(json(false, List.of(entry))));
+        changedInVersion.put(entry.uid(), version);
+        watches.stream()
+                .filter(watch -> watch.listed)
+                .forEach(watch -> watch.write(json(false, List.of(entry))));
     }
 
-    /** Lets the watches that are open now hear nothing any more; new ones work. */
+    /** Sends nothing more to the watches that are open now; new ones work. */
     void muteOpenWatches() {
-        watches.forEach(w -> w.muted = true);
+        watches.forEach(watch -> watch.muted = true);
     }
 
-    /** Says nothing at all, to anybody, until it is called off. */
-    void silent(boolean on) {
+    /** Sends nothing at all, to anybody, or goes on with new watches. */
+    void setSilent(boolean on) {
         silent = on;
         if (!on) {
             List.copyOf(watches).forEach(Watch::reset);
         }
     }
 
-    /** Writes whole lists in slow parts from now on, or at once again. */
-    void slow(boolean on) {
+    /** Writes complete lists in slow parts from now on, or at once again. */
+    void setSlow(boolean on) {
         slow = on;
     }
 
-    /** Is down: connections are reset and refused. */
+    /** Goes down: connections are reset and refused. */
     void stop() {
         if (listener != null) {
             listener.close();
@@ -105,15 +107,15 @@
         List.copyOf(watches).forEach(Watch::reset);
     }
 
-    /** Comes back as another process that counts its versions from the start. */
-    void renumber() {
+    /** Restarts as another process would that counts its versions from 1. */
+    void restartVersionCount() {
         List.copyOf(watches).forEach(Watch::reset);
         version = 1;
-        changedIn.replaceAll((uid, before) -> 1L);
+        changedInVersion.replaceAll((uid, before) -> 1L);
     }
 
     private void heartbeat() {
-        watches.stream().filter(w -> w.listed).forEach(w -> w.say("\n"));
+        watches.stream().filter(watch -> watch.listed).forEach(watch -> watch.write("\n"));
         loop.schedule(this::heartbeat, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -124,10 +126,10 @@
         return json + "\n";
     }
 
-    /** One watch. */
+    /** One watch: a response that does not end. */
     private final class Watch extends ChannelInboundHandlerAdapter {
-        private final HttpHeadDecoder heads = new HttpHeadDecoder(true, 16 << 10);
-        private final ByteBuf held = Unpooled.buffer();
+        private final HttpHeadDecoder headDecoder = new HttpHeadDecoder(true, 16 << 10);
+        private final ByteBuf unread = Unpooled.buffer();
         private ChannelHandlerContext ctx;
         private boolean listed;
         private boolean muted;
@@ -142,51 +144,58 @@
         public void channelRead(ChannelHandlerContext context, Object message)
                 throws HttpMessageDecoder.HttpDecodeException {
             ByteBuf in = (ByteBuf) message;
-            held.writeBytes(in);
+            unread.writeBytes(in);
             in.release();
-            HttpHead head = listed || silent ? null : heads.next(held);
+            HttpHead head = listed || silent ? null : headDecoder.next(unread);
             if (head == null) {
                 return;
             }
             long from = Long.parseLong(head.target().replaceAll(".*from=([0-9]+).*", "$1"));
-            raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            writeRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             String list =
                     from >= 1 && from <= version
                             ? json(
                                     false,
                                     entries.values().stream()
-                                            .filter(e -> changedIn.getOrDefault(e.uid(), 0L) > from)
+                                            .filter(
+                                                    e ->
+                                                            changedInVersion.getOrDefault(
+                                                                            e.uid(), 0L)
+                                                                    > from)
                                             .toList())
-                            : json(true, list());
+                            : json(true, listedWorkers());
             if (slow) {
-                inParts(list, 0);
+                writeInParts(list, 0);
             } else {
                 listed = true;
-                say(list);
+                write(list);
             }
         }
 
-        private void inParts(String list, int part) {
-            int size = list.length() / PARTS + 1;
-            say(
+        private void writeInParts(String list, int part) {
+            int size = list.length() / SLOW_PARTS + 1;
+            write(
                     list.substring(
                             Math.min(list.length(), part * size),
                             Math.min(list.length(), (part + 1) * size)));
-            if (part + 1 < PARTS) {
-                loop.schedule(() -> inParts(list, part + 1), PART_MILLIS, TimeUnit.MILLISECONDS);
+            if (part + 1 < SLOW_PARTS) {
+                loop.schedule(
+                        () -> writeInParts(list, part + 1),
+                        PART_PAUSE_MILLIS,
+                        TimeUnit.MILLISECONDS);
             } else {
                 listed = true;
-                say(json(true, list()));
+                write(json(true, listedWorkers()));
             }
         }
 
-        void say(String text) {
+        void write(String text) {
             if (!muted && !silent && !text.isEmpty()) {
-                raw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+                writeRaw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
             }
         }
 
-        private void raw(String text) {
+        private void writeRaw(String text) {
             ctx.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
         }
 
@@ -198,7 +207,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             watches.remove(this);
-            held.release();
+            unread.release();
         }
 
         @Override
--- a/lab/src/main/java/sorrelhoist/lab/soak/FaultProxy.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/FaultProxy.java
@@ -14,11 +14,11 @@
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
- * The network between one router and one worker: passes bytes on, falls silent, or resets what is
- * open.
+ * The network between one router and one worker: passes bytes on, falls silent, or resets its
+ * connections.
  */
 final class FaultProxy {
-    private static final long CONNECT_MICROS = 2_000_000;
+    private static final long CONNECT_TIMEOUT_MICROS = 2_000_000;
     private final EventLoop loop;
     private final WorkerStandIn worker;
     private final Set<Link> links = new HashSet<>();
@@ -53,16 +53,16 @@
         reset();
     }
 
-    /** Resets what is open. */
+    /** Resets its connections. */
     void reset() {
         List.copyOf(links).forEach(Link::reset);
     }
 
     /**
-     * Passes nothing on; when that ends, what was open meanwhile is reset, so that nothing arrives
-     * late.
+     * Passes nothing on, or does again. When that ends, connections that were open meanwhile are
+     * reset, so that nothing arrives late.
      */
-    void silent(boolean on) {
+    void setSilent(boolean on) {
         silent = on;
         if (on) {
             links.forEach(Link::freeze);
@@ -73,15 +73,15 @@
 
     /** One connection of the router, and the one to the worker behind it. */
     private final class Link extends ChannelInboundHandlerAdapter {
-        private Channel near;
-        private Channel far;
+        private Channel routerSide;
+        private Channel workerSide;
         private boolean frozen;
 
         @Override
-        public void channelActive(ChannelHandlerContext ctx) {
-            near = ctx.channel();
+        public void channelActive(ChannelHandlerContext context) {
+            routerSide = context.channel();
             links.add(this);
-            near.config().setAutoRead(false);
+            routerSide.config().setAutoRead(false);
             if (silent) {
                 frozen = true;
                 return;
@@ -89,37 +89,37 @@
             LoopbackTransport.connect(
                             loop,
                             LoopbackTransport.LOOPBACK + ":" + worker.port(),
-                            CONNECT_MICROS,
-                            new Back(this))
-                    .onFailure(why -> reset());
+                            CONNECT_TIMEOUT_MICROS,
+                            new WorkerSide(this))
+                    .onFailure(reason -> reset());
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object message) {
-            far.writeAndFlush(message);
+        public void channelRead(ChannelHandlerContext context, Object message) {
+            workerSide.writeAndFlush(message);
         }
 
         private void connected(Channel channel) {
-            far = channel;
-            if (!near.isActive()) {
-                far.close();
+            workerSide = channel;
+            if (!routerSide.isActive()) {
+                workerSide.close();
             } else if (!frozen) {
-                near.config().setAutoRead(true);
+                routerSide.config().setAutoRead(true);
             }
         }
 
         void freeze() {
             frozen = true;
-            near.config().setAutoRead(false);
-            if (far != null) {
-                far.config().setAutoRead(false);
+            routerSide.config().setAutoRead(false);
+            if (workerSide != null) {
+                workerSide.config().setAutoRead(false);
             }
         }
 
         void reset() {
-            abort(near);
-            if (far != null) {
-                abort(far);
+            abort(routerSide);
+            if (workerSide != null) {
+                abort(workerSide);
             }
         }
 
@@ -131,51 +131,53 @@
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
+        public void channelInactive(ChannelHandlerContext context) {
             links.remove(this);
-            if (far != null && far.isActive()) {
-                far.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
+            if (workerSide != null && workerSide.isActive()) {
+                workerSide
+                        .writeAndFlush(Unpooled.EMPTY_BUFFER)
+                        .addListener(ChannelFutureListener.CLOSE);
             }
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close();
         }
     }
 
     /** The worker's side of a link. */
-    private static final class Back extends ChannelInboundHandlerAdapter {
+    private static final class WorkerSide extends ChannelInboundHandlerAdapter {
         private final Link link;
 
-        Back(Link link) {
+        WorkerSide(Link link) {
             this.link = link;
         }
 
         @Override
-        public void channelActive(ChannelHandlerContext ctx) {
-            link.connected(ctx.channel());
+        public void channelActive(ChannelHandlerContext context) {
+            link.connected(context.channel());
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object message) {
-            link.near.writeAndFlush(message);
+        public void channelRead(ChannelHandlerContext context, Object message) {
+            link.routerSide.writeAndFlush(message);
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
+        public void channelInactive(ChannelHandlerContext context) {
             if (link.frozen) {
                 return;
             }
-            if (link.near.isActive()) {
-                link.near
+            if (link.routerSide.isActive()) {
+                link.routerSide
                         .writeAndFlush(Unpooled.EMPTY_BUFFER)
                         .addListener(ChannelFutureListener.CLOSE);
             }
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             link.reset();
         }
     }
--- a/lab/src/main/java/sorrelhoist/lab/soak/FleetRules.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/FleetRules.java
@@ -8,26 +8,26 @@
 /**
  * The rules of a fleet, as routers are told them and as the oracle checks them.
  *
- * @param releaseMillis in which what is held for a request has to be taken or released
+ * @param reservationLimitMillis in which what is held for a request has to be taken or released
  * @param drainGraceMillis after which nothing new goes to a worker that drains
- * @param repeatWindowMillis in which workers drop repeats of a keyed request
- * @param coldMillis for which a worker that started is cold
- * @param coldFrom the part of its work that a worker can do when it starts
- * @param fallMultiple how much of that part pushes it over
- * @param fallMillis the time over which that is counted
- * @param idleMillis after which a worker closes a connection that rests
- * @param dialMillis until a connection has to stand
+ * @param idempotencyWindowMillis in which workers drop repeats of a keyed request
+ * @param warmUpMillis for which a worker that started is cold
+ * @param coldCapacityShare the part of its work that a worker can do when it starts
+ * @param overloadMultiple how much of that part pushes it over
+ * @param overloadMillis the time over which that is counted
+ * @param idleTimeoutMillis after which a worker closes a connection that rests
+ * @param connectTimeoutMillis until a connection has to stand
  */
 public record FleetRules(
-        long releaseMillis,
+        long reservationLimitMillis,
         long drainGraceMillis,
-        long repeatWindowMillis,
-        long coldMillis,
-        double coldFrom,
-        double fallMultiple,
-        long fallMillis,
-        long idleMillis,
-        long dialMillis) {
+        long idempotencyWindowMillis,
+        long warmUpMillis,
+        double coldCapacityShare,
+        double overloadMultiple,
+        long overloadMillis,
+        long idleTimeoutMillis,
+        long connectTimeoutMillis) {
     /** The rules that the soak plays unless a test wants others. */
     public static final FleetRules ORDINARY =
             new FleetRules(500, 1000, 600, 6000, 0.3, 3, 3000, 5000, 250);
@@ -65,8 +65,8 @@
                 .put("retry-after", true)
                 .put("max-retry-after-us", 2_000_000)
                 .put("may-tell", true)
-                .put("dial-timeout-us", 1000 * dialMillis)
-                .put("conn-idle-us", 1000 * idleMillis);
+                .put("dial-timeout-us", 1000 * connectTimeoutMillis)
+                .put("conn-idle-us", 1000 * idleTimeoutMillis);
         ArrayNode classes = json.putArray("request-classes");
         for (RequestClass c : RequestClass.values()) {
             classes.addObject()
@@ -75,18 +75,18 @@
                     .put("semantics", c.semantics)
                     .put("worth", 1)
                     .put("key-scope", "all")
-                    .put("repeat-window-us", 1000 * repeatWindowMillis);
+                    .put("repeat-window-us", 1000 * idempotencyWindowMillis);
         }
         json.putObject("rules")
-                .put("fall-us", 1000 * fallMillis)
-                .put("fall-multiple", fallMultiple)
-                .put("cold-us", 1000 * coldMillis)
-                .put("cold-from", coldFrom);
+                .put("fall-us", 1000 * overloadMillis)
+                .put("fall-multiple", overloadMultiple)
+                .put("cold-us", 1000 * warmUpMillis)
+                .put("cold-from", coldCapacityShare);
         json.putObject("deductions").put("probe", 0.003).put("peer", 0.003);
         ObjectNode specifics = json.putObject("specifics");
         specifics.putArray("memory-tokens").add(200_000).add(200_000);
         specifics.putArray("stage-of-kind").add("read").add("write");
-        specifics.put("release-within-us", 1000 * releaseMillis).put("resume", false);
+        specifics.put("release-within-us", 1000 * reservationLimitMillis).put("resume", false);
         return json;
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/soak/FleetTimeline.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/FleetTimeline.java
@@ -11,112 +11,111 @@
  */
 final class FleetTimeline {
     final long startedAt = System.nanoTime();
-    private final Map<String, List<Told>> told = new HashMap<>();
-    private final List<Span> harnessLate = new ArrayList<>();
-    private final List<Span> crowded = new ArrayList<>();
-    private final Map<String, List<Span>> cutLinks = new HashMap<>();
+    private final Map<String, List<Notification>> notifications = new HashMap<>();
+    private final List<Span> harnessLags = new ArrayList<>();
+    private final List<Span> connectionFloods = new ArrayList<>();
+    private final Map<String, List<Span>> linkFaults = new HashMap<>();
     private long lastObservedAt = RequestTrace.NEVER;
-    final List<RouterLife> lives = new ArrayList<>();
-    final List<WorkerStart> starts = new ArrayList<>();
+    final List<RouterIncarnation> incarnations = new ArrayList<>();
+    final List<WorkerStart> workerStarts = new ArrayList<>();
 
-    /** From one moment to another. */
+    /** A stretch of time, both ends included. */
     record Span(long from, long to) {
         boolean touches(long first, long last) {
             return first <= to && last >= from;
         }
     }
 
-    /** A router was told that a worker takes nothing new, or that it does again. */
-    record Told(int router, int life, long at, boolean takes) {}
+    /** A router was told that a worker accepts no new requests, or that it does again. */
+    record Notification(int router, int incarnation, long at, boolean accepts) {}
 
-    /** A worker's process began, and which routers had been told of it by when. */
+    /** The start of a worker's process, and when each router was told of it, by router. */
     static final class WorkerStart {
         final String worker;
-        final long at;
-        final Map<Integer, Long> toldAt = new HashMap<>();
+        final long startedAt;
+        final Map<Integer, Long> notifiedAt = new HashMap<>();
 
-        WorkerStart(String worker, long at) {
+        WorkerStart(String worker, long startedAt) {
             this.worker = worker;
-            this.at = at;
+            this.startedAt = startedAt;
         }
     }
 
     /** One process of a router, from its start to its end. */
-    static final class RouterLife {
+    static final class RouterIncarnation {
         final int router;
-        final int life;
+        final int number;
         final long startedAt;
         long readyAt = RequestTrace.NEVER;
-        long termAt = RequestTrace.NEVER;
+        long terminatedAt = RequestTrace.NEVER;
         long killedAt = RequestTrace.NEVER;
         long endedAt = RequestTrace.NEVER;
         int exitStatus;
 
-        RouterLife(int router, int life, long startedAt) {
+        RouterIncarnation(int router, int number, long startedAt) {
             this.router = router;
-            this.life = life;
+            this.number = number;
             this.startedAt = startedAt;
         }
     }
 
-    RouterLife life(int router, int life) {
-        return lives.stream()
-                .filter(l -> l.router == router && l.life == life)
+    RouterIncarnation incarnation(int router, int incarnation) {
+        return incarnations.stream()
+                .filter(process -> process.router == router && process.number == incarnation)
                 .findFirst()
                 .orElseThrow();
     }
 
-    void told(String worker, int router, int life, long at, boolean takes) {
-        told.computeIfAbsent(worker, w -> new ArrayList<>()).add(new Told(router, life, at, takes));
+    void recordNotification(String worker, int router, int incarnation, long at, boolean accepts) {
+        notifications
+                .computeIfAbsent(worker, key -> new ArrayList<>())
+                .add(new Notification(router, incarnation, at, accepts));
     }
 
     /**
-     * {@return since when that router knew that the worker takes nothing new, at that moment; NEVER
-     * where it does not}
+     * {@return since when, as of that time, the router knew that the worker accepts no new
+     * requests; NEVER if it did not know}
      */
-    long refusedSince(String worker, int router, int life, long at) {
+    long notAcceptingSince(String worker, int router, int incarnation, long at) {
         long since = RequestTrace.NEVER;
-        for (Told t : told.getOrDefault(worker, List.of())) {
-            if (t.router() == router && t.life() == life && t.at() <= at) {
-                since = t.takes() ? RequestTrace.NEVER : Math.min(since, t.at());
+        for (Notification told : notifications.getOrDefault(worker, List.of())) {
+            if (told.router() == router && told.incarnation() == incarnation && told.at() <= at) {
+                since = told.accepts() ? RequestTrace.NEVER : Math.min(since, told.at());
             }
         }
         return since;
     }
 
-    void harnessLate(long from, long to) {
-        harnessLate.add(new Span(from, to));
+    void recordHarnessLag(long from, long to) {
+        harnessLags.add(new Span(from, to));
     }
 
     /**
-     * {@return whether the harness itself was late around that time, so that its stamps prove
+     * {@return whether the harness itself lagged around that time, so that its timestamps prove
      * nothing}
      */
-    boolean wasHarnessLate(long from, long to) {
-        return harnessLate.stream().anyMatch(span -> span.touches(from, to));
-    }
-
-    int harnessLateSpans() {
-        return harnessLate.size();
+    boolean wasHarnessLagging(long from, long to) {
+        return harnessLags.stream().anyMatch(span -> span.touches(from, to));
     }
 
-    void crowded(long from, long to) {
-        crowded.add(new Span(from, to));
+    void recordConnectionFlood(long from, long to) {
+        connectionFloods.add(new Span(from, to));
     }
 
-    /** Bytes between a router and a worker were lost, or came late. */
-    void linkCut(int router, String worker, long from, long to) {
-        cutLinks.computeIfAbsent(router + "/" + worker, l -> new ArrayList<>())
+    /** Records that bytes between a router and a worker were lost, or came late. */
+    void recordLinkFault(int router, String worker, long from, long to) {
+        linkFaults
+                .computeIfAbsent(router + "/" + worker, key -> new ArrayList<>())
                 .add(new Span(from, to));
     }
 
-    boolean wasLinkCut(int router, String worker, long from, long to) {
-        return cutLinks.getOrDefault(router + "/" + worker, List.of()).stream()
+    boolean wasLinkFaulty(int router, String worker, long from, long to) {
+        return linkFaults.getOrDefault(router + "/" + worker, List.of()).stream()
                 .anyMatch(span -> span.touches(from, to));
     }
 
-    boolean wasCrowded(long from, long to) {
-        return crowded.stream().anyMatch(span -> span.touches(from, to));
+    boolean wasFlooded(long from, long to) {
+        return connectionFloods.stream().anyMatch(span -> span.touches(from, to));
     }
 
     /** Nothing is known of what happened after this. */
@@ -128,7 +127,7 @@
         return lastObservedAt;
     }
 
-    double seconds(long at) {
+    double secondsSinceStart(long at) {
         return (at - startedAt) / 1e9;
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/soak/RequestTrace.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/RequestTrace.java
@@ -14,35 +14,35 @@
     final RequestClass requestClass;
     final int router;
 
-    /** Which life of that router: restarts count up. */
-    final int routerLife;
+    /** The number of that router's process, from 0: restarts count up. */
+    final int routerIncarnation;
 
     final long budgetNanos;
 
     /** Whether it is the first request of its connection. */
-    final boolean fresh;
+    final boolean firstOnConnection;
 
     long sentAt = NEVER;
 
-    /** When the client closed its connection before its answer was whole. */
-    long leftAt = NEVER;
+    /** When the client closed its connection before its answer was complete. */
+    long abandonedAt = NEVER;
 
     long answeredAt = NEVER;
     int status;
 
     /** Whether the answer came to its proper end. */
-    boolean whole;
+    boolean complete;
 
-    /** When the router ended the connection without a whole answer. */
-    long brokenAt = NEVER;
+    /** When the router closed the connection without a complete answer. */
+    long closedAt = NEVER;
 
-    long longestEventDelay;
+    long maxEventDelay;
 
     /** Whether the client reads slowly: its events may be late by its own doing. */
-    boolean slowReader;
+    boolean readSlowly;
 
     final List<AttemptTrace> attempts = new ArrayList<>();
-    final List<HoldTrace> holds = new ArrayList<>();
+    final List<StateTrace> states = new ArrayList<>();
 
     RequestTrace(
             String id,
@@ -54,14 +54,21 @@
         this.id = id;
         this.requestClass = requestClass;
         this.router = router;
-        this.routerLife = routerLife;
+        this.routerIncarnation = routerLife;
         this.budgetNanos = budgetNanos;
-        this.fresh = fresh;
+        this.firstOnConnection = fresh;
     }
 
-    /** Whether it got a final answer, or the end that a broken stream is owed. */
-    boolean isConcluded() {
-        return answeredAt != NEVER || status == 200 && brokenAt != NEVER;
+    /**
+     * Ends the holding of its states at all workers.
+     *
+     * @param now the time, nanoseconds
+     * @return whether any state was held
+     */
+    boolean releaseStates(long now) {
+        List<StateTrace> held = states.stream().filter(StateTrace::isHeld).toList();
+        held.forEach(state -> state.releasedAt = now);
+        return !held.isEmpty();
     }
 
     /** One attempt as its worker saw it. */
@@ -70,9 +77,9 @@
         final String worker;
         final long firstByteAt;
         long arrivedAt = NEVER;
-        long toldMillis = -1;
+        long budgetMillis = -1;
 
-        /** Whether the worker turned it away: it has not run. */
+        /** Whether the worker rejected it: it has not run. */
         boolean rejected;
 
         /** When the worker's answer ended, or the connection did. */
@@ -92,15 +99,19 @@
         }
     }
 
-    /** A read state at a worker. */
-    static final class HoldTrace {
+    /** A prefill state at a worker. */
+    static final class StateTrace {
         final String worker;
         final long heldAt;
-        long goneAt = NEVER;
+        long releasedAt = NEVER;
 
-        HoldTrace(String worker, long heldAt) {
+        StateTrace(String worker, long heldAt) {
             this.worker = worker;
             this.heldAt = heldAt;
         }
+
+        boolean isHeld() {
+            return releasedAt == NEVER;
+        }
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/soak/RouterProcess.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/RouterProcess.java
@@ -122,17 +122,6 @@
         }
     }
 
-    /** {@return its number} */
-    public long pid() {
-        return process.pid();
-    }
-
-    /** {@return how many descriptors it has open, or -1 where that cannot be read} */
-    public int descriptors() {
-        String[] open = Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list();
-        return open == null ? -1 : open.length;
-    }
-
     /** {@return what it has said so far} */
     public String log() throws IOException {
         return Files.exists(log) ? Files.readString(log) : "";
--- a/lab/src/main/java/sorrelhoist/lab/soak/ScheduledFault.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/ScheduledFault.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /**
- * One trouble of a schedule.
+ * One fault of a schedule.
  *
  * @param kind what happens
  * @param atMillis when, from the start of the traffic
@@ -66,23 +66,23 @@
         }
     }
 
-    /** Draws a schedule: the same seed and kinds give the same one. Troubles overlap. */
+    /** Draws a schedule: the same seed and kinds give the same one. Faults overlap. */
     public static List<ScheduledFault> generateSchedule(long seed, long seconds, Set<Kind> kinds) {
         Random random = new Random(seed);
         List<Kind> from = List.copyOf(EnumSet.copyOf(kinds));
-        List<ScheduledFault> troubles = new ArrayList<>();
+        List<ScheduledFault> faults = new ArrayList<>();
         long end = 1000 * seconds - QUIET_END_MILLIS;
         for (long at = FIRST_MILLIS; at < end; at += random.nextInt(2 * MEAN_GAP_MILLIS)) {
             Kind kind = from.get(random.nextInt(from.size()));
-            troubles.add(
+            faults.add(
                     new ScheduledFault(
                             kind,
                             at,
                             300 + random.nextInt((int) LONGEST_MILLIS),
                             random.nextLong()));
         }
-        troubles.sort(Comparator.comparingLong(ScheduledFault::atMillis));
-        return troubles;
+        faults.sort(Comparator.comparingLong(ScheduledFault::atMillis));
+        return faults;
     }
 
     @Override
--- a/lab/src/main/java/sorrelhoist/lab/soak/SoakPlan.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/SoakPlan.java
@@ -26,7 +26,7 @@
         Path folder,
         Path library,
         double requestsPerSecond) {
-    /** {@return the same run with other troubles, its files in another folder} */
+    /** {@return the same run with other faults, its files in another folder} */
     public SoakPlan with(List<ScheduledFault> others, Path otherFolder) {
         return new SoakPlan(
                 seed,
--- a/lab/src/main/java/sorrelhoist/lab/soak/SoakRunner.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/SoakRunner.java
@@ -6,26 +6,31 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import sorrelhoist.lab.soak.FleetTimeline.RouterLife;
-import sorrelhoist.lab.soak.SoakFleet.RouterUnit;
+import sorrelhoist.lab.soak.FleetTimeline.RouterIncarnation;
 
-/** Plays a plan on a fleet of real router processes and judges what clients and workers saw. */
+/** Runs a plan on a fleet of real router processes and judges what clients and workers saw. */
 public final class SoakRunner {
-    private static final long START_MILLIS = 60_000;
-    private static final long END_MILLIS = 6000;
-    private static final String GUARD_LINE = "invariant violated";
+    private static final long START_TIMEOUT_MILLIS = 60_000;
+    private static final long END_TIMEOUT_MILLIS = 6000;
+    private static final String INVARIANT_MONITOR_TEXT = "invariant violated";
     private final Consumer<String> out;
 
     /**
-     * Makes a soak.
+     * Creates a runner.
      *
-     * @param out takes its lines
+     * @param out takes its output, line by line
      */
     public SoakRunner(Consumer<String> out) {
         this.out = out;
     }
 
-    /** Plays one run. */
+    /**
+     * Runs a plan. Blocks until its processes have ended.
+     *
+     * @param plan what to run
+     * @return what was found
+     * @throws Exception if the fleet cannot be started or controlled
+     */
     public SoakResult run(SoakPlan plan) throws Exception {
         try (SoakFleet fleet = new SoakFleet(plan)) {
             Thread ending = new Thread(fleet::close);
@@ -40,80 +45,85 @@
     }
 
     private SoakResult run(SoakPlan plan, SoakFleet fleet) throws Exception {
-        for (RouterUnit router : fleet.routers) {
+        for (RouterNode router : fleet.routers) {
             router.start();
         }
-        for (RouterUnit router : fleet.routers) {
-            if (!router.process.awaitReady(START_MILLIS)) {
+        for (RouterNode router : fleet.routers) {
+            if (!router.process.awaitReady(START_TIMEOUT_MILLIS)) {
                 throw new IOException(
                         router.process.name() + " did not become ready: " + router.process.log());
             }
-            router.look();
+            router.refreshState();
         }
-        fleet.run(
-                () -> {
-                    fleet.watchLag();
-                    fleet.clients.start();
-                });
-        new TroubleMaker(fleet, plan.faults())
-                .play(System.nanoTime() + TimeUnit.SECONDS.toNanos(plan.seconds()));
-        fleet.run(fleet.clients::stop);
-        end(fleet);
-        fleet.run(() -> fleet.time.observedUntil(System.nanoTime()));
+        fleet.startTraffic();
+        new FaultInjector(fleet, plan.faults())
+                .run(System.nanoTime() + TimeUnit.SECONDS.toNanos(plan.seconds()));
+        fleet.runOnLoop(fleet.clients::stop);
+        endRouters(fleet);
+        fleet.runOnLoop(() -> fleet.timeline.observedUntil(System.nanoTime()));
         return result(plan, fleet);
     }
 
-    /** Every router is told to end, and given the time that the platform gives it. */
-    private void end(SoakFleet fleet) throws Exception {
-        // The last requests, and what is held for them, have their time first.
-        Thread.sleep(END_MILLIS);
-        for (RouterUnit router : fleet.routers) {
-            if (router.process.isAlive() && router.current().readyAt != RequestTrace.NEVER) {
-                router.current().termAt = Math.min(router.current().termAt, System.nanoTime());
+    /** Ends every router with SIGTERM and gives it the time that the platform gives it. */
+    private void endRouters(SoakFleet fleet) throws Exception {
+        // The last requests, and the reservations for them, end first.
+        Thread.sleep(END_TIMEOUT_MILLIS);
+        for (RouterNode router : fleet.routers) {
+            RouterIncarnation incarnation = router.currentIncarnation();
+            if (router.process.isAlive() && incarnation.readyAt != RequestTrace.NEVER) {
+                incarnation.terminatedAt = Math.min(incarnation.terminatedAt, System.nanoTime());
                 router.process.signal("TERM");
             }
         }
-        for (RouterUnit router : fleet.routers) {
-            RouterLife life = router.current();
-            if (life.termAt != RequestTrace.NEVER) {
-                life.exitStatus = router.process.awaitExit(END_MILLIS);
-                life.endedAt = System.nanoTime();
+        for (RouterNode router : fleet.routers) {
+            RouterIncarnation incarnation = router.currentIncarnation();
+            if (incarnation.terminatedAt != RequestTrace.NEVER) {
+                incarnation.exitStatus = router.process.awaitExit(END_TIMEOUT_MILLIS);
+                incarnation.endedAt = System.nanoTime();
             }
         }
     }
 
     private SoakResult result(SoakPlan plan, SoakFleet fleet) throws Exception {
-        SoakOracle oracle = new SoakOracle(fleet.rules, fleet.log, fleet.time);
-        double reads = 2 * plan.requestsPerSecond() / Math.max(1, plan.workers() / 2);
+        SoakOracle oracle = new SoakOracle(fleet.rules, fleet.log, fleet.timeline);
+        double workerCapacity = 2 * plan.requestsPerSecond() / Math.max(1, plan.workers() / 2);
         List<Violation> violations =
-                fleet.call(() -> oracle.judge(fleet.clients.badClients(), reads));
+                fleet.callOnLoop(
+                        () -> oracle.judge(fleet.clients.unservableClients(), workerCapacity));
         int crashed =
                 (int) violations.stream().filter(v -> v.invariant() == Invariant.ALIVE).count();
-        List<String> reported = new ArrayList<>();
-        for (RouterUnit router : fleet.routers) {
-            router.process
-                    .log()
-                    .lines()
-                    .filter(line -> line.contains(GUARD_LINE))
-                    .forEach(line -> reported.add(router.process.name() + ": " + line));
-        }
-        long served = fleet.log.requests().stream().filter(r -> r.status == 200 && r.whole).count();
+        long served =
+                fleet.log.requests().stream().filter(r -> r.status == 200 && r.complete).count();
         return new SoakResult(
                 fleet.log.requests().size(),
                 plan.faults().size(),
                 violations,
                 crashed,
                 oracle.excused(),
-                reported,
+                reportedByRouters(fleet),
                 served);
     }
 
+    /** {@return the lines in which routers' own invariant monitors reported a violation} */
+    private static List<String> reportedByRouters(SoakFleet fleet) throws IOException {
+        List<String> reported = new ArrayList<>();
+        for (RouterNode router : fleet.routers) {
+            router.process
+                    .log()
+                    .lines()
+                    .filter(line -> line.contains(INVARIANT_MONITOR_TEXT))
+                    .forEach(line -> reported.add(router.process.name() + ": " + line));
+        }
+        return reported;
+    }
+
     /**
-     * Leaves troubles out one after the other, as long as the same invariant still breaks.
+     * Leaves faults out one after the other, as long as the same invariant is still violated.
      *
      * @param plan a run that failed
      * @param failed its result
-     * @return the troubles that are needed
+     * @return the faults that are needed
+     * @throws Exception if a fleet cannot be started or controlled
      */
     public List<ScheduledFault> minimize(SoakPlan plan, SoakResult failed) throws Exception {
         Invariant invariant = failed.violations().get(0).invariant();
--- a/lab/src/main/java/sorrelhoist/lab/soak/SystemCallFaults.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/SystemCallFaults.java
@@ -23,9 +23,7 @@
     private static final long COMPILE_SECONDS = 60;
     private static final int HEADER_BYTES = 16;
     private static final int RULE_BYTES = 32;
-    private static final int WALL_CLOCK_READS = 8;
     private static final int EVERY = 8;
-    private static final int CALLS = 16;
     private static final int FAILURES = 24;
     private static final int SHORT = -1;
     private final Path library;
@@ -149,7 +147,7 @@
     }
 
     /** Lets a call work again. */
-    public void heal(SystemCall call) {
+    public void clear(SystemCall call) {
         set(call, 0, 0);
     }
 
@@ -163,16 +161,6 @@
         control.putLong(0, offsetNanos);
     }
 
-    /** {@return how often the wall clock was read} */
-    public long wallClockReads() {
-        return control.getLong(WALL_CLOCK_READS);
-    }
-
-    /** {@return how often a call was made} */
-    public long calls(SystemCall call) {
-        return control.getLong(rule(call) + CALLS);
-    }
-
     /** {@return how often a call was made to fail} */
     public long failures(SystemCall call) {
         return control.getLong(rule(call) + FAILURES);
--- a/lab/src/main/java/sorrelhoist/lab/soak/TrafficLog.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/TrafficLog.java
@@ -9,7 +9,7 @@
     private final Map<String, RequestTrace> requests = new LinkedHashMap<>();
     private long unknownIds;
 
-    void opened(RequestTrace request) {
+    void add(RequestTrace request) {
         requests.put(request.id, request);
     }
 
--- /dev/null
+++ b/lab/src/main/java/sorrelhoist/lab/soak/WorkerConnection.java
@@ -0,0 +1,181 @@
+package sorrelhoist.lab.soak;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelOption;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.TimeUnit;
+import sorrelhoist.lab.soak.RequestTrace.AttemptTrace;
+import sorrelhoist.protocol.http1.HttpBodyDecoder;
+import sorrelhoist.protocol.http1.HttpHead;
+import sorrelhoist.protocol.http1.HttpHeadDecoder;
+import sorrelhoist.protocol.http1.HttpMessageDecoder.HttpDecodeException;
+
+/** One connection of a router to a worker, with one request at a time. */
+final class WorkerConnection extends ChannelInboundHandlerAdapter {
+    private static final int MAX_HEAD_BYTES = 64 << 10;
+    private static final int IDLE_CHECKS_PER_TIMEOUT = 4;
+    private static final String HOLDS_PATH = "/v1/holds/";
+    private static final String NO_CONTENT = "HTTP/1.1 204 No Content\r\n\r\n";
+    private static final String NOT_FOUND = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
+    private static final String BAD_REQUEST =
+            "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n";
+    private final WorkerStandIn worker;
+    private final HttpHeadDecoder headDecoder = new HttpHeadDecoder(true, MAX_HEAD_BYTES);
+    private final ByteBuf unread = Unpooled.buffer();
+    private ChannelHandlerContext context;
+    private HttpHead head;
+    private HttpBodyDecoder body;
+    private WorkerAttempt attempt;
+    private long firstByteAt;
+    private long idleSince;
+    private boolean closed;
+
+    WorkerConnection(WorkerStandIn worker) {
+        this.worker = worker;
+    }
+
+    boolean isClosed() {
+        return closed;
+    }
+
+    @Override
+    public void channelActive(ChannelHandlerContext channelContext) {
+        context = channelContext;
+        worker.opened(this);
+        idleSince = System.nanoTime();
+        scheduleIdleCheck();
+    }
+
+    private void scheduleIdleCheck() {
+        long millis = worker.idleTimeoutMillis() / IDLE_CHECKS_PER_TIMEOUT;
+        schedule(this::closeIfIdle, millis);
+    }
+
+    private void closeIfIdle() {
+        if (closed) {
+            return;
+        }
+        boolean idle = head == null && attempt == null && !unread.isReadable();
+        long timeout = TimeUnit.MILLISECONDS.toNanos(worker.idleTimeoutMillis());
+        if (idle && System.nanoTime() - idleSince >= timeout) {
+            context.close();
+        } else {
+            scheduleIdleCheck();
+        }
+    }
+
+    void schedule(Runnable task, long millis) {
+        context.channel().eventLoop().schedule(task, millis, TimeUnit.MILLISECONDS);
+    }
+
+    /** Resets the connection. */
+    void reset() {
+        if (context.channel().isOpen()) {
+            context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
+            context.close();
+        }
+    }
+
+    /** Goes on with the attempt that came while the worker was hanging. */
+    void resume() {
+        if (attempt != null && !closed) {
+            attempt.resume();
+        }
+    }
+
+    @Override
+    public void channelRead(ChannelHandlerContext channelContext, Object message) {
+        ByteBuf in = (ByteBuf) message;
+        if (!unread.isReadable() && head == null) {
+            firstByteAt = System.nanoTime();
+        }
+        unread.discardReadBytes().writeBytes(in);
+        in.release();
+        readRequest();
+    }
+
+    private void readRequest() {
+        if (closed || attempt != null) {
+            return;
+        }
+        try {
+            if (head == null) {
+                head = headDecoder.next(unread);
+                if (head == null) {
+                    return;
+                }
+                body = HttpBodyDecoder.forHead(head);
+            }
+            while (body.next(unread) != null) {
+                // The content itself does not matter.
+            }
+            if (body.isComplete()) {
+                HttpHead request = head;
+                head = null;
+                handle(request);
+            }
+        } catch (HttpDecodeException e) {
+            context.close();
+        }
+    }
+
+    private void handle(HttpHead head) {
+        idleSince = System.nanoTime();
+        if (head.path().startsWith(HOLDS_PATH)) {
+            if (head.method().equals("DELETE")) {
+                worker.release(head.path().substring(HOLDS_PATH.length()));
+                write(NO_CONTENT);
+            } else {
+                write(NOT_FOUND);
+            }
+            return;
+        }
+        RequestTrace request = worker.log().find(head.header("x-call-id"));
+        if (request == null) {
+            write(BAD_REQUEST);
+            return;
+        }
+        AttemptTrace trace = new AttemptTrace(worker.role, worker.uid, firstByteAt);
+        trace.arrivedAt = System.nanoTime();
+        trace.budgetMillis = Long.parseLong(head.header("x-budget-ms"));
+        request.attempts.add(trace);
+        attempt = new WorkerAttempt(worker, this, request, trace);
+        attempt.start();
+    }
+
+    /** Sends text as it is. */
+    void write(String text) {
+        if (!closed) {
+            context.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1))
+                    .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+        }
+    }
+
+    /** The attempt is over: the connection is free for the next request. */
+    void attemptEnded() {
+        attempt.trace().endedAt = System.nanoTime();
+        attempt = null;
+        idleSince = System.nanoTime();
+        context.channel().eventLoop().execute(this::readRequest);
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext channelContext) {
+        closed = true;
+        worker.closed(this);
+        unread.release();
+        if (attempt != null) {
+            AttemptTrace trace = attempt.trace();
+            trace.endedAt = Math.min(trace.endedAt, System.nanoTime());
+        }
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext channelContext, Throwable cause) {
+        context.close();
+    }
+}
