--- a/lab/src/main/java/sorrelhoist/lab/fleet/FleetFiles.java
+++ b/lab/src/main/java/sorrelhoist/lab/fleet/FleetFiles.java
@@ -13,52 +13,52 @@
 import sorrelhoist.lab.scenario.Scenario;
 
 /**
- * Writes the settings of a day's processes: each a small Jsonnet file over the template of its
+ * Writes the settings of a scenario's processes: each a small Jsonnet file over the template of its
  * kind, as an operator would write them.
  */
 final class FleetFiles {
     private final ObjectMapper json = new ObjectMapper();
     private final Path folder;
-    private final Scenario day;
-    private final Set<String> unrecorded = new HashSet<>();
+    private final Scenario scenario;
+    private final Set<String> edgesWithoutRecording = new HashSet<>();
     private final Map<String, Long> engineExtra;
 
-    FleetFiles(Path folder, Scenario day, Map<String, Long> engineExtra) {
+    FleetFiles(Path folder, Scenario scenario, Map<String, Long> engineExtra) {
         this.folder = folder;
-        this.day = day;
+        this.scenario = scenario;
         this.engineExtra = engineExtra;
     }
 
     Path registry(int port) throws IOException {
-        ObjectNode n = json.createObjectNode();
-        n.put("port", port).put("trace", trace("registry"));
-        return write("registry", "registry", n);
+        ObjectNode settings = json.createObjectNode();
+        settings.put("port", port).put("trace", trace("registry"));
+        return write("registry", "registry", settings);
     }
 
     Path planner(int port, String registry) throws IOException {
-        ObjectNode n = json.createObjectNode();
-        n.put("port", port).put("registry", registry).put("edges", edges());
-        return write("planner", "planner", n);
+        ObjectNode settings = json.createObjectNode();
+        settings.put("port", port).put("registry", registry).put("edges", edges());
+        return write("planner", "planner", settings);
     }
 
-    void unrecorded(String edge) {
-        unrecorded.add(edge);
+    void disableRecording(String edge) {
+        edgesWithoutRecording.add(edge);
     }
 
     Path edge(String name, String zone, int port, String planner) throws IOException {
-        ObjectNode n = json.createObjectNode();
-        n.put("name", name)
+        ObjectNode settings = json.createObjectNode();
+        settings.put("name", name)
                 .put("zone", zone)
                 .put("port", port)
                 .put("planner", planner)
                 .put("routers", edges());
-        ArrayNode zones = n.putArray("zones");
-        day.zones().forEach(z -> zones.add(z.name()));
+        ArrayNode zones = settings.putArray("zones");
+        scenario.zones().forEach(z -> zones.add(z.name()));
         return write(
                 name,
                 "edge",
-                n,
-                unrecorded.contains(name)
+                settings,
+                edgesWithoutRecording.contains(name)
                         ? ""
                         : "record+: { folder: '" + folder.resolve("record").resolve(name) + "' }");
     }
@@ -72,8 +72,8 @@
             boolean warm,
             long seed)
             throws IOException {
-        ObjectNode n = json.createObjectNode();
-        n.put("id", id)
+        ObjectNode settings = json.createObjectNode();
+        settings.put("id", id)
                 .put("role", role)
                 .put("kind", role.equals("read") ? "prefill" : "decode")
                 .put("zone", zone)
@@ -87,14 +87,14 @@
                 (key, value) -> {
                     Long ofWriters = role.equals("write") ? engineExtra.get("write:" + key) : null;
                     if (!key.startsWith("write:")) {
-                        n.put(key, ofWriters == null ? value : ofWriters);
+                        settings.put(key, ofWriters == null ? value : ofWriters);
                     }
                 });
-        return write(id + (warm ? "" : "-cold"), "engine", n);
+        return write(id + (warm ? "" : "-cold"), "engine", settings);
     }
 
     private int edges() {
-        return day.zones().stream().mapToInt(Scenario.Zone::edges).sum();
+        return scenario.zones().stream().mapToInt(Scenario.Zone::edges).sum();
     }
 
     Path traces() throws IOException {
--- a/lab/src/main/java/sorrelhoist/lab/fleet/ProcessFleet.java
+++ b/lab/src/main/java/sorrelhoist/lab/fleet/ProcessFleet.java
@@ -15,8 +15,8 @@
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
- * A day's fleet as processes on this machine: registry, planner, engines and edges, each on a port
- * of its own.
+ * A scenario's fleet as processes on this machine: registry, planner, engines and edges, each on a
+ * port of its own.
  */
 public final class ProcessFleet implements AutoCloseable {
     /** The model that the templates name. */
@@ -34,13 +34,13 @@
      */
     public record EngineSlot(String id, String role, String zone, String rack) {}
 
-    private final Scenario day;
+    private final Scenario scenario;
     private final FleetFiles files;
     private final List<String> command;
     private final Path folder;
     private final int portBase;
     private final EventLoopGroup loops = LoopbackTransport.newEventLoops(2, "lab");
-    private final Map<String, Proc> procs = new LinkedHashMap<>();
+    private final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
     private final List<EngineSlot> engines = new ArrayList<>();
     private final List<String> edges = new ArrayList<>();
     private final Map<String, String> zoneOf = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
     /**
      * Makes a fleet; {@link #start} starts it.
      *
-     * @param day whose fleet
+     * @param scenario whose fleet
      * @param folder for settings, logs and traces; the templates lie there already
      * @param command that starts one process, without its sub-command
      * @param portBase first port of the edges, then planner and registry; 0 for ports that the
@@ -57,17 +57,17 @@
      * @param engineExtra settings of the engines in place of the template's
      */
     public ProcessFleet(
-            Scenario day,
+            Scenario scenario,
             Path folder,
             List<String> command,
             int portBase,
             Map<String, Long> engineExtra) {
-        this.day = day;
+        this.scenario = scenario;
         this.folder = folder;
         this.command = command;
         this.portBase = portBase;
-        this.files = new FleetFiles(folder, day, engineExtra);
-        for (Scenario.Zone z : day.zones()) {
+        this.files = new FleetFiles(folder, scenario, engineExtra);
+        for (Scenario.Zone z : scenario.zones()) {
             for (Scenario.Rack r : z.racks()) {
                 for (int i = 1; i <= r.readers(); i++) {
                     engines.add(new EngineSlot(r.name() + "-r" + i, "read", z.name(), r.name()));
@@ -86,7 +86,7 @@
 
     /** An edge that records nothing; before {@link #start}. {@return this} */
     public ProcessFleet withoutRecording(String edge) {
-        files.unrecorded(edge);
+        files.disableRecording(edge);
         return this;
     }
 
@@ -110,14 +110,14 @@
         return loops;
     }
 
-    private Proc proc(String name) {
-        List<String> with = new ArrayList<>(command);
-        with.addAll(
+    private ManagedProcess process(String name) {
+        List<String> arguments = new ArrayList<>(command);
+        arguments.addAll(
                 1,
                 name.startsWith("edge")
                         ? List.of("-Xmx512m")
                         : List.of("-Xmx160m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"));
-        return procs.computeIfAbsent(name, n -> new Proc(n, with, folder));
+        return processes.computeIfAbsent(name, key -> new ManagedProcess(key, arguments, folder));
     }
 
     private int port(int offset) {
@@ -128,30 +128,31 @@
     public void start() throws IOException {
         files.traces();
         String registry =
-                Proc.await(
-                        proc("registry").start("registry", files.registry(port(edges.size() + 1))),
+                ManagedProcess.await(
+                        process("registry")
+                                .start("registry", files.registry(port(edges.size() + 1))),
                         "registry");
         Map<String, CompletableFuture<String>> waiting = new LinkedHashMap<>();
         waiting.put(
                 "planner",
-                proc("planner").start("planner", files.planner(port(edges.size()), registry)));
-        long seed = day.seed();
+                process("planner").start("planner", files.planner(port(edges.size()), registry)));
+        long seed = scenario.seed();
         for (EngineSlot e : engines) {
             waiting.put(
                     e.id(),
-                    proc(e.id())
+                    process(e.id())
                             .start(
                                     "engine",
                                     files.engine(
                                             e.id(), e.role(), e.zone(), e.rack(), registry, true,
                                             seed++)));
         }
-        String planner = Proc.await(waiting.get("planner"), "planner");
+        String planner = ManagedProcess.await(waiting.get("planner"), "planner");
         for (int i = 0; i < edges.size(); i++) {
             waiting.put(edges.get(i), startEdge(i, port(i), planner));
         }
         for (Map.Entry<String, CompletableFuture<String>> w : waiting.entrySet()) {
-            Proc.await(w.getValue(), w.getKey());
+            ManagedProcess.await(w.getValue(), w.getKey());
         }
         awaitServing();
     }
@@ -159,7 +160,7 @@
     private CompletableFuture<String> startEdge(int number, int port, String planner)
             throws IOException {
         String name = edges.get(number);
-        return proc(name).start("edge", files.edge(name, zoneOf.get(name), port, planner));
+        return process(name).start("edge", files.edge(name, zoneOf.get(name), port, planner));
     }
 
     /**
@@ -204,30 +205,32 @@
     public InferenceClient edge(int number) {
         return clients.computeIfAbsent(
                 number,
-                n -> new InferenceClient(loops.next(), procs.get(edges.get(n)).address(), MODEL));
+                n ->
+                        new InferenceClient(
+                                loops.next(), processes.get(edges.get(n)).address(), MODEL));
     }
 
     /** {@return the line that tells where everything listens} */
     public String readyLine() {
         StringBuilder line = new StringBuilder("ready edge=");
         for (int i = 0; i < edges.size(); i++) {
-            line.append(i == 0 ? "" : ",").append(procs.get(edges.get(i)).address());
+            line.append(i == 0 ? "" : ",").append(processes.get(edges.get(i)).address());
         }
         return line.append(" planner=")
-                .append(procs.get("planner").address())
+                .append(processes.get("planner").address())
                 .append(" registry=")
-                .append(procs.get("registry").address())
+                .append(processes.get("registry").address())
                 .toString();
     }
 
     /** {@return an address; null for what was never ready} */
     public String address(String name) {
-        return procs.get(name).address();
+        return processes.get(name).address();
     }
 
     /** Kills a process outright. */
     public void kill(String name) {
-        procs.get(name).kill();
+        processes.get(name).kill();
     }
 
     /** Starts an engine again, cold. */
@@ -240,32 +243,36 @@
                         e.rack(),
                         address("registry"),
                         false,
-                        day.seed());
-        proc(e.id()).start("engine", config);
+                        scenario.seed());
+        process(e.id()).start("engine", config);
     }
 
     /** Starts an edge again, on the port that it had. */
     public void restartEdge(int number) throws IOException {
-        startEdge(number, proc(edges.get(number)).port(), address("planner"));
+        startEdge(number, process(edges.get(number)).port(), address("planner"));
     }
 
     /** Starts the planner again, on the port that it had. */
     public void restartPlanner() throws IOException {
-        proc("planner")
-                .start("planner", files.planner(proc("planner").port(), address("registry")));
+        process("planner")
+                .start("planner", files.planner(process("planner").port(), address("registry")));
     }
 
     /** {@return the process id of a part of the fleet} */
     public long pid(String name) {
-        return procs.get(name).pid();
+        return processes.get(name).pid();
     }
 
     @Override
     public void close() {
         clients.values().forEach(InferenceClient::close);
-        List<Proc> all = new ArrayList<>(procs.values());
-        all.parallelStream().filter(p -> p.name.startsWith("edge")).forEach(p -> p.stop(5));
-        all.parallelStream().filter(p -> !p.name.startsWith("edge")).forEach(p -> p.stop(2));
+        List<ManagedProcess> all = new ArrayList<>(processes.values());
+        all.parallelStream()
+                .filter(process -> process.name().startsWith("edge"))
+                .forEach(process -> process.stop(5));
+        all.parallelStream()
+                .filter(process -> !process.name().startsWith("edge"))
+                .forEach(process -> process.stop(2));
         loops.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
     }
 }
--- a/lab/src/test/java/sorrelhoist/lab/scenario/ScenarioParserTest.java
+++ b/lab/src/test/java/sorrelhoist/lab/scenario/ScenarioParserTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.lab.load.OpenLoopLoad;
 
-/** Day files are read, and what is wrong with them is told with line and column. */
-class DayFileTest {
+/** Scenarios are parsed, and their errors are reported with line and column. */
+class ScenarioParserTest {
     private static final String FLEET =
             "fleet { zone a { edges 1 rack r { readers 2 writers 1 } } }\n";
 
-    private static List<String> faults(String body) {
+    private static List<String> errors(String body) {
         return assertThrows(
                         ScenarioParser.InvalidScenarioException.class,
                         () -> ScenarioParser.parse("day \"x\" {\n" + body + "}"))
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aDayIsReadWithItsEventsByTime() throws ScenarioParser.InvalidScenarioException {
+    void aScenarioIsReadWithItsActionsByTime() throws ScenarioParser.InvalidScenarioException {
         Scenario d =
                 ScenarioParser.parse(
                         "# comment\nday \"two words\" { seed 7 length 10s "
@@ -44,30 +44,30 @@
     }
 
     @Test
-    void faultsHaveLineAndColumn() {
-        assertTrue(faults("seed x\n").get(0).startsWith("2:6: "));
+    void errorsHaveLineAndColumn() {
+        assertTrue(errors("seed x\n").get(0).startsWith("2:6: "));
         assertEquals(
                 "3:24: the range ends before it begins",
-                faults(FLEET + "load c { rate 1 prompt 9..3 }\n").get(0));
+                errors(FLEET + "load c { rate 1 prompt 9..3 }\n").get(0));
         assertEquals(
                 "4:16: 3 is out of range: give 1 to 2",
-                faults(FLEET + "load c { rate 1 }\nat 1s crash    reader 3\n").get(0));
+                errors(FLEET + "load c { rate 1 }\nat 1s crash    reader 3\n").get(0));
         assertEquals(
                 "4:7: no rack is called \"z\"",
-                faults(FLEET + "load c { rate 1 }\nat 1s cut rack z for 1s\n").get(0));
+                errors(FLEET + "load c { rate 1 }\nat 1s cut rack z for 1s\n").get(0));
         assertTrue(
-                faults(FLEET + "load c { rate 1 }\nat 1s lose writer any share 1.5 for 1s\n")
+                errors(FLEET + "load c { rate 1 }\nat 1s lose writer any share 1.5 for 1s\n")
                         .get(0)
                         .contains("from 0 to 1"));
         assertTrue(
-                faults(FLEET + "load c { rate 1 }\nat 99s kill planner for 1s\n")
+                errors(FLEET + "load c { rate 1 }\nat 99s kill planner for 1s\n")
                         .get(0)
                         .contains("length"));
     }
 
     @Test
-    void severalFaultsAreToldAtOnce() {
-        List<String> all = faults("fleet { zone a { rack r { readers 0 writers 0 } } }\n");
+    void severalErrorsAreReportedAtOnce() {
+        List<String> all = errors("fleet { zone a { rack r { readers 0 writers 0 } } }\n");
         assertEquals(3, all.size(), all.toString());
     }
 
--- a/lab/src/test/java/sorrelhoist/lab/sim/AdmissionStudyTest.java
+++ b/lab/src/test/java/sorrelhoist/lab/sim/AdmissionStudyTest.java
@@ -8,14 +8,15 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Bursts in virtual time: what the engines have room for is let in, and every request ends once.
+ * Bursts in virtual time: what the engines have capacity for is admitted, and every request ends
+ * once.
  */
-class DoorStudyTest {
+class AdmissionStudyTest {
     @ParameterizedTest
     @EnumSource(
             value = AdmissionStudy.Case.class,
             names = {"QUIET", "THIRD_IN_A_ROW", "DEAD_WRITER", "UNSAFE_QUARTER"})
-    void whatEnginesHaveRoomForIsLetIn(AdmissionStudy.Case how) {
+    void whatEnginesHaveCapacityForIsAdmitted(AdmissionStudy.Case how) {
         AdmissionStudy.Burst b = AdmissionStudy.play(2, how, 5);
         assertEquals(300, b.asked());
         assertEquals(
@@ -24,7 +25,7 @@
     }
 
     @Test
-    void beyondWhatTheyHaveRoomForItIsRefusedNotLate() {
+    void whatExceedsTheCapacityIsRejectedAndNotLate() {
         AdmissionStudy.Burst b = AdmissionStudy.play(2, AdmissionStudy.Case.AFTER_OVERLOAD, 5);
         assertEquals(
                 300, b.inTime() + b.late() + b.lost().values().stream().mapToInt(n -> n).sum());
