--- a/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
@@ -142,7 +142,7 @@
         writer.stop(told + 1000);
         Recording recording = recording();
         assertEquals(1, recording.gaps().size());
-        long missing = recording.gaps().get(0)[1] - recording.gaps().get(0)[0];
+        long missing = recording.gaps().get(0).nextPresent() - recording.gaps().get(0).firstMissing();
         assertTrue(missing > 0);
         assertEquals(told + 1000, recording.entries().size() - 1 + missing);
         assertEntriesAreInOrder(recording);
@@ -173,8 +173,8 @@
         assertEquals(
                 20_001,
                 recording.entries().size()
-                        + recording.gaps().get(0)[1]
-                        - recording.gaps().get(0)[0]);
+                        + recording.gaps().get(0).nextPresent()
+                        - recording.gaps().get(0).firstMissing());
         assertEntriesAreInOrder(recording);
     }
 
