--- a/app/src/main/java/sorrelhoist/app/command/RecordingCutter.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordingCutter.java
@@ -79,7 +79,7 @@
     private void minimize(
             Recording recording, Predicate<Recording> shows, UnaryOperator<Recording> finish)
             throws RecordCommandException, IOException {
-        if (!shows.test(Replay.again(recording))) {
+        if (!shows.test(Replay.withReplayedActions(recording))) {
             throw new RecordCommandException(
                     "no request of this record ends as "
                             + kind
--- a/app/src/main/java/sorrelhoist/app/command/RecordingSummary.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordingSummary.java
@@ -111,6 +111,6 @@
                 recording.isComplete()
                         ? ", from the start and without a gap"
                         : ", with gaps: a replay cannot be exact");
-        recording.gaps().forEach(gap -> out.printf("  missing: %d to %d%n", gap[0], gap[1] - 1));
+        recording.gaps().forEach(gap -> out.printf("  missing: %d to %d%n", gap.firstMissing(), gap.nextPresent() - 1));
     }
 }
