--- a/protocol/src/main/java/sorrelhoist/protocol/engine/EngineApi.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/EngineApi.java
@@ -33,7 +33,9 @@
     /** {@return trailers that carry a load report} */
     public static Headers loadReportTrailers(LoadReport load) {
         return new Headers()
-                .add(LOAD_REPORT_TRAILER, Base64.getEncoder().withoutPadding().encodeToString(load.toByteArray()));
+                .add(
+                        LOAD_REPORT_TRAILER,
+                        Base64.getEncoder().withoutPadding().encodeToString(load.toByteArray()));
     }
 
     /** {@return the load report in these trailers, or null where there is none that can be read} */
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/DynamicTable.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/DynamicTable.java
@@ -5,7 +5,11 @@
  * the newest.
  */
 final class DynamicTable {
-    private HeaderField[] ring = new HeaderField[16];
+    private static final int INITIAL_CAPACITY = 16;
+
+    /** A power of two long, so that a mask wraps indices. */
+    private HeaderField[] ring = new HeaderField[INITIAL_CAPACITY];
+
     private int newest;
     private int count;
     private int size;
@@ -15,30 +19,34 @@
         this.limit = limit;
     }
 
+    /** {@return how many fields it holds} */
     int count() {
         return count;
     }
 
+    /** {@return octets that its fields count} */
     int size() {
         return size;
     }
 
+    /** {@return octets that it may hold} */
     int limit() {
         return limit;
     }
 
-    HeaderField at(int index) {
+    HeaderField get(int index) {
         return ring[newest - index & ring.length - 1];
     }
 
+    /** Sets how many octets it may hold; the oldest fields give way. */
     void limit(int octets) {
         limit = octets;
-        shrinkTo(limit);
+        evictTo(limit);
     }
 
     /** A field larger than the table empties it and is not kept (section 4.4). */
     void add(HeaderField field) {
-        shrinkTo(limit - field.size());
+        evictTo(limit - field.size());
         if (field.size() <= limit) {
             if (count == ring.length) {
                 grow();
@@ -50,7 +58,7 @@
         }
     }
 
-    private void shrinkTo(int octets) {
+    private void evictTo(int octets) {
         while (count > 0 && size > octets) {
             int oldest = newest - count + 1 & ring.length - 1;
             size -= ring[oldest].size();
@@ -62,7 +70,7 @@
     private void grow() {
         HeaderField[] larger = new HeaderField[2 * ring.length];
         for (int i = 0; i < count; i++) {
-            larger[count - 1 - i] = at(i);
+            larger[count - 1 - i] = get(i);
         }
         ring = larger;
         newest = count - 1;
@@ -71,16 +79,17 @@
     /** {@return the index of an equal field, or -1} */
     int find(HeaderField field) {
         for (int i = 0; i < count; i++) {
-            if (at(i).equals(field)) {
+            if (get(i).equals(field)) {
                 return i;
             }
         }
         return -1;
     }
 
+    /** {@return the index of the newest field of this name, or -1} */
     int findName(String name) {
         for (int i = 0; i < count; i++) {
-            if (at(i).name().equals(name)) {
+            if (get(i).name().equals(name)) {
                 return i;
             }
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/Headers.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/Headers.java
@@ -46,18 +46,18 @@
 
     /** {@return the first value of this name, or null} */
     public String get(String name) {
-        for (HeaderField f : fields) {
-            if (f.name().equals(name)) {
-                return f.value();
+        for (HeaderField field : fields) {
+            if (field.name().equals(name)) {
+                return field.value();
             }
         }
         return null;
     }
 
-    /** {@return the first value of this name, or {@code absent}} */
-    public String get(String name, String absent) {
+    /** {@return the first value of this name, or {@code defaultValue}} */
+    public String get(String name, String defaultValue) {
         String value = get(name);
-        return value == null ? absent : value;
+        return value == null ? defaultValue : value;
     }
 
     /** {@return how many fields there are} */
@@ -77,7 +77,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Headers h && h.fields.equals(fields);
+        return other instanceof Headers headers && headers.fields.equals(fields);
     }
 
     @Override
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackDecoder.java
@@ -11,10 +11,17 @@
     /** The table's limit before any setting is exchanged, in octets. */
     public static final int DEFAULT_TABLE = 4096;
 
+    private static final int INDEXED = 0x80;
+    private static final int LITERAL_INDEXED = 0x40;
+    private static final int LITERAL_INDEXED_MASK = 0xC0;
+    private static final int TABLE_SIZE_UPDATE = 0x20;
+    private static final int TABLE_SIZE_UPDATE_MASK = 0xE0;
+    private static final int HUFFMAN = 0x80;
+
     private final DynamicTable table;
     private final int maxListOctets;
-    private int allowedTable;
-    private boolean mustResize;
+    private final int maxTableOctets;
+    private boolean resizeRequired;
 
     /**
      * Makes a decoder with an empty table.
@@ -25,8 +32,8 @@
     public HpackDecoder(int tableOctets, int maxListOctets) {
         this.table = new DynamicTable(Math.min(DEFAULT_TABLE, tableOctets));
         this.maxListOctets = maxListOctets;
-        this.allowedTable = tableOctets;
-        this.mustResize = tableOctets < DEFAULT_TABLE;
+        this.maxTableOctets = tableOctets;
+        this.resizeRequired = tableOctets < DEFAULT_TABLE;
     }
 
     /**
@@ -42,18 +49,18 @@
         while (block.isReadable()) {
             int first = block.readUnsignedByte();
             HeaderField field;
-            if ((first & 0x80) != 0) {
-                field = at(integer(block, first, 7));
-            } else if ((first & 0xC0) == 0x40) {
-                field = literal(block, integer(block, first, 6));
+            if ((first & INDEXED) != 0) {
+                field = lookUp(readInteger(block, first, 7));
+            } else if ((first & LITERAL_INDEXED_MASK) == LITERAL_INDEXED) {
+                field = readLiteral(block, readInteger(block, first, 6));
                 table.add(field);
-            } else if ((first & 0xE0) == 0x20) {
-                resize(integer(block, first, 5), headers.size() > 0);
+            } else if ((first & TABLE_SIZE_UPDATE_MASK) == TABLE_SIZE_UPDATE) {
+                resize(readInteger(block, first, 5), headers.size() > 0);
                 continue;
             } else {
-                field = literal(block, integer(block, first, 4));
+                field = readLiteral(block, readInteger(block, first, 4));
             }
-            if (mustResize) {
+            if (resizeRequired) {
                 throw new HpackException(
                         "the block should begin with a table size update (section 4.2)");
             }
@@ -76,53 +83,53 @@
         if (late) {
             throw new HpackException("a table size update after a field");
         }
-        if (octets > allowedTable) {
+        if (octets > maxTableOctets) {
             throw new HpackException(
-                    "table size " + octets + " is above the limit " + allowedTable);
+                    "table size " + octets + " is above the limit " + maxTableOctets);
         }
-        mustResize = false;
+        resizeRequired = false;
         table.limit(octets);
     }
 
-    private HeaderField at(int index) throws HpackException {
+    private HeaderField lookUp(int index) throws HpackException {
         if (index >= 1 && index <= StaticTable.SIZE) {
-            return StaticTable.at(index);
+            return StaticTable.get(index);
         }
-        int dynamic = index - StaticTable.SIZE - 1;
-        if (dynamic < 0 || dynamic >= table.count()) {
+        int dynamicIndex = index - StaticTable.SIZE - 1;
+        if (dynamicIndex < 0 || dynamicIndex >= table.count()) {
             throw new HpackException("no table entry has index " + index);
         }
-        return table.at(dynamic);
+        return table.get(dynamicIndex);
     }
 
-    private HeaderField literal(ByteBuf in, int nameIndex) throws HpackException {
-        String name = nameIndex > 0 ? at(nameIndex).name() : string(in);
-        return new HeaderField(name, string(in));
+    private HeaderField readLiteral(ByteBuf in, int nameIndex) throws HpackException {
+        String name = nameIndex > 0 ? lookUp(nameIndex).name() : readString(in);
+        return new HeaderField(name, readString(in));
     }
 
-    private String string(ByteBuf in) throws HpackException {
+    private String readString(ByteBuf in) throws HpackException {
         if (!in.isReadable()) {
             throw new HpackException("a string is missing");
         }
         int first = in.readUnsignedByte();
-        int length = integer(in, first, 7);
+        int length = readInteger(in, first, 7);
         if (length > in.readableBytes()) {
             throw new HpackException("a string of " + length + " octets is cut short");
         }
         if (length > maxListOctets) {
             throw new HpackException("a string of more than " + maxListOctets + " octets", true);
         }
-        if ((first & 0x80) != 0) {
+        if ((first & HUFFMAN) != 0) {
             return Huffman.decode(in, length);
         }
         return in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
     }
 
     /** Section 5.1; what exceeds 28 bits is refused, as no table or string here is that large. */
-    private static int integer(ByteBuf in, int first, int prefixBits) throws HpackException {
-        int most = (1 << prefixBits) - 1;
-        int value = first & most;
-        if (value < most) {
+    private static int readInteger(ByteBuf in, int first, int prefixBits) throws HpackException {
+        int prefixMask = (1 << prefixBits) - 1;
+        int value = first & prefixMask;
+        if (value < prefixMask) {
             return value;
         }
         for (int shift = 0; shift <= 21; shift += 7) {
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackEncoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackEncoder.java
@@ -13,7 +13,7 @@
      * Fields that differ with every request: kept in the table they would push out those that
      * recur.
      */
-    private static final Set<String> FLEETING =
+    private static final Set<String> NOT_INDEXED =
             Set.of(
                     ":path",
                     "grpc-timeout",
@@ -25,12 +25,26 @@
                     "sorrelhoist-request");
 
     /** Never put in any table, here or by an intermediary (section 7.1.3). */
-    private static final Set<String> SECRET =
+    private static final Set<String> NEVER_INDEXED =
             Set.of("authorization", "cookie", "proxy-authorization", "set-cookie");
 
-    private static final int MAX_TABLE = 4096;
+    /** Larger tables than this are not used, whatever the peer allows, in octets. */
+    private static final int MAX_TABLE_OCTETS = 4096;
+
+    /** A field above this share of the table is not put into it. */
+    private static final int MAX_FIELD_SHARE = 4;
+
+    private static final int NO_UPDATE = -1;
+
+    private static final int INDEXED = 0x80;
+    private static final int LITERAL_INDEXED = 0x40;
+    private static final int TABLE_SIZE_UPDATE = 0x20;
+    private static final int LITERAL_NEVER_INDEXED = 0x10;
+    private static final int LITERAL_NOT_INDEXED = 0x00;
+    private static final int HUFFMAN = 0x80;
+
     private final DynamicTable table = new DynamicTable(HpackDecoder.DEFAULT_TABLE);
-    private int announce = -1;
+    private int pendingTableSizeUpdate = NO_UPDATE;
 
     /** Makes an encoder with an empty table. */
     public HpackEncoder() {}
@@ -41,10 +55,10 @@
      * @param octets as the peer sent it
      */
     public void peerTableLimit(long octets) {
-        int limit = (int) Math.min(MAX_TABLE, octets);
+        int limit = (int) Math.min(MAX_TABLE_OCTETS, octets);
         if (limit != table.limit()) {
             table.limit(limit);
-            announce = limit;
+            pendingTableSizeUpdate = limit;
         }
     }
 
@@ -55,68 +69,69 @@
      * @param out written to
      */
     public void encode(Headers headers, ByteBuf out) {
-        if (announce >= 0) {
-            integer(out, 0x20, 5, announce);
-            announce = -1;
+        if (pendingTableSizeUpdate != NO_UPDATE) {
+            writeInteger(out, TABLE_SIZE_UPDATE, 5, pendingTableSizeUpdate);
+            pendingTableSizeUpdate = NO_UPDATE;
         }
-        for (HeaderField f : headers.fields()) {
-            encode(f, out);
+        for (HeaderField field : headers.fields()) {
+            encode(field, out);
         }
     }
 
     private void encode(HeaderField field, ByteBuf out) {
-        int whole = StaticTable.field(field);
-        if (whole > 0) {
-            integer(out, 0x80, 7, whole);
+        int staticIndex = StaticTable.indexOf(field);
+        if (staticIndex > 0) {
+            writeInteger(out, INDEXED, 7, staticIndex);
             return;
         }
-        if (SECRET.contains(field.name())) {
-            literal(out, 0x10, 4, field);
-        } else if (FLEETING.contains(field.name()) || field.size() > table.limit() / 4) {
-            literal(out, 0x00, 4, field);
+        if (NEVER_INDEXED.contains(field.name())) {
+            writeLiteral(out, LITERAL_NEVER_INDEXED, 4, field);
+        } else if (NOT_INDEXED.contains(field.name())
+                || field.size() > table.limit() / MAX_FIELD_SHARE) {
+            writeLiteral(out, LITERAL_NOT_INDEXED, 4, field);
         } else {
-            int at = table.find(field);
-            if (at >= 0) {
-                integer(out, 0x80, 7, StaticTable.SIZE + 1 + at);
+            int index = table.find(field);
+            if (index >= 0) {
+                writeInteger(out, INDEXED, 7, StaticTable.SIZE + 1 + index);
             } else {
-                literal(out, 0x40, 6, field);
+                writeLiteral(out, LITERAL_INDEXED, 6, field);
                 table.add(field);
             }
         }
     }
 
-    private void literal(ByteBuf out, int pattern, int prefixBits, HeaderField field) {
-        int name = StaticTable.name(field.name());
-        if (name == 0) {
-            int at = table.findName(field.name());
-            name = at < 0 ? 0 : StaticTable.SIZE + 1 + at;
+    private void writeLiteral(ByteBuf out, int pattern, int prefixBits, HeaderField field) {
+        int nameIndex = StaticTable.indexOfName(field.name());
+        if (nameIndex == 0) {
+            int index = table.findName(field.name());
+            nameIndex = index < 0 ? 0 : StaticTable.SIZE + 1 + index;
         }
-        integer(out, pattern, prefixBits, name);
-        if (name == 0) {
-            string(out, field.name());
+        writeInteger(out, pattern, prefixBits, nameIndex);
+        if (nameIndex == 0) {
+            writeString(out, field.name());
         }
-        string(out, field.value());
+        writeString(out, field.value());
     }
 
-    private static void string(ByteBuf out, String text) {
-        int coded = Huffman.length(text);
-        if (coded < text.length()) {
-            integer(out, 0x80, 7, coded);
+    private static void writeString(ByteBuf out, String text) {
+        int huffmanLength = Huffman.length(text);
+        if (huffmanLength < text.length()) {
+            writeInteger(out, HUFFMAN, 7, huffmanLength);
             Huffman.encode(text, out);
         } else {
-            integer(out, 0, 7, text.length());
+            writeInteger(out, 0, 7, text.length());
             out.writeCharSequence(text, StandardCharsets.ISO_8859_1);
         }
     }
 
-    private static void integer(ByteBuf out, int pattern, int prefixBits, int value) {
-        int most = (1 << prefixBits) - 1;
-        if (value < most) {
+    private static void writeInteger(ByteBuf out, int pattern, int prefixBits, int value) {
+        int prefixMask = (1 << prefixBits) - 1;
+        if (value < prefixMask) {
             out.writeByte(pattern | value);
             return;
         }
-        out.writeByte(pattern | most);
-        int rest = value - most;
+        out.writeByte(pattern | prefixMask);
+        int rest = value - prefixMask;
         while (rest >= 0x80) {
             out.writeByte(rest & 0x7F | 0x80);
             rest >>>= 7;
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/Huffman.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/Huffman.java
@@ -1,6 +1,7 @@
 package sorrelhoist.protocol.hpack;
 
 import io.netty.buffer.ByteBuf;
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
 /**
@@ -90,11 +91,11 @@
         for (int symbol = 0; symbol < SYMBOLS; symbol++) {
             int node = 0;
             for (int bit = LENGTHS[symbol] - 1; bit > 0; bit--) {
-                int way = CODES[symbol] >> bit & 1;
-                if (tree[node][way] == -1) {
-                    tree[node][way] = nodes++;
+                int branch = CODES[symbol] >> bit & 1;
+                if (tree[node][branch] == -1) {
+                    tree[node][branch] = nodes++;
                 }
-                node = tree[node][way];
+                node = tree[node][branch];
             }
             tree[node][CODES[symbol] & 1] = -2 - symbol;
         }
@@ -130,19 +131,19 @@
     }
 
     static void encode(String text, ByteBuf out) {
-        long held = 0;
+        long pending = 0;
         int bits = 0;
         for (int i = 0; i < text.length(); i++) {
             int symbol = text.charAt(i) & 0xFF;
-            held = held << LENGTHS[symbol] | CODES[symbol];
+            pending = pending << LENGTHS[symbol] | CODES[symbol];
             bits += LENGTHS[symbol];
             while (bits >= 8) {
                 bits -= 8;
-                out.writeByte((int) (held >> bits));
+                out.writeByte((int) (pending >> bits));
             }
         }
         if (bits > 0) {
-            out.writeByte((int) (held << 8 - bits | 0xFF >> bits));
+            out.writeByte((int) (pending << 8 - bits | 0xFF >> bits));
         }
     }
 
@@ -172,6 +173,6 @@
         if (!MAY_END[node]) {
             throw new HpackException("a Huffman-coded string ends in an incomplete code");
         }
-        return new String(text, 0, size, java.nio.charset.StandardCharsets.ISO_8859_1);
+        return new String(text, 0, size, StandardCharsets.ISO_8859_1);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/StaticTable.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/StaticTable.java
@@ -5,7 +5,7 @@
 
 /** The static table of RFC 7541, Appendix A; indices from 1. */
 final class StaticTable {
-    private static final String[][] ROWS = {
+    private static final String[][] ENTRIES = {
         {":authority", ""},
         {":method", "GET"},
         {":method", "POST"},
@@ -68,31 +68,33 @@
         {"via", ""},
         {"www-authenticate", ""}
     };
-    static final int SIZE = ROWS.length;
+    static final int SIZE = ENTRIES.length;
     private static final HeaderField[] FIELDS = new HeaderField[SIZE + 1];
-    private static final Map<String, Integer> NAMES = new HashMap<>();
-    private static final Map<HeaderField, Integer> WHOLE = new HashMap<>();
+    private static final Map<String, Integer> INDEX_OF_NAME = new HashMap<>();
+    private static final Map<HeaderField, Integer> INDEX_OF_FIELD = new HashMap<>();
 
     static {
         for (int i = SIZE; i >= 1; i--) {
-            FIELDS[i] = new HeaderField(ROWS[i - 1][0], ROWS[i - 1][1]);
-            NAMES.put(FIELDS[i].name(), i);
-            WHOLE.put(FIELDS[i], i);
+            FIELDS[i] = new HeaderField(ENTRIES[i - 1][0], ENTRIES[i - 1][1]);
+            INDEX_OF_NAME.put(FIELDS[i].name(), i);
+            INDEX_OF_FIELD.put(FIELDS[i], i);
         }
     }
 
     private StaticTable() {}
 
-    static HeaderField at(int index) {
+    /** {@return the field at an index} */
+    static HeaderField get(int index) {
         return FIELDS[index];
     }
 
     /** {@return the lowest index of this name, or 0} */
-    static int name(String name) {
-        return NAMES.getOrDefault(name, 0);
+    static int indexOfName(String name) {
+        return INDEX_OF_NAME.getOrDefault(name, 0);
     }
 
-    static int field(HeaderField field) {
-        return WHOLE.getOrDefault(field, 0);
+    /** {@return the index of an equal field, or 0} */
+    static int indexOf(HeaderField field) {
+        return INDEX_OF_FIELD.getOrDefault(field, 0);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
@@ -9,10 +9,11 @@
  *     take
  * @param streamWindow bytes that a stream may send before it is given credit, 1 to 2^31 - 1
  * @param connectionWindow the same for all streams together, 65,535 to 2^31 - 1
- * @param floodPointsPerSecond points that frames without use may cost a second; see {@link
+ * @param floodPointsPerSecond points that frames without content may cost a second; see {@link
  *     FrameRateLimiter}
  * @param floodPointsBurst points that may be saved up
- * @param stallTimeoutMicros how long a preface, a header block or one frame may take to come whole
+ * @param stallTimeoutMicros for which a preface, a header block or a frame may stay incomplete, in
+ *     microseconds
  * @param maxOutboundBytes bytes that may wait for a peer that does not read
  */
 public record Http2Limits(
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2StreamListener.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2StreamListener.java
@@ -9,18 +9,18 @@
      * A header list came: the response's, or trailers.
      *
      * @param headers the fields
-     * @param end whether the peer's side of the stream ends with it
+     * @param endStream whether the peer's side of the stream ends with it
      */
-    void onHeaders(Headers headers, boolean end);
+    void onHeaders(Headers headers, boolean endStream);
 
     /**
      * Data came. The user gives credit for it with {@link Http2Stream#consumeBytes}, at once or
      * later.
      *
      * @param data valid during the call only
-     * @param end whether the peer's side of the stream ends with it
+     * @param endStream whether the peer's side of the stream ends with it
      */
-    void onData(ByteBuf data, boolean end);
+    void onData(ByteBuf data, boolean endStream);
 
     /**
      * The stream ended before both sides had finished; nothing follows. Not called for what this
@@ -29,10 +29,10 @@
      * @param code the peer's code, or why the connection ended
      * @param unprocessed whether the peer says that it never looked at this stream (RFC 9113
      *     section 8.7)
-     * @param why for logs
+     * @param reason for logs
      */
-    void onReset(ErrorCode code, boolean unprocessed, String why);
+    void onReset(ErrorCode code, boolean unprocessed, String reason);
 
-    /** What waited to be sent has fallen to the stream's low mark. */
+    /** What waited to be sent has fallen to the stream's low-water mark. */
     default void onWritable() {}
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
@@ -8,24 +8,17 @@
  * proto3 has it.
  */
 public final class ProtoWriter {
-    private static final int DEFAULT_CAPACITY = 64;
+    private static final int INITIAL_CAPACITY = 64;
     private static final int MAX_VARINT_BYTES = 10;
     private static final int WIRE_TYPE_BITS = 3;
     private static final int VARINT = 0;
     private static final int FIXED64 = 1;
     private static final int BYTES = 2;
-    private byte[] data;
+    private byte[] data = new byte[INITIAL_CAPACITY];
     private int size;
 
     /** Makes an empty message. */
-    public ProtoWriter() {
-        this(DEFAULT_CAPACITY);
-    }
-
-    /** Makes an empty message with an initial capacity in bytes. */
-    public ProtoWriter(int initialCapacity) {
-        data = new byte[initialCapacity];
-    }
+    public ProtoWriter() {}
 
     /** Writes a field of type int32, int64, uint32, uint64 or enum. */
     public ProtoWriter writeVarint(int field, long value) {
--- a/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
@@ -3,6 +3,9 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.lang.management.ManagementFactory;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicLong;
 import sorrelhoist.protocol.engine.DecodeEvent;
@@ -56,26 +59,31 @@
             }
         }
         try {
-            switch (which) {
-                case 0 -> InferRequest.parse(bytes);
-                case 1 -> InferResponse.parseStreamResponse(bytes);
-                case 2 -> PlanEvent.parse(bytes);
-                case 3 -> DecodeEvent.parse(bytes);
-                case 4 -> DecodeRequest.parse(bytes);
-                case 5 -> {
-                    HpackDecoder decoder = new HpackDecoder(4096, 16 << 10);
-                    for (int i = 0; i < 3; i++) {
-                        decoder.decode(Unpooled.wrappedBuffer(bytes));
-                    }
-                }
-                default -> http(bytes, random);
-            }
+            decode(bytes, random, which);
         } catch (ProtoException | HpackException | HttpMessageDecoder.HttpDecodeException e) {
             return bytes.length;
         }
         return bytes.length;
     }
 
+    private static void decode(byte[] bytes, SplittableRandom random, int which)
+            throws ProtoException, HpackException, HttpMessageDecoder.HttpDecodeException {
+        switch (which) {
+            case 0 -> InferRequest.parse(bytes);
+            case 1 -> InferResponse.parseStreamResponse(bytes);
+            case 2 -> PlanEvent.parse(bytes);
+            case 3 -> DecodeEvent.parse(bytes);
+            case 4 -> DecodeRequest.parse(bytes);
+            case 5 -> {
+                HpackDecoder decoder = new HpackDecoder(4096, 16 << 10);
+                for (int i = 0; i < 3; i++) {
+                    decoder.decode(Unpooled.wrappedBuffer(bytes));
+                }
+            }
+            default -> http(bytes, random);
+        }
+    }
+
     private static void http(byte[] noise, SplittableRandom random)
             throws HttpMessageDecoder.HttpDecodeException {
         String text =
@@ -83,7 +91,7 @@
                         + (random.nextBoolean()
                                 ? "content-length: 9\r\n\r\n123456789"
                                 : "transfer-encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n");
-        byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
+        byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int i = random.nextInt(4); i > 0 && noise.length > 0; i--) {
             bytes[random.nextInt(bytes.length)] = noise[random.nextInt(noise.length)];
         }
@@ -108,38 +116,35 @@
         AtomicLong seeds = new AtomicLong(Long.parseLong(args[2]));
         AtomicLong bytes = new AtomicLong();
         long first = seeds.get();
-        Thread[] all = new Thread[threads];
+        List<Thread> all = new ArrayList<>();
         for (int i = 0; i < threads; i++) {
-            all[i] =
-                    new Thread(
-                            () -> {
-                                while (System.nanoTime() < end) {
-                                    for (int n = 0; n < 1000; n++) {
-                                        bytes.addAndGet(input(seeds.getAndIncrement()));
-                                    }
-                                }
-                            });
-            all[i].setUncaughtExceptionHandler(
-                    (t, e) -> {
+            Thread thread = new Thread(() -> run(end, seeds, bytes));
+            thread.setUncaughtExceptionHandler(
+                    (failed, e) -> {
                         e.printStackTrace();
                         Runtime.getRuntime().halt(1);
                     });
-            all[i].start();
+            thread.start();
+            all.add(thread);
+        }
+        for (Thread thread : all) {
+            thread.join();
         }
-        for (Thread t : all) {
-            t.join();
+        Runtime runtime = Runtime.getRuntime();
+        System.out.printf(
+                "%d inputs, %d MB, %d threads for %s s, no failure; heap in use %d MB%n",
+                seeds.get() - first,
+                bytes.get() / 1_000_000,
+                threads,
+                args[0],
+                (runtime.totalMemory() - runtime.freeMemory()) / 1_000_000);
+    }
+
+    private static void run(long endNanos, AtomicLong seeds, AtomicLong bytes) {
+        while (System.nanoTime() < endNanos) {
+            for (int n = 0; n < 1000; n++) {
+                bytes.addAndGet(input(seeds.getAndIncrement()));
+            }
         }
-        System.out.println(
-                (seeds.get() - first)
-                        + " inputs, "
-                        + bytes.get() / 1_000_000
-                        + " MB, "
-                        + threads
-                        + " threads for "
-                        + args[0]
-                        + " s, no failure; heap in use "
-                        + (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory())
-                                / 1_000_000
-                        + " MB");
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/hpack/HpackTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/hpack/HpackTest.java
@@ -7,6 +7,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
+import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.CharRange;
@@ -15,7 +16,8 @@
 
 /** The examples of RFC 7541, Appendix C, and what must be refused. */
 class HpackTest {
-    private static final String AGENT = "www.example.com";
+    private static final String AUTHORITY = "www.example.com";
+    private static final String RESIZE_TO_256 = "3fe101";
 
     private static ByteBuf hex(String hex) {
         return Unpooled.wrappedBuffer(ByteBufUtil.decodeHexDump(hex.replace(" ", "")));
@@ -30,7 +32,7 @@
     }
 
     private static Headers request(String... more) {
-        return of(":method", "GET", ":scheme", "http", ":path", "/", ":authority", AGENT)
+        return of(":method", "GET", ":scheme", "http", ":path", "/", ":authority", AUTHORITY)
                 .addAll(of(more));
     }
 
@@ -63,7 +65,7 @@
                         ":path",
                         "/index.html",
                         ":authority",
-                        AGENT,
+                        AUTHORITY,
                         "custom-key",
                         "custom-value");
         assertEquals(
@@ -79,71 +81,62 @@
         assertEquals(164, coded.tableOctets());
     }
 
-    @Test
-    void responsesOfAppendicesC5AndC6EvictFromATableOf256() throws HpackException {
-        Headers first =
-                of(
-                        ":status",
-                        "302",
-                        "cache-control",
-                        "private",
-                        "date",
-                        "Mon, 21 Oct 2013 20:13:21 GMT",
-                        "location",
-                        "https://www.example.com");
-        Headers second =
-                of(
+    private static Headers response(String status, String date, String... more) {
+        return of(
                         ":status",
-                        "307",
+                        status,
                         "cache-control",
                         "private",
                         "date",
-                        "Mon, 21 Oct 2013 20:13:21 GMT",
+                        date,
                         "location",
-                        "https://www.example.com");
-        Headers third =
-                of(
-                        ":status",
+                        "https://www.example.com")
+                .addAll(of(more));
+    }
+
+    /** The three responses of appendices C.5 and C.6, which evict from a table of 256 octets. */
+    private static void assertResponses(String first, String second, String third)
+            throws HpackException {
+        String date = "Mon, 21 Oct 2013 20:13:2";
+        HpackDecoder decoder = new HpackDecoder(256, 1 << 16);
+        assertEquals(response("302", date + "1 GMT"), decoder.decode(hex(RESIZE_TO_256 + first)));
+        assertEquals(222, decoder.tableOctets());
+        assertEquals(response("307", date + "1 GMT"), decoder.decode(hex(second)));
+        assertEquals(222, decoder.tableOctets());
+        assertEquals(
+                response(
                         "200",
-                        "cache-control",
-                        "private",
-                        "date",
-                        "Mon, 21 Oct 2013 20:13:22 GMT",
-                        "location",
-                        "https://www.example.com",
+                        date + "2 GMT",
                         "content-encoding",
                         "gzip",
                         "set-cookie",
-                        "foo=ASDJKHQKBZXOQWEOPIUAXQWEOIU; max-age=3600; version=1");
-        String resize = "3fe101";
-        String[][] both = {
-            {
-                resize
-                        + "4803333032580770726976617465611d4d6f6e2c203231204f637420323031332032303a31333a323120474d54"
-                        + "6e1768747470733a2f2f7777772e6578616d706c652e636f6d",
+                        "foo=ASDJKHQKBZXOQWEOPIUAXQWEOIU; max-age=3600; version=1"),
+                decoder.decode(hex(third)));
+        assertEquals(215, decoder.tableOctets());
+    }
+
+    @Test
+    void responsesOfAppendixC5EvictFromATableOf256() throws HpackException {
+        assertResponses(
+                "4803333032580770726976617465611d4d6f6e2c203231204f6374203230313320"
+                        + "32303a31333a323120474d546e1768747470733a2f2f7777772e6578616d70"
+                        + "6c652e636f6d",
                 "4803333037c1c0bf",
-                "88c1611d4d6f6e2c203231204f637420323031332032303a31333a323220474d54c05a04677a69707738666f6f3d41"
-                    + "53444a4b48514b425a584f5157454f50495541585157454f49553b206d61782d6167653d333630303b20766572736"
-                    + "96f6e3d31"
-            },
-            {
-                resize
-                        + "488264025885aec3771a4b6196d07abe941054d444a8200595040b8166e082a62d1bff6e919d29ad171863c78f0b97"
-                        + "c8e9ae82ae43d3",
+                "88c1611d4d6f6e2c203231204f637420323031332032303a31333a323220474d54"
+                        + "c05a04677a69707738666f6f3d4153444a4b48514b425a584f5157454f5049"
+                        + "5541585157454f49553b206d61782d6167653d333630303b2076657273696f"
+                        + "6e3d31");
+    }
+
+    @Test
+    void responsesOfAppendixC6EvictFromATableOf256() throws HpackException {
+        assertResponses(
+                "488264025885aec3771a4b6196d07abe941054d444a8200595040b8166e082a62d"
+                        + "1bff6e919d29ad171863c78f0b97c8e9ae82ae43d3",
                 "4883640effc1c0bf",
-                "88c16196d07abe941054d444a8200595040b8166e084a62d1bffc05a839bd9ab77ad94e7821dd7f2e6c7b335dfdfcd"
-                    + "5b3960d5af27087f3672c1ab270fb5291f9587316065c003ed4ee5b1063d5007"
-            }
-        };
-        for (String[] blocks : both) {
-            HpackDecoder d = new HpackDecoder(256, 1 << 16);
-            assertEquals(first, d.decode(hex(blocks[0])));
-            assertEquals(222, d.tableOctets());
-            assertEquals(second, d.decode(hex(blocks[1])));
-            assertEquals(222, d.tableOctets());
-            assertEquals(third, d.decode(hex(blocks[2])));
-            assertEquals(215, d.tableOctets());
-        }
+                "88c16196d07abe941054d444a8200595040b8166e084a62d1bffc05a839bd9ab77"
+                        + "ad94e7821dd7f2e6c7b335dfdfcd5b3960d5af27087f3672c1ab270fb5291f"
+                        + "9587316065c003ed4ee5b1063d5007");
     }
 
     @Test
@@ -205,7 +198,7 @@
 
     @Property(tries = 300, seed = "42")
     void whatIsEncodedIsDecoded(
-            @ForAll @Size(max = 20) java.util.List<@CharRange(from = 0, to = 255) String> values)
+            @ForAll @Size(max = 20) List<@CharRange(from = 0, to = 255) String> values)
             throws HpackException {
         HpackEncoder e = new HpackEncoder();
         HpackDecoder d = new HpackDecoder(4096, 1 << 20);
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
@@ -6,12 +6,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.zip.CRC32;
 import java.util.zip.Checksum;
 import sorrelhoist.protocol.grpc.GrpcServer;
 import sorrelhoist.protocol.grpc.ServerCall;
 import sorrelhoist.protocol.grpc.Status;
+import sorrelhoist.protocol.grpc.StatusCode;
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.hpack.HpackEncoder;
 import sorrelhoist.protocol.inference.InferRequest;
@@ -19,7 +21,7 @@
 
 /** Feeds a serving connection, gRPC and all, with conversations that were damaged by a seed. */
 public final class Fuzzed {
-    private static final int MOST_HELD = 64 << 10;
+    private static final int MAX_BUFFERED_BYTES = 64 << 10;
     private final SplittableRandom random;
 
     /** Makes one input's worth of damage. */
@@ -40,118 +42,100 @@
         HpackEncoder encoder = new HpackEncoder();
         List<ByteBuf> frames = new ArrayList<>();
         frames.add(Unpooled.copiedBuffer(Frames.PREFACE, StandardCharsets.US_ASCII));
-        frames.add(
-                frame(
-                        Frames.SETTINGS,
-                        0,
-                        0,
-                        Unpooled.buffer()
-                                .writeShort(1 + random.nextInt(6))
-                                .writeInt(
-                                        random.nextInt(4) == 0
-                                                ? random.nextInt()
-                                                : 1 << random.nextInt(24))));
+        frames.add(settings());
         int calls = 1 + random.nextInt(6);
         for (int i = 0; i < calls; i++) {
-            int id = 1 + 2 * i;
-            ByteBuf block = Unpooled.buffer();
-            encoder.encode(
-                    new Headers()
-                            .add(":method", "POST")
-                            .add(":scheme", "http")
-                            .add(":path", "/s/m")
-                            .add("content-type", "application/grpc")
-                            .add("x-" + random.nextInt(5), "v".repeat(random.nextInt(200))),
-                    block);
-            boolean split = random.nextInt(4) == 0;
-            int cut = split ? random.nextInt(block.readableBytes()) : block.readableBytes();
-            frames.add(
-                    frame(
-                            Frames.HEADERS,
-                            split ? 0 : Frames.END_HEADERS,
-                            id,
-                            block.readSlice(cut)));
-            if (split) {
-                frames.add(frame(Frames.CONTINUATION, Frames.END_HEADERS, id, block));
-            }
-            byte[] message =
-                    new InferRequest("m", "", "id", java.util.Map.of(), List.of(), List.of())
-                            .toByteArray();
-            frames.add(
-                    frame(
-                            Frames.DATA,
-                            Frames.END_STREAM,
-                            id,
-                            Unpooled.buffer()
-                                    .writeByte(0)
-                                    .writeInt(message.length)
-                                    .writeBytes(message)));
-            switch (random.nextInt(5)) {
-                case 0 ->
-                        frames.add(frame(Frames.RST_STREAM, 0, id, Unpooled.buffer().writeInt(8)));
-                case 1 ->
-                        frames.add(
-                                frame(
-                                        Frames.PING,
-                                        random.nextInt(2),
-                                        0,
-                                        Unpooled.buffer().writeLong(7)));
-                case 2 ->
-                        frames.add(
-                                frame(
-                                        Frames.WINDOW_UPDATE,
-                                        0,
-                                        random.nextInt(2) * id,
-                                        Unpooled.buffer().writeInt(random.nextInt())));
-                case 3 ->
-                        frames.add(
-                                frame(
-                                        Frames.GOAWAY,
-                                        0,
-                                        0,
-                                        Unpooled.buffer().writeInt(0).writeInt(0)));
-                default ->
-                        frames.add(
-                                frame(
-                                        random.nextInt(256),
-                                        random.nextInt(256),
-                                        random.nextInt(8),
-                                        Unpooled.buffer().writeZero(random.nextInt(40))));
-            }
+            int streamId = 1 + 2 * i;
+            addHeaders(encoder, streamId, frames);
+            frames.add(requestMessage(streamId));
+            frames.add(randomFrame(streamId));
         }
         return frames;
     }
 
+    private ByteBuf settings() {
+        int identifier = 1 + random.nextInt(6);
+        int value = random.nextInt(4) == 0 ? random.nextInt() : 1 << random.nextInt(24);
+        ByteBuf body = Unpooled.buffer().writeShort(identifier).writeInt(value);
+        return frame(Frames.SETTINGS, 0, 0, body);
+    }
+
+    private void addHeaders(HpackEncoder encoder, int streamId, List<ByteBuf> frames) {
+        Headers headers =
+                new Headers()
+                        .add(":method", "POST")
+                        .add(":scheme", "http")
+                        .add(":path", "/s/m")
+                        .add("content-type", "application/grpc")
+                        .add("x-" + random.nextInt(5), "v".repeat(random.nextInt(200)));
+        ByteBuf block = Unpooled.buffer();
+        encoder.encode(headers, block);
+        if (random.nextInt(4) > 0) {
+            frames.add(frame(Frames.HEADERS, Frames.END_HEADERS, streamId, block));
+            return;
+        }
+        int cut = random.nextInt(block.readableBytes());
+        frames.add(frame(Frames.HEADERS, 0, streamId, block.readSlice(cut)));
+        frames.add(frame(Frames.CONTINUATION, Frames.END_HEADERS, streamId, block));
+    }
+
+    private static ByteBuf requestMessage(int streamId) {
+        byte[] message =
+                new InferRequest("m", "", "id", Map.of(), List.of(), List.of()).toByteArray();
+        ByteBuf body = Unpooled.buffer().writeByte(0).writeInt(message.length).writeBytes(message);
+        return frame(Frames.DATA, Frames.END_STREAM, streamId, body);
+    }
+
+    private ByteBuf randomFrame(int streamId) {
+        ByteBuf body = Unpooled.buffer();
+        return switch (random.nextInt(5)) {
+            case 0 -> frame(Frames.RST_STREAM, 0, streamId, body.writeInt(8));
+            case 1 -> frame(Frames.PING, random.nextInt(2), 0, body.writeLong(7));
+            case 2 -> {
+                int updated = random.nextInt(2) * streamId;
+                yield frame(Frames.WINDOW_UPDATE, 0, updated, body.writeInt(random.nextInt()));
+            }
+            case 3 -> frame(Frames.GOAWAY, 0, 0, body.writeInt(0).writeInt(0));
+            default -> {
+                int type = random.nextInt(256);
+                int flags = random.nextInt(256);
+                int anyStream = random.nextInt(8);
+                yield frame(type, flags, anyStream, body.writeZero(random.nextInt(40)));
+            }
+        };
+    }
+
     private byte[] damaged() {
         List<ByteBuf> frames = conversation();
         for (int i = random.nextInt(3); i > 0 && frames.size() > 3; i--) {
-            int at = 1 + random.nextInt(frames.size() - 1);
-            switch (random.nextInt(3)) {
-                case 0 -> frames.remove(at);
-                case 1 -> frames.add(at, frames.get(1 + random.nextInt(frames.size() - 1)).copy());
-                default -> frames.add(1 + random.nextInt(frames.size() - 1), frames.remove(at));
-            }
+            damageOrder(frames);
         }
         ByteBuf all = Unpooled.buffer();
         frames.forEach(f -> all.writeBytes(f, f.readerIndex(), f.readableBytes()));
         int hits = random.nextInt(6);
         for (int i = 0; i < hits; i++) {
-            int at = random.nextInt(all.readableBytes());
-            all.setByte(
-                    at,
-                    random.nextBoolean()
-                            ? random.nextInt(256)
-                            : all.getByte(at) ^ 1 << random.nextInt(8));
+            int index = random.nextInt(all.readableBytes());
+            boolean replace = random.nextBoolean();
+            int value = replace ? random.nextInt(256) : all.getByte(index) ^ 1 << random.nextInt(8);
+            all.setByte(index, value);
         }
-        byte[] bytes =
-                new byte
-                        [random.nextInt(8) == 0
-                                ? random.nextInt(all.readableBytes())
-                                : all.readableBytes()];
+        boolean cut = random.nextInt(8) == 0;
+        int size = cut ? random.nextInt(all.readableBytes()) : all.readableBytes();
+        byte[] bytes = new byte[size];
         all.getBytes(0, bytes);
         return bytes;
     }
 
+    /** Removes, repeats or moves a frame behind the preface. */
+    private void damageOrder(List<ByteBuf> frames) {
+        int index = 1 + random.nextInt(frames.size() - 1);
+        switch (random.nextInt(3)) {
+            case 0 -> frames.remove(index);
+            case 1 -> frames.add(index, frames.get(1 + random.nextInt(frames.size() - 1)).copy());
+            default -> frames.add(1 + random.nextInt(frames.size() - 1), frames.remove(index));
+        }
+    }
+
     /** Feeds one damaged conversation. {@return bytes fed} */
     public int feed() {
         return feed(new CRC32());
@@ -162,51 +146,13 @@
      * fed}
      */
     int feed(Checksum sent) {
-        GrpcServer server =
-                new GrpcServer(10_000)
-                        .addMethod(
-                                "/s/m",
-                                call ->
-                                        new ServerCall.Listener() {
-                                            @Override
-                                            public void onMessage(byte[] message) {
-                                                try {
-                                                    InferRequest.parse(message);
-                                                    call.send(message);
-                                                } catch (ProtoException e) {
-                                                    call.close(
-                                                            new Status(
-                                                                    sorrelhoist.protocol.grpc
-                                                                            .StatusCode
-                                                                            .INVALID_ARGUMENT,
-                                                                    e.getMessage()),
-                                                            null);
-                                                }
-                                            }
-
-                                            @Override
-                                            public void onHalfClose() {
-                                                call.close(Status.OK, null);
-                                            }
-                                        });
+        GrpcServer server = new GrpcServer(10_000).addMethod("/s/m", EchoListener::new);
         Http2Connection connection =
                 Http2Connection.server(
                         Http2Limits.SERVER, server, new Http2Connection.Listener() {});
         EmbeddedChannel channel = new EmbeddedChannel(connection);
         byte[] bytes = damaged();
-        int at = 0;
-        while (at < bytes.length && channel.isOpen()) {
-            int part =
-                    Math.min(
-                            bytes.length - at,
-                            1 + random.nextInt(random.nextBoolean() ? 20 : 5000));
-            channel.writeInbound(Unpooled.copiedBuffer(bytes, at, part));
-            channel.runPendingTasks();
-            at += part;
-            if (connection.bufferedBytes() > MOST_HELD) {
-                throw new AssertionError("holds " + connection.bufferedBytes() + " bytes");
-            }
-        }
+        writeInPieces(bytes, connection, channel);
         channel.checkException();
         channel.close();
         channel.runPendingTasks();
@@ -220,4 +166,42 @@
         }
         return bytes.length;
     }
+
+    private void writeInPieces(byte[] bytes, Http2Connection connection, EmbeddedChannel channel) {
+        int written = 0;
+        while (written < bytes.length && channel.isOpen()) {
+            int maxPiece = random.nextBoolean() ? 20 : 5000;
+            int piece = Math.min(bytes.length - written, 1 + random.nextInt(maxPiece));
+            channel.writeInbound(Unpooled.copiedBuffer(bytes, written, piece));
+            channel.runPendingTasks();
+            written += piece;
+            if (connection.bufferedBytes() > MAX_BUFFERED_BYTES) {
+                throw new AssertionError("holds " + connection.bufferedBytes() + " bytes");
+            }
+        }
+    }
+
+    /** Sends each message back that can be read. */
+    private static final class EchoListener implements ServerCall.Listener {
+        private final ServerCall call;
+
+        EchoListener(ServerCall call) {
+            this.call = call;
+        }
+
+        @Override
+        public void onMessage(byte[] message) {
+            try {
+                InferRequest.parse(message);
+                call.send(message);
+            } catch (ProtoException e) {
+                call.close(new Status(StatusCode.INVALID_ARGUMENT, e.getMessage()), null);
+            }
+        }
+
+        @Override
+        public void onHalfClose() {
+            call.close(Status.OK, null);
+        }
+    }
 }
--- /dev/null
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/HostilePeerTest.java
@@ -0,0 +1,252 @@
+package sorrelhoist.protocol.http2;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.nio.charset.StandardCharsets;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.protocol.hpack.Headers;
+
+/** What a peer gets that breaks the rules, floods, or does not take what it asked for. */
+class HostilePeerTest {
+    private static final Headers OK = new Headers().add(":status", "200");
+
+    private static ByteBuf bytes(int n) {
+        return Unpooled.wrappedBuffer(new byte[n]);
+    }
+
+    private static void costsTheConnection(ErrorCode code, Consumer<RawClient> action) {
+        RawClient raw = new RawClient(Http2Limits.SERVER);
+        action.accept(raw);
+        assertEquals("GOAWAY " + code, raw.last(Frames.GOAWAY));
+        assertFalse(raw.channel.isOpen());
+    }
+
+    @Test
+    void framesOfAWrongSizeOrStreamCostTheConnectionWithTheCodeOfTheRfc() {
+        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, 0, 0, 1));
+        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, 0, 1, 1));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, Frames.PADDED, 1, 9, 1));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.RST_STREAM, 0, 1, 0, 0, 0, 0));
+        costsTheConnection(
+                ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.RST_STREAM, 0, 1, 0, 0, 0));
+        costsTheConnection(ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.PING, 0, 0, 1));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.PING, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
+        costsTheConnection(ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 1));
+        costsTheConnection(
+                ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.SETTINGS, Frames.ACK, 0, 1));
+    }
+
+    @Test
+    void malformedFramesCostTheConnectionWithTheCodeOfTheRfc() {
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 0, 2, 0, 0, 0, 7));
+        costsTheConnection(
+                ErrorCode.FLOW_CONTROL_ERROR,
+                r -> r.frame(Frames.SETTINGS, 0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 0, 5, 0, 0, 0, 1));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.WINDOW_UPDATE, 0, 0, 0, 0, 0, 0));
+        costsTheConnection(
+                ErrorCode.FLOW_CONTROL_ERROR,
+                r -> r.frame(Frames.WINDOW_UPDATE, 0, 0, 0x7f, 0xff, 0xff, 0xff));
+        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.CONTINUATION, 4, 1, 0));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.PUSH_PROMISE, 4, 1, 0, 0, 0, 2));
+        costsTheConnection(ErrorCode.COMPRESSION_ERROR, r -> r.frame(Frames.HEADERS, 5, 1, 0x80));
+        costsTheConnection(
+                ErrorCode.FRAME_SIZE_ERROR,
+                r ->
+                        r.send(
+                                Unpooled.buffer()
+                                        .writeMedium(1 << 20)
+                                        .writeByte(0)
+                                        .writeByte(0)
+                                        .writeInt(1)));
+        costsTheConnection(
+                ErrorCode.PROTOCOL_ERROR,
+                r -> {
+                    r.frame(Frames.HEADERS, 0, 1, 0x82);
+                    r.frame(Frames.PING, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+                });
+    }
+
+    private static void isAFlood(Consumer<RawClient> action) {
+        costsTheConnection(ErrorCode.ENHANCE_YOUR_CALM, action);
+    }
+
+    @Test
+    void floodsOfControlFramesCostTheConnection() {
+        isAFlood(
+                r -> {
+                    for (int i = 1; i < 4000; i += 2) {
+                        r.headers(i, Pair.REQUEST, true);
+                        r.frame(Frames.RST_STREAM, 0, i, 0, 0, 0, 8);
+                    }
+                });
+        isAFlood(
+                r -> {
+                    for (int i = 0; i < 4000; i++) {
+                        r.frame(Frames.PING, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+                    }
+                });
+        isAFlood(
+                r -> {
+                    for (int i = 0; i < 2000; i++) {
+                        r.frame(Frames.SETTINGS, 0, 0);
+                    }
+                });
+    }
+
+    @Test
+    void floodsOfEmptyAndTinyFramesCostTheConnection() {
+        isAFlood(
+                r -> {
+                    r.frame(Frames.HEADERS, 0, 1, 0x82);
+                    for (int i = 0; i < 2000; i++) {
+                        r.frame(Frames.CONTINUATION, 0, 1);
+                    }
+                });
+        isAFlood(
+                r -> {
+                    r.headers(1, Pair.REQUEST, false);
+                    for (int i = 0; i < 2000; i++) {
+                        r.frame(Frames.DATA, 0, 1);
+                    }
+                });
+        isAFlood(
+                r -> {
+                    r.headers(1, Pair.REQUEST, false);
+                    for (int i = 0; i < 20_000; i++) {
+                        r.frame(Frames.DATA, 0, 1, 7);
+                    }
+                });
+    }
+
+    @Test
+    void aHeaderListThatDecodesToTooMuchCostsTheConnection() {
+        Headers bomb =
+                new Headers().add(":method", "POST").add(":scheme", "http").add(":path", "/");
+        for (int i = 0; i < 500; i++) {
+            bomb.add("a", "b".repeat(60));
+        }
+        isAFlood(r -> r.headers(1, bomb, true));
+    }
+
+    @Test
+    void creditThatComesAfterTheEndCostsABusyClientNothing() {
+        Pair pair = new Pair(Http2Limits.SERVER.withFloodPoints(1, 50), Http2Limits.CLIENT, 0);
+        pair.autoCredit = false;
+        for (int i = 0; i < 300; i++) {
+            pair.open(true);
+            pair.pump();
+            Http2Stream stream = pair.opened.get(i);
+            stream.writeHeaders(new Headers().add(":status", "200"), false);
+            for (int k = 0; k < 8; k++) {
+                stream.writeData(Unpooled.wrappedBuffer(new byte[20]), k == 7);
+            }
+            pair.pump();
+            // Some clients end a stream once more instead of crediting the last frame.
+            for (int k = 0; k < 7; k++) {
+                pair.serverChannel.writeInbound(
+                        Frames.windowUpdate(pair.serverChannel.alloc(), stream.id(), 20));
+            }
+            pair.serverChannel.writeInbound(
+                    Frames.rstStream(pair.serverChannel.alloc(), stream.id(), ErrorCode.CANCEL));
+            assertTrue(pair.serverChannel.isOpen(), "after " + i + " requests");
+        }
+        for (int k = 0; k < 100 && pair.serverChannel.isOpen(); k++) {
+            pair.serverChannel.writeInbound(
+                    Frames.windowUpdate(pair.serverChannel.alloc(), pair.opened.get(0).id(), 20));
+        }
+        assertFalse(pair.serverChannel.isOpen(), "credit for nothing is still a flood");
+    }
+
+    @Test
+    void aStreamsOwnFaultCostsTheStreamAlone() {
+        RawClient raw = new RawClient(Http2Limits.SERVER);
+        raw.headers(1, new Headers().add(":method", "POST").add(":path", "/"), true);
+        assertEquals("RST_STREAM PROTOCOL_ERROR", raw.last(Frames.RST_STREAM));
+        raw.headers(3, new Headers().addAll(Pair.REQUEST).add("Upper", "x"), true);
+        assertEquals("RST_STREAM PROTOCOL_ERROR", raw.last(Frames.RST_STREAM));
+        raw.headers(5, Pair.REQUEST, true);
+        raw.frame(Frames.DATA, 0, 5, 1, 2, 3);
+        assertEquals("RST_STREAM STREAM_CLOSED", raw.last(Frames.RST_STREAM));
+        raw.headers(7, Pair.REQUEST, false);
+        for (int i = 0; i < 5; i++) {
+            raw.send(
+                    Unpooled.buffer()
+                            .writeMedium(16384)
+                            .writeByte(0)
+                            .writeByte(0)
+                            .writeInt(7)
+                            .writeZero(16384));
+        }
+        raw.headers(9, Pair.REQUEST, false);
+        raw.frame(Frames.WINDOW_UPDATE, 0, 9, 0x7f, 0xff, 0xff, 0xff);
+        assertEquals("RST_STREAM FLOW_CONTROL_ERROR", raw.last(Frames.RST_STREAM));
+        assertTrue(raw.channel.isOpen());
+    }
+
+    @Test
+    void aClientThatSpeaksNoHttp2IsToldSo() {
+        EmbeddedChannel channel =
+                new EmbeddedChannel(
+                        Http2Connection.server(
+                                Http2Limits.SERVER,
+                                (stream, headers, end) -> null,
+                                new Http2Connection.Listener() {}));
+        channel.writeInbound(
+                Unpooled.copiedBuffer("GET / HTTP/1.1\r\n\r\n", StandardCharsets.US_ASCII));
+        channel.runPendingTasks();
+        assertFalse(channel.isOpen());
+    }
+
+    @Test
+    void aHeaderBlockThatNeverEndsCostsTheConnectionInTime() throws InterruptedException {
+        RawClient raw = new RawClient(Http2Limits.SERVER.withStallTimeout(20_000));
+        raw.frame(Frames.HEADERS, 0, 1, 0x82);
+        long bound = System.nanoTime() + 5_000_000_000L;
+        while (raw.channel.isOpen() && System.nanoTime() < bound) {
+            raw.channel.runScheduledPendingTasks();
+            raw.channel.runPendingTasks();
+            Thread.onSpinWait();
+        }
+        assertFalse(raw.channel.isOpen());
+    }
+
+    @Test
+    void anAnswerThatItsClientNeverTakesIsGivenUpInTimeAndOthersAreNot() {
+        Pair pair =
+                new Pair(
+                        Http2Limits.SERVER.withStallTimeout(20_000),
+                        Http2Limits.CLIENT.withStreamWindow(100),
+                        0);
+        pair.autoCredit = false;
+        pair.open(true);
+        pair.open(true);
+        pair.pump();
+        pair.opened.forEach(stream -> stream.writeHeaders(OK, false));
+        pair.opened.get(0).writeData(bytes(500), true);
+        pair.opened.get(1).writeData(bytes(500), false);
+        pair.pump();
+        long bound = System.nanoTime() + 5_000_000_000L;
+        while (!pair.events.contains("client reset CANCEL false") && System.nanoTime() < bound) {
+            pair.serverChannel.runScheduledPendingTasks();
+            pair.pump();
+        }
+        assertTrue(pair.events.contains("client reset CANCEL false"), pair.events.toString());
+        assertTrue(pair.opened.get(0).isClosed());
+        assertFalse(pair.opened.get(1).isClosed());
+        assertEquals(400, pair.opened.get(1).pendingBytes());
+    }
+}
