--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameRateLimiter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameRateLimiter.java
@@ -51,6 +51,12 @@
         this.refilledAt = nanoClock.getAsLong();
     }
 
+    /** {@return a full bucket as the limits have it} */
+    static FrameRateLimiter of(Http2Limits limits) {
+        return new FrameRateLimiter(
+                limits.floodPointsPerSecond(), limits.floodPointsBurst(), System::nanoTime);
+    }
+
     /**
      * A DATA frame was sent, which the peer may well answer with a frame: a WINDOW_UPDATE for each
      * may come after the stream has ended (RFC 9113 section 5.1). Without this a client that is
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
@@ -78,9 +78,7 @@
         writer = new FrameWriter(channel, encoder, remote);
         streams = new StreamTable(server);
         lifecycle = new StreamLifecycle(server, streams, writer, this::streamClosed);
-        FrameRateLimiter rateLimiter =
-                new FrameRateLimiter(
-                        limits.floodPointsPerSecond(), limits.floodPointsBurst(), System::nanoTime);
+        FrameRateLimiter rateLimiter = FrameRateLimiter.of(limits);
         inboundFlow =
                 new InboundFlowController(limits.connectionWindow(), limits.streamWindow(), writer);
         outboundFlow =
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageBytesTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageBytesTest.java
@@ -153,6 +153,12 @@
                     DecodeEvent::parse);
             all.put(new Token(count(), text()).toByteArray(), Token::parse);
             all.put(new Finish(count(), count()).toByteArray(), Finish::parse);
+            addReservationMessages(all);
+            addStateTransferMessages(all);
+            return all;
+        }
+
+        private void addReservationMessages(Map<byte[], Parser> all) {
             all.put(
                     new ReserveRequest(text(), count(), count()).toByteArray(),
                     ReserveRequest::parse);
@@ -161,6 +167,9 @@
                     new ReleaseRequest(text(), text(), text(), count()).toByteArray(),
                     ReleaseRequest::parse);
             all.put(new ReleaseReply(flag()).toByteArray(), ReleaseReply::parse);
+        }
+
+        private void addStateTransferMessages(Map<byte[], Parser> all) {
             all.put(new FetchRequest(text(), text()).toByteArray(), FetchRequest::parse);
             all.put(new FetchReply(count(), wide(), text()).toByteArray(), FetchReply::parse);
             all.put(
@@ -172,7 +181,6 @@
             all.put(
                     new SnapshotChunk(count(), raw(), flag(), text(), raw()).toByteArray(),
                     SnapshotChunk::parse);
-            return all;
         }
 
         private Map<byte[], Parser> planMessages() {
