--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/ClientCall.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/ClientCall.java
@@ -28,7 +28,7 @@
         CANCELLED
     }
 
-    /** What the caller is told, on the channel's event loop. */
+    /** Events of the call, on the channel's event loop. */
     public interface Listener {
         /**
          * The server's first header list came.
@@ -39,8 +39,7 @@
         default void onHeaders(ClientCall call, Headers headers) {}
 
         /**
-         * A message came. {@link ClientCall#consumeBytes} gives the server leave to send as much
-         * again.
+         * A message came. {@link ClientCall#consumeBytes} lets the server send as much again.
          *
          * @param call the call
          * @param message the message
@@ -49,7 +48,7 @@
         void onMessage(ClientCall call, byte[] message, int wireBytes);
 
         /**
-         * The call is over; told once, and nothing after it.
+         * The call is over; called once, and nothing after it.
          *
          * @param call the call
          * @param status the server's, or what stands for it
@@ -78,7 +77,7 @@
      * @param path /package.Service/Method
      * @param metadata further fields, grpc-timeout among them, or null
      * @param maxMessageBytes bytes that one message of the server's may have
-     * @param listener who is told
+     * @param listener notified of its events
      */
     public ClientCall(String path, Headers metadata, int maxMessageBytes, Listener listener) {
         this.path = path;
@@ -118,7 +117,7 @@
         halfClosed = true;
     }
 
-    /** Gives up waiting: the server is told, the listener too. */
+    /** Cancels the call; the server and the listener are notified. */
     public void cancel() {
         if (!closed) {
             if (stream != null) {
@@ -131,7 +130,7 @@
         }
     }
 
-    /** {@return whether the listener was told of the end} */
+    /** {@return whether the listener was notified of the end} */
     public boolean isClosed() {
         return closed;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcChannel.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcChannel.java
@@ -19,7 +19,7 @@
  */
 public final class GrpcChannel implements Http2Connection.Listener {
     /**
-     * How connections are kept.
+     * Limits and timeouts of connections.
      *
      * @param maxConnections open at once
      * @param connectTimeoutMicros until an attempt to connect fails
@@ -53,7 +53,7 @@
      *
      * @param loop where everything runs
      * @param address 127.0.0.1:PORT
-     * @param options how connections are kept
+     * @param options limits and timeouts of connections
      */
     public GrpcChannel(EventLoop loop, String address, Options options) {
         this.loop = loop;
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcServer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcServer.java
@@ -17,7 +17,7 @@
          * A call began.
          *
          * @param call the call; may be closed at once
-         * @return who is told of the rest
+         * @return the listener for the rest of the call
          */
         ServerCall.Listener open(ServerCall call);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/ServerCall.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/ServerCall.java
@@ -9,7 +9,7 @@
 
 /** One call at its serving side. Every method is to be called on {@link #executor}. */
 public final class ServerCall implements Http2StreamListener {
-    /** What the method's implementation is told, on the call's executor. */
+    /** Events for the method's implementation, on the call's executor. */
     public interface Listener {
         /** A message of the client's. */
         void onMessage(byte[] message);
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackDecoder.java
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Decodes one whole block.
+     * Decodes one complete block.
      *
      * @param block read to its end
      * @return its fields
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameDecoder.java
@@ -22,7 +22,10 @@
         this.prefaceExpected = prefaceExpected;
     }
 
-    /** {@return what was kept and what came in one buffer; both are handed over} */
+    /**
+     * {@return the bytes kept from before and those received, in one buffer; takes ownership of
+     * both}
+     */
     ByteBuf join(ByteBufAllocator allocator, ByteBuf received) {
         if (!remainder.isReadable()) {
             return received;
@@ -75,7 +78,7 @@
         }
     }
 
-    /** Drops what was kept. */
+    /** Releases the bytes that were kept. */
     void release() {
         remainder.release();
         remainder = Unpooled.EMPTY_BUFFER;
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
@@ -26,7 +26,7 @@
          * @param stream the stream
          * @param headers its request's list, checked
          * @param endStream whether the client's side has ended with it
-         * @return who is told of the rest
+         * @return the listener for the rest of the stream
          */
         Http2StreamListener accept(Http2Stream stream, Headers headers, boolean endStream);
     }
@@ -42,7 +42,7 @@
         /** A stream ended: there is room for another. */
         default void onStreamClosed(Http2Connection connection) {}
 
-        /** The connection is gone, all its streams were told. */
+        /** The connection is closed, and all its listeners were notified. */
         default void onClosed(Http2Connection connection, String reason) {}
     }
 
@@ -198,7 +198,7 @@
      *
      * @param headers the request's list, pseudo-headers first
      * @param endStream whether nothing follows it
-     * @param streamListener who is told of the answer
+     * @param streamListener notified of the answer
      * @return the stream, or null where {@link #canOpenStream} is false
      */
     public Http2Stream openStream(
@@ -218,7 +218,7 @@
     }
 
     /**
-     * Ends the connection in good order: the peer is told to open no more streams, those open go
+     * Ends the connection in good order: the peer is asked to open no more streams, those open go
      * on, and the connection closes with the last. Streams already on their way are still taken
      * (RFC 9113 section 6.8).
      */
@@ -229,9 +229,9 @@
     }
 
     /**
-     * Ends the connection at once; all its streams are told.
+     * Ends the connection at once; the listeners of all its streams are notified.
      *
-     * @param code what the peer is told
+     * @param code sent to the peer
      * @param reason for the peer and for logs
      */
     public void close(ErrorCode code, String reason) {
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Exception.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Exception.java
@@ -1,8 +1,6 @@
 package sorrelhoist.protocol.http2;
 
-/**
- * What a peer did against RFC 9113: an error of one stream, or of the whole connection (stream 0).
- */
+/** What a peer did against RFC 9113: an error of one stream, or of the connection (stream 0). */
 public final class Http2Exception extends Exception {
     private static final long serialVersionUID = 1;
     private final ErrorCode code;
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
@@ -75,7 +75,7 @@
                 maxOutboundBytes);
     }
 
-    /** {@return the same with another time for a frame to come whole} */
+    /** {@return the same with another timeout for incomplete frames} */
     public Http2Limits withStallTimeout(long micros) {
         return new Http2Limits(
                 maxStreams,
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
@@ -112,9 +112,9 @@
     }
 
     /**
-     * Ends the stream at once; the listener is told nothing more.
+     * Ends the stream at once; the listener is not notified any more.
      *
-     * @param code what the peer is told
+     * @param code sent to the peer
      */
     public void reset(ErrorCode code) {
         if (!closed) {
@@ -152,7 +152,7 @@
         headersReceived = true;
     }
 
-    /** The stream is over: nothing of it is kept. */
+    /** The stream is over: releases all that it holds. */
     void close() {
         closed = true;
         sendQueue.release();
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2StreamListener.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2StreamListener.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** What a stream's user is told, on the connection's event loop and in the order of the wire. */
+/** Events of one stream, on the connection's event loop and in the order of the wire. */
 public interface Http2StreamListener {
     /**
      * A header list came: the response's, or trailers.
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/InboundFlowController.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/InboundFlowController.java
@@ -60,7 +60,7 @@
      *
      * @param stream the stream
      * @param bytes with padding
-     * @param padding of which no user is told
+     * @param padding bytes that no user is given
      */
     void onStreamData(Http2Stream stream, int bytes, int padding) throws Http2Exception {
         if (!stream.reduceReceiveWindow(bytes)) {
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/OutboundFlowController.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/OutboundFlowController.java
@@ -30,7 +30,7 @@
      * @param writer writes DATA
      * @param remote bounds frames
      * @param lifecycle ends streams whose data was sent
-     * @param rateLimiter told of each frame that was sent
+     * @param rateLimiter credited for each frame that is sent
      * @param stallTimeoutMicros for which a peer may leave the end of an answer untaken
      */
     OutboundFlowController(
@@ -138,8 +138,8 @@
 
     /**
      * An answer that is complete here and that its peer does not take, for zero windows or a socket
-     * that it does not read, would be held for as long as the peer likes. A stream whose user still
-     * writes is that user's to judge.
+     * that it does not read, would be buffered for as long as the peer likes. A stream whose user
+     * still writes is that user's to judge.
      */
     private void resetStalled() {
         long before = System.nanoTime() - stallTimeoutNanos;
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/RemoteSettings.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/RemoteSettings.java
@@ -16,7 +16,7 @@
      * Creates the settings as they are before the first frame.
      *
      * @param server whether this side serves
-     * @param encoder told of the peer's header table
+     * @param encoder follows the peer's limit on header tables
      */
     RemoteSettings(boolean server, HpackEncoder encoder) {
         this.server = server;
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLifecycle.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLifecycle.java
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Ends a stream with RST_STREAM; its listener is not told. */
+    /** Ends a stream with RST_STREAM; its listener is not notified. */
     void reset(Http2Stream stream, ErrorCode code) {
         close(stream);
         rejectFrames(stream.id(), code);
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/InferRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/InferRequest.java
@@ -14,7 +14,7 @@
  * @param modelName which model
  * @param modelVersion which version; empty for any
  * @param id the client's name for it; may be empty
- * @param parameters further wishes
+ * @param parameters further options
  * @param inputs input tensors
  * @param rawContents raw contents, one for each input, or none at all
  */
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoReader.java
@@ -28,7 +28,7 @@
     private int field;
     private int wireType;
 
-    /** Reads a whole array. */
+    /** Reads the message in an array. */
     public ProtoReader(byte[] data) {
         this(data, 0, data.length, 0);
     }
