--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
@@ -26,7 +26,7 @@
          * @param stream the stream
          * @param headers its request's list, checked
          * @param endStream whether the client's side has ended with it
-         * @return who is told of the rest
+         * @return the listener for the rest of the stream
          */
         Http2StreamListener accept(Http2Stream stream, Headers headers, boolean endStream);
     }
@@ -42,7 +42,7 @@
         /** A stream ended: there is room for another. */
         default void onStreamClosed(Http2Connection connection) {}
 
-        /** The connection is gone, all its streams were told. */
+        /** The connection is closed, and all its listeners were notified. */
         default void onClosed(Http2Connection connection, String reason) {}
     }
 
@@ -78,9 +78,7 @@
         writer = new FrameWriter(channel, encoder, remote);
         streams = new StreamTable(server);
         lifecycle = new StreamLifecycle(server, streams, writer, this::streamClosed);
-        FrameRateLimiter rateLimiter =
-                new FrameRateLimiter(
-                        limits.floodPointsPerSecond(), limits.floodPointsBurst(), System::nanoTime);
+        FrameRateLimiter rateLimiter = FrameRateLimiter.of(limits);
         inboundFlow =
                 new InboundFlowController(limits.connectionWindow(), limits.streamWindow(), writer);
         outboundFlow =
@@ -200,7 +198,7 @@
      *
      * @param headers the request's list, pseudo-headers first
      * @param endStream whether nothing follows it
-     * @param streamListener who is told of the answer
+     * @param streamListener notified of the answer
      * @return the stream, or null where {@link #canOpenStream} is false
      */
     public Http2Stream openStream(
@@ -220,7 +218,7 @@
     }
 
     /**
-     * Ends the connection in good order: the peer is told to open no more streams, those open go
+     * Ends the connection in good order: the peer is asked to open no more streams, those open go
      * on, and the connection closes with the last. Streams already on their way are still taken
      * (RFC 9113 section 6.8).
      */
@@ -231,9 +229,9 @@
     }
 
     /**
-     * Ends the connection at once; all its streams are told.
+     * Ends the connection at once; the listeners of all its streams are notified.
      *
-     * @param code what the peer is told
+     * @param code sent to the peer
      * @param reason for the peer and for logs
      */
     public void close(ErrorCode code, String reason) {
