--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyDecoderTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyDecoderTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void partsComeAsTheyArriveHoweverTheBytesAreCut() throws Exception {
+    void partsAreGivenAsTheyArriveHoweverTheBytesAreCut() throws Exception {
         String wire = "4;x=y\r\nabcd\r\n3\r\nefg\r\n0\r\nt: u\r\n\r\nHTTP";
         for (int cut = 0; cut <= wire.length(); cut++) {
             HttpBodyDecoder body = chunked();
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void spoiltFramingIsSaidAndNeverHeld() throws Exception {
+    void malformedFramingIsAnErrorAndNothingOfItIsKept() throws Exception {
         for (String bad :
                 new String[] {"xyz\r\n", "-1\r\n", "\r\n", "c0000000\r\n", "2\r\nabc\r\n", "4\n"}) {
             HttpBodyDecoder body = chunked();
@@ -84,7 +84,7 @@
 
     /** Behind noise nothing may follow: whoever waits for a line feed waits for its time-out. */
     @Test
-    void noiseIsSaidAtOnceWithoutALineFeed() throws Exception {
+    void noiseIsAnErrorBeforeAnyLineFeed() throws Exception {
         for (String noise : new String[] {"\u0007", "ICY", "HTTP/2", "http/1.1", " HTTP/1.1"}) {
             HttpHeadDecoder heads = new HttpHeadDecoder(false, 1000);
             assertThrows(HttpDecodeException.class, () -> heads.next(bytes(noise)), noise);
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpMessageDecoderTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpMessageDecoderTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void ambiguousAndHostileMessagesAreRefused() {
+    void ambiguousAndHostileMessagesAreErrors() {
         String head = "GET / HTTP/1.1\r\n";
         String[] bad = {
             "GET /\r\n\r\n",
@@ -98,7 +98,7 @@
     }
 
     @Property(tries = 300, seed = "42")
-    void anyBytesAreParsedOrRefused(@ForAll byte[] noise) {
+    void anyBytesAreDecodedOrAnError(@ForAll byte[] noise) {
         HttpMessageDecoder p = new HttpMessageDecoder(true, 1000);
         try {
             ByteBuf in = Unpooled.wrappedBuffer(noise);
