--- a/core/src/main/java/sorrelhoist/core/guard/InvariantMonitor.java
+++ b/core/src/main/java/sorrelhoist/core/guard/InvariantMonitor.java
@@ -9,13 +9,13 @@
  * Counts violations by name, and logs them: each name at most once a second. One thread at a time.
  */
 public final class InvariantMonitor {
-    private static final long LOG_EVERY_MICROS = 1_000_000;
+    private static final long LOG_INTERVAL_MICROS = 1_000_000;
     private final Consumer<String> log;
     private final Map<Invariant, Long> counts = new EnumMap<>(Invariant.class);
     private final Map<Invariant, Long> loggedAt = new EnumMap<>(Invariant.class);
 
     /**
-     * Makes one that has seen nothing.
+     * Creates a monitor without violations.
      *
      * @param log takes lines
      */
@@ -41,8 +41,8 @@
 
     private void violated(Invariant invariant, long now, Object subject) {
         counts.merge(invariant, 1L, Long::sum);
-        Long before = loggedAt.get(invariant);
-        if (before == null || now - before >= LOG_EVERY_MICROS) {
+        Long loggedBefore = loggedAt.get(invariant);
+        if (loggedBefore == null || now - loggedBefore >= LOG_INTERVAL_MICROS) {
             loggedAt.put(invariant, now);
             log.accept("invariant violated: " + invariant + ": " + subject);
         }
--- a/core/src/main/java/sorrelhoist/core/reservation/AttemptPurpose.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/AttemptPurpose.java
@@ -4,8 +4,8 @@
 public enum AttemptPurpose {
     /** Reads the prompt; its end may add a state. */
     PREFILL,
-    /** Fetches the state that is held, and answers. */
+    /** Uses what is reserved, and answers. */
     DECODE_RESERVED,
-    /** Reads the prompt by itself and answers; it takes nothing that is held. */
+    /** Reads the prompt by itself and answers; it uses nothing that is reserved. */
     PREFILL_AND_DECODE
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleasePolicy.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleasePolicy.java
@@ -5,7 +5,7 @@
  * taken or released, counted from the last outcome of its request.
  *
  * @param reach which engines can release a reservation
- * @param limitMicros the limit
+ * @param limitMicros the limit, in microseconds
  */
 public record ReleasePolicy(ReleaseReach reach, long limitMicros) {
     private static final int SETTLED_SHARE = 2;
@@ -22,9 +22,9 @@
     }
 
     /**
-     * {@return how long a read that was given up on may still end at its engine} Its connection is
-     * closed at once, but a release travels on another one and may overtake the close. Where
-     * releases name an attempt, the engine knows.
+     * {@return how long a cancelled prefill may still end at its engine} Its connection is closed
+     * at once, but a release travels on another one and may overtake the close. Where releases name
+     * an attempt, the engine knows.
      */
     public long settleMicros() {
         return reach == ReleaseReach.ANY_ENGINE ? limitMicros / SETTLED_SHARE : 0;
--- a/core/src/main/java/sorrelhoist/core/reservation/Reservation.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/Reservation.java
@@ -10,8 +10,8 @@
 
 /** The holds of one key, the attempt that may take them, and the calls that release them. */
 final class Reservation {
-    private static final int CALLS_AT_ONCE =
-            4; // that follow each other quickly; then each wait doubles
+    /** Calls that follow each other at the retry interval; then each wait doubles. */
+    private static final int CALLS_BEFORE_BACKOFF = 4;
 
     /**
      * A hold that is not known to be gone.
@@ -22,11 +22,11 @@
      */
     private record OpenHold(Hold hold, long provableFrom, boolean needed) {}
 
-    /** The attempt that is out. */
+    /** The running attempt. */
     private static final class Attempt {
         final AttemptPurpose purpose;
 
-        /** Whether nothing wanted the holds until this attempt went out. */
+        /** Whether the holds were being released until this attempt went out. */
         final boolean stoppedRelease;
 
         boolean written;
@@ -39,7 +39,7 @@
 
     final ReservationKey key;
 
-    /** The time of the table's alarm for it; Long.MAX_VALUE for none. */
+    /** The time of the table's timer for it; Long.MAX_VALUE for none. */
     long timerAt = Long.MAX_VALUE;
 
     private final ReleasePolicy policy;
@@ -63,8 +63,7 @@
         this.idleSince = now;
     }
 
-    // ---- What happens to its request
-    // ----------------------------------------------------------------------
+    // What happens to its request
 
     void opened(Hold hold, long now) {
         boolean possible = hold.certainty() == Certainty.POSSIBLE;
@@ -90,7 +89,7 @@
         }
     }
 
-    /** No attempt will take the states that are held; places may still be used. */
+    /** No attempt will use the prefill states; decode slots may still be used. */
     void prefillStatesUnneeded() {
         holds.replaceAll(
                 open ->
@@ -123,7 +122,7 @@
     }
 
     /**
-     * A stream began: its engine has taken all that was held, but for what a lost read may yet
+     * A stream began: its engine has taken all that was held, but for what a lost prefill may yet
      * leave.
      */
     void taken(long now) {
@@ -137,8 +136,7 @@
         return holds.isEmpty();
     }
 
-    // ---- Releases
-    // -----------------------------------------------------------------------------------------
+    // Releases
 
     /** {@return when the next call is due; Long.MAX_VALUE for never as things are} */
     long due() {
@@ -186,13 +184,14 @@
     void waitForAnswer(long now) {
         // The first few follow each other quickly, as the limit runs; after that it is too late for
         // haste.
-        callableFrom = now + (policy.retryMicros() << Math.max(0, callsMade - CALLS_AT_ONCE));
+        callableFrom =
+                now + (policy.retryMicros() << Math.max(0, callsMade - CALLS_BEFORE_BACKOFF));
         expiresAt = expiresAt == Long.MAX_VALUE ? now + policy.expiryMicros() : expiresAt;
     }
 
     /** A call ended without a release: another engine is asked, the first few at once. */
     void callFailed(long call, boolean others, long now) {
-        if (calls.remove(call) != null && others && callsMade < CALLS_AT_ONCE) {
+        if (calls.remove(call) != null && others && callsMade < CALLS_BEFORE_BACKOFF) {
             callableFrom = now;
         }
     }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
@@ -10,12 +10,12 @@
  * What requests have reserved at engines, until it is known to be gone: the one place where that is
  * kept.
  *
- * <p>A hold is opened by each outcome that can leave something, also by reads that were lost or
- * given up on. It ends by proof alone: a stream began, which has taken it; or an engine has
- * answered a release that was sent when nothing could be added to it any more. While an attempt
- * that takes it is with its engine, nothing is sent. In every other case a release is under way
- * after half the limit at the latest, counted from the request's last outcome; at once where the
- * request is over. Time runs on while an attempt's connection does not come up.
+ * <p>A hold is opened by each outcome that can leave something, also by prefills that were lost or
+ * cancelled. It ends by proof alone: a stream began, which has taken it; or an engine has answered
+ * a release that was sent when nothing could be added to it any more. While an attempt that takes
+ * it is with its engine, nothing is sent. In every other case a release is under way after half the
+ * limit at the latest, counted from the request's last outcome; at once where the request is over.
+ * Time runs on while an attempt's connection does not come up.
  *
  * <p>One thread at a time.
  */
@@ -55,8 +55,7 @@
         this.capacity = capacity;
     }
 
-    // ---- What happens to requests
-    // -------------------------------------------------------------------------
+    // What happens to requests
 
     /** Something is held, or may be. */
     public void opened(ReservationKey key, Hold hold, long now) {
@@ -69,7 +68,9 @@
         scheduleTimer(reservation);
     }
 
-    /** A read ended well. Calls for what an earlier one may have left would take its state away. */
+    /**
+     * A prefill ended well. Calls for what an earlier one may have left would take its state away.
+     */
     public void prefillCompleted(ReservationKey key, Hold state, long now) {
         update(key, this::abandonCalls);
         opened(key, state, now);
@@ -87,26 +88,26 @@
                 });
     }
 
-    /** The attempt that is out waits for a connection. */
+    /** The running attempt waits for a connection. */
     public void attemptConnecting(ReservationKey key) {
         update(key, Reservation::attemptConnecting);
     }
 
     /**
-     * No attempt will take the states that are held: the prompt is read anew, or they could not be
+     * No attempt will take the states that are held: the prompt is read again, or they could not be
      * fetched.
      */
     public void prefillStatesUnneeded(ReservationKey key) {
         update(key, Reservation::prefillStatesUnneeded);
     }
 
-    /** The last byte of the attempt that is out was written to a connection that stands. */
+    /** The last byte of the running attempt was written to a connection that stands. */
     public void attemptWritten(ReservationKey key) {
         update(key, Reservation::attemptWritten);
     }
 
     /**
-     * The attempt that was out ended.
+     * The running attempt ended.
      *
      * @param key whose
      * @param reached whether it can have reached its engine
@@ -132,7 +133,7 @@
                 });
     }
 
-    /** Nothing will take what is held: it is released at once, unless an attempt is out. */
+    /** Nothing will take what is held: it is released at once, unless an attempt runs. */
     public void unwanted(ReservationKey key, long now) {
         update(
                 key,
@@ -151,8 +152,7 @@
         }
     }
 
-    // ---- Calls
-    // --------------------------------------------------------------------------------------------
+    // Calls
 
     /**
      * A call ended.
@@ -213,7 +213,7 @@
         if (engine != null) {
             call(reservation, engine, now);
         } else if (policy.reach() == ReleaseReach.HOLDER) {
-            // Its engine left the list, and what it held went with it.
+            // Its engine left the endpoint list, and what it held went with it.
             abandonCalls(reservation);
             reservations.remove(reservation.key);
         } else {
@@ -261,8 +261,7 @@
         }
     }
 
-    // ---- For tests and logs
-    // -------------------------------------------------------------------------------
+    // For tests and logs
 
     /** {@return keys for which something is held or may be} */
     public int size() {
--- a/core/src/main/java/sorrelhoist/core/time/Backoff.java
+++ b/core/src/main/java/sorrelhoist/core/time/Backoff.java
@@ -2,36 +2,34 @@
 
 import java.util.SplittableRandom;
 
-/**
- * Waits between attempts at something that fails: doubling, with a random half so that peers part.
- */
+/** Delays between retries: doubling, with a random half so that clients do not retry together. */
 public final class Backoff {
-    private final long first;
-    private final long most;
+    private final long firstMicros;
+    private final long maxMicros;
     private final SplittableRandom random;
-    private long wait;
+    private long delayMicros;
 
     /**
-     * Makes one that has not waited yet.
+     * Creates a backoff without a failure.
      *
-     * @param firstMicros the first wait, above 0
-     * @param mostMicros the longest
+     * @param firstMicros the first delay, above 0, in microseconds
+     * @param maxMicros the longest delay, in microseconds
      * @param seed of the random half
      */
-    public Backoff(long firstMicros, long mostMicros, long seed) {
-        this.first = firstMicros;
-        this.most = mostMicros;
+    public Backoff(long firstMicros, long maxMicros, long seed) {
+        this.firstMicros = firstMicros;
+        this.maxMicros = maxMicros;
         this.random = new SplittableRandom(seed);
     }
 
     /** {@return microseconds to wait after one more failure} */
     public long nextDelayMicros() {
-        wait = wait == 0 ? first : Math.min(most, 2 * wait);
-        return wait / 2 + random.nextLong(wait / 2 + 1);
+        delayMicros = delayMicros == 0 ? firstMicros : Math.min(maxMicros, 2 * delayMicros);
+        return delayMicros / 2 + random.nextLong(delayMicros / 2 + 1);
     }
 
-    /** It worked: the next failure waits the first time again. */
+    /** A retry succeeded: the next failure waits for the first delay again. */
     public void reset() {
-        wait = 0;
+        delayMicros = 0;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/time/TimerQueue.java
+++ b/core/src/main/java/sorrelhoist/core/time/TimerQueue.java
@@ -4,43 +4,42 @@
 import java.util.PriorityQueue;
 
 /**
- * Things due at a time, in the order of their times and, among equals, of their setting. Time is
- * the caller's.
+ * Timers in the order of their times and, among equals, of their scheduling. Time is the caller's.
  *
- * @param <T> what is due
+ * @param <T> what a timer hands back
  */
 public final class TimerQueue<T> {
-    private record Entry<T>(long at, long order, T what) {}
+    private record Entry<T>(long at, long order, T payload) {}
 
     private final PriorityQueue<Entry<T>> queue =
             new PriorityQueue<>(
                     Comparator.<Entry<T>>comparingLong(Entry::at).thenComparingLong(Entry::order));
-    private long schedule;
+    private long scheduled;
 
-    /** Makes an empty set. */
+    /** Creates an empty queue. */
     public TimerQueue() {}
 
     /**
-     * Sets an alarm.
+     * Schedules a timer.
      *
-     * @param at microseconds
-     * @param what handed back by {@link #pollDue}
+     * @param at when it is due, in microseconds
+     * @param payload handed back by {@link #pollDue}
      */
-    public void schedule(long at, T what) {
-        queue.add(new Entry<>(at, schedule++, what));
+    public void schedule(long at, T payload) {
+        queue.add(new Entry<>(at, scheduled++, payload));
     }
 
-    /** {@return the time of the first, or Long.MAX_VALUE} */
+    /** {@return when the first is due, or Long.MAX_VALUE} */
     public long nextDueMicros() {
         return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().at();
     }
 
     /** {@return the first that is due, taken out, or null} */
     public T pollDue(long now) {
-        return nextDueMicros() <= now ? queue.poll().what() : null;
+        return nextDueMicros() <= now ? queue.poll().payload() : null;
     }
 
-    /** {@return how many are set} */
+    /** {@return how many are scheduled} */
     public int size() {
         return queue.size();
     }
--- a/core/src/test/java/sorrelhoist/core/request/Histories.java
+++ b/core/src/test/java/sorrelhoist/core/request/Histories.java
@@ -11,7 +11,11 @@
 import java.util.function.UnaryOperator;
 import sorrelhoist.core.record.DecisionListener;
 import sorrelhoist.core.time.TimerQueue;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * Random histories of a router in virtual time: clients that come and leave, engines that answer,
--- a/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
@@ -10,7 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.reservation.ReleaseReach;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.ServerLoad;
 
 /**
  * A router whose answers are events of its engines, and whose clients come again for the rest by
--- a/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
@@ -19,7 +19,13 @@
 import sorrelhoist.core.record.ReplayComparison;
 import sorrelhoist.core.record.RequestTimeline;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.Capabilities;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Seated;
+import sorrelhoist.routing.Routing.Server;
 
 /**
  * Histories of a router, recorded, and played again: every action must be the same, and every
--- a/core/src/test/java/sorrelhoist/core/request/RouterTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterTest.java
@@ -6,50 +6,22 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.record.DecisionListener;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.Routing.ServerState;
 
 /** One request at a time through each of its ways, with time in the test's hands. */
-class RouterTest {
-    private final List<Command> orders = new ArrayList<>();
-    private Router router = router(true, true);
-
-    private Router router(boolean cancel, boolean resumes) {
-        orders.clear();
-        Router r = new Router(Fleet.settings(cancel, resumes, 7), orders::add);
-        r.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
-        return r;
-    }
-
-    private <T extends Command> T last(Class<T> type) {
-        List<T> all = all(type);
-        assertTrue(!all.isEmpty(), "no " + type.getSimpleName());
-        return all.get(all.size() - 1);
-    }
-
-    private <T extends Command> List<T> all(Class<T> type) {
-        return orders.stream().filter(type::isInstance).map(type::cast).toList();
-    }
-
-    private Command.StartDecode placed(long at, int cls, int tokens, long timeout) {
-        router.requestArrived(at, Fleet.call(cls, tokens, timeout));
-        Command.StartPrefill read = last(Command.StartPrefill.class);
-        router.prefillCompleted(at + 10_000, read.attempt(), "s1", 0, ServerLoad.NONE);
-        return last(Command.StartDecode.class);
-    }
-
-    private void nothingLeft() {
-        assertEquals(0, router.metrics().openRequests());
-        assertEquals(0, router.metrics().knownRequests());
-        assertEquals(0, router.metrics().runningAttempts());
-        assertEquals(0, router.metrics().wantedReservations());
-    }
-
+class RouterTest extends RouterTestSupport {
     @Test
-    void enginesThatLeftAreForgottenHoweverTheListSaysIt() {
+    void enginesThatLeftAreForgottenByUpdatesAndCompleteLists() {
         Server first = Fleet.servers().get(0);
         for (int i = 0; i < 1000; i++) {
             Server fresh =
@@ -78,8 +50,8 @@
     }
 
     @Test
-    void aRequestIsReadThenWrittenThenServed() {
-        Command.StartDecode w = placed(0, Fleet.SAFE, 10, 0);
+    void aRequestIsPrefilledThenDecodedThenServed() {
+        Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, 0);
         assertEquals("s1", w.prefillState().stateId());
         for (int i = 0; i < 3; i++) {
             router.tokenReceived(20_000 + i, w.attempt(), i, "t", null);
@@ -88,69 +60,25 @@
         assertEquals(3, all(Command.DeliverToken.class).size());
         assertEquals(new RequestResult.Served(3), last(Command.FinishRequest.class).result());
         assertEquals(0, all(Command.ReleaseReservation.class).size());
-        nothingLeft();
-    }
-
-    @Test
-    void aClientThatLeavesBetweenReadAndWriteLeavesNothingHeld() {
-        long client = router.requestArrived(0, Fleet.call(Fleet.SAFE, 10, 0));
-        Command.StartDecode w = placedOf(client);
-        router.clientDisconnected(20_000, client);
-        assertEquals(w.attempt(), last(Command.CancelAttempt.class).attempt());
-        assertEquals("s1", last(Command.ReleaseReservation.class).prefillState());
-        assertEquals(0, all(Command.FinishRequest.class).size());
-        nothingLeft();
-    }
-
-    private Command.StartDecode placedOf(long client) {
-        router.prefillCompleted(
-                10_000, last(Command.StartPrefill.class).attempt(), "s1", 0, ServerLoad.NONE);
-        return last(Command.StartDecode.class);
+        assertNothingLeft();
     }
 
     @Test
-    void aReadGivenUpOnIsReleasedAtItsReader() {
+    void lateReportsOfACancelledAttemptChangeNothing() {
         long client = router.requestArrived(0, Fleet.call(Fleet.SAFE, 10, 0));
         Command.StartPrefill r = last(Command.StartPrefill.class);
         router.clientDisconnected(5_000, client);
-        Command.ReleaseReservation release = last(Command.ReleaseReservation.class);
-        assertEquals(r.engine(), release.engine());
-        assertEquals("", release.prefillState());
-        assertEquals(r.attempt().number(), release.upToAttempt());
-        nothingLeft();
-    }
-
-    @Test
-    void lateWordOfADroppedAttemptChangesNothing() {
-        long client = router.requestArrived(0, Fleet.call(Fleet.SAFE, 10, 0));
-        Command.StartPrefill r = last(Command.StartPrefill.class);
-        router.clientDisconnected(5_000, client);
-        int before = orders.size();
+        int before = commands.size();
         router.prefillCompleted(6_000, r.attempt(), "s", 0, ServerLoad.NONE);
         router.attemptFailed(7_000, r.attempt(), Outcome.ERROR, 0, ServerLoad.NONE);
         router.tokenReceived(7_000, r.attempt(), 0, "t", null);
-        assertEquals(before, orders.size());
-        nothingLeft();
+        assertEquals(before, commands.size());
+        assertNothingLeft();
     }
 
-    /**
-     * Decide goes back to a reader after a writer's error, with the first state still at its
-     * reader.
-     */
     @Test
-    void aStateIsLetGoWhenThePromptIsReadAnew() {
-        Command.StartDecode w = placed(0, Fleet.SAFE, 10, 0);
-        router.attemptFailed(20_000, w.attempt(), Outcome.ERROR, 0, ServerLoad.NONE);
-        assertEquals("s1", last(Command.ReleaseReservation.class).prefillState());
-        assertEquals(2, all(Command.StartPrefill.class).size());
-        router.prefillCompleted(
-                30_000, last(Command.StartPrefill.class).attempt(), "s2", 100, ServerLoad.NONE);
-        assertEquals("s2", last(Command.StartDecode.class).prefillState().stateId());
-    }
-
-    @Test
-    void aBrokenStreamGoesOnFromItsLastToken() {
-        Command.StartDecode w = placed(0, Fleet.SAFE, 10, 0);
+    void aBrokenStreamIsResumedFromItsLastToken() {
+        Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "a ", null);
         router.tokenReceived(30_000, w.attempt(), 1, "b ", null);
         router.attemptFailed(40_000, w.attempt(), Outcome.RESET, 0, ServerLoad.NONE);
@@ -168,32 +96,32 @@
                 all(Command.DeliverToken.class).stream().map(Command.DeliverToken::index).toList());
         assertEquals(1, all(Command.FinishRequest.class).size());
         assertEquals(new RequestResult.Served(3), last(Command.FinishRequest.class).result());
-        nothingLeft();
+        assertNothingLeft();
     }
 
     @Test
     void aBrokenStreamOfAnUnsafeClassFailsAtOnce() {
-        Command.StartDecode w = placed(0, Fleet.UNSAFE, 10, 0);
+        Command.StartDecode w = startedDecode(0, Fleet.UNSAFE, 10, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "a ", null);
         router.attemptFailed(40_000, w.attempt(), Outcome.RESET, 0, ServerLoad.NONE);
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
         assertEquals(1, all(Command.StartPrefill.class).size());
-        nothingLeft();
+        assertNothingLeft();
     }
 
     @Test
     void whereStreamsAreNotResumedABrokenOneFailsAtOnce() {
         router = router(true, false);
-        Command.StartDecode w = placed(0, Fleet.SAFE, 10, 0);
+        Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "a ", null);
         router.attemptFailed(40_000, w.attempt(), Outcome.ERROR, 0, ServerLoad.NONE);
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
-        nothingLeft();
+        assertNothingLeft();
     }
 
     @Test
-    void aSilentStreamIsTakenForDeadAfterWhatWasSeen() {
-        Command.StartDecode w = placed(0, Fleet.SAFE, 100, 0);
+    void aSilentStreamTimesOutByTheGapsThatWereSeen() {
+        Command.StartDecode w = startedDecode(0, Fleet.SAFE, 100, 0);
         long t = 20_000;
         for (int i = 0; i < 50; i++, t += 20_000) {
             router.tokenReceived(t, w.attempt(), i, "t ", null);
@@ -210,20 +138,20 @@
     @Test
     void tokensOutOfOrderAndAfterTheEndNeverReachTheClient() {
         router = router(true, false);
-        Command.StartDecode w = placed(0, Fleet.SAFE, 10, 0);
+        Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "a", null);
         router.tokenReceived(21_000, w.attempt(), 2, "c", null);
         router.tokenReceived(22_000, w.attempt(), 1, "b", null);
         assertEquals(1, all(Command.DeliverToken.class).size());
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
         assertEquals(1, all(Command.FinishRequest.class).size());
-        nothingLeft();
+        assertNothingLeft();
     }
 
     @Test
-    void anAnswerThatEndsShortOfItsCountIsNoAnswer() {
+    void anAnswerThatEndsShortOfItsCountFails() {
         router = router(true, false);
-        Command.StartDecode w = placed(0, Fleet.SAFE, 10, 0);
+        Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "a", null);
         router.tokenStreamCompleted(21_000, w.attempt(), 2, 0, ServerLoad.NONE);
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
@@ -231,7 +159,7 @@
 
     @Test
     void aStreamEndsBeforeItsClientsTimeIsUp() {
-        Command.StartDecode w = placed(0, Fleet.SAFE, 10, Fleet.SECOND);
+        Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, Fleet.SECOND);
         router.tokenReceived(20_000, w.attempt(), 0, "a", null);
         for (long t = 100_000; t < 980_000; t += 100_000) {
             router.advance(t);
@@ -242,21 +170,21 @@
                 assertInstanceOf(
                         RequestResult.Failed.class, last(Command.FinishRequest.class).result());
         assertTrue(failed.deadlineExceeded());
-        nothingLeft();
+        assertNothingLeft();
     }
 
     @Test
-    void everySilentEngineMeansAnAnswerByTheDeadline() {
+    void aRequestIsAnsweredByItsDeadlineThoughEveryEngineIsSilent() {
         router.requestArrived(0, Fleet.call(Fleet.SAFE, 10, 0));
         while (router.nextTimerAt() < 4 * Fleet.SECOND + 1 && router.metrics().openRequests() > 0) {
             router.advance(router.nextTimerAt());
         }
         assertEquals(1, all(Command.FinishRequest.class).size());
-        nothingLeft();
+        assertNothingLeft();
     }
 
     @Test
-    void whereCancelsAreNotAllowedAGoneClientsAttemptEndsByItself() {
+    void withoutCancellationADisconnectedClientsAttemptEndsByItself() {
         router = router(false, true);
         long client = router.requestArrived(0, Fleet.call(Fleet.SAFE, 10, 0));
         Command.StartPrefill r = last(Command.StartPrefill.class);
@@ -264,12 +192,12 @@
         assertEquals(0, all(Command.CancelAttempt.class).size());
         router.prefillCompleted(10_000, r.attempt(), "s1", 0, ServerLoad.NONE);
         assertEquals("s1", last(Command.ReleaseReservation.class).prefillState());
-        nothingLeft();
+        assertNothingLeft();
     }
 
     @Test
-    void aDrainingRouterRefusesWithAHintAndEndsTheRestWhenTold() {
-        Command.StartDecode w = placed(0, Fleet.SAFE, 10, 0);
+    void aDrainingRouterRejectsWithAHintAndFailsTheRestWhenTold() {
+        Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "a", null);
         router.startDraining();
         router.requestArrived(30_000, Fleet.call(Fleet.SAFE, 10, 0));
@@ -280,12 +208,12 @@
         router.failAllRequests(40_000, "the edge stops");
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
         assertEquals(2, all(Command.FinishRequest.class).size());
-        nothingLeft();
+        assertNothingLeft();
     }
 
     @Test
     void anEngineIsNotToBlameForAClientThatDoesNotRead() {
-        Command.StartDecode w = placed(0, Fleet.SAFE, 100, 0);
+        Command.StartDecode w = startedDecode(0, Fleet.SAFE, 100, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "t ", null);
         router.clientBackpressureChanged(30_000, 1, true);
         router.advance(2_900_000);
@@ -298,18 +226,18 @@
     }
 
     @Test
-    void aClientThatTakesNothingIsGivenUpInBoundedTime() {
-        Command.StartDecode w = placed(0, Fleet.SAFE, 100, 0);
+    void aStalledClientIsGivenUpInBoundedTime() {
+        Command.StartDecode w = startedDecode(0, Fleet.SAFE, 100, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "t ", null);
         router.clientBackpressureChanged(30_000, 1, true);
         router.advance(30_000 + Fleet.STALL);
         assertInstanceOf(RequestResult.Stalled.class, last(Command.FinishRequest.class).result());
         assertEquals(w.attempt(), last(Command.CancelAttempt.class).attempt());
-        nothingLeft();
+        assertNothingLeft();
     }
 
     @Test
-    void noStepOutsideTheTableIsTaken() {
+    void onlyListedPhaseTransitionsAreAllowed() {
         assertThrows(
                 IllegalStateException.class,
                 () -> RequestPhase.WAITING.after(RequestPhase.Transition.PREFILL_COMPLETED));
@@ -324,12 +252,6 @@
                 RequestPhase.DECODE_PENDING.after(RequestPhase.Transition.DECODE_FAILED));
     }
 
-    @Test
-    void aPlaceThatComesTooLateIsLetGo() {
-        router.decodeSlotAnswered(5, 99, "w1", true, "p1");
-        assertEquals("p1", last(Command.ReleaseReservation.class).decodeSlot());
-    }
-
     @Test
     void aRequestWhoseArrivalCouldNotBeTakenIsAnsweredByTheEndOfItsTime() {
         DecisionListener failing =
@@ -341,7 +263,7 @@
                         }
                     }
                 };
-        Router faulty = new Router(Fleet.settings(true, true, 7), orders::add, failing);
+        Router faulty = new Router(Fleet.settings(true, true, 7), commands::add, failing);
         faulty.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
         assertThrows(
                 IllegalStateException.class,
@@ -354,7 +276,7 @@
     }
 
     @Test
-    void anOrderThatCannotBeCarriedOutTakesNoOtherWithIt() {
+    void aCommandThatFailsStopsNoOther() {
         boolean[] failed = new boolean[1];
         Router faulty =
                 new Router(
@@ -364,7 +286,7 @@
                                 failed[0] = true;
                                 throw new IllegalStateException("a fault of the program's own");
                             }
-                            orders.add(order);
+                            commands.add(order);
                         });
         faulty.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
         for (int i = 0; i < 3; i++) {
@@ -383,8 +305,8 @@
     }
 
     @Test
-    void aRepeatThatMayHaveASecondEffectSaysByWhenItHasToLeave() {
-        Command.StartDecode first = placed(0, Fleet.KEYED, 10, 0);
+    void aKeyedRetryThatMayHaveRunSaysByWhenItHasToLeave() {
+        Command.StartDecode first = startedDecode(0, Fleet.KEYED, 10, 0);
         assertEquals(
                 Long.MAX_VALUE, first.sendByMicros(), "the first attempt may go out at any time");
         router.attemptFailed(20_000, first.attempt(), Outcome.RESET, 0, ServerLoad.NONE);
@@ -399,12 +321,12 @@
     }
 
     @Test
-    void aRepeatOfWhatNeverRanOrIsHarmlessMayLeaveAtAnyTime() {
-        Command.StartDecode neverRan = placed(0, Fleet.KEYED, 10, 0);
+    void aRetryOfWhatNeverRanOrIsIdempotentMayLeaveAtAnyTime() {
+        Command.StartDecode neverRan = startedDecode(0, Fleet.KEYED, 10, 0);
         router.attemptFailed(
                 20_000, neverRan.attempt(), Outcome.CONNECT_FAILED, 0, ServerLoad.NONE);
         assertEquals(Long.MAX_VALUE, last(Command.StartDecode.class).sendByMicros());
-        Command.StartDecode safe = placed(100_000, Fleet.SAFE, 10, 0);
+        Command.StartDecode safe = startedDecode(100_000, Fleet.SAFE, 10, 0);
         router.attemptFailed(120_000, safe.attempt(), Outcome.TIMED_OUT, 0, ServerLoad.NONE);
         router.prefillCompleted(
                 130_000, last(Command.StartPrefill.class).attempt(), "s2", 0, ServerLoad.NONE);
@@ -412,48 +334,8 @@
     }
 
     @Test
-    void aReleaseThatItsHolderDoesNotAnswerIsSentAgainUntilItDoes() {
-        long client = router.requestArrived(0, Fleet.call(Fleet.SAFE, 10, 0));
-        placedOf(client);
-        router.clientDisconnected(20_000, client);
-        assertEquals(1, all(Command.ReleaseReservation.class).size());
-        router.advance(20_000 + Fleet.RELEASE / 4);
-        Command.ReleaseReservation again = last(Command.ReleaseReservation.class);
-        assertEquals(2, all(Command.ReleaseReservation.class).size());
-        assertEquals("s1", again.prefillState());
-        assertEquals(all(Command.ReleaseReservation.class).get(0).engine(), again.engine());
-        router.releaseCompleted(20_000 + Fleet.RELEASE / 4, again.releaseId(), true);
-        assertEquals(0, router.metrics().reservationCount());
-        router.advance(10 * Fleet.RELEASE);
-        assertEquals(2, all(Command.ReleaseReservation.class).size());
-        assertEquals(0, router.metrics().expiredReleases());
-    }
-
-    @Test
-    void aReleaseThatItsHolderNeverAnswersIsReportedAndForgotten() {
-        long client = router.requestArrived(0, Fleet.call(Fleet.SAFE, 10, 0));
-        placedOf(client);
-        router.clientDisconnected(20_000, client);
-        for (long now = 20_000; now < 10 * Fleet.RELEASE; now += 10_000) {
-            router.advance(now);
-        }
-        assertEquals(1, all(Command.ReportExpiredRelease.class).size());
-        assertEquals(1, router.metrics().expiredReleases());
-        assertEquals(0, router.metrics().reservationCount());
-    }
-
-    /** Its reader may only be out of the writer's reach. */
-    @Test
-    void aStateThatAWriterCouldNotFetchIsReleasedAtItsReader() {
-        Command.StartDecode w = placed(0, Fleet.SAFE, 10, 0);
-        router.attemptFailed(20_000, w.attempt(), Outcome.FULL, 1, ServerLoad.NONE);
-        assertEquals("s1", last(Command.ReleaseReservation.class).prefillState());
-        assertEquals(w.prefillState().engine(), last(Command.ReleaseReservation.class).engine());
-    }
-
-    @Test
-    void anAttemptThatIsCutBeforeItWasWrittenNeverRan() {
-        Command.StartDecode w = placed(0, Fleet.KEYED, 10, 0);
+    void anAttemptThatTimesOutBeforeItWasWrittenNeverRan() {
+        Command.StartDecode w = startedDecode(0, Fleet.KEYED, 10, 0);
         router.attemptConnecting(10_000, w.attempt());
         while (all(Command.CancelAttempt.class).isEmpty()) {
             router.advance(router.nextTimerAt());
@@ -467,11 +349,4 @@
                 last(Command.StartDecode.class).sendByMicros(),
                 "no window runs for what never ran");
     }
-
-    @Test
-    void aPlaceThatMayBeHeldIsReleasedWhereItsRequestIsOver() {
-        router.decodeSlotUnknown(5, 99, "w1", "p1");
-        assertEquals("p1", last(Command.ReleaseReservation.class).decodeSlot());
-        assertEquals("w1", last(Command.ReleaseReservation.class).engine());
-    }
 }
