--- a/core/src/test/java/sorrelhoist/core/request/Fleet.java
+++ b/core/src/test/java/sorrelhoist/core/request/Fleet.java
@@ -79,6 +79,19 @@
         return all;
     }
 
+    /** {@return news that one of {@link #servers()} is gone} */
+    static Server goneServer(String id) {
+        Server server = servers().stream().filter(s -> s.id().equals(id)).findFirst().orElseThrow();
+        return new Server(
+                id,
+                server.zone(),
+                server.kind(),
+                server.cell(),
+                ServerState.GONE,
+                server.size(),
+                0);
+    }
+
     static InferenceRequest call(int cls, int maxTokens, long timeout) {
         return InferenceRequest.builder("x".repeat(400), 100, maxTokens)
                 .clientRequestId("c")
--- a/core/src/test/java/sorrelhoist/core/request/Histories.java
+++ b/core/src/test/java/sorrelhoist/core/request/Histories.java
@@ -83,46 +83,46 @@
         }
         for (long steps = 0; world.size() > 0 || router.metrics().openRequests() > 0; steps++) {
             now = Math.max(now, Math.min(world.nextDueMicros(), router.nextTimerAt()));
-            router.advance(now);
-            for (Runnable due = world.pollDue(now); due != null; due = world.pollDue(now)) {
-                due.run();
-            }
-            check();
+            advanceToNow();
             if (steps > 100_000) {
                 broken.add("no end");
                 return;
             }
         }
-        // What was let go or cut needs its last alarms; ticks go on for ever.
+        // What was released or timed out needs its last timers; periodic ones go on for ever.
         for (long until = now + 6 * Fleet.SECOND; router.nextTimerAt() <= until; ) {
             now = Math.max(now, router.nextTimerAt());
-            router.advance(now);
-            for (Runnable due = world.pollDue(now); due != null; due = world.pollDue(now)) {
-                due.run();
-            }
-            check();
-        }
-        if (router.metrics().knownRequests()
-                        + router.metrics().runningAttempts()
-                        + router.metrics().wantedReservations()
-                        + router.metrics().reservationCount()
-                > 0) {
-            broken.add(
-                    "left: "
-                            + router.metrics().knownRequests()
-                            + " known, "
-                            + router.metrics().runningAttempts()
-                            + " out, "
-                            + router.metrics().wantedReservations()
-                            + " held, "
-                            + router.metrics().reservationCount()
-                            + " reserved");
+            advanceToNow();
         }
+        checkNothingLeft();
         clients.values().stream()
                 .filter(c -> !c.ended && !c.gone)
                 .forEach(c -> broken.add("rule 1: no answer"));
     }
 
+    private void advanceToNow() {
+        router.advance(now);
+        for (Runnable due = world.pollDue(now); due != null; due = world.pollDue(now)) {
+            due.run();
+        }
+        check();
+    }
+
+    private void checkNothingLeft() {
+        RouterMetrics left = router.metrics();
+        int total = left.knownRequests() + left.runningAttempts();
+        total += left.wantedReservations() + left.reservationCount();
+        if (total > 0) {
+            broken.add(
+                    String.format(
+                            "left: %d known, %d out, %d held, %d reserved",
+                            left.knownRequests(),
+                            left.runningAttempts(),
+                            left.wantedReservations(),
+                            left.reservationCount()));
+        }
+    }
+
     private void arrive() {
         Client c = new Client();
         c.cls = random.nextInt(3);
--- a/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
@@ -19,6 +19,7 @@
 import sorrelhoist.core.record.ReplayComparison;
 import sorrelhoist.core.record.RequestTimeline;
 import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.Action;
 import sorrelhoist.routing.Routing.Arrived;
 import sorrelhoist.routing.Routing.Capabilities;
 import sorrelhoist.routing.Routing.Fail;
@@ -188,12 +189,36 @@
                         l ->
                                 l.entry() instanceof RecordEntry.Decision t
                                         && t.actions().stream()
-                                                .anyMatch(
-                                                        a ->
-                                                                a instanceof Fail f
-                                                                        && f.why().kind()
-                                                                                == Reason.Kind
-                                                                                        .REPEAT_UNSAFE));
+                                                .anyMatch(RecordedHistoriesTest::isUnsafeRepeat));
+    }
+
+    private static boolean isUnsafeRepeat(Action action) {
+        return action instanceof Fail failure && failure.why().kind() == Reason.Kind.REPEAT_UNSAFE;
+    }
+
+    private static RoutingSettings withTwoAttempts(RoutingSettings s) {
+        Capabilities l = s.capabilities();
+        return new RoutingSettings(
+                s.routers(),
+                s.self(),
+                s.zone(),
+                s.subscribesToDiscovery(),
+                s.overQuotaPriorityWeight(),
+                s.loadReportMode(),
+                s.classes(),
+                s.tenants(),
+                s.serverKinds(),
+                new Capabilities(
+                        2,
+                        l.cancel(),
+                        l.probes(),
+                        l.backoffHints(),
+                        l.maxBackoffMicros(),
+                        l.decodersMayPrefill(),
+                        l.gossip(),
+                        l.probeCost(),
+                        l.gossipCost()),
+                s.serverLimits());
     }
 
     @Test
@@ -204,30 +229,7 @@
             RoutingSettings s = tape.header().settings();
             ReplayComparison.Report same = ReplayComparison.compare(tape, s);
             assertEquals(same.requests(), same.unchanged(), "seed " + seed);
-            Capabilities l = s.capabilities();
-            RoutingSettings two =
-                    new RoutingSettings(
-                            s.routers(),
-                            s.self(),
-                            s.zone(),
-                            s.subscribesToDiscovery(),
-                            s.overQuotaPriorityWeight(),
-                            s.loadReportMode(),
-                            s.classes(),
-                            s.tenants(),
-                            s.serverKinds(),
-                            new Capabilities(
-                                    2,
-                                    l.cancel(),
-                                    l.probes(),
-                                    l.backoffHints(),
-                                    l.maxBackoffMicros(),
-                                    l.decodersMayPrefill(),
-                                    l.gossip(),
-                                    l.probeCost(),
-                                    l.gossipCost()),
-                            s.serverLimits());
-            ReplayComparison.Report fewer = ReplayComparison.compare(tape, two);
+            ReplayComparison.Report fewer = ReplayComparison.compare(tape, withTwoAttempts(s));
             int changed = fewer.newlyRejected().values().stream().mapToInt(n -> n).sum();
             assertEquals(
                     fewer.requests() - fewer.unchanged(),
--- a/core/src/test/java/sorrelhoist/core/request/ReservationOrdersTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationOrdersTest.java
@@ -29,16 +29,16 @@
     }
 
     private interface Play {
-        void play(List<ReservationWorld.Happening> events);
+        void play(List<ReservationEvent> events);
     }
 
-    private static void orders(List<ReservationWorld.Happening> before, int most, Play play) {
+    private static void orders(List<ReservationEvent> before, int most, Play play) {
         if (before.size() >= 2) {
             play.play(before);
         }
         if (before.size() < most) {
-            for (ReservationWorld.Happening next : ReservationWorld.Happening.values()) {
-                List<ReservationWorld.Happening> events = new ArrayList<>(before);
+            for (ReservationEvent next : ReservationEvent.values()) {
+                List<ReservationEvent> events = new ArrayList<>(before);
                 events.add(next);
                 orders(events, most, play);
             }
@@ -46,7 +46,7 @@
     }
 
     private static void play(
-            List<ReservationWorld.Happening> events,
+            List<ReservationEvent> events,
             ReservationWorld.Tail tail,
             boolean writersRead,
             List<String> broken) {
--- a/core/src/test/java/sorrelhoist/core/request/ReservationWorld.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationWorld.java
@@ -13,9 +13,7 @@
 import sorrelhoist.routing.Routing.ListUpdateKind;
 import sorrelhoist.routing.Routing.Outcome;
 import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Server;
 import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * Workers of the operators' platform around one router, in virtual time: they keep what reads leave
@@ -24,33 +22,6 @@
  * was with a worker.
  */
 final class ReservationWorld {
-    /**
-     * What can happen. Those that concern no attempt that is out change what becomes of the next
-     * one.
-     */
-    enum Happening {
-        READ_ENDS,
-        READ_LOST,
-        READ_ENDS_AND_IS_LOST,
-        READ_ENDS_AS_IT_IS_DROPPED,
-        READ_ENDS_LONG_AFTER_ITS_DROP,
-        WRITER_FULL,
-        STATE_NOT_FETCHED,
-        WRITER_RESET,
-        WRITER_ERROR,
-        NEXT_UNREACHABLE,
-        NEXT_CONNECTION_HANGS,
-        NEXT_READ_SWALLOWED,
-        TIME_PASSES,
-        CLIENT_GONE,
-        DEADLINE,
-        SAME_ID_AGAIN,
-        RELEASE_LOST,
-        RELEASE_REFUSED,
-        RELEASE_SLOW,
-        WORKER_GONE
-    }
-
     /** What becomes of attempts once all that was to happen has happened. */
     enum Tail {
         SERVED,
@@ -93,7 +64,7 @@
     private final Map<AttemptId, Out> out = new HashMap<>();
     private final Set<Long> abandoned = new HashSet<>();
     private final Set<String> gone = new HashSet<>();
-    private final ArrayDeque<Happening> releases = new ArrayDeque<>();
+    private final ArrayDeque<ReservationEvent> releases = new ArrayDeque<>();
     private final List<String> faults = new ArrayList<>();
     private Connecting next = Connecting.STANDS;
     private long endsAfterDrop = -1;
@@ -146,9 +117,9 @@
     }
 
     /** Plays one order. {@return what was wrong in it} */
-    List<String> play(List<Happening> events) {
+    List<String> play(List<ReservationEvent> events) {
         arrive();
-        for (Happening event : events) {
+        for (ReservationEvent event : events) {
             passTo(now + STEP);
             happen(event);
         }
@@ -210,7 +181,7 @@
     // ---- What happens
     // -------------------------------------------------------------------------------------
 
-    private void happen(Happening event) {
+    private void happen(ReservationEvent event) {
         Out attempt = out.values().stream().findFirst().orElse(null);
         boolean reading = attempt != null && attempt.read && attempt.reached;
         boolean writing = attempt != null && !attempt.read && attempt.reached && !attempt.streaming;
@@ -220,11 +191,7 @@
                     readEnds(attempt);
                 }
             }
-            case READ_LOST -> {
-                if (reading) {
-                    lose(attempt, Outcome.RESET, 0);
-                }
-            }
+            case READ_LOST -> loseIf(reading, attempt, Outcome.RESET, 0);
             case READ_ENDS_AND_IS_LOST -> {
                 if (reading) {
                     hold();
@@ -233,36 +200,15 @@
             }
             case READ_ENDS_AS_IT_IS_DROPPED -> endsAfterDrop = SOON;
             case READ_ENDS_LONG_AFTER_ITS_DROP -> endsAfterDrop = 2 * STEP;
-            case WRITER_FULL -> {
-                if (writing) {
-                    lose(attempt, Outcome.FULL, 0);
-                }
-            }
-            case STATE_NOT_FETCHED -> {
-                if (writing) {
-                    lose(attempt, Outcome.FULL, 1);
-                }
-            }
-            case WRITER_RESET -> {
-                if (writing) {
-                    lose(attempt, Outcome.RESET, 0);
-                }
-            }
-            case WRITER_ERROR -> {
-                if (writing) {
-                    lose(attempt, Outcome.ERROR, 0);
-                }
-            }
+            case WRITER_FULL -> loseIf(writing, attempt, Outcome.FULL, 0);
+            case STATE_NOT_FETCHED -> loseIf(writing, attempt, Outcome.FULL, 1);
+            case WRITER_RESET -> loseIf(writing, attempt, Outcome.RESET, 0);
+            case WRITER_ERROR -> loseIf(writing, attempt, Outcome.ERROR, 0);
             case NEXT_UNREACHABLE -> next = Connecting.FAILS;
             case NEXT_CONNECTION_HANGS -> next = Connecting.HANGS;
             case NEXT_READ_SWALLOWED -> next = Connecting.SWALLOWS;
             case TIME_PASSES -> passTo(now + Fleet.RELEASE / 2);
-            case CLIENT_GONE -> {
-                if (!answered) {
-                    answered = true;
-                    router.clientDisconnected(now, client);
-                }
-            }
+            case CLIENT_GONE -> disconnectClient();
             case DEADLINE -> passTo(now + BUDGET);
             case SAME_ID_AGAIN -> {
                 if (answered) {
@@ -270,34 +216,34 @@
                 }
             }
             case RELEASE_LOST, RELEASE_REFUSED, RELEASE_SLOW -> releases.add(event);
-            case WORKER_GONE -> {
-                if (attempt != null && gone.add(attempt.engine)) {
-                    Server server =
-                            Fleet.servers().stream()
-                                    .filter(s -> s.id().equals(attempt.engine))
-                                    .findFirst()
-                                    .orElseThrow();
-                    router.endpointsUpdated(
-                            now,
-                            ListUpdateKind.UPDATE,
-                            List.of(
-                                    new Server(
-                                            server.id(),
-                                            server.zone(),
-                                            server.kind(),
-                                            server.cell(),
-                                            ServerState.GONE,
-                                            server.size(),
-                                            0)));
-                    if (attempt.reached) {
-                        lose(attempt, Outcome.RESET, 0);
-                    }
-                }
-            }
+            case WORKER_GONE -> removeEngineOf(attempt);
             default -> throw new IllegalStateException("unknown " + event);
         }
     }
 
+    private void loseIf(boolean possible, Out attempt, Outcome outcome, long note) {
+        if (possible) {
+            lose(attempt, outcome, note);
+        }
+    }
+
+    private void disconnectClient() {
+        if (!answered) {
+            answered = true;
+            router.clientDisconnected(now, client);
+        }
+    }
+
+    private void removeEngineOf(Out attempt) {
+        if (attempt != null && gone.add(attempt.engine)) {
+            router.endpointsUpdated(
+                    now, ListUpdateKind.UPDATE, List.of(Fleet.goneServer(attempt.engine)));
+            if (attempt.reached) {
+                lose(attempt, Outcome.RESET, 0);
+            }
+        }
+    }
+
     private void readEnds(Out attempt) {
         end(attempt);
         hold();
@@ -427,18 +373,20 @@
     }
 
     private void release(Command.ReleaseReservation o) {
-        Happening fate = gone.contains(o.engine()) ? Happening.RELEASE_REFUSED : releases.poll();
-        if (fate == Happening.RELEASE_LOST) {
+        ReservationEvent fate =
+                gone.contains(o.engine()) ? ReservationEvent.RELEASE_REFUSED : releases.poll();
+        if (fate == ReservationEvent.RELEASE_LOST) {
             return;
         }
-        long arrives = fate == Happening.RELEASE_SLOW ? SLOW_RELEASE_ARRIVES : RELEASE_ARRIVES;
+        long arrives =
+                fate == ReservationEvent.RELEASE_SLOW ? SLOW_RELEASE_ARRIVES : RELEASE_ARRIVES;
         world.schedule(
                 now + arrives,
                 () -> {
                     if (abandoned.contains(o.releaseId())) {
                         return;
                     }
-                    if (fate == Happening.RELEASE_REFUSED) {
+                    if (fate == ReservationEvent.RELEASE_REFUSED) {
                         router.releaseCompleted(now, o.releaseId(), false);
                         return;
                     }
