--- a/core/src/test/java/sorrelhoist/core/request/Fleet.java
+++ b/core/src/test/java/sorrelhoist/core/request/Fleet.java
@@ -3,7 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import sorrelhoist.core.reservation.ReleaseReach;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.Routing.Capabilities;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.Routing.LoadReportMode;
+import sorrelhoist.routing.Routing.RequestClass;
+import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerKind;
+import sorrelhoist.routing.Routing.ServerLimits;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * Small settings and engines for tests: two readers and three writers, one class of each kind of
@@ -69,6 +79,19 @@
         return all;
     }
 
+    /** {@return news that one of {@link #servers()} is gone} */
+    static Server goneServer(String id) {
+        Server server = servers().stream().filter(s -> s.id().equals(id)).findFirst().orElseThrow();
+        return new Server(
+                id,
+                server.zone(),
+                server.kind(),
+                server.cell(),
+                ServerState.GONE,
+                server.size(),
+                0);
+    }
+
     static InferenceRequest call(int cls, int maxTokens, long timeout) {
         return InferenceRequest.builder("x".repeat(400), 100, maxTokens)
                 .clientRequestId("c")
