--- a/lab/src/main/java/sorrelhoist/lab/soak/Invariant.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/Invariant.java
@@ -23,8 +23,8 @@
     /** Events are passed on as they come. */
     EVENTS_IN_TIME,
     /**
-     * A stream that is ended as complete is complete, and one that its worker finished reaches
-     * its end.
+     * A stream that is ended as complete is complete, and one that its worker finished reaches its
+     * end.
      */
     WHOLE_STREAMS,
     /** A router is ready in time after its start. */
