--- a/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
@@ -1,9 +1,23 @@
 package sorrelhoist.app.command;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Function;
+import java.util.function.Predicate;
+import java.util.function.UnaryOperator;
+import java.util.stream.Stream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-
 import sorrelhoist.app.config.Config;
 import sorrelhoist.core.explain.ReasonFormatter;
 import sorrelhoist.core.record.CorruptRecordException;
@@ -19,22 +33,6 @@
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Locale;
-import java.util.Map;
-import java.util.Objects;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.function.Function;
-import java.util.function.Predicate;
-import java.util.function.UnaryOperator;
-import java.util.stream.Stream;
-
 /** Works on the record of an edge's decisions. */
 @Command(
         name = "record",
--- a/core/src/main/java/sorrelhoist/core/explain/ReasonFormatter.java
+++ b/core/src/main/java/sorrelhoist/core/explain/ReasonFormatter.java
@@ -1,8 +1,7 @@
 package sorrelhoist.core.explain;
 
-import sorrelhoist.routing.Reason;
-
 import java.util.Locale;
+import sorrelhoist.routing.Reason;
 
 /** A decision's reason in plain words: for a client's status, a log line, or a timeline. */
 public final class ReasonFormatter {
--- a/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
+++ b/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
@@ -1,14 +1,13 @@
 package sorrelhoist.core.members;
 
-import sorrelhoist.core.members.EngineTable.ListedEngine;
-import sorrelhoist.routing.Routing.ServerState;
-
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import sorrelhoist.core.members.EngineTable.ListedEngine;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * A planner's list of engines: what the registry lists, read as engines that serve, drain or are
--- a/core/src/main/java/sorrelhoist/core/members/EngineTable.java
+++ b/core/src/main/java/sorrelhoist/core/members/EngineTable.java
@@ -1,13 +1,12 @@
 package sorrelhoist.core.members;
 
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * A router's own view of the engines: turns names of zones, racks and kinds into the numbers that
--- a/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
+++ b/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
@@ -1,5 +1,10 @@
 package sorrelhoist.core.record;
 
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing.Action;
@@ -9,12 +14,6 @@
 import sorrelhoist.routing.Routing.Release;
 import sorrelhoist.routing.Routing.Send;
 
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-
 /**
  * Reports when a rule came close to being broken, or service degraded, so that the record around it
  * is preserved: an answer at the last moment, a prefill state held almost too long, or many failed
--- a/core/src/main/java/sorrelhoist/core/record/ChunkWriter.java
+++ b/core/src/main/java/sorrelhoist/core/record/ChunkWriter.java
@@ -1,8 +1,7 @@
 package sorrelhoist.core.record;
 
-import sorrelhoist.routing.Routing;
-
 import java.util.List;
+import sorrelhoist.routing.Routing;
 
 /** Encodes one chunk after the other; see {@link ChunkCodec} for their form. */
 final class ChunkWriter {
--- a/core/src/main/java/sorrelhoist/core/record/DecisionListener.java
+++ b/core/src/main/java/sorrelhoist/core/record/DecisionListener.java
@@ -1,11 +1,10 @@
 package sorrelhoist.core.record;
 
+import java.util.List;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Routing.Action;
 import sorrelhoist.routing.Routing.Event;
 
-import java.util.List;
-
 /**
  * Is told of all that a router's decisions are given and answer, on the router's thread. A listener
  * must not block or change anything.
--- a/core/src/main/java/sorrelhoist/core/record/EntryTags.java
+++ b/core/src/main/java/sorrelhoist/core/record/EntryTags.java
@@ -1,10 +1,9 @@
 package sorrelhoist.core.record;
 
-import sorrelhoist.routing.Routing;
-
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import sorrelhoist.routing.Routing;
 
 /**
  * The numbers by which entries, events and actions are stored: their places in these lists. A
--- a/core/src/main/java/sorrelhoist/core/record/RecordCodec.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordCodec.java
@@ -1,7 +1,5 @@
 package sorrelhoist.core.record;
 
-import sorrelhoist.routing.Reason;
-
 import java.lang.invoke.MethodHandle;
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.MethodType;
@@ -10,6 +8,7 @@
 import java.util.List;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
+import sorrelhoist.routing.Reason;
 
 /**
  * Writes and reads any Java record made of integers, fractions, flags, texts, enums, records and
--- a/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
@@ -1,11 +1,10 @@
 package sorrelhoist.core.record;
 
+import java.util.List;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing;
 
-import java.util.List;
-
 /**
  * One entry of a record, in the order in which things happened. Times are microseconds on the
  * router's clock. Components and constants are stored by their order: new ones come last.
--- a/core/src/main/java/sorrelhoist/core/record/Recorder.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recorder.java
@@ -1,12 +1,11 @@
 package sorrelhoist.core.record;
 
+import java.util.List;
+import java.util.function.Predicate;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Routing.Action;
 import sorrelhoist.routing.Routing.Event;
 
-import java.util.List;
-import java.util.function.Predicate;
-
 /**
  * Encodes what it is told into chunks, at once and in memory, and hands each chunk on when it is
  * full or old. Where the sink has no room, the chunk is dropped, its entries are counted, and the
--- a/core/src/main/java/sorrelhoist/core/record/RecordingAnonymizer.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingAnonymizer.java
@@ -1,5 +1,8 @@
 package sorrelhoist.core.record;
 
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import sorrelhoist.routing.Routing.Arrived;
 import sorrelhoist.routing.Routing.AttemptEnded;
 import sorrelhoist.routing.Routing.Event;
@@ -10,10 +13,6 @@
 import sorrelhoist.routing.Routing.Server;
 import sorrelhoist.routing.Routing.StreamStarted;
 
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-
 /**
  * Replaces the names in a recording by neutral ones, so that it can be given to others: those of
  * servers, sessions, shared prefixes, requests and the router. Equal names stay equal. As servers
--- a/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
@@ -1,14 +1,13 @@
 package sorrelhoist.core.record;
 
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.TimerFired;
-
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.TimerFired;
 
 /**
  * Shortens a recording to few events that still show something, by delta debugging (Zeller and
--- a/core/src/main/java/sorrelhoist/core/record/Replay.java
+++ b/core/src/main/java/sorrelhoist/core/record/Replay.java
@@ -1,14 +1,13 @@
 package sorrelhoist.core.record;
 
-import sorrelhoist.routing.Routing;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.RoutingPolicy;
-
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
+import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.RoutingPolicy;
 
 /**
  * Feeds a recording's events to a new {@link RoutingPolicy} and compares its actions with those
--- a/core/src/main/java/sorrelhoist/core/record/ReplayComparison.java
+++ b/core/src/main/java/sorrelhoist/core/record/ReplayComparison.java
@@ -1,5 +1,10 @@
 package sorrelhoist.core.record;
 
+import java.util.EnumMap;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing.Action;
 import sorrelhoist.routing.Routing.Arrived;
@@ -10,12 +15,6 @@
 import sorrelhoist.routing.Routing.RoutingSettings;
 import sorrelhoist.routing.Routing.Send;
 
-import java.util.EnumMap;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-
 /**
  * Compares what was decided in a recording with what another build, or other settings, would have
  * decided at the same places. Outcomes stay those of the recording, so a request is compared up to
--- a/core/src/main/java/sorrelhoist/core/record/RequestTimeline.java
+++ b/core/src/main/java/sorrelhoist/core/record/RequestTimeline.java
@@ -1,12 +1,11 @@
 package sorrelhoist.core.record;
 
-import sorrelhoist.routing.Routing.Action;
-
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.regex.Pattern;
+import sorrelhoist.routing.Routing.Action;
 
 /** Everything that a recording holds of one client's request, as lines of text. */
 public final class RequestTimeline {
--- a/core/src/main/java/sorrelhoist/core/record/SegmentReader.java
+++ b/core/src/main/java/sorrelhoist/core/record/SegmentReader.java
@@ -1,9 +1,8 @@
 package sorrelhoist.core.record;
 
-import sorrelhoist.routing.Routing;
-
 import java.util.ArrayList;
 import java.util.List;
+import sorrelhoist.routing.Routing;
 
 /** Decodes segment files; see {@link ChunkCodec} for their form. */
 final class SegmentReader {
--- a/core/src/main/java/sorrelhoist/core/record/TimelineText.java
+++ b/core/src/main/java/sorrelhoist/core/record/TimelineText.java
@@ -1,5 +1,7 @@
 package sorrelhoist.core.record;
 
+import java.util.Locale;
+import java.util.Optional;
 import sorrelhoist.core.explain.ReasonFormatter;
 import sorrelhoist.routing.Routing.Action;
 import sorrelhoist.routing.Routing.Arrived;
@@ -16,9 +18,6 @@
 import sorrelhoist.routing.Routing.Timer;
 import sorrelhoist.routing.Routing.TimerFired;
 
-import java.util.Locale;
-import java.util.Optional;
-
 /** The texts of a request's timeline; operators read them, and docs/ops quotes some. */
 final class TimelineText {
     private static final double MICROS_PER_MILLI = 1000;
--- a/core/src/main/java/sorrelhoist/core/record/ValueCodec.java
+++ b/core/src/main/java/sorrelhoist/core/record/ValueCodec.java
@@ -1,11 +1,10 @@
 package sorrelhoist.core.record;
 
-import sorrelhoist.routing.Reason;
-
 import java.lang.reflect.ParameterizedType;
 import java.lang.reflect.Type;
 import java.util.ArrayList;
 import java.util.List;
+import sorrelhoist.routing.Reason;
 
 /** Writes and reads one value that is no plain number: the kinds that records are made of. */
 interface ValueCodec {
--- a/core/src/main/java/sorrelhoist/core/statetransfer/KeyDigest.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KeyDigest.java
@@ -1,11 +1,10 @@
 package sorrelhoist.core.statetransfer;
 
-import sorrelhoist.routing.Knowledge;
-
 import java.nio.ByteBuffer;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import sorrelhoist.routing.Knowledge;
 
 /**
  * The keys that a receiving router has already, as a hash of four bytes each. Where two keys have
--- a/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeDecoder.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeDecoder.java
@@ -1,12 +1,5 @@
 package sorrelhoist.core.statetransfer;
 
-import sorrelhoist.core.statetransfer.KnowledgeCodec.CorruptKnowledgeException;
-import sorrelhoist.routing.Knowledge;
-import sorrelhoist.routing.Knowledge.PrefixEntry;
-import sorrelhoist.routing.Knowledge.PrefixHolder;
-import sorrelhoist.routing.Knowledge.RegressionSums;
-import sorrelhoist.routing.Knowledge.ServerHealth;
-
 import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
 import java.io.EOFException;
@@ -15,6 +8,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import sorrelhoist.core.statetransfer.KnowledgeCodec.CorruptKnowledgeException;
+import sorrelhoist.routing.Knowledge;
+import sorrelhoist.routing.Knowledge.PrefixEntry;
+import sorrelhoist.routing.Knowledge.PrefixHolder;
+import sorrelhoist.routing.Knowledge.RegressionSums;
+import sorrelhoist.routing.Knowledge.ServerHealth;
 
 /** Decodes one snapshot; see {@link KnowledgeCodec} for its form. */
 final class KnowledgeDecoder {
--- a/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeEncoder.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeEncoder.java
@@ -1,11 +1,5 @@
 package sorrelhoist.core.statetransfer;
 
-import sorrelhoist.routing.Knowledge;
-import sorrelhoist.routing.Knowledge.PrefixEntry;
-import sorrelhoist.routing.Knowledge.PrefixHolder;
-import sorrelhoist.routing.Knowledge.RegressionSums;
-import sorrelhoist.routing.Knowledge.ServerHealth;
-
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -14,6 +8,11 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import sorrelhoist.routing.Knowledge;
+import sorrelhoist.routing.Knowledge.PrefixEntry;
+import sorrelhoist.routing.Knowledge.PrefixHolder;
+import sorrelhoist.routing.Knowledge.RegressionSums;
+import sorrelhoist.routing.Knowledge.ServerHealth;
 
 /** Encodes snapshots; see {@link KnowledgeCodec} for their form. */
 final class KnowledgeEncoder {
--- a/core/src/main/java/sorrelhoist/core/statetransfer/MessageAuthenticator.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/MessageAuthenticator.java
@@ -7,7 +7,6 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.LinkedHashMap;
 import java.util.Map;
-
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
--- a/core/src/main/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslator.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslator.java
@@ -1,13 +1,12 @@
 package sorrelhoist.core.statetransfer;
 
+import java.util.List;
 import sorrelhoist.core.members.EngineTable;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Knowledge.PrefixEntry;
 import sorrelhoist.routing.Knowledge.PrefixHolder;
 import sorrelhoist.routing.Knowledge.ServerHealth;
 
-import java.util.List;
-
 /**
  * Names the processes of engines alike at all routers. The routing policy knows a process by its
  * start on this router's own clock; other routers, and later starts of this one, know it by the
--- a/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotPolicy.java
@@ -1,12 +1,11 @@
 package sorrelhoist.core.statetransfer;
 
-import sorrelhoist.core.statetransfer.KnowledgeCodec.CorruptKnowledgeException;
-import sorrelhoist.routing.Knowledge;
-
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
+import sorrelhoist.core.statetransfer.KnowledgeCodec.CorruptKnowledgeException;
+import sorrelhoist.routing.Knowledge;
 
 /**
  * Decides when a router writes snapshots, and which of them are still worth restoring. Between full
--- a/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotTransfer.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotTransfer.java
@@ -1,12 +1,11 @@
 package sorrelhoist.core.statetransfer;
 
+import java.util.ArrayList;
+import java.util.List;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Knowledge.PrefixEntry;
 import sorrelhoist.routing.Knowledge.RegressionSums;
 
-import java.util.ArrayList;
-import java.util.List;
-
 /**
  * A donor's side of one transfer: cuts a snapshot into chunks. The first carries health and
  * regressions, all of them keys that the receiving router lacks, the newest first, so that a
--- a/core/src/test/java/sorrelhoist/core/explain/ReasonFormatterTest.java
+++ b/core/src/test/java/sorrelhoist/core/explain/ReasonFormatterTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.routing.Reason;
 
 /** The sentences that clients and operators read. */
--- a/core/src/test/java/sorrelhoist/core/members/EndpointTrackerTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/EndpointTrackerTest.java
@@ -4,15 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.core.members.EndpointTracker.TrackedEndpoint;
 import sorrelhoist.core.members.RegistryView.Instance;
 import sorrelhoist.routing.Routing.ServerState;
 
-import java.util.List;
-import java.util.Map;
-
 /** The registry's list read as engines that serve, drain or are gone. */
 class EndpointTrackerTest {
     private static final long SECOND = 1_000_000;
--- a/core/src/test/java/sorrelhoist/core/members/EngineTableTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/EngineTableTest.java
@@ -3,14 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.core.members.EngineTable.ListedEngine;
 import sorrelhoist.routing.Routing.Server;
 import sorrelhoist.routing.Routing.ServerState;
 
-import java.util.List;
-
 /** A router's view of the engines, and the starts of their processes. */
 class EngineTableTest {
     private static final long SECOND = 1_000_000;
--- a/core/src/test/java/sorrelhoist/core/members/ProcessStartTimesTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/ProcessStartTimesTest.java
@@ -1,7 +1,6 @@
 package sorrelhoist.core.members;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-
 import static sorrelhoist.core.members.ProcessStartTimes.LONG_AGO;
 
 import org.junit.jupiter.api.Test;
--- a/core/src/test/java/sorrelhoist/core/members/RegistryViewTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/RegistryViewTest.java
@@ -4,14 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.core.members.RegistryView.Change;
 import sorrelhoist.core.members.RegistryView.Instance;
 
-import java.util.List;
-import java.util.Map;
-
 /** The registry's list, from full fetches and deltas. */
 class RegistryViewTest {
     private static Instance instance(String id, String status) {
--- a/core/src/test/java/sorrelhoist/core/members/ReplicaSlotsTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/ReplicaSlotsTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.core.members.ReplicaSlots.Slot;
 
 /** The routers' numbers while routers join, leave and come back. */
--- a/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
@@ -4,9 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.Arrays;
+import org.junit.jupiter.api.Test;
 
 /** Watches that fall silent, hang, are refused and reset, in virtual time. */
 class WatchReconnectPolicyTest {
--- a/core/src/test/java/sorrelhoist/core/record/AnomalyTriggerTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/AnomalyTriggerTest.java
@@ -3,8 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing.Action;
 import sorrelhoist.routing.Routing.AttemptEnded;
@@ -15,9 +16,6 @@
 import sorrelhoist.routing.Routing.ServerLoad;
 import sorrelhoist.routing.Routing.TimerFired;
 
-import java.util.ArrayList;
-import java.util.List;
-
 /** What is reported as an anomaly: close to the limit of a rule, and once an incident. */
 class AnomalyTriggerTest {
     private static final long RESERVATION_LIMIT = 500_000;
--- a/core/src/test/java/sorrelhoist/core/record/RecordCodecTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordCodecTest.java
@@ -2,12 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.routing.Reason;
 
-import java.util.List;
-
 /** Records as bytes, between builds that know more or fewer components. */
 class RecordCodecTest {
     record Before(long a, String b) {}
--- a/core/src/test/java/sorrelhoist/core/record/RecordFixtures.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordFixtures.java
@@ -1,5 +1,7 @@
 package sorrelhoist.core.record;
 
+import java.util.ArrayList;
+import java.util.List;
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing.Arrived;
 import sorrelhoist.routing.Routing.Capabilities;
@@ -26,9 +28,6 @@
 import sorrelhoist.routing.Routing.Tenant;
 import sorrelhoist.routing.Routing.Timer;
 
-import java.util.ArrayList;
-import java.util.List;
-
 /** A short recording for the tests of this package. */
 final class RecordFixtures {
     private static final RoutingSettings SETTINGS =
--- a/core/src/test/java/sorrelhoist/core/record/RecordedFailuresTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordedFailuresTest.java
@@ -3,12 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.MethodSource;
-
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.Refuse;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,6 +10,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import sorrelhoist.routing.Routing.Fail;
+import sorrelhoist.routing.Routing.Refuse;
 
 /**
  * Past failures as recordings: each was shortened by {@code record cut --build} from what a router
--- a/core/src/test/java/sorrelhoist/core/record/RecorderTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecorderTest.java
@@ -4,11 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import org.junit.jupiter.api.Test;
 
 /** What a recorder hands on, and what it says of what it could not. */
 class RecorderTest {
--- a/core/src/test/java/sorrelhoist/core/record/RecordingTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordingTest.java
@@ -3,9 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.List;
+import org.junit.jupiter.api.Test;
 
 /** Recordings put together from segment files, and written as one. */
 class RecordingTest {
--- a/core/src/test/java/sorrelhoist/core/record/RequestTimelineTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RequestTimelineTest.java
@@ -2,9 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.List;
+import org.junit.jupiter.api.Test;
 
 /** A request's timeline, found by any of its names. */
 class RequestTimelineTest {
--- a/core/src/test/java/sorrelhoist/core/record/SegmentReaderTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/SegmentReaderTest.java
@@ -5,11 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
 
 /** Segment files that were cut, damaged, or are not this program's. */
 class SegmentReaderTest {
--- a/core/src/test/java/sorrelhoist/core/record/SegmentRetentionTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/SegmentRetentionTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.core.record.SegmentRetention.Append;
 import sorrelhoist.core.record.SegmentRetention.Close;
 import sorrelhoist.core.record.SegmentRetention.Delete;
@@ -11,8 +11,6 @@
 import sorrelhoist.core.record.SegmentRetention.Limits;
 import sorrelhoist.core.record.SegmentRetention.Rename;
 
-import java.util.List;
-
 /** Which file a chunk goes to, and which files go. */
 class SegmentRetentionTest {
     private static final Limits LIMITS = new Limits(100, 250, 1000, 150);
--- a/core/src/test/java/sorrelhoist/core/record/StoredRecordTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/StoredRecordTest.java
@@ -3,8 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.Routing.Action;
@@ -48,12 +52,6 @@
 import sorrelhoist.routing.Routing.Timer;
 import sorrelhoist.routing.Routing.TimerFired;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.List;
-
 /**
  * Reads a record segment that was written by commit 40a42e7, before types and components were
  * renamed. It holds every kind of entry, event and action and every constant of every enum.
--- a/core/src/test/java/sorrelhoist/core/scheduling/BackgroundSchedulerTest.java
+++ b/core/src/test/java/sorrelhoist/core/scheduling/BackgroundSchedulerTest.java
@@ -6,9 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
 
 /** Priorities, budgets, deadlines, and the bound on starvation, with time in the test's hands. */
 class BackgroundSchedulerTest {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/DonorSelectionTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/DonorSelectionTest.java
@@ -3,12 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.core.statetransfer.DonorSelection.Donor;
 
-import java.util.List;
-
 /** Which routers are asked, in which order, and how often. */
 class DonorSelectionTest {
     private static final Donor FAR = new Donor("a", "far", "h:1");
--- a/core/src/test/java/sorrelhoist/core/statetransfer/KnowledgeCodecTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/KnowledgeCodecTest.java
@@ -3,17 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-
 import static sorrelhoist.core.statetransfer.SnapshotFixtures.knowledge;
 
-import org.junit.jupiter.api.Test;
-
-import sorrelhoist.core.statetransfer.KnowledgeCodec.CorruptKnowledgeException;
-import sorrelhoist.routing.Knowledge;
-
 import java.io.ByteArrayOutputStream;
 import java.util.Arrays;
 import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import sorrelhoist.core.statetransfer.KnowledgeCodec.CorruptKnowledgeException;
+import sorrelhoist.routing.Knowledge;
 
 /** Snapshots as bytes: whole, within a budget, of other versions, and damaged. */
 class KnowledgeCodecTest {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/MessageAuthenticatorTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/MessageAuthenticatorTest.java
@@ -4,10 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.LinkedHashMap;
 import java.util.Map;
+import org.junit.jupiter.api.Test;
 
 /** Tags of messages, through a rotation of keys. */
 class MessageAuthenticatorTest {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslatorTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslatorTest.java
@@ -1,11 +1,10 @@
 package sorrelhoist.core.statetransfer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-
 import static sorrelhoist.core.statetransfer.SnapshotFixtures.SECOND;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.core.members.EngineTable;
 import sorrelhoist.core.members.EngineTable.ListedEngine;
 import sorrelhoist.routing.Knowledge;
@@ -14,8 +13,6 @@
 import sorrelhoist.routing.Knowledge.RegressionSums;
 import sorrelhoist.routing.Routing.ServerState;
 
-import java.util.List;
-
 /** Processes of engines between routers with clocks of their own. */
 class ProcessIdentityTranslatorTest {
     private static ListedEngine engine(String id, long incarnation, long uptimeMicros) {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotFixtures.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotFixtures.java
@@ -1,14 +1,13 @@
 package sorrelhoist.core.statetransfer;
 
+import java.util.ArrayList;
+import java.util.List;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Knowledge.PrefixEntry;
 import sorrelhoist.routing.Knowledge.PrefixHolder;
 import sorrelhoist.routing.Knowledge.RegressionSums;
 import sorrelhoist.routing.Knowledge.ServerHealth;
 
-import java.util.ArrayList;
-import java.util.List;
-
 /** Knowledge for the tests of this package. */
 final class SnapshotFixtures {
     static final long SECOND = 1_000_000;
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotLogTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotLogTest.java
@@ -3,14 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-
 import static sorrelhoist.core.statetransfer.SnapshotFixtures.SECOND;
 import static sorrelhoist.core.statetransfer.SnapshotFixtures.knowledge;
 
-import org.junit.jupiter.api.Test;
-
 import java.io.ByteArrayOutputStream;
 import java.util.Arrays;
+import org.junit.jupiter.api.Test;
 
 /** Snapshot files that were cut or damaged at any byte. */
 class SnapshotLogTest {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotPolicyTest.java
@@ -1,17 +1,14 @@
 package sorrelhoist.core.statetransfer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-
 import static sorrelhoist.core.statetransfer.SnapshotFixtures.SECOND;
 import static sorrelhoist.core.statetransfer.SnapshotFixtures.knowledge;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.core.statetransfer.SnapshotPolicy.RestoredSnapshot;
 import sorrelhoist.core.statetransfer.SnapshotPolicy.SnapshotKind;
 
-import java.util.List;
-
 /** When snapshots are written, and which are restored. */
 class SnapshotPolicyTest {
     @Test
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotTransferTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotTransferTest.java
@@ -3,8 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
 import org.junit.jupiter.api.Test;
-
 import sorrelhoist.core.statetransfer.KnowledgeCodec.CorruptKnowledgeException;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Knowledge.PrefixEntry;
@@ -12,9 +13,6 @@
 import sorrelhoist.routing.Knowledge.RegressionSums;
 import sorrelhoist.routing.Knowledge.ServerHealth;
 
-import java.util.ArrayList;
-import java.util.List;
-
 /** Transfers in chunks, and what a digest saves. */
 class SnapshotTransferTest {
     private static final RegressionSums SUMS = new RegressionSums(5, 10, 10, 20, 20);
--- a/core/src/test/java/sorrelhoist/core/text/TokenEstimatorTest.java
+++ b/core/src/test/java/sorrelhoist/core/text/TokenEstimatorTest.java
@@ -2,9 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.junit.jupiter.api.Test;
-
 import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
 
 /** Tokens by the bytes of a text in UTF-8. */
 class TokenEstimatorTest {
