--- a/app/src/main/java/sorrelhoist/app/command/LocalFleets.java
+++ b/app/src/main/java/sorrelhoist/app/command/LocalFleets.java
@@ -78,7 +78,7 @@
                         scenario.length(),
                         scenario.zones(),
                         scenario.loads(),
-                        scenario.events());
+                        scenario.actions());
     }
 
     /**
--- a/app/src/test/java/sorrelhoist/app/HardCasesTest.java
+++ b/app/src/test/java/sorrelhoist/app/HardCasesTest.java
@@ -135,7 +135,7 @@
 
     private long reads() throws java.io.IOException {
         return sorrelhoist.lab.judge.TraceEvent.readAll(traces).stream()
-                .filter(l -> l.event().equals("prefill"))
+                .filter(l -> l.name().equals("prefill"))
                 .count();
     }
 
--- a/app/src/test/java/sorrelhoist/app/StormTest.java
+++ b/app/src/test/java/sorrelhoist/app/StormTest.java
@@ -67,7 +67,7 @@
             }
             timer.schedule(
                     () -> {
-                        clients.line("killed", "target", "w3");
+                        clients.write("killed", "target", "w3");
                         fleet.engines.get("w3").kill();
                     },
                     1500,
--- a/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
+++ b/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
@@ -23,12 +23,12 @@
     /**
      * An engine and when its state was learned.
      *
-     * @param entry the engine; its uptime as of {@code learnedAt}
+     * @param engine the engine; its uptime as of {@code learnedAt}
      * @param learnedAt on this planner's clock, microseconds since 1970
      */
-    public record TrackedEndpoint(ListedEngine entry, long learnedAt) {
+    public record TrackedEndpoint(ListedEngine engine, long learnedAt) {
         private boolean isGone() {
-            return entry.state() == ServerState.GONE;
+            return engine.state() == ServerState.GONE;
         }
     }
 
@@ -77,14 +77,14 @@
         List<TrackedEndpoint> absent =
                 endpoints.values().stream()
                         .filter(endpoint -> !endpoint.isGone())
-                        .filter(endpoint -> !present.contains(endpoint.entry().id()))
+                        .filter(endpoint -> !present.contains(endpoint.engine().id()))
                         .toList();
         if (isDoubtfulRemoval(now, absent.size())) {
             warnings.add(absent.size() + " engines vanished at once; this is not believed yet");
             return;
         }
         for (TrackedEndpoint endpoint : absent) {
-            track(now, endpoint, withState(endpoint.entry(), ServerState.GONE), changed);
+            track(now, endpoint, withState(endpoint.engine(), ServerState.GONE), changed);
         }
     }
 
@@ -100,7 +100,7 @@
 
     private void track(
             long now, TrackedEndpoint before, ListedEngine engine, List<TrackedEndpoint> changed) {
-        if (before != null && isSame(before.entry(), engine)) {
+        if (before != null && isSame(before.engine(), engine)) {
             return;
         }
         TrackedEndpoint endpoint = new TrackedEndpoint(engine, now);
@@ -181,7 +181,7 @@
     /** {@return the address of an engine that is not gone, or null} */
     public String address(String id) {
         TrackedEndpoint endpoint = endpoints.get(id);
-        return endpoint == null || endpoint.isGone() ? null : endpoint.entry().address();
+        return endpoint == null || endpoint.isGone() ? null : endpoint.engine().address();
     }
 
     /** {@return a number that grows with every change} */
--- a/core/src/main/java/sorrelhoist/core/members/WatchReconnectPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/members/WatchReconnectPolicy.java
@@ -5,15 +5,15 @@
 /**
  * Decides when a watch of the list of servers counts as silent, and when the next one is opened.
  * All its times come from one budget: what a silent watch misses counts as announced {@link
- * #UPDATE_BUDGET} after it fell silent, whether it arrived or not. Within that the silence is
- * noticed, two attempts may hang, and a third still brings the list. A watch that fell silent stays
- * open until another has brought a message: it may recover.
+ * #UPDATE_BUDGET_MICROS} after it fell silent, whether it arrived or not. Within that the silence
+ * is noticed, two attempts may hang, and a third still brings the list. A watch that fell silent
+ * stays open until another has brought a message: it may recover.
  *
  * <p>Attempts have numbers above 0; 0 stands for none. Times are microseconds.
  */
 public final class WatchReconnectPolicy {
     /** Within which a silent watch is replaced, and its updates received; microseconds. */
-    public static final long UPDATE_BUDGET = 6_000_000;
+    public static final long UPDATE_BUDGET_MICROS = 6_000_000;
 
     /** Between two heartbeats of a watch. */
     private static final long HEARTBEAT_INTERVAL = 2_000_000;
@@ -26,13 +26,14 @@
 
     /** What is left of the budget after silence, two attempts and the last attempt's own list. */
     static final long MAX_BACKOFF =
-            (UPDATE_BUDGET - SILENCE_TIMEOUT - 2 * ATTEMPT_TIMEOUT - ATTEMPT_TIMEOUT / 2) / 3;
+            (UPDATE_BUDGET_MICROS - SILENCE_TIMEOUT - 2 * ATTEMPT_TIMEOUT - ATTEMPT_TIMEOUT / 2)
+                    / 3;
 
     /**
      * After which a start without a list goes on with the one that was saved, in microseconds: two
      * attempts hung.
      */
-    public static final long FIRST_LIST_TIMEOUT = 2 * ATTEMPT_TIMEOUT + MAX_BACKOFF;
+    public static final long FIRST_LIST_TIMEOUT_MICROS = 2 * ATTEMPT_TIMEOUT + MAX_BACKOFF;
 
     private static final long MIN_BACKOFF = 50_000;
     private static final long NOT_SCHEDULED = Long.MAX_VALUE;
@@ -167,7 +168,7 @@
 
     /** An attempt whose list still comes, part by part, has the whole budget. */
     private long abandonAt() {
-        return Math.min(lastProgressAt + ATTEMPT_TIMEOUT, attemptStartedAt + UPDATE_BUDGET);
+        return Math.min(lastProgressAt + ATTEMPT_TIMEOUT, attemptStartedAt + UPDATE_BUDGET_MICROS);
     }
 
     /** {@return when {@link #attemptToOpen} or {@link #attemptToAbandon} is next needed} */
--- a/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotLog.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotLog.java
@@ -34,7 +34,7 @@
     private static final int FRAME_HEADER_BYTES = Integer.BYTES + Integer.BYTES + Long.BYTES;
 
     /** Bytes that a frame's content may have. */
-    public static final int MAX_PAYLOAD = 64 << 20;
+    public static final int MAX_PAYLOAD_BYTES = 64 << 20;
 
     private SnapshotLog() {}
 
@@ -89,7 +89,7 @@
             int length = in.getInt();
             int checksum = in.getInt();
             long savedAt = in.getLong();
-            if (length < 0 || length > MAX_PAYLOAD) {
+            if (length < 0 || length > MAX_PAYLOAD_BYTES) {
                 String fault = "a frame's length of " + length + " at byte " + validBytes;
                 return new ReadResult(frames, validBytes, fault, false);
             }
--- a/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotPolicy.java
@@ -27,9 +27,9 @@
      * Knowledge that was read back.
      *
      * @param knowledge what was known
-     * @param age how long ago that was, in microseconds
+     * @param ageMicros how long ago that was, in microseconds
      */
-    public record RestoredSnapshot(Knowledge knowledge, long age) {}
+    public record RestoredSnapshot(Knowledge knowledge, long ageMicros) {}
 
     /**
      * Bytes of keys in an incremental snapshot: keys that were used since the one before are few,
--- a/core/src/test/java/sorrelhoist/core/members/EndpointTrackerTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/EndpointTrackerTest.java
@@ -47,9 +47,9 @@
         assertEquals(1, tracker.epoch());
         List<TrackedEndpoint> draining =
                 tracker.update(3 * SECOND, List.of(instance("a", "OUT_OF_SERVICE", 0)));
-        assertEquals(ServerState.DRAINING, draining.get(0).entry().state());
+        assertEquals(ServerState.DRAINING, draining.get(0).engine().state());
         TrackedEndpoint gone = tracker.update(4 * SECOND, List.of()).get(0);
-        assertEquals(ServerState.GONE, gone.entry().state());
+        assertEquals(ServerState.GONE, gone.engine().state());
         assertEquals(4 * SECOND, gone.learnedAt());
         assertNull(tracker.address("a"));
         assertEquals(0, tracker.update(5 * SECOND, List.of()).size());
--- a/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
@@ -58,14 +58,14 @@
     @Test
     void aSilentWatchIsReplacedWithinTheBudgetAlsoWhenTwoAttemptsHang() {
         for (long seed = 0; seed < 200; seed++) {
-            assertTrue(replacementTime(seed) < WatchReconnectPolicy.UPDATE_BUDGET);
+            assertTrue(replacementTime(seed) < WatchReconnectPolicy.UPDATE_BUDGET_MICROS);
             assertTrue(
                     replacementTime(seed, AttemptOutcome.HANGS)
-                            < WatchReconnectPolicy.UPDATE_BUDGET);
+                            < WatchReconnectPolicy.UPDATE_BUDGET_MICROS);
             long worst = replacementTime(seed, AttemptOutcome.HANGS, AttemptOutcome.HANGS);
             assertTrue(
                     worst
-                            <= WatchReconnectPolicy.UPDATE_BUDGET
+                            <= WatchReconnectPolicy.UPDATE_BUDGET_MICROS
                                     - WatchReconnectPolicy.ATTEMPT_TIMEOUT / 2
                                     + 5 * STEP,
                     worst + " with seed " + seed);
@@ -75,7 +75,7 @@
                                     AttemptOutcome.REFUSED,
                                     AttemptOutcome.HANGS,
                                     AttemptOutcome.REFUSED)
-                            < WatchReconnectPolicy.UPDATE_BUDGET);
+                            < WatchReconnectPolicy.UPDATE_BUDGET_MICROS);
         }
     }
 
@@ -164,9 +164,9 @@
         long now = 0;
         for (; policy.attemptToAbandon(now) == 0; now += WatchReconnectPolicy.ATTEMPT_TIMEOUT / 2) {
             policy.bytesReceived(now, slow);
-            assertTrue(now < 2 * WatchReconnectPolicy.UPDATE_BUDGET);
+            assertTrue(now < 2 * WatchReconnectPolicy.UPDATE_BUDGET_MICROS);
         }
-        assertEquals(WatchReconnectPolicy.UPDATE_BUDGET, now);
+        assertEquals(WatchReconnectPolicy.UPDATE_BUDGET_MICROS, now);
     }
 
     /**
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotPolicyTest.java
@@ -25,7 +25,7 @@
                                 new SnapshotLog.Frame(1500 * SECOND, new byte[] {1, 2})));
         assertEquals(
                 List.of(0L, 10 * SECOND, 1000 * SECOND),
-                restorable.stream().map(RestoredSnapshot::age).toList());
+                restorable.stream().map(RestoredSnapshot::ageMicros).toList());
     }
 
     @Test
--- a/edge/src/main/java/sorrelhoist/edge/PersistenceTask.java
+++ b/edge/src/main/java/sorrelhoist/edge/PersistenceTask.java
@@ -57,7 +57,7 @@
                                 router.importKnowledge(
                                         ProcessIdentityTranslator.toLocalStartTimes(
                                                 snapshot.knowledge(), engines),
-                                        snapshot.age()));
+                                        snapshot.ageMicros()));
         router.addBackgroundJob(JOB, this::runSlice);
     }
 
--- a/lab/src/main/java/sorrelhoist/lab/fleet/FaultController.java
+++ b/lab/src/main/java/sorrelhoist/lab/fleet/FaultController.java
@@ -36,7 +36,7 @@
     }
 
     void kill(String process) {
-        trace.line("killed", "target", process);
+        trace.write("killed", "target", process);
         fleet.kill(process);
     }
 
--- a/lab/src/main/java/sorrelhoist/lab/fleet/ScenarioRunner.java
+++ b/lab/src/main/java/sorrelhoist/lab/fleet/ScenarioRunner.java
@@ -84,7 +84,7 @@
                         fleet,
                         new FaultController(fleet, trace, output),
                         new SplittableRandom(scenario.seed() ^ RANDOM_SALT));
-        for (Scenario.ScheduledAction action : scenario.events()) {
+        for (Scenario.ScheduledAction action : scenario.actions()) {
             List<Step> steps = actionSteps.of(action);
             schedule(timer, action.at(), steps.get(0));
             if (steps.size() > 1 && action.duration() > 0) {
@@ -111,7 +111,7 @@
 
     private void awaitLastAction() throws InterruptedException {
         long lastMicros =
-                scenario.events().stream()
+                scenario.actions().stream()
                         .mapToLong(action -> action.at() + action.duration())
                         .max()
                         .orElse(0);
--- a/lab/src/main/java/sorrelhoist/lab/judge/AnswerRule.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/AnswerRule.java
@@ -36,7 +36,7 @@
         TraceEvent answer = request.finalAnswer();
         String status = request.status();
         long allowed = request.sent().number("timeout") + limits.answerSlack();
-        long took = answer.t() - request.sent().t();
+        long took = answer.atMicros() - request.sent().atMicros();
         boolean mute = status.equals("GAVE_UP") || status.equals("BROKEN");
         if (mute || took > allowed) {
             String times = status + " after " + took / 1000 + " ms of " + allowed / 1000;
--- a/lab/src/main/java/sorrelhoist/lab/judge/AttemptHistory.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/AttemptHistory.java
@@ -16,9 +16,9 @@
         private String outcome = "";
 
         private Attempt(TraceEvent start) {
-            engine = start.who();
+            engine = start.source();
             number = start.number("attempt");
-            from = start.t();
+            from = start.atMicros();
         }
 
         String engine() {
@@ -53,11 +53,11 @@
     }
 
     private void add(TraceEvent event) {
-        switch (event.event()) {
+        switch (event.name()) {
             case "prefill", "decode" -> start(event);
             case "prefill_end", "decode_end" -> end(event);
-            case "killed" -> endAllAt(event.text("target"), event.t());
-            case "start" -> endAllAt(event.who(), event.t());
+            case "killed" -> endAllAt(event.text("target"), event.atMicros());
+            case "start" -> endAllAt(event.source(), event.atMicros());
             case "held" -> held.put(event.text("state"), event);
             case "freed" -> freed.put(event.text("state"), event);
             default -> {}
@@ -77,7 +77,7 @@
     private void end(TraceEvent event) {
         Attempt attempt = running.remove(key(event));
         if (attempt != null) {
-            attempt.to = event.t();
+            attempt.to = event.atMicros();
             attempt.outcome = event.text("how");
         }
     }
--- a/lab/src/main/java/sorrelhoist/lab/judge/DrainRule.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/DrainRule.java
@@ -27,9 +27,9 @@
     }
 
     private void check(TraceEvent event) {
-        switch (event.event()) {
+        switch (event.name()) {
             case "listed" -> listed(event);
-            case "start" -> drainingSince.remove(event.who());
+            case "start" -> drainingSince.remove(event.source());
             case "killed" -> killed(event);
             case "prefill", "decode" -> checkAttempt(event);
             default -> {}
@@ -41,26 +41,28 @@
         if (event.text("status").equals("UP")) {
             drainingSince.remove(engine);
         } else {
-            drainingSince.putIfAbsent(engine, event.t());
+            drainingSince.putIfAbsent(engine, event.atMicros());
         }
     }
 
     /** A planner that was killed before it could pass on what it read has told nobody. */
     private void killed(TraceEvent event) {
         if (event.text("target").equals("planner")) {
-            drainingSince.values().removeIf(since -> event.t() - since < limits.drainGrace());
+            drainingSince
+                    .values()
+                    .removeIf(since -> event.atMicros() - since < limits.drainGrace());
         }
     }
 
     private void checkAttempt(TraceEvent event) {
-        String engine = event.who();
+        String engine = event.source();
         Long since = drainingSince.get(engine);
-        if (since == null || event.t() - since <= limits.drainGrace() + limits.wire()) {
+        if (since == null || event.atMicros() - since <= limits.drainGrace() + limits.wire()) {
             return;
         }
         String edge = event.text("edge");
         if (reportedEdges.computeIfAbsent(engine, key -> new HashSet<>()).add(edge)) {
-            String delay = (event.t() - since) / 1000 + " ms";
+            String delay = (event.atMicros() - since) / 1000 + " ms";
             violations.add(
                     RULE,
                     event,
--- a/lab/src/main/java/sorrelhoist/lab/judge/Judge.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/Judge.java
@@ -76,7 +76,7 @@
     }
 
     private void checkAttempts(AttemptHistory attempts) {
-        long endOfTrace = events.isEmpty() ? 0 : events.get(events.size() - 1).t();
+        long endOfTrace = events.isEmpty() ? 0 : events.get(events.size() - 1).atMicros();
         SingleAttemptRule singleAttemptRule =
                 new SingleAttemptRule(events, limits, outages, violations);
         attempts.byRequest().forEach(singleAttemptRule::check);
@@ -85,10 +85,10 @@
     }
 
     private void read(TraceEvent event) {
-        switch (event.event()) {
+        switch (event.name()) {
             case "sent" -> {
                 if (startMicros == 0) {
-                    startMicros = event.t();
+                    startMicros = event.atMicros();
                     violations.startAt(startMicros);
                 }
                 request(event.text("req")).addSent(event);
@@ -108,7 +108,7 @@
                     violations.add(
                             COLD_START_RULE,
                             event,
-                            "engine " + event.who() + " was pushed over while cold");
+                            "engine " + event.source() + " was pushed over while cold");
             default -> {}
         }
     }
--- a/lab/src/main/java/sorrelhoist/lab/judge/Outages.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/Outages.java
@@ -26,27 +26,30 @@
         String target = kill.text("target");
         kills.computeIfAbsent(target, key -> new ArrayList<>()).add(kill);
         long neverRestarted =
-                target.matches(EDGE_PREFIX + ".*|planner") ? kill.t() : Long.MAX_VALUE;
+                target.matches(EDGE_PREFIX + ".*|planner") ? kill.atMicros() : Long.MAX_VALUE;
         long restartedAt =
                 events.stream()
-                        .filter(event -> event.event().equals("start"))
-                        .filter(event -> event.who().equals(target) && event.t() > kill.t())
-                        .mapToLong(TraceEvent::t)
+                        .filter(event -> event.name().equals("start"))
+                        .filter(
+                                event ->
+                                        event.source().equals(target)
+                                                && event.atMicros() > kill.atMicros())
+                        .mapToLong(TraceEvent::atMicros)
                         .findFirst()
                         .orElse(neverRestarted);
-        deadEngines.add(new Interval(kill.t(), restartedAt));
+        deadEngines.add(new Interval(kill.atMicros(), restartedAt));
     }
 
     /** Notes a control command, of which only those matter that cut an engine off. */
     void addControlCommand(TraceEvent event) {
         if (event.text("command").startsWith("cut")) {
-            partitions.computeIfAbsent(event.who(), key -> new ArrayList<>()).add(event);
+            partitions.computeIfAbsent(event.source(), key -> new ArrayList<>()).add(event);
         }
     }
 
     boolean wasKilled(String process, long from, long to) {
         return kills.getOrDefault(process, List.of()).stream()
-                .anyMatch(kill -> kill.t() >= from && kill.t() <= to);
+                .anyMatch(kill -> kill.atMicros() >= from && kill.atMicros() <= to);
     }
 
     boolean wasAnyEdgeKilled(long from, long to) {
@@ -58,7 +61,7 @@
     /** {@return when the process was first killed from that time on} */
     OptionalLong firstKill(String process, long from) {
         return kills.getOrDefault(process, List.of()).stream()
-                .mapToLong(TraceEvent::t)
+                .mapToLong(TraceEvent::atMicros)
                 .filter(t -> t >= from)
                 .min();
     }
@@ -66,12 +69,12 @@
     /** {@return whether an engine was cut off, so that nothing that was sent reached it} */
     boolean wasPartitioned(String engine, long from, long to) {
         return partitions.getOrDefault(engine, List.of()).stream()
-                .anyMatch(cut -> cut.t() <= to && partitionEnd(cut) >= from);
+                .anyMatch(cut -> cut.atMicros() <= to && partitionEnd(cut) >= from);
     }
 
     private static long partitionEnd(TraceEvent cut) {
         String millis = cut.text("command").replaceAll("[^0-9]", "");
-        return cut.t() + MICROS_PER_MILLI * Long.parseLong(millis);
+        return cut.atMicros() + MICROS_PER_MILLI * Long.parseLong(millis);
     }
 
     /** {@return whether any engine was dead or cut off at a time between these} */
--- a/lab/src/main/java/sorrelhoist/lab/judge/RequestHistory.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/RequestHistory.java
@@ -67,7 +67,7 @@
         if (finalAnswer != null && finalAnswer.text("status").equals("NOT_SENT")) {
             return true;
         }
-        long end = finalAnswer == null ? Long.MAX_VALUE : finalAnswer.t();
-        return outages.wasKilled(sent.text("edge"), sent.t() - wireMicros, end);
+        long end = finalAnswer == null ? Long.MAX_VALUE : finalAnswer.atMicros();
+        return outages.wasKilled(sent.text("edge"), sent.atMicros() - wireMicros, end);
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/judge/RuleViolations.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/RuleViolations.java
@@ -14,7 +14,7 @@
     }
 
     void add(int rule, TraceEvent at, String text) {
-        double seconds = (at.t() - startMicros) / 1e6;
+        double seconds = (at.atMicros() - startMicros) / 1e6;
         lines.add(String.format("rule %d at %.3f s: %s", rule, seconds, text));
     }
 
--- a/lab/src/main/java/sorrelhoist/lab/judge/SingleAttemptRule.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/SingleAttemptRule.java
@@ -49,7 +49,7 @@
 
     private TraceEvent firstEventFrom(long micros) {
         return events.stream()
-                .filter(event -> event.t() >= micros)
+                .filter(event -> event.atMicros() >= micros)
                 .findFirst()
                 .orElse(events.get(events.size() - 1));
     }
--- a/lab/src/main/java/sorrelhoist/lab/judge/StateRule.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/StateRule.java
@@ -28,10 +28,10 @@
     void check(String state, TraceEvent held) {
         long heldUntil = heldUntil(state, held);
         boolean abandoned = isAbandoned(held, heldUntil);
-        long idleSince = held.t();
+        long idleSince = held.atMicros();
         long lastNumber = NO_ATTEMPT;
         for (Attempt attempt : attempts.ofRequest(held.text("req"))) {
-            if (attempt.from() >= held.t() && attempt.from() <= heldUntil) {
+            if (attempt.from() >= held.atMicros() && attempt.from() <= heldUntil) {
                 // An attempt that no stand-in saw was sent to one that is dead or cut off.
                 boolean unseenAttempt =
                         attempt.number() != lastNumber + 1
@@ -52,8 +52,8 @@
     private long heldUntil(String state, TraceEvent held) {
         TraceEvent freed = attempts.freed(state);
         return freed != null
-                ? freed.t()
-                : outages.firstKill(held.who(), held.t()).orElse(endOfTrace);
+                ? freed.atMicros()
+                : outages.firstKill(held.source(), held.atMicros()).orElse(endOfTrace);
     }
 
     /**
@@ -61,8 +61,8 @@
      * killed, and the engine frees it by itself some seconds later.
      */
     private boolean isAbandoned(TraceEvent held, long heldUntil) {
-        return outages.wasPartitioned(held.who(), held.t(), heldUntil)
-                || outages.wasAnyEdgeKilled(held.t() - limits.wire(), heldUntil);
+        return outages.wasPartitioned(held.source(), held.atMicros(), heldUntil)
+                || outages.wasAnyEdgeKilled(held.atMicros() - limits.wire(), heldUntil);
     }
 
     private void checkIdle(String state, TraceEvent held, long from, long to) {
--- a/lab/src/main/java/sorrelhoist/lab/judge/TraceEvent.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/TraceEvent.java
@@ -13,12 +13,12 @@
 /**
  * One thing that a client or a stand-in saw on the wire.
  *
- * @param t microseconds since 1970
- * @param who who saw it
- * @param event what it was
+ * @param atMicros microseconds since 1970
+ * @param source who saw it
+ * @param name what it was
  * @param fields the rest
  */
-public record TraceEvent(long t, String who, String event, JsonNode fields) {
+public record TraceEvent(long atMicros, String source, String name, JsonNode fields) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** {@return a field's text; empty where there is none} */
@@ -71,7 +71,7 @@
                 }
             }
         }
-        all.sort(Comparator.comparingLong(TraceEvent::t));
+        all.sort(Comparator.comparingLong(TraceEvent::atMicros));
         return all;
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/judge/VerdictBuilder.java
+++ b/lab/src/main/java/sorrelhoist/lab/judge/VerdictBuilder.java
@@ -44,7 +44,7 @@
         }
         long firstMicros = Math.min(MAX_LATENCY_MICROS, answer.number("first"));
         firstToken.recordValue(firstMicros);
-        long window = (request.sent().t() - startMicros) / WINDOW_MICROS;
+        long window = (request.sent().atMicros() - startMicros) / WINDOW_MICROS;
         firstTokenByWindow.computeIfAbsent(window, key -> newHistogram()).recordValue(firstMicros);
         long tokens = answer.number("pieces");
         if (tokens > 1) {
--- a/lab/src/main/java/sorrelhoist/lab/load/ClientTraceWriter.java
+++ b/lab/src/main/java/sorrelhoist/lab/load/ClientTraceWriter.java
@@ -23,18 +23,18 @@
     }
 
     /** {@return microseconds since 1970} */
-    public static long now() {
+    public static long nowMicros() {
         Instant t = Instant.now();
         return t.getEpochSecond() * 1_000_000 + t.getNano() / 1000;
     }
 
     /** Writes a line as of now. */
-    public void line(String event, Object... pairs) {
-        at(now(), event, pairs);
+    public void write(String event, Object... pairs) {
+        writeAt(nowMicros(), event, pairs);
     }
 
     /** Writes a line as of a time. */
-    public synchronized void at(long time, String event, Object... pairs) {
+    public synchronized void writeAt(long time, String event, Object... pairs) {
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("t", time);
         line.put("who", who);
--- a/lab/src/main/java/sorrelhoist/lab/load/OpenLoopLoad.java
+++ b/lab/src/main/java/sorrelhoist/lab/load/OpenLoopLoad.java
@@ -26,17 +26,17 @@
      * One request, drawn ahead.
      *
      * @param at when, microseconds from the start
-     * @param cls index of its load
-     * @param ask the request
+     * @param classIndex index of its load
+     * @param request the request
      * @param edge number of the edge it goes to, from 0
      * @param cancelsAtToken with which piece of text its client cancels, from 1, so that it cancels
-     *     in mid-answer however fast the fleet is; 0 for as soon as it has sent; {@link #STAYS} for
-     *     never
+     *     in mid-answer however fast the fleet is; 0 for as soon as it has sent; {@link
+     *     #NEVER_CANCELS} for never
      */
     public record PlannedRequest(
-            long at, int cls, ScriptedRequest ask, int edge, int cancelsAtToken) {
+            long at, int classIndex, ScriptedRequest request, int edge, int cancelsAtToken) {
         /** Of a client that takes its complete answer. */
-        public static final int STAYS = -1;
+        public static final int NEVER_CANCELS = -1;
     }
 
     private OpenLoopLoad() {}
--- a/lab/src/main/java/sorrelhoist/lab/load/RequestPlanner.java
+++ b/lab/src/main/java/sorrelhoist/lab/load/RequestPlanner.java
@@ -53,7 +53,7 @@
 
     private double burstFactor(long at) {
         double factor = 1;
-        for (Scenario.ScheduledAction action : scenario.events()) {
+        for (Scenario.ScheduledAction action : scenario.actions()) {
             boolean active = at >= action.at() && at < action.at() + action.duration();
             if (active && action.action().equals("burst")) {
                 factor = Math.min(MAX_BURST_FACTOR, factor * action.amount());
@@ -69,7 +69,7 @@
         String prompt = drawPrompt(load, session, prefix, number);
         int maxTokens = random.nextInt(load.answerLow(), load.answerHigh() + 1);
         boolean cancels = random.nextDouble() < load.cancels();
-        int cancelsAtToken = cancels ? random.nextInt(maxTokens) : PlannedRequest.STAYS;
+        int cancelsAtToken = cancels ? random.nextInt(maxTokens) : PlannedRequest.NEVER_CANCELS;
         ScriptedRequest request =
                 new ScriptedRequest(
                         "d" + scenario.seed() + "-" + name + "-" + number,
--- a/lab/src/main/java/sorrelhoist/lab/load/RequestSender.java
+++ b/lab/src/main/java/sorrelhoist/lab/load/RequestSender.java
@@ -19,15 +19,15 @@
 
     /** {@return completed when the request has ended and its end is traced} */
     CompletableFuture<Void> send(PlannedRequest planned) {
-        ScriptedRequest request = planned.ask();
-        long sentAt = ClientTraceWriter.now();
-        trace.at(
+        ScriptedRequest request = planned.request();
+        long sentAt = ClientTraceWriter.nowMicros();
+        trace.writeAt(
                 sentAt,
                 "sent",
                 "req",
                 request.id(),
                 "cls",
-                planned.cls(),
+                planned.classIndex(),
                 "edge",
                 "edge-" + (planned.edge() + 1),
                 "timeout",
@@ -55,10 +55,10 @@
 
     private void traceEnd(String id, Result result) {
         if (result == null) {
-            trace.line("final", "req", id, "status", "CANCELLED", "cancelled", true);
+            trace.write("final", "req", id, "status", "CANCELLED", "cancelled", true);
             return;
         }
-        trace.line(
+        trace.write(
                 "final",
                 "req",
                 id,
--- a/lab/src/main/java/sorrelhoist/lab/scenario/Scenario.java
+++ b/lab/src/main/java/sorrelhoist/lab/scenario/Scenario.java
@@ -10,7 +10,7 @@
  * @param length of its load
  * @param zones its fleet
  * @param loads its load, by class
- * @param events what happens, by time
+ * @param actions what happens, by time
  */
 public record Scenario(
         String name,
@@ -18,7 +18,7 @@
         long length,
         List<Zone> zones,
         List<Load> loads,
-        List<ScheduledAction> events) {
+        List<ScheduledAction> actions) {
     /**
      * A zone.
      *
--- a/lab/src/main/java/sorrelhoist/lab/sim/AdmissionStudy.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/AdmissionStudy.java
@@ -242,18 +242,18 @@
                         Math.min(
                                 o.promptTokens(),
                                 Math.max(
-                                        e.texts.kept(o.request().session()),
-                                        e.texts.kept(o.request().sharedPrefix())));
+                                        e.texts.cachedTokens(o.request().session()),
+                                        e.texts.cachedTokens(o.request().sharedPrefix())));
                 String state = "x" + names++;
                 world.in(
                         HOP,
                         () -> {
                             boolean taken =
                                     e.dead
-                                            || e.read(
+                                            || e.prefill(
                                                     o.promptTokens() - have,
                                                     () -> {
-                                                        e.texts.keep(
+                                                        e.texts.add(
                                                                 o.request().sharedPrefix(),
                                                                 o.request().sharedPrefixTokens());
                                                         later(
@@ -310,7 +310,7 @@
 
         private void write(int edge, StepEngine e, Command.StartDecode o) {
             StepEngine.Write w =
-                    e.write(
+                    e.decode(
                             TOKENS - o.firstTokenIndex(),
                             i ->
                                     later(
--- a/lab/src/main/java/sorrelhoist/lab/sim/SimFleet.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/SimulatedFleet.java
@@ -25,7 +25,7 @@
  * engines. A reader reads one prompt after the other, from where the text that it keeps ends; a
  * writer answers after a time that grows with what it writes. Everything follows from the seed.
  */
-public final class SimFleet {
+public final class SimulatedFleet {
     /** What a router's requests went through since it was last asked. */
     public static final class Tally {
         int served;
@@ -64,7 +64,7 @@
 
     private static final class Reader {
         long busyUntil;
-        final KeptTexts texts = new KeptTexts(KEPT_TOKENS);
+        final PrefixCache texts = new PrefixCache(KEPT_TOKENS);
     }
 
     private final class Seat {
@@ -113,7 +113,7 @@
      * @param rate requests a second, over all routers
      * @param seed of everything random
      */
-    public SimFleet(int routers, int readers, int writers, double rate, long seed) {
+    public SimulatedFleet(int routers, int readers, int writers, double rate, long seed) {
         this.random = new SplittableRandom(seed);
         this.rate = rate;
         for (int i = 0; i < readers; i++) {
@@ -177,17 +177,17 @@
     }
 
     /** {@return what a router knows} */
-    public Knowledge known(int router) {
+    public Knowledge exportKnowledge(int router) {
         return seats.get(router).router.exportKnowledge(now, Integer.MAX_VALUE);
     }
 
     /** Teaches a router. */
-    public void teach(int router, Knowledge k, long age) {
+    public void importKnowledge(int router, Knowledge k, long age) {
         seats.get(router).router.importKnowledge(now, k, age);
     }
 
     /** {@return what a router's requests went through since this was last asked} */
-    public Tally take(int router) {
+    public Tally takeTally(int router) {
         Tally t = seats.get(router).tally;
         seats.get(router).tally = new Tally();
         return t;
@@ -253,13 +253,13 @@
             long at = Math.max(now + HOP, r.busyUntil);
             long kept =
                     Math.max(
-                            Math.min(o.promptTokens(), r.texts.kept(o.request().session())),
+                            Math.min(o.promptTokens(), r.texts.cachedTokens(o.request().session())),
                             Math.min(
                                     o.request().sharedPrefixTokens(),
-                                    r.texts.kept(o.request().sharedPrefix())));
+                                    r.texts.cachedTokens(o.request().sharedPrefix())));
             long missed = o.promptTokens() - kept;
-            r.texts.keep(o.request().sharedPrefix(), o.request().sharedPrefixTokens());
-            r.texts.keep(o.request().session(), o.promptTokens());
+            r.texts.add(o.request().sharedPrefix(), o.request().sharedPrefixTokens());
+            r.texts.add(o.request().session(), o.promptTokens());
             seat.tally.missed += missed;
             seat.tally.prompt += o.promptTokens();
             r.busyUntil = at + READ_BASE + (long) (missed / READ_PER_MICRO);
--- a/lab/src/main/java/sorrelhoist/lab/sim/StateTransferStudy.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/StateTransferStudy.java
@@ -99,20 +99,21 @@
 
     private void add(Curve c, int routers, Way way, long seed) {
         int readers = Math.max(4, routers * 2 / 5);
-        SimFleet fleet =
-                new SimFleet(routers, readers, Math.max(3, readers * 2 / 3), readers * 3.0, seed);
+        SimulatedFleet fleet =
+                new SimulatedFleet(
+                        routers, readers, Math.max(3, readers * 2 / 3), readers * 3.0, seed);
         // News is taken where it was then; what is older than the table's memory comes with its age
         // alone.
         long lead = Math.min(way.age(), 60 * SECOND);
         fleet.run(WARM - lead);
-        Knowledge news = fleet.known(way.start() == Start.OWN_PAST ? 0 : 1);
+        Knowledge news = fleet.exportKnowledge(way.start() == Start.OWN_PAST ? 0 : 1);
         fleet.run(lead);
         fleet.restart(0);
         if (way.start() != Start.UNTAUGHT) {
-            fleet.teach(0, news, way.age());
+            fleet.importKnowledge(0, news, way.age());
         }
         for (int i = 0; i < routers; i++) {
-            fleet.take(i);
+            fleet.takeTally(i);
         }
         Sums restarted = new Sums();
         Sums others = new Sums();
@@ -129,7 +130,7 @@
         private double missed;
         private double prompt;
 
-        void add(SimFleet.Tally tally) {
+        void add(SimulatedFleet.Tally tally) {
             missed += tally.missed;
             prompt += tally.prompt;
         }
@@ -140,12 +141,12 @@
     }
 
     private void addStep(
-            Curve c, int step, SimFleet fleet, int routers, Sums restarted, Sums others) {
-        SimFleet.Tally fresh = fleet.take(0);
+            Curve c, int step, SimulatedFleet fleet, int routers, Sums restarted, Sums others) {
+        SimulatedFleet.Tally fresh = fleet.takeTally(0);
         double firstMicros = 0;
         int served = 0;
         for (int i = 1; i < routers; i++) {
-            SimFleet.Tally tally = fleet.take(i);
+            SimulatedFleet.Tally tally = fleet.takeTally(i);
             firstMicros += tally.firstMicros;
             served += tally.served;
             others.add(tally);
--- a/lab/src/main/java/sorrelhoist/lab/sim/StepEngine.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/StepEngine.java
@@ -56,7 +56,7 @@
     private final List<Read> reads = new ArrayList<>();
     private final List<Write> writes = new ArrayList<>();
     private final ArrayDeque<Write> waiting = new ArrayDeque<>();
-    final KeptTexts texts = new KeptTexts(KEPT);
+    final PrefixCache texts = new PrefixCache(KEPT);
     private boolean stepping;
     boolean dead;
 
@@ -65,7 +65,7 @@
     }
 
     /** Reads so many tokens. {@return false where it is full} */
-    boolean read(long missed, Runnable done) {
+    boolean prefill(long missed, Runnable done) {
         if (reads.size() >= SLOTS + QUEUE) {
             return false;
         }
@@ -78,7 +78,7 @@
     }
 
     /** Writes so many tokens, and tells of each. {@return null where it is full} */
-    Write write(int tokens, IntConsumer token) {
+    Write decode(int tokens, IntConsumer token) {
         if (writes.size() + waiting.size() >= SLOTS + QUEUE) {
             return null;
         }
--- a/lab/src/test/java/sorrelhoist/lab/judge/JudgeTest.java
+++ b/lab/src/test/java/sorrelhoist/lab/judge/JudgeTest.java
@@ -39,7 +39,7 @@
     }
 
     private Verdict judge() {
-        lines.sort(Comparator.comparingLong(TraceEvent::t));
+        lines.sort(Comparator.comparingLong(TraceEvent::atMicros));
         return Judge.judge(lines, FIGURES);
     }
 
--- a/lab/src/test/java/sorrelhoist/lab/scenario/ScenarioParserTest.java
+++ b/lab/src/test/java/sorrelhoist/lab/scenario/ScenarioParserTest.java
@@ -35,10 +35,10 @@
         assertEquals(7, d.seed());
         assertEquals(
                 List.of("slow", "cut", "lag", "crash"),
-                d.events().stream().map(Scenario.ScheduledAction::action).toList());
-        assertEquals(250_000, d.events().get(0).at());
-        assertEquals(3.0, d.events().get(0).amount());
-        assertEquals(500.0, d.events().get(2).amount());
+                d.actions().stream().map(Scenario.ScheduledAction::action).toList());
+        assertEquals(250_000, d.actions().get(0).at());
+        assertEquals(3.0, d.actions().get(0).amount());
+        assertEquals(500.0, d.actions().get(2).amount());
         assertEquals(500_000, d.loads().get(0).timeout());
         assertEquals(2.5, d.loads().get(0).rate());
     }
--- a/lab/src/test/java/sorrelhoist/lab/sim/SimFleetTest.java
+++ b/lab/src/test/java/sorrelhoist/lab/sim/SimFleetTest.java
@@ -13,16 +13,16 @@
 class SimFleetTest {
     private static final long SECOND = 1_000_000;
 
-    private static SimFleet.Tally played(long seed, int router) {
-        SimFleet fleet = new SimFleet(3, 4, 3, 12, seed);
+    private static SimulatedFleet.Tally played(long seed, int router) {
+        SimulatedFleet fleet = new SimulatedFleet(3, 4, 3, 12, seed);
         fleet.run(20 * SECOND);
-        return fleet.take(router);
+        return fleet.takeTally(router);
     }
 
     @Test
     void aSeedGivesTheSameDay() {
-        SimFleet.Tally a = played(1, 0);
-        SimFleet.Tally b = played(1, 0);
+        SimulatedFleet.Tally a = played(1, 0);
+        SimulatedFleet.Tally b = played(1, 0);
         assertEquals(a.meanFirst(), b.meanFirst());
         assertEquals(a.missed, b.missed);
         assertNotEquals(a.meanFirst(), played(2, 0).meanFirst());
@@ -31,24 +31,24 @@
 
     @Test
     void textsThatAreKeptAreNotReadAnew() {
-        SimFleet fleet = new SimFleet(3, 4, 3, 12, 3);
+        SimulatedFleet fleet = new SimulatedFleet(3, 4, 3, 12, 3);
         fleet.run(5 * SECOND);
-        double early = fleet.take(0).missedShare();
+        double early = fleet.takeTally(0).missedShare();
         fleet.run(60 * SECOND);
-        fleet.take(0);
+        fleet.takeTally(0);
         fleet.run(20 * SECOND);
-        assertTrue(fleet.take(0).missedShare() < 0.7 * early);
+        assertTrue(fleet.takeTally(0).missedShare() < 0.7 * early);
     }
 
     @Test
     void aRestartedRouterKnowsNothingUntilItIsTaught() {
-        SimFleet fleet = new SimFleet(3, 4, 3, 12, 4);
+        SimulatedFleet fleet = new SimulatedFleet(3, 4, 3, 12, 4);
         fleet.run(20 * SECOND);
         fleet.restart(0);
-        assertEquals(0, fleet.known(0).keys().size());
-        fleet.teach(0, fleet.known(1), 0);
-        assertTrue(fleet.known(0).keys().size() > 20);
+        assertEquals(0, fleet.exportKnowledge(0).keys().size());
+        fleet.importKnowledge(0, fleet.exportKnowledge(1), 0);
+        assertTrue(fleet.exportKnowledge(0).keys().size() > 20);
         fleet.run(10 * SECOND);
-        assertTrue(fleet.take(0).served > 20);
+        assertTrue(fleet.takeTally(0).served > 20);
     }
 }
--- a/planner/src/main/java/sorrelhoist/planner/Planner.java
+++ b/planner/src/main/java/sorrelhoist/planner/Planner.java
@@ -149,8 +149,8 @@
     private static void logChange(EndpointTracker.TrackedEndpoint endpoint) {
         LOG.atInfo()
                 .addKeyValue("event", "endpoint_changed")
-                .addKeyValue("engine", endpoint.entry().id())
-                .addKeyValue("state", endpoint.entry().state())
+                .addKeyValue("engine", endpoint.engine().id())
+                .addKeyValue("state", endpoint.engine().state())
                 .log("endpoint changed");
     }
 
--- a/planner/src/main/java/sorrelhoist/planner/RosterEncoder.java
+++ b/planner/src/main/java/sorrelhoist/planner/RosterEncoder.java
@@ -42,7 +42,7 @@
 
     private static List<RosterEntry> entries(
             List<EndpointTracker.TrackedEndpoint> endpoints, long now) {
-        return endpoints.stream().map(endpoint -> entry(endpoint.entry(), now)).toList();
+        return endpoints.stream().map(endpoint -> entry(endpoint.engine(), now)).toList();
     }
 
     private static RosterEntry entry(EngineTable.ListedEngine engine, long now) {
