--- a/adapter/src/main/java/sorrelhoist/adapter/ActionEncoder.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/ActionEncoder.java
@@ -8,21 +8,21 @@
 import java.util.List;
 import sorrelhoist.adapter.SimulatorProtocol.Field;
 import sorrelhoist.adapter.SimulatorProtocol.Sent;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Cancel;
-import sorrelhoist.routing.Routing.CloseIdle;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.FetchList;
-import sorrelhoist.routing.Routing.Follow;
-import sorrelhoist.routing.Routing.Log;
-import sorrelhoist.routing.Routing.Move;
-import sorrelhoist.routing.Routing.Probe;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.Release;
-import sorrelhoist.routing.Routing.Reserve;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.Tell;
-import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Cancel;
+import sorrelhoist.routing.RoutingActions.CloseIdle;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.FetchList;
+import sorrelhoist.routing.RoutingActions.Follow;
+import sorrelhoist.routing.RoutingActions.Log;
+import sorrelhoist.routing.RoutingActions.Move;
+import sorrelhoist.routing.RoutingActions.Probe;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Release;
+import sorrelhoist.routing.RoutingActions.Reserve;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingActions.Tell;
+import sorrelhoist.routing.RoutingActions.Timer;
 
 /**
  * Encodes the actions of one round into one reply line. The line is buffered, so that a round that
--- a/adapter/src/main/java/sorrelhoist/adapter/EventDecoder.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/EventDecoder.java
@@ -6,22 +6,22 @@
 import sorrelhoist.adapter.SimulatorProtocol.Field;
 import sorrelhoist.adapter.SimulatorProtocol.LoadField;
 import sorrelhoist.adapter.SimulatorProtocol.Received;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.ClientGone;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.PeerMessage;
-import sorrelhoist.routing.Routing.PlaceAnswered;
-import sorrelhoist.routing.Routing.ProbeAnswered;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.ServerState;
-import sorrelhoist.routing.Routing.StreamStarted;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.ClientGone;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.PeerMessage;
+import sorrelhoist.routing.RoutingEvents.PlaceAnswered;
+import sorrelhoist.routing.RoutingEvents.ProbeAnswered;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
+import sorrelhoist.routing.RoutingSettings;
 
 /** Decodes the simulator's messages to one router into events of its routing policy. */
 final class EventDecoder {
--- a/adapter/src/main/java/sorrelhoist/adapter/SettingsDecoder.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/SettingsDecoder.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.Map;
 import sorrelhoist.adapter.SimulatorProtocol.SettingsField;
-import sorrelhoist.routing.Routing.Capabilities;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.LoadReportMode;
-import sorrelhoist.routing.Routing.RequestClass;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.ServerKind;
-import sorrelhoist.routing.Routing.ServerLimits;
-import sorrelhoist.routing.Routing.Tenant;
+import sorrelhoist.routing.RoutingSettings;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.LoadReportMode;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
+import sorrelhoist.routing.RoutingSettings.Role;
+import sorrelhoist.routing.RoutingSettings.ServerKind;
+import sorrelhoist.routing.RoutingSettings.ServerLimits;
+import sorrelhoist.routing.RoutingSettings.Tenant;
 
 /** Decodes a router's settings. */
 public final class SettingsDecoder {
--- a/adapter/src/main/java/sorrelhoist/adapter/SimulatorAdapter.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/SimulatorAdapter.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import sorrelhoist.adapter.SimulatorProtocol.Field;
 import sorrelhoist.adapter.SimulatorProtocol.Received;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingEvents.Event;
 import sorrelhoist.routing.RoutingPolicy;
+import sorrelhoist.routing.RoutingSettings;
 
 /**
  * Hosts any number of {@link RoutingPolicy} instances behind the simulator's line protocol: one
--- a/adapter/src/test/java/sorrelhoist/adapter/ActionEncoderTest.java
+++ b/adapter/src/test/java/sorrelhoist/adapter/ActionEncoderTest.java
@@ -5,20 +5,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.Cancel;
-import sorrelhoist.routing.Routing.CloseIdle;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.FetchList;
-import sorrelhoist.routing.Routing.Follow;
-import sorrelhoist.routing.Routing.Log;
-import sorrelhoist.routing.Routing.Move;
-import sorrelhoist.routing.Routing.Probe;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.Release;
-import sorrelhoist.routing.Routing.Reserve;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.Tell;
-import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.RoutingActions.Cancel;
+import sorrelhoist.routing.RoutingActions.CloseIdle;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.FetchList;
+import sorrelhoist.routing.RoutingActions.Follow;
+import sorrelhoist.routing.RoutingActions.Log;
+import sorrelhoist.routing.RoutingActions.Move;
+import sorrelhoist.routing.RoutingActions.Probe;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Release;
+import sorrelhoist.routing.RoutingActions.Reserve;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingActions.Tell;
+import sorrelhoist.routing.RoutingActions.Timer;
 
 class ActionEncoderTest {
     @Test
--- a/adapter/src/test/java/sorrelhoist/adapter/SimulatorAdapterTest.java
+++ b/adapter/src/test/java/sorrelhoist/adapter/SimulatorAdapterTest.java
@@ -16,9 +16,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingSettings;
 
 class SimulatorAdapterTest {
     private String out;
--- a/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
@@ -17,7 +17,7 @@
 import sorrelhoist.core.record.RequestTimeline;
 import sorrelhoist.edge.record.RecordDirectory;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.RoutingSettings;
 
 /** Works on the record of an edge's decisions. */
 @Command(
@@ -166,7 +166,7 @@
     }
 
     /** {@return the settings of a file, or the recording's own if there is none} */
-    private static Routing.RoutingSettings settings(Recording recording, Path config)
+    private static RoutingSettings settings(Recording recording, Path config)
             throws RecordCommandException {
         if (config == null) {
             return recording.header().settings();
--- a/app/src/main/java/sorrelhoist/app/command/RecordingCutter.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordingCutter.java
@@ -16,7 +16,8 @@
 import sorrelhoist.core.record.RecordingMinimizer;
 import sorrelhoist.core.record.Replay;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.RoutingActions;
+import sorrelhoist.routing.RoutingEvents;
 
 /** Cuts a recording down to few events that still show a request that ends for a kind of reason. */
 final class RecordingCutter {
@@ -107,22 +108,22 @@
         return requestIds(recording, this::endedRequest);
     }
 
-    private Long endedRequest(Routing.Action action) {
-        if (action instanceof Routing.Refuse rejection && rejection.why().kind() == kind) {
+    private Long endedRequest(RoutingActions.Action action) {
+        if (action instanceof RoutingActions.Refuse rejection && rejection.why().kind() == kind) {
             return rejection.id();
         }
-        return action instanceof Routing.Fail failure && failure.why().kind() == kind
+        return action instanceof RoutingActions.Fail failure && failure.why().kind() == kind
                 ? failure.id()
                 : null;
     }
 
     private static Set<Long> sentRequests(Recording recording) {
         return requestIds(
-                recording, action -> action instanceof Routing.Send send ? send.id() : null);
+                recording, action -> action instanceof RoutingActions.Send send ? send.id() : null);
     }
 
     private static Set<Long> requestIds(
-            Recording recording, Function<Routing.Action, Long> requestId) {
+            Recording recording, Function<RoutingActions.Action, Long> requestId) {
         Set<Long> ids = new HashSet<>();
         for (Recording.NumberedEntry numbered : recording.entries()) {
             if (numbered.entry() instanceof RecordEntry.Decision decision) {
@@ -141,7 +142,7 @@
 
     private static boolean endsPrefill(Recording.NumberedEntry numbered) {
         return numbered.entry() instanceof RecordEntry.Decision decision
-                && decision.event() instanceof Routing.AttemptEnded ended
-                && ended.outcome() == Routing.Outcome.READ;
+                && decision.event() instanceof RoutingEvents.AttemptEnded ended
+                && ended.outcome() == RoutingEvents.Outcome.READ;
     }
 }
--- a/app/src/main/java/sorrelhoist/app/command/RecordingSummary.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordingSummary.java
@@ -9,7 +9,7 @@
 import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.core.record.Recording;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.RoutingActions;
 
 /** Sums up a recording: counts of events, actions and results, and why requests were not served. */
 final class RecordingSummary {
@@ -62,20 +62,20 @@
         counts.merge(label, 1, Integer::sum);
     }
 
-    private static String label(Routing.Action action) {
+    private static String label(RoutingActions.Action action) {
         Reason reason = reason(action);
         return action.getClass().getSimpleName() + (reason == null ? "" : " " + reason.kind());
     }
 
-    private static Reason reason(Routing.Action action) {
-        if (action instanceof Routing.Send send) {
+    private static Reason reason(RoutingActions.Action action) {
+        if (action instanceof RoutingActions.Send send) {
             return send.why();
-        } else if (action instanceof Routing.Refuse rejection) {
+        } else if (action instanceof RoutingActions.Refuse rejection) {
             return rejection.why();
-        } else if (action instanceof Routing.Fail failure) {
+        } else if (action instanceof RoutingActions.Fail failure) {
             return failure.why();
         }
-        return action instanceof Routing.Cancel cancel ? cancel.why() : null;
+        return action instanceof RoutingActions.Cancel cancel ? cancel.why() : null;
     }
 
     /**
--- a/app/src/main/java/sorrelhoist/app/command/SimulatorRecorder.java
+++ b/app/src/main/java/sorrelhoist/app/command/SimulatorRecorder.java
@@ -16,9 +16,9 @@
 import sorrelhoist.core.record.Recorder;
 import sorrelhoist.core.record.SegmentRetention;
 import sorrelhoist.edge.record.RecordWriter;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingSettings;
 
 /**
  * Records what the routers behind the simulator's line protocol decide, a file each, in the form of
--- a/core/src/main/java/sorrelhoist/core/guard/SendGuard.java
+++ b/core/src/main/java/sorrelhoist/core/guard/SendGuard.java
@@ -2,11 +2,11 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingSettings;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
 
 /**
  * The one way of an attempt's bytes to a socket: asked at the last moment, when the connection
--- a/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
+++ b/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import sorrelhoist.core.members.EngineTable.ListedEngine;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
  * A planner's list of engines: what the registry lists, read as engines that serve, drain or are
--- a/core/src/main/java/sorrelhoist/core/members/EngineTable.java
+++ b/core/src/main/java/sorrelhoist/core/members/EngineTable.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
  * A router's own view of the engines: turns names of zones, racks and kinds into the numbers that
--- a/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
+++ b/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Release;
-import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Release;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /**
  * Reports when a rule came close to being broken, or service degraded, so that the record around it
--- a/core/src/main/java/sorrelhoist/core/record/ChunkWriter.java
+++ b/core/src/main/java/sorrelhoist/core/record/ChunkWriter.java
@@ -1,7 +1,8 @@
 package sorrelhoist.core.record;
 
 import java.util.List;
-import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.RoutingActions;
+import sorrelhoist.routing.RoutingEvents;
 
 /** Encodes one chunk after the other; see {@link ChunkCodec} for their form. */
 final class ChunkWriter {
@@ -34,7 +35,7 @@
     }
 
     /** Writes a {@link RecordEntry.Decision} without making one: this is by far the commonest. */
-    void writeDecision(long at, Routing.Event event, List<Routing.Action> actions) {
+    void writeDecision(long at, RoutingEvents.Event event, List<RoutingActions.Action> actions) {
         out.writeByte(EntryTags.DECISION);
         int start = out.beginBlock();
         out.writeSignedVarint(at);
--- a/core/src/main/java/sorrelhoist/core/record/DecisionListener.java
+++ b/core/src/main/java/sorrelhoist/core/record/DecisionListener.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import sorrelhoist.routing.Knowledge;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingEvents.Event;
 
 /**
  * Is told of all that a router's decisions are given and answer, on the router's thread. A listener
--- a/core/src/main/java/sorrelhoist/core/record/EntryTags.java
+++ b/core/src/main/java/sorrelhoist/core/record/EntryTags.java
@@ -3,7 +3,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.RoutingActions;
+import sorrelhoist.routing.RoutingEvents;
 
 /**
  * The numbers by which entries, events and actions are stored: their places in these lists. A
@@ -20,35 +21,35 @@
                     RecordEntry.EntriesDropped.class,
                     RecordEntry.Marker.class);
 
-    static final List<Class<? extends Routing.Event>> EVENTS =
+    static final List<Class<? extends RoutingEvents.Event>> EVENTS =
             List.of(
-                    Routing.Members.class,
-                    Routing.Arrived.class,
-                    Routing.AttemptEnded.class,
-                    Routing.StreamStarted.class,
-                    Routing.PlaceAnswered.class,
-                    Routing.ProbeAnswered.class,
-                    Routing.TimerFired.class,
-                    Routing.PeerMessage.class,
-                    Routing.Seated.class,
-                    Routing.ClientGone.class);
+                    RoutingEvents.Members.class,
+                    RoutingEvents.Arrived.class,
+                    RoutingEvents.AttemptEnded.class,
+                    RoutingEvents.StreamStarted.class,
+                    RoutingEvents.PlaceAnswered.class,
+                    RoutingEvents.ProbeAnswered.class,
+                    RoutingEvents.TimerFired.class,
+                    RoutingEvents.PeerMessage.class,
+                    RoutingEvents.Seated.class,
+                    RoutingEvents.ClientGone.class);
 
-    static final List<Class<? extends Routing.Action>> ACTIONS =
+    static final List<Class<? extends RoutingActions.Action>> ACTIONS =
             List.of(
-                    Routing.Send.class,
-                    Routing.Reserve.class,
-                    Routing.Release.class,
-                    Routing.Refuse.class,
-                    Routing.Fail.class,
-                    Routing.Cancel.class,
-                    Routing.Move.class,
-                    Routing.Probe.class,
-                    Routing.Timer.class,
-                    Routing.Tell.class,
-                    Routing.Follow.class,
-                    Routing.FetchList.class,
-                    Routing.CloseIdle.class,
-                    Routing.Log.class);
+                    RoutingActions.Send.class,
+                    RoutingActions.Reserve.class,
+                    RoutingActions.Release.class,
+                    RoutingActions.Refuse.class,
+                    RoutingActions.Fail.class,
+                    RoutingActions.Cancel.class,
+                    RoutingActions.Move.class,
+                    RoutingActions.Probe.class,
+                    RoutingActions.Timer.class,
+                    RoutingActions.Tell.class,
+                    RoutingActions.Follow.class,
+                    RoutingActions.FetchList.class,
+                    RoutingActions.CloseIdle.class,
+                    RoutingActions.Log.class);
 
     /** The tag of {@link RecordEntry.Decision}, whose events and actions are tagged themselves. */
     static final int DECISION = 1;
--- a/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.RoutingActions;
+import sorrelhoist.routing.RoutingEvents;
+import sorrelhoist.routing.RoutingSettings;
 
 /**
  * One entry of a record, in the order in which things happened. Times are microseconds on the
@@ -19,12 +21,7 @@
      * @param settings of the decisions
      * @param seed of all randomness
      */
-    record Header(
-            String build,
-            String name,
-            long incarnation,
-            Routing.RoutingSettings settings,
-            long seed)
+    record Header(String build, String name, long incarnation, RoutingSettings settings, long seed)
             implements RecordEntry {}
 
     /**
@@ -34,7 +31,7 @@
      * @param event what was decided about
      * @param actions what was decided, in order
      */
-    record Decision(long at, Routing.Event event, List<Routing.Action> actions)
+    record Decision(long at, RoutingEvents.Event event, List<RoutingActions.Action> actions)
             implements RecordEntry {}
 
     /**
--- a/core/src/main/java/sorrelhoist/core/record/Recorder.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recorder.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.function.Predicate;
 import sorrelhoist.routing.Knowledge;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingEvents.Event;
 
 /**
  * Encodes what it is told into chunks, at once and in memory, and hands each chunk on when it is
--- a/core/src/main/java/sorrelhoist/core/record/RecordingAnonymizer.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingAnonymizer.java
@@ -3,15 +3,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.PeerMessage;
-import sorrelhoist.routing.Routing.PlaceAnswered;
-import sorrelhoist.routing.Routing.ProbeAnswered;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.PeerMessage;
+import sorrelhoist.routing.RoutingEvents.PlaceAnswered;
+import sorrelhoist.routing.RoutingEvents.ProbeAnswered;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
 
 /**
  * Replaces the names in a recording by neutral ones, so that it can be given to others: those of
--- a/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 /**
  * Shortens a recording to few events that still show something, by delta debugging (Zeller and
--- a/core/src/main/java/sorrelhoist/core/record/Replay.java
+++ b/core/src/main/java/sorrelhoist/core/record/Replay.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import sorrelhoist.routing.Routing;
-import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.RoutingActions.Action;
 import sorrelhoist.routing.RoutingPolicy;
+import sorrelhoist.routing.RoutingSettings;
 
 /**
  * Feeds a recording's events to a new {@link RoutingPolicy} and compares its actions with those
@@ -89,7 +89,7 @@
      */
     public static Result run(
             Recording recording,
-            Routing.RoutingSettings settings,
+            RoutingSettings settings,
             boolean stopsAtDifference,
             BiConsumer<Recording.NumberedEntry, List<Action>> listener) {
         RoutingPolicy policy = new RoutingPolicy(settings, recording.header().seed());
--- a/core/src/main/java/sorrelhoist/core/record/ReplayComparison.java
+++ b/core/src/main/java/sorrelhoist/core/record/ReplayComparison.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingSettings;
 
 /**
  * Compares what was decided in a recording with what another build, or other settings, would have
--- a/core/src/main/java/sorrelhoist/core/record/RequestTimeline.java
+++ b/core/src/main/java/sorrelhoist/core/record/RequestTimeline.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.regex.Pattern;
-import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.RoutingActions.Action;
 
 /** Everything that a recording holds of one client's request, as lines of text. */
 public final class RequestTimeline {
--- a/core/src/main/java/sorrelhoist/core/record/SegmentReader.java
+++ b/core/src/main/java/sorrelhoist/core/record/SegmentReader.java
@@ -2,7 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.RoutingActions;
+import sorrelhoist.routing.RoutingEvents;
 
 /** Decodes segment files; see {@link ChunkCodec} for their form. */
 final class SegmentReader {
@@ -108,9 +109,10 @@
     private static RecordEntry.Decision readDecision(BinaryReader in, StringTable strings)
             throws CorruptRecordException {
         long at = in.readSignedVarint();
-        Routing.Event event = readTagged(EntryTags.EVENTS, in.readByte(), in.readBlock(), strings);
+        RoutingEvents.Event event =
+                readTagged(EntryTags.EVENTS, in.readByte(), in.readBlock(), strings);
         int count = in.readLength(2);
-        List<Routing.Action> actions = new ArrayList<>();
+        List<RoutingActions.Action> actions = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             actions.add(readTagged(EntryTags.ACTIONS, in.readByte(), in.readBlock(), strings));
         }
--- a/core/src/main/java/sorrelhoist/core/record/TimelineText.java
+++ b/core/src/main/java/sorrelhoist/core/record/TimelineText.java
@@ -3,20 +3,20 @@
 import java.util.Locale;
 import java.util.Optional;
 import sorrelhoist.core.explain.ReasonFormatter;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Cancel;
-import sorrelhoist.routing.Routing.ClientGone;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.Release;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.StreamStarted;
-import sorrelhoist.routing.Routing.Timer;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Cancel;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Release;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingActions.Timer;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.ClientGone;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 /** The texts of a request's timeline; operators read them, and docs/ops quotes some. */
 final class TimelineText {
--- a/core/src/main/java/sorrelhoist/core/request/ActionExecutor.java
+++ b/core/src/main/java/sorrelhoist/core/request/ActionExecutor.java
@@ -2,14 +2,14 @@
 
 import java.util.function.Consumer;
 import sorrelhoist.core.time.TimerQueue;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.CloseIdle;
-import sorrelhoist.routing.Routing.FetchList;
-import sorrelhoist.routing.Routing.Follow;
-import sorrelhoist.routing.Routing.Log;
-import sorrelhoist.routing.Routing.Probe;
-import sorrelhoist.routing.Routing.Tell;
-import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.CloseIdle;
+import sorrelhoist.routing.RoutingActions.FetchList;
+import sorrelhoist.routing.RoutingActions.Follow;
+import sorrelhoist.routing.RoutingActions.Log;
+import sorrelhoist.routing.RoutingActions.Probe;
+import sorrelhoist.routing.RoutingActions.Tell;
+import sorrelhoist.routing.RoutingActions.Timer;
 
 /** Executes the routing policy's actions: those of requests elsewhere, those of the fleet here. */
 final class ActionExecutor {
--- a/core/src/main/java/sorrelhoist/core/request/AttemptFailures.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptFailures.java
@@ -1,8 +1,8 @@
 package sorrelhoist.core.request;
 
 import java.util.function.Consumer;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /** Attempts that end without success, by themselves or because the router cancels them. */
 final class AttemptFailures {
--- a/core/src/main/java/sorrelhoist/core/request/AttemptSender.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptSender.java
@@ -2,8 +2,8 @@
 
 import sorrelhoist.core.time.TimerQueue;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /** Sends attempts where the routing policy orders them, unless they have become pointless. */
 final class AttemptSender {
--- a/core/src/main/java/sorrelhoist/core/request/AttemptTracker.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptTracker.java
@@ -1,10 +1,10 @@
 package sorrelhoist.core.request;
 
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
 
 /** The account of attempts: each send of the routing policy gets exactly one outcome. */
 final class AttemptTracker {
--- a/core/src/main/java/sorrelhoist/core/request/DecisionLoop.java
+++ b/core/src/main/java/sorrelhoist/core/request/DecisionLoop.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 import sorrelhoist.core.record.DecisionListener;
 import sorrelhoist.routing.Knowledge;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingEvents.Event;
 import sorrelhoist.routing.RoutingPolicy;
 
 /**
--- a/core/src/main/java/sorrelhoist/core/request/DecodeSlots.java
+++ b/core/src/main/java/sorrelhoist/core/request/DecodeSlots.java
@@ -1,7 +1,7 @@
 package sorrelhoist.core.request;
 
 import sorrelhoist.core.reservation.Hold;
-import sorrelhoist.routing.Routing.PlaceAnswered;
+import sorrelhoist.routing.RoutingEvents.PlaceAnswered;
 
 /** Engines' answers to reservations of decode slots, made while a prefill runs. */
 final class DecodeSlots {
--- a/core/src/main/java/sorrelhoist/core/request/EngineKinds.java
+++ b/core/src/main/java/sorrelhoist/core/request/EngineKinds.java
@@ -3,11 +3,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerKind;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingSettings.Role;
+import sorrelhoist.routing.RoutingSettings.ServerKind;
 
 /** The kind of each engine on the endpoint list. */
 final class EngineKinds {
--- a/core/src/main/java/sorrelhoist/core/request/IdempotencyWindow.java
+++ b/core/src/main/java/sorrelhoist/core/request/IdempotencyWindow.java
@@ -1,8 +1,8 @@
 package sorrelhoist.core.request;
 
 import java.util.List;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.RequestClass;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
 
 /**
  * Until when a request that may have had an effect may be sent again under its idempotency key. The
--- a/core/src/main/java/sorrelhoist/core/request/PolicyResults.java
+++ b/core/src/main/java/sorrelhoist/core/request/PolicyResults.java
@@ -2,8 +2,8 @@
 
 import sorrelhoist.core.explain.ReasonFormatter;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.Refuse;
 
 /** Gives clients the results that the routing policy decides on. */
 final class PolicyResults {
--- a/core/src/main/java/sorrelhoist/core/request/RequestActions.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestActions.java
@@ -1,15 +1,15 @@
 package sorrelhoist.core.request;
 
 import java.util.function.Consumer;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Cancel;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.Move;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.Release;
-import sorrelhoist.routing.Routing.Reserve;
-import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Cancel;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.Move;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Release;
+import sorrelhoist.routing.RoutingActions.Reserve;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /** Executes the routing policy's actions that concern one request. */
 final class RequestActions {
--- a/core/src/main/java/sorrelhoist/core/request/RequestReservations.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestReservations.java
@@ -13,10 +13,10 @@
 import sorrelhoist.core.reservation.ReleaseReach;
 import sorrelhoist.core.reservation.ReservationKey;
 import sorrelhoist.core.reservation.ReservationTable;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
  * Tells the reservation table what happens to requests. Where holders release by name, each prefill
--- a/core/src/main/java/sorrelhoist/core/request/RequestSubmitter.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestSubmitter.java
@@ -2,7 +2,7 @@
 
 import sorrelhoist.core.record.DecisionListener;
 import sorrelhoist.core.record.RecordEntry;
-import sorrelhoist.routing.Routing.Arrived;
+import sorrelhoist.routing.RoutingEvents.Arrived;
 
 /** Submits requests, and what is left of broken streams, to the routing policy. */
 final class RequestSubmitter {
--- a/core/src/main/java/sorrelhoist/core/request/RequestTermination.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestTermination.java
@@ -1,8 +1,8 @@
 package sorrelhoist.core.request;
 
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.ClientGone;
-import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.RoutingEvents.ClientGone;
+import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /** Ends requests early: their clients left, stopped reading, or ran out of time. */
 final class RequestTermination {
--- a/core/src/main/java/sorrelhoist/core/request/Router.java
+++ b/core/src/main/java/sorrelhoist/core/request/Router.java
@@ -8,15 +8,15 @@
 import sorrelhoist.core.time.TimerQueue;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.PeerMessage;
-import sorrelhoist.routing.Routing.ProbeAnswered;
-import sorrelhoist.routing.Routing.Seated;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.PeerMessage;
+import sorrelhoist.routing.RoutingEvents.ProbeAnswered;
+import sorrelhoist.routing.RoutingEvents.Seated;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 import sorrelhoist.routing.RoutingPolicy;
 
 /**
--- a/core/src/main/java/sorrelhoist/core/request/RouterSettings.java
+++ b/core/src/main/java/sorrelhoist/core/request/RouterSettings.java
@@ -2,7 +2,7 @@
 
 import sorrelhoist.core.reservation.ReleasePolicy;
 import sorrelhoist.core.reservation.ReleaseReach;
-import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.RoutingSettings;
 
 /**
  * What a router is given at its start.
--- a/core/src/main/java/sorrelhoist/core/request/SendAuthorization.java
+++ b/core/src/main/java/sorrelhoist/core/request/SendAuthorization.java
@@ -4,8 +4,8 @@
 import sorrelhoist.core.guard.Invariant;
 import sorrelhoist.core.guard.InvariantMonitor;
 import sorrelhoist.core.guard.SendGuard;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Server;
 
 /** Asks the send guard, at the last moment, whether an attempt's bytes may go to its engine. */
 final class SendAuthorization {
--- a/core/src/main/java/sorrelhoist/core/request/StreamMigration.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamMigration.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 import java.util.List;
-import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /** Ends streams here so that they go on elsewhere, through this router or through another. */
 final class StreamMigration {
--- a/core/src/main/java/sorrelhoist/core/request/StreamMonitor.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamMonitor.java
@@ -1,7 +1,7 @@
 package sorrelhoist.core.request;
 
 import sorrelhoist.core.time.TimerQueue;
-import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /** Watches running streams: for engines that fall silent, and for clients that stop reading. */
 final class StreamMonitor {
--- a/core/src/main/java/sorrelhoist/core/request/StreamRecovery.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamRecovery.java
@@ -1,9 +1,9 @@
 package sorrelhoist.core.request;
 
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
 
 /**
  * Decides what follows when a stream ends before its answer does. Where the deployment resumes
--- a/core/src/main/java/sorrelhoist/core/request/StreamTracker.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamTracker.java
@@ -1,7 +1,7 @@
 package sorrelhoist.core.request;
 
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /** Follows answers from their first token to their end, and passes them on to clients. */
 final class StreamTracker {
--- a/core/src/main/java/sorrelhoist/core/request/TimerDispatcher.java
+++ b/core/src/main/java/sorrelhoist/core/request/TimerDispatcher.java
@@ -1,7 +1,7 @@
 package sorrelhoist.core.request;
 
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 /** Takes each timer that is due to the class that acts on it. */
 final class TimerDispatcher {
--- a/core/src/test/java/sorrelhoist/core/guard/SendGuardTest.java
+++ b/core/src/test/java/sorrelhoist/core/guard/SendGuardTest.java
@@ -9,18 +9,18 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Capabilities;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.LoadReportMode;
-import sorrelhoist.routing.Routing.RequestClass;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerKind;
-import sorrelhoist.routing.Routing.ServerLimits;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingSettings;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.LoadReportMode;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
+import sorrelhoist.routing.RoutingSettings.Role;
+import sorrelhoist.routing.RoutingSettings.ServerKind;
+import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /** Each invariant of a send, violated once: it is counted by its name, and the bytes stay here. */
 class SendGuardTest {
--- a/core/src/test/java/sorrelhoist/core/members/EndpointTrackerTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/EndpointTrackerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.members.EndpointTracker.TrackedEndpoint;
 import sorrelhoist.core.members.RegistryView.Instance;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /** The registry's list read as engines that serve, drain or are gone. */
 class EndpointTrackerTest {
--- a/core/src/test/java/sorrelhoist/core/members/EngineTableTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/EngineTableTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.members.EngineTable.ListedEngine;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /** A router's view of the engines, and the starts of their processes. */
 class EngineTableTest {
--- a/core/src/test/java/sorrelhoist/core/record/AnomalyTriggerTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/AnomalyTriggerTest.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Release;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Release;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 /** What is reported as an anomaly: close to the limit of a rule, and once an incident. */
 class AnomalyTriggerTest {
--- a/core/src/test/java/sorrelhoist/core/record/RecordedFailuresTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordedFailuresTest.java
@@ -12,8 +12,8 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.Refuse;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.Refuse;
 
 /**
  * Past failures as recordings: each was shortened by {@code record cut --build} from what a router
--- a/core/src/test/java/sorrelhoist/core/request/AttemptSenderTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/AttemptSenderTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.record.DecisionListener;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
 
 /** A send goes out only while it has a point; either way it has one outcome. */
 class AttemptSenderTest {
--- a/core/src/test/java/sorrelhoist/core/request/Fleet.java
+++ b/core/src/test/java/sorrelhoist/core/request/Fleet.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import sorrelhoist.core.reservation.ReleaseReach;
-import sorrelhoist.routing.Routing.Capabilities;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.LoadReportMode;
-import sorrelhoist.routing.Routing.RequestClass;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerKind;
-import sorrelhoist.routing.Routing.ServerLimits;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingSettings;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.LoadReportMode;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
+import sorrelhoist.routing.RoutingSettings.Role;
+import sorrelhoist.routing.RoutingSettings.ServerKind;
+import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
  * Small settings and engines for tests: two readers and three writers, one class of each kind of
--- a/core/src/test/java/sorrelhoist/core/request/Histories.java
+++ b/core/src/test/java/sorrelhoist/core/request/Histories.java
@@ -11,11 +11,11 @@
 import java.util.function.UnaryOperator;
 import sorrelhoist.core.record.DecisionListener;
 import sorrelhoist.core.time.TimerQueue;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
  * Random histories of a router in virtual time: clients that come and leave, engines that answer,
--- a/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.reservation.ReleaseReach;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
  * A router whose answers are events of its engines, and whose clients come again for the rest by
--- a/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
@@ -19,14 +19,14 @@
 import sorrelhoist.core.record.ReplayComparison;
 import sorrelhoist.core.record.RequestTimeline;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.Capabilities;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Seated;
-import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Seated;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingSettings;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
 
 /**
  * Histories of a router, recorded, and played again: every action must be the same, and every
--- a/core/src/test/java/sorrelhoist/core/request/ReservationWorld.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationWorld.java
@@ -9,11 +9,11 @@
 import java.util.Set;
 import sorrelhoist.core.reservation.ReleaseReach;
 import sorrelhoist.core.time.TimerQueue;
-import sorrelhoist.routing.Routing.Capabilities;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingSettings;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
 
 /**
  * Workers of the operators' platform around one router, in virtual time: they keep what reads leave
--- a/core/src/test/java/sorrelhoist/core/request/RouterBench.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterBench.java
@@ -16,8 +16,8 @@
 import sorrelhoist.core.record.DecisionListener;
 import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.core.record.Recorder;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
  * What a whole request costs the router, from its arrival to its answer of two tokens, with and
--- a/core/src/test/java/sorrelhoist/core/request/RouterReservationTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterReservationTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /** What single requests have reserved is released, whatever becomes of them. */
 class RouterReservationTest extends RouterTestSupport {
--- a/core/src/test/java/sorrelhoist/core/request/RouterTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterTest.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.record.DecisionListener;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /** One request at a time through each of its ways, with time in the test's hands. */
 class RouterTest extends RouterTestSupport {
--- a/core/src/test/java/sorrelhoist/core/request/RouterTestSupport.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterTestSupport.java
@@ -5,8 +5,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /** A router with its commands kept, for tests of one request at a time. */
 abstract class RouterTestSupport {
--- a/core/src/test/java/sorrelhoist/core/request/StreamRecoveryTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/StreamRecoveryTest.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.record.DecisionListener;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /** What follows a stream that ended before its answer did. */
 class StreamRecoveryTest {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslatorTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslatorTest.java
@@ -11,7 +11,7 @@
 import sorrelhoist.routing.Knowledge.PrefixEntry;
 import sorrelhoist.routing.Knowledge.PrefixHolder;
 import sorrelhoist.routing.Knowledge.RegressionSums;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /** Processes of engines between routers with clocks of their own. */
 class ProcessIdentityTranslatorTest {
--- a/decide/src/main/java/sorrelhoist/routing/AdmissionController.java
+++ b/decide/src/main/java/sorrelhoist/routing/AdmissionController.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import sorrelhoist.routing.Reason.Kind;
-import sorrelhoist.routing.Routing.RequestClass;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
 
 /**
  * Sheds load on arrival: rejects at once what would come late by its prefill and its first token.
--- a/decide/src/main/java/sorrelhoist/routing/AttemptSender.java
+++ b/decide/src/main/java/sorrelhoist/routing/AttemptSender.java
@@ -1,6 +1,6 @@
 package sorrelhoist.routing;
 
-import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.RoutingActions.Send;
 
 /** Sends a request to the endpoint that was selected, and sets the attempt's timeout. */
 final class AttemptSender {
--- a/decide/src/main/java/sorrelhoist/routing/CandidateFilter.java
+++ b/decide/src/main/java/sorrelhoist/routing/CandidateFilter.java
@@ -4,8 +4,8 @@
 import java.util.Comparator;
 import java.util.List;
 import sorrelhoist.routing.Reason.Kind;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.Role;
 
 /** Finds the endpoints that may take a request now. */
 final class CandidateFilter {
--- a/decide/src/main/java/sorrelhoist/routing/Endpoint.java
+++ b/decide/src/main/java/sorrelhoist/routing/Endpoint.java
@@ -2,9 +2,9 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /** One server as this router sees it: its listing, its load and its health. */
 final class Endpoint {
--- a/decide/src/main/java/sorrelhoist/routing/EndpointTable.java
+++ b/decide/src/main/java/sorrelhoist/routing/EndpointTable.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import sorrelhoist.routing.Routing.Follow;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
-import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.RoutingActions.Follow;
+import sorrelhoist.routing.RoutingActions.Timer;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingSettings.Role;
 
 /**
  * The endpoint list as discovery gives it, and what is derived from it: serving lists and cells.
--- a/decide/src/main/java/sorrelhoist/routing/GossipSender.java
+++ b/decide/src/main/java/sorrelhoist/routing/GossipSender.java
@@ -2,8 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Tell;
+import sorrelhoist.routing.RoutingActions.Tell;
 
 /**
  * Shares bad news of endpoints with the other routers, as far as a budget of bytes allows: where
--- a/decide/src/main/java/sorrelhoist/routing/IdempotencyGuard.java
+++ b/decide/src/main/java/sorrelhoist/routing/IdempotencyGuard.java
@@ -1,7 +1,7 @@
 package sorrelhoist.routing;
 
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
 
 /**
  * Decides where a request may run once more, and whether its client may be told that a retry is
--- a/decide/src/main/java/sorrelhoist/routing/InputValidator.java
+++ b/decide/src/main/java/sorrelhoist/routing/InputValidator.java
@@ -2,13 +2,12 @@
 
 import java.util.List;
 import java.util.Objects;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.Capabilities;
-import sorrelhoist.routing.Routing.RequestClass;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Seated;
-import sorrelhoist.routing.Routing.ServerKind;
-import sorrelhoist.routing.Routing.ServerLimits;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.Seated;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
+import sorrelhoist.routing.RoutingSettings.ServerKind;
+import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
  * Rejects settings with which no router could keep its rules, and input that cannot be; decides
--- a/decide/src/main/java/sorrelhoist/routing/LoadProber.java
+++ b/decide/src/main/java/sorrelhoist/routing/LoadProber.java
@@ -1,10 +1,9 @@
 package sorrelhoist.routing;
 
 import java.util.Comparator;
-import sorrelhoist.routing.Routing.LoadReportMode;
-import sorrelhoist.routing.Routing.Probe;
-import sorrelhoist.routing.Routing.ProbeAnswered;
-import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.RoutingActions.Probe;
+import sorrelhoist.routing.RoutingEvents.ProbeAnswered;
+import sorrelhoist.routing.RoutingSettings.LoadReportMode;
 
 /** Probes endpoints for their load, as far as a budget allows, and takes in the results. */
 final class LoadProber {
--- a/decide/src/main/java/sorrelhoist/routing/OutcomeRecorder.java
+++ b/decide/src/main/java/sorrelhoist/routing/OutcomeRecorder.java
@@ -1,8 +1,8 @@
 package sorrelhoist.routing;
 
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
 
 /** Learns from how attempts went: service times, queueing delays, health, caches and backoffs. */
 final class OutcomeRecorder {
--- a/decide/src/main/java/sorrelhoist/routing/OutlierDetector.java
+++ b/decide/src/main/java/sorrelhoist/routing/OutlierDetector.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.function.ToDoubleFunction;
-import sorrelhoist.routing.Routing.RoutingSettings;
 
 /**
  * Ejects endpoints that fail or are slow beyond their peers, and brings them back after successful
--- a/decide/src/main/java/sorrelhoist/routing/RequestConclusion.java
+++ b/decide/src/main/java/sorrelhoist/routing/RequestConclusion.java
@@ -1,10 +1,10 @@
 package sorrelhoist.routing;
 
-import sorrelhoist.routing.Routing.Cancel;
-import sorrelhoist.routing.Routing.Capabilities;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.Release;
+import sorrelhoist.routing.RoutingActions.Cancel;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Release;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
 
 /** Ends requests: final answers, cancellation of what is in flight, release of what is reserved. */
 final class RequestConclusion {
--- a/decide/src/main/java/sorrelhoist/routing/RequestLifecycle.java
+++ b/decide/src/main/java/sorrelhoist/routing/RequestLifecycle.java
@@ -1,11 +1,11 @@
 package sorrelhoist.routing;
 
 import sorrelhoist.routing.Reason.Kind;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.StreamStarted;
-import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.RoutingActions.Timer;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
 
 /**
  * Follows each request from its arrival through its attempts to its end, and decides on retries.
--- a/decide/src/main/java/sorrelhoist/routing/RoutingContext.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingContext.java
@@ -3,9 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Seated;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingEvents.Seated;
 
 /**
  * What every part of one router's policy shares: the time of the event under way, the settings, the
--- a/decide/src/main/java/sorrelhoist/routing/RoutingPolicy.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingPolicy.java
@@ -2,23 +2,22 @@
 
 import java.util.List;
 import java.util.Objects;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.ClientGone;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.PeerMessage;
-import sorrelhoist.routing.Routing.ProbeAnswered;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Seated;
-import sorrelhoist.routing.Routing.StreamStarted;
-import sorrelhoist.routing.Routing.Timer;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Timer;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.ClientGone;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.PeerMessage;
+import sorrelhoist.routing.RoutingEvents.ProbeAnswered;
+import sorrelhoist.routing.RoutingEvents.Seated;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 /**
- * Every decision of one router: its settings, events and actions are the records of {@link
- * Routing}.
+ * Every decision of one router: its settings are {@link RoutingSettings}, it takes {@link
+ * RoutingEvents} and returns {@link RoutingActions}.
  *
  * <p>This class only dispatches events; a class of this package stands for each decision, with the
  * state that it rests on. One instance serves one router and is called by one thread. The caller
--- a/decide/src/main/java/sorrelhoist/routing/SlowStart.java
+++ b/decide/src/main/java/sorrelhoist/routing/SlowStart.java
@@ -1,9 +1,8 @@
 package sorrelhoist.routing;
 
 import java.util.List;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.ServerLimits;
+import sorrelhoist.routing.RoutingSettings.Role;
+import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
  * Slow start: how much an endpoint that is warming up may be sent. Starts are given on this
--- a/decide/src/main/java/sorrelhoist/routing/StageDispatcher.java
+++ b/decide/src/main/java/sorrelhoist/routing/StageDispatcher.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import sorrelhoist.routing.Reason.Kind;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.Timer;
+import sorrelhoist.routing.RoutingActions.Timer;
+import sorrelhoist.routing.RoutingSettings.Role;
 
 /** Takes a request one stage further: to its prefill, its decode, or a mixed endpoint. */
 final class StageDispatcher {
--- a/decide/src/main/java/sorrelhoist/routing/TenantQuota.java
+++ b/decide/src/main/java/sorrelhoist/routing/TenantQuota.java
@@ -1,7 +1,5 @@
 package sorrelhoist.routing;
 
-import sorrelhoist.routing.Routing.RoutingSettings;
-
 /**
  * Counts each tenant's requests against this router's part of its quota: a token bucket a tenant.
  */
--- a/decide/src/main/java/sorrelhoist/routing/TrackedRequest.java
+++ b/decide/src/main/java/sorrelhoist/routing/TrackedRequest.java
@@ -2,8 +2,8 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.RequestClass;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
 
 /**
  * One request from its arrival until nothing is owed or in flight; {@link RequestLifecycle} owns
--- a/decide/src/main/java/sorrelhoist/routing/package-info.java
+++ b/decide/src/main/java/sorrelhoist/routing/package-info.java
@@ -3,8 +3,8 @@
  * admitted, retried, ejected and told to other routers. No dependencies, no I/O, no clock, no
  * threads.
  *
- * <p>{@link sorrelhoist.routing.RoutingPolicy} takes the events of {@link
- * sorrelhoist.routing.Routing} and returns its actions; it dispatches and owns the parts, one
+ * <p>{@link sorrelhoist.routing.RoutingPolicy} takes {@link sorrelhoist.routing.RoutingEvents} and
+ * returns {@link sorrelhoist.routing.RoutingActions}; it dispatches and owns the parts, one
  * instance of each for one router. State is owned as follows:
  *
  * <ul>
--- a/decide/src/test/java/sorrelhoist/routing/AdmissionControllerTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/AdmissionControllerTest.java
@@ -6,7 +6,7 @@
 import static sorrelhoist.routing.Fixtures.SECOND;
 
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.RoutingSettings.Role;
 
 class AdmissionControllerTest {
     private final PolicyParts parts = new PolicyParts();
--- a/decide/src/test/java/sorrelhoist/routing/AttemptSenderTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/AttemptSenderTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.RoutingActions.Send;
 
 class AttemptSenderTest {
     private final PolicyParts parts = new PolicyParts();
--- a/decide/src/test/java/sorrelhoist/routing/CandidateFilterTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/CandidateFilterTest.java
@@ -5,11 +5,11 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingSettings.Role;
 
 class CandidateFilterTest {
     private final PolicyParts parts = new PolicyParts();
--- a/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Event;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.StreamStarted;
-import sorrelhoist.routing.Routing.Timer;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingActions.Timer;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.Event;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 /**
  * A router of one's own in a few lines, as the README describes it: a loop that feeds events and
--- a/decide/src/test/java/sorrelhoist/routing/EndpointTableTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EndpointTableTest.java
@@ -9,11 +9,11 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingSettings.Role;
 
 class EndpointTableTest {
     private final PolicyParts parts = new PolicyParts();
--- a/decide/src/test/java/sorrelhoist/routing/FaultHandlingTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FaultHandlingTest.java
@@ -18,19 +18,19 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Cancel;
-import sorrelhoist.routing.Routing.ClientGone;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.Release;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.StreamStarted;
-import sorrelhoist.routing.Routing.Timer;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Cancel;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Release;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingActions.Timer;
+import sorrelhoist.routing.RoutingEvents.ClientGone;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
 
 /**
  * What one router does when attempts fail; each test is named after the failure it guards against.
--- a/decide/src/test/java/sorrelhoist/routing/Fixtures.java
+++ b/decide/src/test/java/sorrelhoist/routing/Fixtures.java
@@ -2,18 +2,17 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.ServerState;
-import sorrelhoist.routing.Routing.Tenant;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.Tenant;
 
 /** Small settings, servers and events for the module's tests. */
 final class Fixtures {
--- a/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
@@ -18,14 +18,14 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.PeerMessage;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.Tell;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingActions.Tell;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.PeerMessage;
 
 /** What many routers over one fleet learn from what others tell. */
 class FleetGossipTest {
--- a/decide/src/test/java/sorrelhoist/routing/FleetTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetTest.java
@@ -21,14 +21,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerLimits;
-import sorrelhoist.routing.Routing.ServerState;
-import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
+import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /** Many routers over one fleet, each of which sees only its part. */
 class FleetTest {
--- a/decide/src/test/java/sorrelhoist/routing/GossipSenderTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/GossipSenderTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Tell;
+import sorrelhoist.routing.RoutingActions.Tell;
 
 class GossipSenderTest {
     private static Tell tellOnce(PolicyParts parts) {
--- a/decide/src/test/java/sorrelhoist/routing/IdempotencyGuardTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/IdempotencyGuardTest.java
@@ -6,8 +6,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
 
 class IdempotencyGuardTest {
     private static PolicyParts parts(Idempotency idempotency, IdempotencyScope scope) {
--- a/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
@@ -14,12 +14,12 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.ClientGone;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.ClientGone;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /** What one router has learnt serves another; what is stale, replaced or false costs no rule. */
 class KnowledgeTest {
--- a/decide/src/test/java/sorrelhoist/routing/LoadProberTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/LoadProberTest.java
@@ -4,11 +4,11 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.LoadReportMode;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Probe;
-import sorrelhoist.routing.Routing.ProbeAnswered;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingActions.Probe;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ProbeAnswered;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingSettings.LoadReportMode;
 
 class LoadProberTest {
     private static PolicyParts parts(LoadReportMode mode) {
--- a/decide/src/test/java/sorrelhoist/routing/OutcomeRecorderTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/OutcomeRecorderTest.java
@@ -6,9 +6,9 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 class OutcomeRecorderTest {
     private final PolicyParts parts = new PolicyParts();
--- a/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
@@ -20,17 +20,17 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Reserve;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Reserve;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
 
 /**
  * Where one router sends reads and answers; each test is named after the failure it guards against.
--- a/decide/src/test/java/sorrelhoist/routing/PolicyParts.java
+++ b/decide/src/test/java/sorrelhoist/routing/PolicyParts.java
@@ -1,11 +1,10 @@
 package sorrelhoist.routing;
 
 import java.util.List;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Server;
 
 /**
  * The parts of a policy wired by hand, for tests of single parts; its clock starts at ten seconds.
--- a/decide/src/test/java/sorrelhoist/routing/PrefillSelectorTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/PrefillSelectorTest.java
@@ -6,7 +6,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Role;
+import sorrelhoist.routing.RoutingSettings.Role;
 
 class PrefillSelectorTest {
     private final PolicyParts parts = new PolicyParts();
--- a/decide/src/test/java/sorrelhoist/routing/QueueingDelaysTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/QueueingDelaysTest.java
@@ -5,8 +5,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.Tell;
+import sorrelhoist.routing.RoutingActions.Tell;
+import sorrelhoist.routing.RoutingSettings.Role;
 
 class QueueingDelaysTest {
     private final PolicyParts parts = new PolicyParts();
--- a/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
@@ -6,29 +6,28 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.routing.Reason.Kind;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.AttemptEnded;
-import sorrelhoist.routing.Routing.Cancel;
-import sorrelhoist.routing.Routing.Capabilities;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.LoadReportMode;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.RequestClass;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerLimits;
-import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.ServerState;
-import sorrelhoist.routing.Routing.StreamStarted;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Cancel;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.AttemptEnded;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.LoadReportMode;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
+import sorrelhoist.routing.RoutingSettings.Role;
+import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /** Each final answer and each send says what settled it, with the figures that were compared. */
 class ReasonTest {
@@ -58,8 +57,8 @@
                                         SECOND, 40_000, 1, repeat, IdempotencyScope.ALL, 0)),
                         List.of(),
                         List.of(
-                                new Routing.ServerKind(Role.READ, 200_000),
-                                new Routing.ServerKind(Role.WRITE, 200_000)),
+                                new RoutingSettings.ServerKind(Role.READ, 200_000),
+                                new RoutingSettings.ServerKind(Role.WRITE, 200_000)),
                         new Capabilities(
                                 3, true, true, true, 2 * SECOND, false, true, 0.003, 0.003),
                         new ServerLimits(0.26, 2 * SECOND, 3, 3 * SECOND, SECOND / 2));
--- a/decide/src/test/java/sorrelhoist/routing/RequestConclusionTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RequestConclusionTest.java
@@ -6,12 +6,12 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Cancel;
-import sorrelhoist.routing.Routing.Fail;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.Release;
+import sorrelhoist.routing.RoutingActions.Cancel;
+import sorrelhoist.routing.RoutingActions.Fail;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Release;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
 
 class RequestConclusionTest {
     private final PolicyParts parts =
--- a/decide/src/test/java/sorrelhoist/routing/RequestLifecycleTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RequestLifecycleTest.java
@@ -7,14 +7,14 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Cancel;
-import sorrelhoist.routing.Routing.ClientGone;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Release;
-import sorrelhoist.routing.Routing.Send;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Cancel;
+import sorrelhoist.routing.RoutingActions.Release;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.ClientGone;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
 
 class RequestLifecycleTest {
     private final RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 7);
--- a/decide/src/test/java/sorrelhoist/routing/RoutingContextTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RoutingContextTest.java
@@ -7,7 +7,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.FetchList;
+import sorrelhoist.routing.RoutingActions.FetchList;
 
 class RoutingContextTest {
     @Test
--- a/decide/src/test/java/sorrelhoist/routing/RulesTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RulesTest.java
@@ -8,11 +8,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.LoadReportMode;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Tenant;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.LoadReportMode;
+import sorrelhoist.routing.RoutingSettings.Tenant;
 
 /** The five rules over long, seeded, legal histories under varied settings. */
 class RulesTest {
--- a/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
@@ -9,13 +9,12 @@
 import static sorrelhoist.routing.Fixtures.settings;
 
 import java.util.List;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.StreamStarted;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.StreamStarted;
 
 /** One router over the small fleet of {@link Fixtures}, and the steps that its tests share. */
 abstract class SingleRouterTest {
--- a/decide/src/test/java/sorrelhoist/routing/SlowStartTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/SlowStartTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /** A server that starts anew gets little, and no longer than the rules say. */
 class SlowStartTest {
--- a/decide/src/test/java/sorrelhoist/routing/StageDispatcherTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/StageDispatcherTest.java
@@ -4,17 +4,17 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Action;
-import sorrelhoist.routing.Routing.Arrived;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Members;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Refuse;
-import sorrelhoist.routing.Routing.Send;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
-import sorrelhoist.routing.Routing.Timer;
-import sorrelhoist.routing.Routing.TimerFired;
+import sorrelhoist.routing.RoutingActions.Action;
+import sorrelhoist.routing.RoutingActions.Refuse;
+import sorrelhoist.routing.RoutingActions.Send;
+import sorrelhoist.routing.RoutingActions.Timer;
+import sorrelhoist.routing.RoutingEvents.Arrived;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Members;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 class StageDispatcherTest {
     private final RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 7);
--- a/decide/src/test/java/sorrelhoist/routing/TenantQuotaTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/TenantQuotaTest.java
@@ -6,9 +6,9 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.Tenant;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.Tenant;
 
 class TenantQuotaTest {
     @Test
--- a/edge/src/main/java/sorrelhoist/edge/AttemptListener.java
+++ b/edge/src/main/java/sorrelhoist/edge/AttemptListener.java
@@ -7,8 +7,8 @@
 import sorrelhoist.protocol.grpc.ClientCall;
 import sorrelhoist.protocol.grpc.Status;
 import sorrelhoist.protocol.hpack.Headers;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
  * Listens to an engine's answer to an attempt, on the connection's thread, and reports the end of
--- a/edge/src/main/java/sorrelhoist/edge/AttemptOutcomes.java
+++ b/edge/src/main/java/sorrelhoist/edge/AttemptOutcomes.java
@@ -3,7 +3,7 @@
 import sorrelhoist.protocol.grpc.ClientCall;
 import sorrelhoist.protocol.grpc.Status;
 import sorrelhoist.protocol.grpc.StatusCode;
-import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /**
  * Maps the end of a call to an engine to the outcome of the attempt. An attempt counts as never
--- a/edge/src/main/java/sorrelhoist/edge/DecodeListener.java
+++ b/edge/src/main/java/sorrelhoist/edge/DecodeListener.java
@@ -9,7 +9,7 @@
 import sorrelhoist.protocol.engine.Token;
 import sorrelhoist.protocol.grpc.ClientCall;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /** Listens to an engine's answer to a decode attempt: tokens, then one finish event. */
 final class DecodeListener extends AttemptListener {
--- a/edge/src/main/java/sorrelhoist/edge/EngineAttempts.java
+++ b/edge/src/main/java/sorrelhoist/edge/EngineAttempts.java
@@ -9,8 +9,8 @@
 import sorrelhoist.protocol.grpc.ClientCall;
 import sorrelhoist.protocol.grpc.GrpcChannel;
 import sorrelhoist.protocol.hpack.Headers;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
  * The attempts in flight: their calls and their trace spans. Its state belongs to the router's
--- a/edge/src/main/java/sorrelhoist/edge/PlanEventHandler.java
+++ b/edge/src/main/java/sorrelhoist/edge/PlanEventHandler.java
@@ -12,11 +12,11 @@
 import sorrelhoist.protocol.plan.ReplicaSlot;
 import sorrelhoist.protocol.plan.Roster;
 import sorrelhoist.protocol.plan.RosterEntry;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Outcome;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerLoad;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
  * Translates what the planner sends into events of the router. Called on the planner stream's
--- a/edge/src/main/java/sorrelhoist/edge/PrefillListener.java
+++ b/edge/src/main/java/sorrelhoist/edge/PrefillListener.java
@@ -5,7 +5,7 @@
 import sorrelhoist.protocol.engine.PrefillReply;
 import sorrelhoist.protocol.grpc.ClientCall;
 import sorrelhoist.protocol.protobuf.ProtoException;
-import sorrelhoist.routing.Routing.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /** Listens to an engine's answer to a prefill attempt: one reply that names the state. */
 final class PrefillListener extends AttemptListener {
--- a/edge/src/main/java/sorrelhoist/edge/RouterEventLoop.java
+++ b/edge/src/main/java/sorrelhoist/edge/RouterEventLoop.java
@@ -19,9 +19,9 @@
 import sorrelhoist.core.request.RouterSettings;
 import sorrelhoist.core.scheduling.BackgroundScheduler;
 import sorrelhoist.routing.Knowledge;
-import sorrelhoist.routing.Routing.ListUpdateKind;
-import sorrelhoist.routing.Routing.Server;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
  * The one thread on which a router decides, fed by a queue. Network threads hand in what they
--- a/edge/src/main/java/sorrelhoist/edge/RouterSettingsFactory.java
+++ b/edge/src/main/java/sorrelhoist/edge/RouterSettingsFactory.java
@@ -7,7 +7,7 @@
 import sorrelhoist.core.request.RouterSettings;
 import sorrelhoist.core.request.StreamSettings;
 import sorrelhoist.core.reservation.ReleaseReach;
-import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.RoutingSettings;
 
 /** Translates an edge's settings into its router's. Milliseconds become microseconds. */
 final class RouterSettingsFactory {
@@ -35,8 +35,8 @@
                 edge.seed() ^ incarnation);
     }
 
-    private static Routing.RoutingSettings routing(EdgeSettings edge) {
-        return new Routing.RoutingSettings(
+    private static RoutingSettings routing(EdgeSettings edge) {
+        return new RoutingSettings(
                 edge.routers(),
                 INITIAL_SELF,
                 edge.zones().indexOf(edge.zone()),
@@ -44,37 +44,39 @@
                 edge.limits().overShareWorth(),
                 loadReportMode(edge.limits().reports()),
                 edge.classes().stream().map(RouterSettingsFactory::requestClass).toList(),
-                edge.tenants().stream().map(t -> new Routing.Tenant(t.perSecond())).toList(),
+                edge.tenants().stream()
+                        .map(t -> new RoutingSettings.Tenant(t.perSecond()))
+                        .toList(),
                 edge.kinds().stream().map(RouterSettingsFactory::serverKind).toList(),
                 capabilities(edge.limits()),
                 serverLimits(edge.rules()));
     }
 
-    private static Routing.LoadReportMode loadReportMode(String word) {
+    private static RoutingSettings.LoadReportMode loadReportMode(String word) {
         return switch (word) {
-            case "outcomes" -> Routing.LoadReportMode.IN_OUTCOMES;
-            case "probes" -> Routing.LoadReportMode.IN_PROBES;
-            default -> Routing.LoadReportMode.NONE;
+            case "outcomes" -> RoutingSettings.LoadReportMode.IN_OUTCOMES;
+            case "probes" -> RoutingSettings.LoadReportMode.IN_PROBES;
+            default -> RoutingSettings.LoadReportMode.NONE;
         };
     }
 
-    private static Routing.RequestClass requestClass(EdgeSettings.ClassSettings c) {
-        return new Routing.RequestClass(
+    private static RoutingSettings.RequestClass requestClass(EdgeSettings.ClassSettings c) {
+        return new RoutingSettings.RequestClass(
                 micros(c.aimMs()),
                 micros(c.aimMsPer1000()),
                 c.worth(),
-                Routing.Idempotency.valueOf(upperCase(c.repeat())),
-                Routing.IdempotencyScope.valueOf(upperCase(c.scope())),
+                RoutingSettings.Idempotency.valueOf(upperCase(c.repeat())),
+                RoutingSettings.IdempotencyScope.valueOf(upperCase(c.scope())),
                 micros(c.repeatWindowMs()));
     }
 
-    private static Routing.ServerKind serverKind(EdgeSettings.KindSettings kind) {
-        return new Routing.ServerKind(
-                Routing.Role.valueOf(upperCase(kind.role())), kind.memoryTokens());
+    private static RoutingSettings.ServerKind serverKind(EdgeSettings.KindSettings kind) {
+        return new RoutingSettings.ServerKind(
+                RoutingSettings.Role.valueOf(upperCase(kind.role())), kind.memoryTokens());
     }
 
-    private static Routing.Capabilities capabilities(EdgeSettings.LimitSettings limits) {
-        return new Routing.Capabilities(
+    private static RoutingSettings.Capabilities capabilities(EdgeSettings.LimitSettings limits) {
+        return new RoutingSettings.Capabilities(
                 limits.maxAttempts(),
                 limits.cancel(),
                 limits.probes(),
@@ -86,8 +88,8 @@
                 limits.tellPrice());
     }
 
-    private static Routing.ServerLimits serverLimits(EdgeSettings.RuleSettings rules) {
-        return new Routing.ServerLimits(
+    private static RoutingSettings.ServerLimits serverLimits(EdgeSettings.RuleSettings rules) {
+        return new RoutingSettings.ServerLimits(
                 rules.coldFrom(),
                 micros(rules.coldMs()),
                 rules.fallMultiple(),
--- a/edge/src/main/java/sorrelhoist/edge/Tracing.java
+++ b/edge/src/main/java/sorrelhoist/edge/Tracing.java
@@ -13,7 +13,7 @@
 import sorrelhoist.core.explain.ReasonFormatter;
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /**
  * A span for each request and one for each of its attempts, under the client's own trace (W3C Trace
--- a/edge/src/test/java/sorrelhoist/edge/AttemptOutcomesTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/AttemptOutcomesTest.java
@@ -10,7 +10,7 @@
 import sorrelhoist.protocol.grpc.ClientCall.Termination;
 import sorrelhoist.protocol.grpc.Status;
 import sorrelhoist.protocol.grpc.StatusCode;
-import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.RoutingEvents.Outcome;
 
 class AttemptOutcomesTest {
     @ParameterizedTest
--- a/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
@@ -22,16 +22,16 @@
 import sorrelhoist.core.request.RouterSettings;
 import sorrelhoist.core.request.StreamSettings;
 import sorrelhoist.core.reservation.ReleaseReach;
-import sorrelhoist.routing.Routing.Capabilities;
-import sorrelhoist.routing.Routing.Idempotency;
-import sorrelhoist.routing.Routing.IdempotencyScope;
-import sorrelhoist.routing.Routing.LoadReportMode;
-import sorrelhoist.routing.Routing.PeerMessage;
-import sorrelhoist.routing.Routing.RequestClass;
-import sorrelhoist.routing.Routing.Role;
-import sorrelhoist.routing.Routing.RoutingSettings;
-import sorrelhoist.routing.Routing.ServerKind;
-import sorrelhoist.routing.Routing.ServerLimits;
+import sorrelhoist.routing.RoutingEvents.PeerMessage;
+import sorrelhoist.routing.RoutingSettings;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.LoadReportMode;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
+import sorrelhoist.routing.RoutingSettings.Role;
+import sorrelhoist.routing.RoutingSettings.ServerKind;
+import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
  * A disk that is slow, full or away costs the record its chunks, says so, and costs nobody else
--- a/lab/src/main/java/sorrelhoist/lab/sim/AdmissionStudy.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/AdmissionStudy.java
@@ -23,7 +23,20 @@
 import sorrelhoist.core.request.StreamSettings;
 import sorrelhoist.core.reservation.ReleaseReach;
 import sorrelhoist.routing.Reason;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Outcome;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingSettings;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.LoadReportMode;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
+import sorrelhoist.routing.RoutingSettings.Role;
+import sorrelhoist.routing.RoutingSettings.ServerKind;
+import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
  * Studies in virtual time what becomes of bursts that the engines have room for, at fleets of
--- a/lab/src/main/java/sorrelhoist/lab/sim/SimulatedFleet.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/SimulatedFleet.java
@@ -18,7 +18,19 @@
 import sorrelhoist.core.reservation.ReleaseReach;
 import sorrelhoist.core.time.TimerQueue;
 import sorrelhoist.routing.Knowledge;
-import sorrelhoist.routing.Routing.*;
+import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
+import sorrelhoist.routing.RoutingEvents.Server;
+import sorrelhoist.routing.RoutingEvents.ServerLoad;
+import sorrelhoist.routing.RoutingEvents.ServerState;
+import sorrelhoist.routing.RoutingSettings;
+import sorrelhoist.routing.RoutingSettings.Capabilities;
+import sorrelhoist.routing.RoutingSettings.Idempotency;
+import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
+import sorrelhoist.routing.RoutingSettings.LoadReportMode;
+import sorrelhoist.routing.RoutingSettings.RequestClass;
+import sorrelhoist.routing.RoutingSettings.Role;
+import sorrelhoist.routing.RoutingSettings.ServerKind;
+import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
  * A fleet in virtual time: real routers ({@code core} and {@code Decide}) over a small model of
--- a/planner/src/test/java/sorrelhoist/planner/RosterEncoderTest.java
+++ b/planner/src/test/java/sorrelhoist/planner/RosterEncoderTest.java
@@ -7,7 +7,7 @@
 import sorrelhoist.core.members.EndpointTracker.TrackedEndpoint;
 import sorrelhoist.core.members.EngineTable.ListedEngine;
 import sorrelhoist.protocol.plan.Roster;
-import sorrelhoist.routing.Routing.ServerState;
+import sorrelhoist.routing.RoutingEvents.ServerState;
 
 class RosterEncoderTest {
     private static final long NOW = 50_000_000;
