--- a/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
+++ b/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
@@ -20,7 +20,7 @@
  * requests in a short time. It changes no decision, and reports one incident once.
  */
 public final class AnomalyTrigger implements DecisionListener {
-    /** Is told of anomalies. */
+    /** Is notified of anomalies. */
     public interface AnomalyListener {
         /**
          * A rule came close to being broken, or service degraded.
@@ -55,9 +55,9 @@
     /**
      * Creates a trigger.
      *
-     * @param next is told of everything too, before this looks at it
+     * @param next is notified of everything too, before this looks at it
      * @param reservationLimitMicros within which a held state is fetched or released
-     * @param listener is told of anomalies
+     * @param listener is notified of anomalies
      */
     public AnomalyTrigger(
             DecisionListener next, long reservationLimitMicros, AnomalyListener listener) {
--- a/core/src/main/java/sorrelhoist/core/record/DecisionListener.java
+++ b/core/src/main/java/sorrelhoist/core/record/DecisionListener.java
@@ -6,8 +6,8 @@
 import sorrelhoist.routing.RoutingEvents.Event;
 
 /**
- * Is told of all that a router's decisions are given and answer, on the router's thread. A listener
- * must not block or change anything.
+ * Is notified of all that a router's decisions are given and answer, on the router's thread. A
+ * listener must not block or change anything.
  */
 public interface DecisionListener {
     /** Ignores everything. */
@@ -32,7 +32,7 @@
     default void onKnowledgeAdopted(long at, long age, Knowledge knowledge) {}
 
     /**
-     * A request was submitted to the decisions.
+     * A request was submitted to the routing policy.
      *
      * @param request who asked, with a prompt hash of 0
      * @param prompt its text, which is given for its hash alone and must not be kept
--- a/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
@@ -44,11 +44,11 @@
     record KnowledgeAdopted(long at, long age, Knowledge knowledge) implements RecordEntry {}
 
     /**
-     * A client's request, or the rest of one whose stream broke, was submitted to the decisions. No
-     * text of it is recorded.
+     * A client's request, or the rest of one whose stream broke, was submitted to the routing
+     * policy. No text of it is recorded.
      *
      * @param at when
-     * @param id its number at the decisions
+     * @param id its number at the routing policy
      * @param client its client's number at the router
      * @param name its name at engines
      * @param clientId the name that its client gave it; may be empty
--- a/core/src/main/java/sorrelhoist/core/record/Recorder.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recorder.java
@@ -7,10 +7,10 @@
 import sorrelhoist.routing.RoutingEvents.Event;
 
 /**
- * Encodes what it is told into chunks, at once and in memory, and hands each chunk on when it is
- * full or old. Where the sink has no room, the chunk is dropped, its entries are counted, and the
- * next chunk begins with their number: recording never waits for a disk, and a gap always shows.
- * For one thread.
+ * Encodes what it is notified of into chunks, at once and in memory, and hands each chunk on when
+ * it is full or old. Where the sink has no room, the chunk is dropped, its entries are counted, and
+ * the next chunk begins with their number: recording never waits for a disk, and a gap always
+ * shows. For one thread.
  */
 public final class Recorder implements DecisionListener {
     /** Bytes after which a chunk is handed on. */
--- a/core/src/main/java/sorrelhoist/core/record/Replay.java
+++ b/core/src/main/java/sorrelhoist/core/record/Replay.java
@@ -84,7 +84,7 @@
      * @param recording complete, or from a gap on as far as it goes
      * @param settings in place of the recording's own
      * @param stopsAtDifference whether it stops at the first difference
-     * @param listener is told of each decision and of the actions now
+     * @param listener is notified of each decision and of the actions now
      * @return how it went
      */
     public static Result run(
--- a/core/src/main/java/sorrelhoist/core/record/RequestIds.java
+++ b/core/src/main/java/sorrelhoist/core/record/RequestIds.java
@@ -17,7 +17,7 @@
 import sorrelhoist.routing.RoutingEvents.StreamStarted;
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 
-/** Finds the request that an event or an action is about, by its number at the decisions. */
+/** Finds the request that an event or an action is about, by its number at the routing policy. */
 final class RequestIds {
     /** Stands for no request. */
     static final long NONE = -1;
--- a/core/src/main/java/sorrelhoist/core/record/package-info.java
+++ b/core/src/main/java/sorrelhoist/core/record/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The record of a router's decisions: what each decision was told and answered, kept as segments on
- * disk, and the tools that explain, replay, compare and shorten it.
+ * The record of a router's decisions: each event with the actions that were decided, kept as
+ * segments on disk, and the tools that explain, replay, compare and shorten it.
  *
  * <p>{@link sorrelhoist.core.record.DecisionListener} is where a router reports; {@link
  * sorrelhoist.core.record.Recorder} encodes on the router's thread and owns the chunk that is being
--- a/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Tells that there is work.
+     * Announces work.
      *
      * @param job a registered job
      * @param at from when on, in microseconds
--- a/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeCodec.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeCodec.java
@@ -1,6 +1,7 @@
 package sorrelhoist.core.statetransfer;
 
 import sorrelhoist.routing.Knowledge;
+import sorrelhoist.routing.Knowledge.RegressionSums;
 
 /**
  * The form of a snapshot: a magic byte and a version, then sections with their lengths, so that a
@@ -27,6 +28,9 @@
     /** Bytes that a name may have. */
     static final int MAX_NAME_BYTES = 1024;
 
+    /** Stands for a regression that has learned nothing. */
+    static final RegressionSums NO_SUMS = new RegressionSums(0, 0, 0, 0, 0);
+
     private KnowledgeCodec() {}
 
     /**
--- a/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeDecoder.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeDecoder.java
@@ -19,7 +19,6 @@
 final class KnowledgeDecoder {
     private static final int MAX_HOLDERS = 1000;
     private static final int MAX_REGRESSIONS = 1000;
-    private static final RegressionSums NO_SUMS = new RegressionSums(0, 0, 0, 0, 0);
 
     private final List<PrefixEntry> keys = new ArrayList<>();
     private final List<ServerHealth> health = new ArrayList<>();
@@ -41,7 +40,7 @@
             throw new CorruptKnowledgeException(regressions.size() + " lines");
         }
         if (regressions.isEmpty()) {
-            return new Knowledge(keys, health, List.of(), NO_SUMS);
+            return new Knowledge(keys, health, List.of(), KnowledgeCodec.NO_SUMS);
         }
         List<RegressionSums> prefillTimes = regressions.subList(1, regressions.size());
         return new Knowledge(keys, health, prefillTimes, regressions.get(0));
--- a/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotTransfer.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotTransfer.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import sorrelhoist.routing.Knowledge;
 import sorrelhoist.routing.Knowledge.PrefixEntry;
-import sorrelhoist.routing.Knowledge.RegressionSums;
 
 /**
  * A donor's side of one transfer: cuts a snapshot into chunks. The first carries health and
@@ -17,7 +16,6 @@
     public static final int MAX_CHUNK_KEY_BYTES = 32 << 10;
 
     private static final int KEYS_PER_CHUNK = 400;
-    private static final RegressionSums NO_SUMS = new RegressionSums(0, 0, 0, 0, 0);
 
     private final Knowledge known;
     private final List<PrefixEntry> missingKeys = new ArrayList<>();
@@ -64,7 +62,7 @@
                                 known.servers(),
                                 known.prefillTimes(),
                                 known.firstTokenTimes())
-                        : new Knowledge(keys, List.of(), List.of(), NO_SUMS);
+                        : new Knowledge(keys, List.of(), List.of(), KnowledgeCodec.NO_SUMS);
         byte[] chunk = KnowledgeCodec.encode(content, MAX_CHUNK_KEY_BYTES);
         sentChunks++;
         sentBytes += chunk.length;
--- a/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
@@ -19,7 +19,7 @@
         REFUSED
     }
 
-    /** {@return microseconds from the last sign of life until a new watch spoke} */
+    /** {@return microseconds from the last message until a new watch is established} */
     private static long replacementTime(long seed, AttemptOutcome... outcomes) {
         WatchReconnectPolicy policy = new WatchReconnectPolicy(seed);
         long now = 1_000_000;
@@ -171,8 +171,8 @@
 
     /**
      * Every order of up to five outcomes of the attempts after a silence, with a change told at
-     * each moment between: it has arrived by the time at which it counts as told, or a watch in use
-     * was open that could have brought it.
+     * each moment between: it has arrived by the time at which it counts as announced, or a watch
+     * in use was open that could have brought it.
      */
     @Test
     void inEveryOrderOfOutcomesTheNextListComesSoonAfterDiscoveryCanBeReached() {
--- a/core/src/test/java/sorrelhoist/core/record/RequestTimelineTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RequestTimelineTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aRecordingWithoutClientsIsSearchedByTheNumberAtTheDecisions() {
+    void aRecordingWithoutClientsIsSearchedByTheNumberAtTheRoutingPolicy() {
         Recording decisions =
                 Recording.of(
                         RecordFixtures.HEADER,
--- a/core/src/test/java/sorrelhoist/core/record/SegmentReaderTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/SegmentReaderTest.java
@@ -8,6 +8,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
+import net.openhft.hashing.LongHashFunction;
 import org.junit.jupiter.api.Test;
 
 /** Segment files that were cut, damaged, or are not this program's. */
@@ -71,9 +72,7 @@
             for (int k = 0; k < 3; k++) {
                 chunk[FRAME_HEADER_BYTES + random.nextInt(length)] = (byte) random.nextInt();
             }
-            long checksum =
-                    net.openhft.hashing.LongHashFunction.xx3()
-                            .hashBytes(chunk, FRAME_HEADER_BYTES, length);
+            long checksum = LongHashFunction.xx3().hashBytes(chunk, FRAME_HEADER_BYTES, length);
             byte[] frameHeader =
                     new BinaryWriter().writeInt(length).writeLong(checksum).toByteArray();
             System.arraycopy(frameHeader, 0, chunk, 0, FRAME_HEADER_BYTES);
--- a/core/src/test/java/sorrelhoist/core/request/RouterReservationTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterReservationTest.java
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Decide goes back to a reader after a writer's error, with the first state still at its
+     * The policy goes back to a reader after a writer's error, with the first state still at its
      * reader.
      */
     @Test
--- a/lab/src/main/java/sorrelhoist/lab/sim/SimulatedFleet.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/SimulatedFleet.java
@@ -33,7 +33,7 @@
 import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
- * A fleet in virtual time: real routers ({@code core} and {@code Decide}) over a small model of
+ * A fleet in virtual time: real routers ({@code core} and the routing policy) over a small model of
  * engines. A reader reads one prompt after the other, from where the text that it keeps ends; a
  * writer answers after a time that grows with what it writes. Everything follows from the seed.
  */
