--- a/adapter/src/main/java/sorrelhoist/wire/Outward.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/ActionEncoder.java
@@ -1,4 +1,4 @@
-package sorrelhoist.wire;
+package sorrelhoist.adapter;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -6,16 +6,16 @@
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
 import java.util.List;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /** Writes one reply; nothing of it leaves before the whole is there. */
-final class Outward {
+final class ActionEncoder {
     private static final JsonFactory JSON = new JsonFactory();
 
     private final StringWriter text = new StringWriter();
     private final JsonGenerator json;
 
-    Outward(long round) {
+    ActionEncoder(long round) {
         try {
             json = JSON.createGenerator(text);
             json.writeStartObject();
--- a/adapter/src/main/java/sorrelhoist/wire/Fields.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/JsonObject.java
@@ -1,4 +1,4 @@
-package sorrelhoist.wire;
+package sorrelhoist.adapter;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -11,31 +11,32 @@
 import java.util.Map;
 
 /** A JSON object with typed access; a missing or odd field is named in the fault. */
-public final class Fields {
+public final class JsonObject {
     private static final JsonFactory JSON = new JsonFactory();
 
     private final Map<String, Object> values;
 
-    private Fields(Map<String, Object> values) {
+    private JsonObject(Map<String, Object> values) {
         this.values = values;
     }
 
     /** Parses one line that must hold exactly one object. */
-    public static Fields parse(String line) throws WireException {
+    public static JsonObject parse(String line) throws InvalidMessageException {
         try (JsonParser parser = JSON.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new WireException("malformed JSON: an object was expected");
+                throw new InvalidMessageException("malformed JSON: an object was expected");
             }
-            Fields fields = new Fields(object(parser));
+            JsonObject fields = new JsonObject(object(parser));
             if (parser.nextToken() != null) {
-                throw new WireException("malformed JSON: more than one value on the line");
+                throw new InvalidMessageException(
+                        "malformed JSON: more than one value on the line");
             }
             return fields;
         } catch (JsonProcessingException e) {
-            throw new WireException(
+            throw new InvalidMessageException(
                     "malformed JSON: " + e.getOriginalMessage().replaceAll("\\s+", " "));
         } catch (IOException e) {
-            throw new WireException("unreadable line: " + e.getMessage());
+            throw new InvalidMessageException("unreadable line: " + e.getMessage());
         }
     }
 
@@ -73,127 +74,127 @@
         };
     }
 
-    static Fields of(Map<String, Object> values) {
-        return new Fields(values);
+    static JsonObject of(Map<String, Object> values) {
+        return new JsonObject(values);
     }
 
     /** A text that has to be there. */
-    public String text(String name) throws WireException {
-        String text = text(name, null);
+    public String getString(String name) throws InvalidMessageException {
+        String text = getString(name, null);
         return text == null ? missing(name) : text;
     }
 
     /** A text. */
-    public String text(String name, String otherwise) throws WireException {
+    public String getString(String name, String otherwise) throws InvalidMessageException {
         Object value = values.get(name);
         if (value != null && !(value instanceof String)) {
-            throw new WireException("field \"" + name + "\" should be text");
+            throw new InvalidMessageException("field \"" + name + "\" should be text");
         }
         return value == null ? otherwise : (String) value;
     }
 
     /** A whole number that has to be there. */
-    public long whole(String name, long least) throws WireException {
-        return values.get(name) == null ? missing(name) : whole(name, least, 0);
+    public long getLong(String name, long least) throws InvalidMessageException {
+        return values.get(name) == null ? missing(name) : getLong(name, least, 0);
     }
 
     /** A whole number. */
-    public long whole(String name, long least, long otherwise) throws WireException {
-        double value = number(name, otherwise);
+    public long getLong(String name, long least, long otherwise) throws InvalidMessageException {
+        double value = getDouble(name, otherwise);
         Object raw = values.get(name);
         long whole = raw instanceof Number n ? n.longValue() : otherwise;
         if (value != Math.rint(value) || value >= 0x1p63 || raw != null && whole < least) {
-            throw new WireException("field \"" + name + "\" is out of range");
+            throw new InvalidMessageException("field \"" + name + "\" is out of range");
         }
         return whole;
     }
 
-    int index(String name, int size) throws WireException {
-        return index(name, size, whole(name, 0));
+    int getIndex(String name, int size) throws InvalidMessageException {
+        return getIndex(name, size, getLong(name, 0));
     }
 
-    int indexOrZero(String name, int size) throws WireException {
-        return index(name, size, whole(name, 0, 0));
+    int getIndexOrZero(String name, int size) throws InvalidMessageException {
+        return getIndex(name, size, getLong(name, 0, 0));
     }
 
-    private static int index(String name, int size, long value) throws WireException {
+    private static int getIndex(String name, int size, long value) throws InvalidMessageException {
         if (value >= size) {
-            throw new WireException("field \"" + name + "\" is out of range");
+            throw new InvalidMessageException("field \"" + name + "\" is out of range");
         }
         return (int) value;
     }
 
     /** A number. */
-    public double number(String name, double otherwise) throws WireException {
+    public double getDouble(String name, double otherwise) throws InvalidMessageException {
         Object value = values.get(name);
         if (value != null && !(value instanceof Number)) {
-            throw new WireException("field \"" + name + "\" should be a number");
+            throw new InvalidMessageException("field \"" + name + "\" should be a number");
         }
         return value == null ? otherwise : ((Number) value).doubleValue();
     }
 
     /** True or false; false where absent. */
-    public boolean flag(String name) throws WireException {
+    public boolean getBoolean(String name) throws InvalidMessageException {
         Object value = values.get(name);
         if (value != null && !(value instanceof Boolean)) {
-            throw new WireException("field \"" + name + "\" should be true or false");
+            throw new InvalidMessageException("field \"" + name + "\" should be true or false");
         }
         return Boolean.TRUE.equals(value);
     }
 
     /** A nested object; empty where absent. */
-    public Fields inner(String name) throws WireException {
-        return inner(name, values.get(name));
+    public JsonObject getObject(String name) throws InvalidMessageException {
+        return getObject(name, values.get(name));
     }
 
-    Fields innerOrFail(String name) throws WireException {
-        return values.get(name) == null ? missing(name) : inner(name);
+    JsonObject getRequiredObject(String name) throws InvalidMessageException {
+        return values.get(name) == null ? missing(name) : getObject(name);
     }
 
     @SuppressWarnings("unchecked")
-    private static Fields inner(String name, Object value) throws WireException {
+    private static JsonObject getObject(String name, Object value) throws InvalidMessageException {
         if (value == null) {
-            return new Fields(Map.of());
+            return new JsonObject(Map.of());
         }
         if (!(value instanceof Map)) {
-            throw new WireException("field \"" + name + "\" should be an object");
+            throw new InvalidMessageException("field \"" + name + "\" should be an object");
         }
-        return new Fields((Map<String, Object>) value);
+        return new JsonObject((Map<String, Object>) value);
     }
 
     /** A list of objects. */
-    public List<Fields> rows(String name) throws WireException {
-        List<Fields> rows = new ArrayList<>();
-        for (Object value : list(name)) {
-            rows.add(inner(name, value));
+    public List<JsonObject> getObjects(String name) throws InvalidMessageException {
+        List<JsonObject> rows = new ArrayList<>();
+        for (Object value : getList(name)) {
+            rows.add(getObject(name, value));
         }
         return rows;
     }
 
     /** A list of plain values; empty where absent. */
-    public List<?> list(String name) throws WireException {
+    public List<?> getList(String name) throws InvalidMessageException {
         Object value = values.get(name);
         if (value != null && !(value instanceof List)) {
-            throw new WireException("field \"" + name + "\" should be a list");
+            throw new InvalidMessageException("field \"" + name + "\" should be a list");
         }
         return value == null ? List.of() : (List<?>) value;
     }
 
     /** Whether it is there. */
-    public boolean has(String name) {
+    public boolean contains(String name) {
         return values.get(name) != null;
     }
 
     /** All numbers of this object by name. */
-    Map<String, Double> numbers() throws WireException {
+    Map<String, Double> toDoubles() throws InvalidMessageException {
         Map<String, Double> numbers = new LinkedHashMap<>();
         for (String name : values.keySet()) {
-            numbers.put(name, number(name, 0));
+            numbers.put(name, getDouble(name, 0));
         }
         return numbers;
     }
 
-    private static <T> T missing(String name) throws WireException {
-        throw new WireException("required field \"" + name + "\" is missing");
+    private static <T> T missing(String name) throws InvalidMessageException {
+        throw new InvalidMessageException("required field \"" + name + "\" is missing");
     }
 }
--- a/adapter/src/main/java/sorrelhoist/wire/FieldsReader.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/JsonObjectReader.java
@@ -1,4 +1,4 @@
-package sorrelhoist.wire;
+package sorrelhoist.adapter;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -17,7 +17,7 @@
 /**
  * JSON objects one behind the other, however they are laid out and wherever their bytes are cut.
  */
-public final class FieldsReader {
+public final class JsonObjectReader {
     private static final int MAX_DEPTH = 64;
     private static final int MAX_TEXT = 1 << 20;
     private static final JsonFactory JSON =
@@ -36,10 +36,10 @@
     /**
      * Makes a reader.
      *
-     * @param mostBytes of one object
+     * @param maxObjectBytes of one object
      */
-    public FieldsReader(int mostBytes) {
-        this.mostBytes = mostBytes;
+    public JsonObjectReader(int maxObjectBytes) {
+        this.mostBytes = maxObjectBytes;
         try {
             this.parser = JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
@@ -51,22 +51,22 @@
      * Takes what came. Ask {@link #next} until it has nothing before giving more.
      *
      * @param some bytes; not used after {@code next} gave null
-     * @throws WireException where an object is larger than the limit
+     * @throws InvalidMessageException where an object is larger than the limit
      */
-    public void add(byte[] some) throws WireException {
+    public void feed(byte[] some) throws InvalidMessageException {
         bytes += some.length;
         if (!open.isEmpty() && bytes > mostBytes) {
-            throw new WireException("an object of more than " + mostBytes + " bytes");
+            throw new InvalidMessageException("an object of more than " + mostBytes + " bytes");
         }
         try {
             ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(some, 0, some.length);
         } catch (IOException e) {
-            throw new WireException("unreadable JSON: " + e.getMessage());
+            throw new InvalidMessageException("unreadable JSON: " + e.getMessage());
         }
     }
 
     /** {@return whether no object has begun whose end has not come} */
-    public boolean isBetween() {
+    public boolean isBetweenObjects() {
         return open.isEmpty();
     }
 
@@ -74,9 +74,9 @@
      * Reads on.
      *
      * @return the next whole object, or null where more bytes are needed
-     * @throws WireException where it is no JSON, or something else than objects
+     * @throws InvalidMessageException where it is no JSON, or something else than objects
      */
-    public Fields next() throws WireException {
+    public JsonObject next() throws InvalidMessageException {
         try {
             for (JsonToken t = parser.nextToken();
                     t != null && t != JsonToken.NOT_AVAILABLE;
@@ -84,24 +84,25 @@
                 Map<String, Object> whole = take(t);
                 if (whole != null) {
                     bytes = 0;
-                    return Fields.of(whole);
+                    return JsonObject.of(whole);
                 }
             }
             return null;
         } catch (JsonProcessingException e) {
-            throw new WireException(
+            throw new InvalidMessageException(
                     "malformed JSON: " + e.getOriginalMessage().replaceAll("\\s+", " "));
         } catch (IOException e) {
-            throw new WireException("unreadable JSON: " + e.getMessage());
+            throw new InvalidMessageException("unreadable JSON: " + e.getMessage());
         }
     }
 
-    private Map<String, Object> take(JsonToken t) throws IOException, WireException {
+    private Map<String, Object> take(JsonToken t) throws IOException, InvalidMessageException {
         if (open.isEmpty() && t != JsonToken.START_OBJECT) {
-            throw new WireException("malformed JSON: an object was expected");
+            throw new InvalidMessageException("malformed JSON: an object was expected");
         }
         if (open.size() > MAX_DEPTH) {
-            throw new WireException("malformed JSON: nested more than " + MAX_DEPTH + " deep");
+            throw new InvalidMessageException(
+                    "malformed JSON: nested more than " + MAX_DEPTH + " deep");
         }
         if (t == JsonToken.START_OBJECT) {
             open.push(new Open(parser.currentName(), new LinkedHashMap<>(), null));
@@ -114,7 +115,7 @@
             }
             put(ended.name, ended.object != null ? ended.object : ended.list);
         } else if (t != JsonToken.FIELD_NAME) {
-            put(parser.currentName(), Fields.scalar(parser));
+            put(parser.currentName(), JsonObject.scalar(parser));
         }
         return null;
     }
--- a/adapter/src/main/java/sorrelhoist/wire/Main.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/Main.java
@@ -1,4 +1,4 @@
-package sorrelhoist.wire;
+package sorrelhoist.adapter;
 
 /** Command line entry: {@code wirehost} serves the wire protocol on standard input and output. */
 public final class Main {
@@ -16,6 +16,6 @@
             System.err.println("usage: java -jar sorrelhoist-adapter-host.jar wirehost");
             System.exit(USAGE);
         }
-        System.exit(new WireHost().run(System.in, System.out, System.err));
+        System.exit(new SimulatorAdapter().run(System.in, System.out, System.err));
     }
 }
--- a/adapter/src/main/java/sorrelhoist/wire/WireHost.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package sorrelhoist.wire;
+package sorrelhoist.adapter;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -10,42 +10,42 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.Decide;
-import sorrelhoist.Routing.Action;
-import sorrelhoist.Routing.Event;
-import sorrelhoist.Routing.Settings;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.RoutingPolicy;
 
 /**
- * Hosts many instances of {@link Decide} on the wire, JSON line by line: translates, decides
+ * Hosts many instances of {@link RoutingPolicy} on the wire, JSON line by line: translates, decides
  * nothing.
  */
-public final class WireHost {
+public final class SimulatorAdapter {
     private static final int OK = 0;
     private static final int FAULT = 1;
     private static final int LISTS = 16;
 
-    private record Instance(Decide decide, Settings settings) {}
+    private record Instance(RoutingPolicy decide, RoutingSettings settings) {}
 
     private final Map<Long, Instance> instances = new HashMap<>();
-    private final Map<Long, Fields> lists = new HashMap<>();
+    private final Map<Long, JsonObject> lists = new HashMap<>();
 
     /** Hears what the hosted instances are told and say; changes nothing. */
-    public interface Hearing {
+    public interface DecisionListener {
         /** Hears nothing. */
-        Hearing NONE = new Hearing() {};
+        DecisionListener NONE = new DecisionListener() {};
 
         /** An instance was started. */
-        default void started(long router, Settings settings, long seed) {}
+        default void started(long router, RoutingSettings settings, long seed) {}
 
         /** An instance was told something, and said something. */
         default void told(long router, long now, Event event, List<Action> actions) {}
     }
 
-    private final Hearing hearing;
+    private final DecisionListener hearing;
 
     /** Makes a host without instances; {@code hello} starts them. */
-    public WireHost() {
-        this(Hearing.NONE);
+    public SimulatorAdapter() {
+        this(DecisionListener.NONE);
     }
 
     /**
@@ -53,7 +53,7 @@
      *
      * @param hearing hears all that is told and said
      */
-    public WireHost(Hearing hearing) {
+    public SimulatorAdapter(DecisionListener hearing) {
         this.hearing = hearing;
     }
 
@@ -76,7 +76,7 @@
                 out.flush();
             }
             return OK;
-        } catch (WireException e) {
+        } catch (InvalidMessageException e) {
             err.println(e.getMessage());
         } catch (IOException e) {
             err.println("line " + lineNumber + ": the pipe failed: " + e.getMessage());
@@ -84,79 +84,81 @@
         return FAULT;
     }
 
-    private String reply(String line, long lineNumber) throws WireException {
-        Fields batch;
+    private String reply(String line, long lineNumber) throws InvalidMessageException {
+        JsonObject batch;
         long round;
         try {
-            batch = Fields.parse(line);
-            round = batch.whole("round", 0);
-        } catch (WireException e) {
+            batch = JsonObject.parse(line);
+            round = batch.getLong("round", 0);
+        } catch (InvalidMessageException e) {
             throw e.at("line " + lineNumber);
         }
         try {
             return reply(batch, round);
-        } catch (WireException e) {
+        } catch (InvalidMessageException e) {
             throw e.at("round " + round);
         }
     }
 
-    private String reply(Fields batch, long round) throws WireException {
-        long now = batch.whole("time-us", 0);
-        List<Fields> messages = batch.rows("msgs");
-        Outward reply = new Outward(round);
+    private String reply(JsonObject batch, long round) throws InvalidMessageException {
+        long now = batch.getLong("time-us", 0);
+        List<JsonObject> messages = batch.getObjects("msgs");
+        ActionEncoder reply = new ActionEncoder(round);
         for (int i = 0; i < messages.size(); i++) {
             try {
                 take(now, messages.get(i), reply);
-            } catch (WireException e) {
+            } catch (InvalidMessageException e) {
                 throw e.at("message " + i);
             } catch (IllegalArgumentException e) {
-                throw new WireException(e.getMessage()).at("message " + i);
+                throw new InvalidMessageException(e.getMessage()).at("message " + i);
             }
         }
         return reply.line();
     }
 
-    private void take(long now, Fields message, Outward reply) throws WireException {
-        String op = message.text("op");
+    private void take(long now, JsonObject message, ActionEncoder reply)
+            throws InvalidMessageException {
+        String op = message.getString("op");
         switch (op) {
             case "list" -> {
-                message.list("rows-in");
-                lists.put((long) message.index("buffer", LISTS), message);
+                message.getList("rows-in");
+                lists.put((long) message.getIndex("buffer", LISTS), message);
             }
             case "hello" -> start(message);
             case "teardown" -> {
                 instance(message);
-                instances.remove(message.whole("router-id", 0));
+                instances.remove(message.getLong("router-id", 0));
             }
             default -> {
                 Instance instance = instance(message);
-                Event event = Inward.event(op, message, instance.settings(), lists);
-                long id = message.whole("router-id", 0);
-                List<Action> actions = instance.decide().on(now, event);
+                Event event = SettingsDecoder.event(op, message, instance.settings(), lists);
+                long id = message.getLong("router-id", 0);
+                List<Action> actions = instance.decide().onEvent(now, event);
                 hearing.told(id, now, event, actions);
                 reply.add(id, actions);
             }
         }
     }
 
-    private void start(Fields message) throws WireException {
-        long id = message.whole("router-id", 0);
-        Settings settings;
+    private void start(JsonObject message) throws InvalidMessageException {
+        long id = message.getLong("router-id", 0);
+        RoutingSettings settings;
         try {
-            settings = Inward.settings(message.innerOrFail("boot-info"));
-        } catch (WireException e) {
+            settings = SettingsDecoder.decode(message.getRequiredObject("boot-info"));
+        } catch (InvalidMessageException e) {
             throw e.at("boot-info");
         }
-        long seed = message.whole("nonce64", Long.MIN_VALUE);
+        long seed = message.getLong("nonce64", Long.MIN_VALUE);
         hearing.started(id, settings, seed);
-        instances.put(id, new Instance(new Decide(settings, seed), settings));
+        instances.put(id, new Instance(new RoutingPolicy(settings, seed), settings));
     }
 
-    private Instance instance(Fields message) throws WireException {
-        long id = message.whole("router-id", 0);
+    private Instance instance(JsonObject message) throws InvalidMessageException {
+        long id = message.getLong("router-id", 0);
         Instance instance = instances.get(id);
         if (instance == null) {
-            throw new WireException("field \"router-id\": instance " + id + " was not started");
+            throw new InvalidMessageException(
+                    "field \"router-id\": instance " + id + " was not started");
         }
         return instance;
     }
--- a/adapter/src/test/java/sorrelhoist/wire/FieldsReaderTest.java
+++ b/adapter/src/test/java/sorrelhoist/adapter/FieldsReaderTest.java
@@ -1,4 +1,4 @@
-package sorrelhoist.wire;
+package sorrelhoist.adapter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -23,42 +23,42 @@
                     + "}\n";
 
     @Test
-    void objectsAreTheSameHoweverTheyAreLaidOutAndCut() throws WireException {
+    void objectsAreTheSameHoweverTheyAreLaidOutAndCut() throws InvalidMessageException {
         byte[] all = TWO.getBytes(StandardCharsets.UTF_8);
         for (int size = 1; size <= all.length; size++) {
-            FieldsReader reader = new FieldsReader(1000);
-            List<Fields> seen = new ArrayList<>();
+            JsonObjectReader reader = new JsonObjectReader(1000);
+            List<JsonObject> seen = new ArrayList<>();
             for (int at = 0; at < all.length; at += size) {
-                reader.add(Arrays.copyOfRange(all, at, Math.min(all.length, at + size)));
-                for (Fields f = reader.next(); f != null; f = reader.next()) {
+                reader.feed(Arrays.copyOfRange(all, at, Math.min(all.length, at + size)));
+                for (JsonObject f = reader.next(); f != null; f = reader.next()) {
                     seen.add(f);
                 }
             }
             assertEquals(2, seen.size(), "pieces of " + size);
-            assertEquals(41, seen.get(0).whole("rev", 0));
-            assertEquals("s-\u00e9", seen.get(0).rows("targets").get(0).text("uid"));
-            assertEquals(0.5, seen.get(0).rows("targets").get(0).number("load", 0));
-            assertEquals(42, seen.get(1).whole("rev", 0));
-            assertEquals("t", seen.get(1).rows("targets").get(0).text("uid"));
+            assertEquals(41, seen.get(0).getLong("rev", 0));
+            assertEquals("s-\u00e9", seen.get(0).getObjects("targets").get(0).getString("uid"));
+            assertEquals(0.5, seen.get(0).getObjects("targets").get(0).getDouble("load", 0));
+            assertEquals(42, seen.get(1).getLong("rev", 0));
+            assertEquals("t", seen.get(1).getObjects("targets").get(0).getString("uid"));
         }
     }
 
     @Test
-    void whatIsNoObjectOrTooLargeIsRefused() throws WireException {
+    void whatIsNoObjectOrTooLargeIsRefused() throws InvalidMessageException {
         for (String bad :
                 new String[] {
                     "[1]", "{\"a\":}", "noise\n", "\"text\"", "7 ", "{\"a\":" + "[".repeat(80)
                 }) {
-            FieldsReader reader = new FieldsReader(1000);
-            reader.add(bad.getBytes(StandardCharsets.UTF_8));
-            assertThrows(WireException.class, reader::next, bad);
+            JsonObjectReader reader = new JsonObjectReader(1000);
+            reader.feed(bad.getBytes(StandardCharsets.UTF_8));
+            assertThrows(InvalidMessageException.class, reader::next, bad);
         }
-        FieldsReader reader = new FieldsReader(1000);
+        JsonObjectReader reader = new JsonObjectReader(1000);
         assertThrows(
-                WireException.class,
+                InvalidMessageException.class,
                 () -> {
                     for (int i = 0; i < 100; i++) {
-                        reader.add(
+                        reader.feed(
                                 (i == 0 ? "{\"a\":[" : "1,".repeat(20))
                                         .getBytes(StandardCharsets.UTF_8));
                         reader.next();
@@ -67,14 +67,14 @@
     }
 
     @Test
-    void aLongWatchOfSmallObjectsIsNeverTooLarge() throws WireException {
-        FieldsReader reader = new FieldsReader(100);
+    void aLongWatchOfSmallObjectsIsNeverTooLarge() throws InvalidMessageException {
+        JsonObjectReader reader = new JsonObjectReader(100);
         for (int i = 0; i < 1000; i++) {
-            reader.add("\n{\"rev\":1}\n{\"r".getBytes(StandardCharsets.UTF_8));
-            assertEquals(1, reader.next().whole("rev", 0));
+            reader.feed("\n{\"rev\":1}\n{\"r".getBytes(StandardCharsets.UTF_8));
+            assertEquals(1, reader.next().getLong("rev", 0));
             reader.next();
-            reader.add("ev\":2}".getBytes(StandardCharsets.UTF_8));
-            assertEquals(2, reader.next().whole("rev", 0));
+            reader.feed("ev\":2}".getBytes(StandardCharsets.UTF_8));
+            assertEquals(2, reader.next().getLong("rev", 0));
             reader.next();
         }
     }
--- a/adapter/src/test/java/sorrelhoist/wire/WireHostTest.java
+++ b/adapter/src/test/java/sorrelhoist/adapter/WireHostTest.java
@@ -1,4 +1,4 @@
-package sorrelhoist.wire;
+package sorrelhoist.adapter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sorrelhoist.Reason;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.*;
 
 class WireHostTest {
     private static final String BOOT =
@@ -48,7 +48,7 @@
         ByteArrayOutputStream stderr = new ByteArrayOutputStream();
         byte[] input = (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8);
         int exit =
-                new WireHost()
+                new SimulatorAdapter()
                         .run(new ByteArrayInputStream(input), stdout, new PrintStream(stderr));
         out = stdout.toString(StandardCharsets.UTF_8);
         err = stderr.toString(StandardCharsets.UTF_8);
@@ -65,20 +65,20 @@
                 + "]}";
     }
 
-    private static Event event(String json) throws WireException {
-        Fields m = Fields.parse(json);
-        Settings s = Inward.settings(Fields.parse(BOOT));
-        return Inward.event(m.text("op"), m, s, Map.of(0L, Fields.parse(LIST)));
+    private static Event event(String json) throws InvalidMessageException {
+        JsonObject m = JsonObject.parse(json);
+        RoutingSettings s = SettingsDecoder.decode(JsonObject.parse(BOOT));
+        return SettingsDecoder.event(m.getString("op"), m, s, Map.of(0L, JsonObject.parse(LIST)));
     }
 
     @Test
     void whoeverHearsItHearsEveryEventWithWhatWasSaid() {
         java.util.List<String> heard = new java.util.ArrayList<>();
-        WireHost host =
-                new WireHost(
-                        new WireHost.Hearing() {
+        SimulatorAdapter host =
+                new SimulatorAdapter(
+                        new SimulatorAdapter.DecisionListener() {
                             @Override
-                            public void started(long router, Settings settings, long seed) {
+                            public void started(long router, RoutingSettings settings, long seed) {
                                 heard.add(
                                         "start " + router + " " + seed + " " + settings.routers());
                             }
@@ -160,21 +160,32 @@
     }
 
     @Test
-    void settingsAreTranslated() throws WireException {
-        Settings s = Inward.settings(Fields.parse(BOOT));
+    void settingsAreTranslated() throws InvalidMessageException {
+        RoutingSettings s = SettingsDecoder.decode(JsonObject.parse(BOOT));
         assertEquals(
-                List.of(new RequestClass(1_000_000, 40_000, 2.5, Repeat.SAFE, Scope.ZONE, 0)),
+                List.of(
+                        new RequestClass(
+                                1_000_000,
+                                40_000,
+                                2.5,
+                                Idempotency.SAFE,
+                                IdempotencyScope.ZONE,
+                                0)),
                 s.classes());
-        assertEquals(List.of(new Kind(Role.READ, 2000), new Kind(Role.WRITE, 3000)), s.kinds());
+        assertEquals(
+                List.of(new ServerKind(Role.READ, 2000), new ServerKind(Role.WRITE, 3000)),
+                s.serverKinds());
         assertEquals(List.of(new Tenant(4)), s.tenants());
-        assertEquals(new Limits(5, true, false, true, 900_000, true, false, 0, 0), s.limits());
-        assertEquals(new Rules(0.26, 12_000_000, 3, 3_000_000, 500_000), s.rules());
-        assertEquals(Reports.IN_OUTCOMES, s.reports());
-        assertFalse(s.asksDiscovery());
+        assertEquals(
+                new Capabilities(5, true, false, true, 900_000, true, false, 0, 0),
+                s.capabilities());
+        assertEquals(new ServerLimits(0.26, 12_000_000, 3, 3_000_000, 500_000), s.serverLimits());
+        assertEquals(LoadReportMode.IN_OUTCOMES, s.loadReportMode());
+        assertFalse(s.subscribesToDiscovery());
     }
 
     @Test
-    void everyEventIsTranslated() throws WireException {
+    void everyEventIsTranslated() throws InvalidMessageException {
         assertEquals(
                 new Arrived(9, 0, 0, "chat/k", "p:c", 1800, 1200, 256, 2_000_000), event(KNOCK));
         assertEquals(
@@ -182,13 +193,13 @@
                 event("{\"op\":\"knock\",\"msg-id\":9,\"class\":0,\"budget-us\":7}"));
         assertEquals(
                 new Members(
-                        ListForm.RESTORED,
+                        ListUpdateKind.RESTORED,
                         List.of(
                                 new Server("r", 0, 0, 1, ServerState.SERVING, 1, 0),
                                 new Server("w", 0, 1, 1, ServerState.SERVING, 1, 6))),
                 event(MEMBERS));
         assertEquals(
-                new Members(ListForm.UNAVAILABLE, List.of()),
+                new Members(ListUpdateKind.UNAVAILABLE, List.of()),
                 event("{\"op\":\"members\",\"form\":\"unavailable\"}"));
         assertEquals(
                 new PlaceAnswered(9, "w", true),
@@ -207,7 +218,7 @@
                         30,
                         true,
                         1,
-                        new Load(0.5, Double.NaN, Double.NaN, Double.NaN)),
+                        new ServerLoad(0.5, Double.NaN, Double.NaN, Double.NaN)),
                 event(
                         "{\"op\":\"closed-attempt\",\"msg-id\":9,\"hop\":1,\"worker\":\"w\",\"reason\":\"busy\","
                             + "\"took-us\":30,\"ended\":true,\"info\":1,\"health-info\":{\"x0\":0.5}}"));
@@ -222,7 +233,10 @@
                         "{\"op\":\"under-way\",\"msg-id\":9,\"hop\":1,\"worker\":\"w\",\"took-us\":30}"));
         assertEquals(
                 new ProbeAnswered(
-                        "w", Outcome.DONE, 30, new Load(Double.NaN, 2000, Double.NaN, Double.NaN)),
+                        "w",
+                        Outcome.DONE,
+                        30,
+                        new ServerLoad(Double.NaN, 2000, Double.NaN, Double.NaN)),
                 event(
                         "{\"op\":\"status-back\",\"reason\":\"done\",\"worker\":\"w\",\"took-us\":30,"
                             + "\"health-info\":{\"x1\":2}}"));
@@ -240,7 +254,7 @@
         "ecanceled,CANCELLED",
         "skipped,SKIPPED"
     })
-    void everyReasonIsTranslated(String word, Outcome outcome) throws WireException {
+    void everyReasonIsTranslated(String word, Outcome outcome) throws InvalidMessageException {
         AttemptEnded e =
                 (AttemptEnded)
                         event(
@@ -253,7 +267,7 @@
 
     @Test
     void everyActionIsTranslated() {
-        Outward reply = new Outward(4);
+        ActionEncoder reply = new ActionEncoder(4);
         reply.add(
                 3,
                 List.of(
--- a/app/src/main/java/sorrelhoist/app/Main.java
+++ b/app/src/main/java/sorrelhoist/app/Main.java
@@ -6,6 +6,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import sorrelhoist.adapter.SimulatorAdapter;
 import sorrelhoist.app.command.ConfigCommand;
 import sorrelhoist.app.command.FleetCommands;
 import sorrelhoist.app.command.MeasureCommand;
@@ -14,7 +15,6 @@
 import sorrelhoist.app.command.SoakCommand;
 import sorrelhoist.app.command.WireCommand;
 import sorrelhoist.platform.Platform;
-import sorrelhoist.wire.WireHost;
 
 /** The command line. */
 @Command(
@@ -57,7 +57,7 @@
         @Override
         public Integer call() throws IOException {
             return record == null
-                    ? new WireHost().run(System.in, System.out, System.err)
+                    ? new SimulatorAdapter().run(System.in, System.out, System.err)
                     : WireCommand.recorded(record);
         }
     }
--- a/app/src/main/java/sorrelhoist/app/command/FleetCommands.java
+++ b/app/src/main/java/sorrelhoist/app/command/FleetCommands.java
@@ -9,12 +9,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sorrelhoist.lab.day.Day;
-import sorrelhoist.lab.day.DayFile;
-import sorrelhoist.lab.load.Ask;
-import sorrelhoist.lab.load.InferClient;
-import sorrelhoist.lab.run.ProcessFleet;
-import sorrelhoist.protocol.net.Net;
+import sorrelhoist.lab.fleet.ProcessFleet;
+import sorrelhoist.lab.load.InferenceClient;
+import sorrelhoist.lab.load.ScriptedRequest;
+import sorrelhoist.lab.scenario.Scenario;
+import sorrelhoist.lab.scenario.ScenarioParser;
+import sorrelhoist.protocol.net.LoopbackTransport;
 
 /** Commands that start a fleet on this machine, or ask one. */
 public final class FleetCommands {
@@ -38,7 +38,8 @@
 
         @Override
         public Integer call() throws IOException {
-            Day day = seed == null ? Fleets.builtIn() : Fleets.withSeed(Fleets.builtIn(), seed);
+            Scenario day =
+                    seed == null ? Fleets.builtIn() : Fleets.withSeed(Fleets.builtIn(), seed);
             Path folder = Fleets.folder("demo");
             try (ProcessFleet fleet = new ProcessFleet(day, folder, Fleets.self(), 0, Map.of())) {
                 System.out.println(
@@ -61,13 +62,14 @@
     }
 
     /** Streams an answer to the terminal. {@return whether it came whole} */
-    static boolean stream(InferClient client, String prompt, int maxTokens) {
+    static boolean stream(InferenceClient client, String prompt, int maxTokens) {
         System.out.println("> " + prompt);
         System.out.print("  ");
         try {
-            InferClient.Result r =
-                    client.ask(
-                                    new Ask("", null, null, null, 0, prompt, maxTokens, PATIENCE),
+            InferenceClient.Result r =
+                    client.send(
+                                    new ScriptedRequest(
+                                            "", null, null, null, 0, prompt, maxTokens, PATIENCE),
                                     (i, text) -> {
                                         System.out.print(text);
                                         System.out.flush();
@@ -80,13 +82,13 @@
                                 + r.status().code()
                                 + ": "
                                 + r.status().message()
-                                + (r.pushbackMillis() > 0
-                                        ? " (come back in " + r.pushbackMillis() + " ms)"
+                                + (r.retryAfterMillis() > 0
+                                        ? " (come back in " + r.retryAfterMillis() + " ms)"
                                         : ""));
             } else {
                 System.out.printf(
                         "  (%d tokens, the first after %.1f ms)%n",
-                        r.tokens(), r.firstMicros() / 1000.0);
+                        r.tokens(), r.firstTokenMicros() / 1000.0);
             }
             return r.served();
         } catch (InterruptedException e) {
@@ -152,7 +154,9 @@
         @Override
         public Integer call() {
             try {
-                InferClient client = new InferClient(Net.loops(1, "ask").next(), to, model);
+                InferenceClient client =
+                        new InferenceClient(
+                                LoopbackTransport.newEventLoops(1, "ask").next(), to, model);
                 return stream(client, prompt, maxTokens) ? 0 : 1;
             } catch (IllegalArgumentException e) {
                 System.err.println("--to: " + e.getMessage());
@@ -169,17 +173,17 @@
                 @Parameters(paramLabel = "FILE") Path file,
                 @Option(names = "--seed", description = "in place of the day's own") Long seed)
                 throws IOException {
-            Day day;
+            Scenario day;
             try {
-                day = DayFile.parse(Files.readString(file));
-            } catch (DayFile.Faulty e) {
-                e.faults().forEach(f -> System.err.println(file + ":" + f));
+                day = ScenarioParser.parse(Files.readString(file));
+            } catch (ScenarioParser.InvalidScenarioException e) {
+                e.errors().forEach(f -> System.err.println(file + ":" + f));
                 return 2;
             } catch (IOException e) {
                 System.err.println(file + ": cannot be read: " + e.getMessage());
                 return 2;
             }
-            Day seeded = seed == null ? day : Fleets.withSeed(day, seed);
+            Scenario seeded = seed == null ? day : Fleets.withSeed(day, seed);
             try (ProcessFleet fleet =
                     new ProcessFleet(seeded, Fleets.folder("day"), Fleets.self(), 0, Map.of())) {
                 fleet.start();
--- a/app/src/main/java/sorrelhoist/app/command/Fleets.java
+++ b/app/src/main/java/sorrelhoist/app/command/Fleets.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Set;
 import sorrelhoist.app.config.Config;
-import sorrelhoist.lab.day.Day;
-import sorrelhoist.lab.day.DayFile;
+import sorrelhoist.lab.fleet.ProcessFleet;
+import sorrelhoist.lab.fleet.ScenarioRunner;
 import sorrelhoist.lab.judge.Verdict;
-import sorrelhoist.lab.run.DayRunner;
-import sorrelhoist.lab.run.ProcessFleet;
+import sorrelhoist.lab.scenario.Scenario;
+import sorrelhoist.lab.scenario.ScenarioParser;
 
 /** What demo, up and day have in common: a fleet of processes of this very program. */
 final class Fleets {
@@ -44,23 +44,23 @@
         return folder;
     }
 
-    static Day builtIn() throws IOException {
+    static Scenario builtIn() throws IOException {
         try (InputStream in = Fleets.class.getResourceAsStream("/days/bad.day")) {
-            return DayFile.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8));
-        } catch (DayFile.Faulty e) {
+            return ScenarioParser.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8));
+        } catch (ScenarioParser.InvalidScenarioException e) {
             throw new IOException("the day that comes with the program: " + e.getMessage(), e);
         }
     }
 
-    static Day withSeed(Day day, long seed) {
-        return new Day(day.name(), seed, day.length(), day.zones(), day.loads(), day.events());
+    static Scenario withSeed(Scenario day, long seed) {
+        return new Scenario(day.name(), seed, day.length(), day.zones(), day.loads(), day.events());
     }
 
     /**
      * Plays a day on a fleet that runs, and prints the judge's table. {@return whether no rule was
      * broken}
      */
-    static boolean play(Day day, ProcessFleet fleet) throws IOException {
+    static boolean play(Scenario day, ProcessFleet fleet) throws IOException {
         System.out.println(
                 "playing \""
                         + day.name()
@@ -70,9 +70,10 @@
                         + day.length() / 1_000_000
                         + " s");
         Verdict verdict =
-                new DayRunner(day, fleet, System.out::println).run(DayRunner.figures(day, UNSAFE));
+                new ScenarioRunner(day, fleet, System.out::println)
+                        .run(ScenarioRunner.limits(day, UNSAFE));
         System.out.println();
         System.out.print(verdict.table());
-        return verdict.clean();
+        return verdict.passed();
     }
 }
--- a/app/src/main/java/sorrelhoist/app/command/MeasureCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/MeasureCommand.java
@@ -7,12 +7,12 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sorrelhoist.lab.measure.FleetMeasure;
-import sorrelhoist.lab.measure.PathMeasure;
-import sorrelhoist.lab.measure.StreamMeasure;
-import sorrelhoist.lab.run.ProcessFleet;
-import sorrelhoist.lab.sim.DoorStudy;
-import sorrelhoist.lab.sim.KnowledgeStudy;
+import sorrelhoist.lab.benchmark.EdgeBenchmark;
+import sorrelhoist.lab.benchmark.FleetBenchmark;
+import sorrelhoist.lab.benchmark.StreamBenchmark;
+import sorrelhoist.lab.fleet.ProcessFleet;
+import sorrelhoist.lab.sim.AdmissionStudy;
+import sorrelhoist.lab.sim.StateTransferStudy;
 
 /** Measures one edge on this machine. */
 @Command(
@@ -49,13 +49,13 @@
             throws IOException {
         try (ProcessFleet fleet =
                 new ProcessFleet(
-                        PathMeasure.fleet(),
+                        EdgeBenchmark.oneEdgeFleet(),
                         Fleets.folder("streams"),
                         Fleets.self(),
                         0,
-                        StreamMeasure.STEADY)) {
+                        StreamBenchmark.STEADY_ENGINES)) {
             fleet.start();
-            new StreamMeasure(fleet, System.out::println).run(levels, slow);
+            new StreamBenchmark(fleet, System.out::println).run(levels, slow);
         }
         return 0;
     }
@@ -93,8 +93,8 @@
                 new ProcessFleet(
                         Fleets.builtIn(), Fleets.folder("fleet"), Fleets.self(), 0, Map.of())) {
             fleet.start();
-            new FleetMeasure(fleet, System.out::println)
-                    .run(new FleetMeasure.Plan(rates, seconds, burst, bursts, !alone), table);
+            new FleetBenchmark(fleet, System.out::println)
+                    .run(new FleetBenchmark.Plan(rates, seconds, burst, bursts, !alone), table);
         }
         return 0;
     }
@@ -119,7 +119,7 @@
             System.err.println("--edges from 1 to 200, --seeds from 1");
             return 2;
         }
-        new DoorStudy(System.out::println).run(sizes, seeds, table);
+        new AdmissionStudy(System.out::println).run(sizes, seeds, table);
         return 0;
     }
 
@@ -138,14 +138,14 @@
         }
         try (ProcessFleet fleet =
                 new ProcessFleet(
-                                PathMeasure.pair(),
+                                EdgeBenchmark.twoEdgeFleet(),
                                 Fleets.folder("recorder"),
                                 Fleets.self(),
                                 0,
-                                PathMeasure.FAST)
-                        .unrecorded("edge-2")) {
+                                EdgeBenchmark.FAST_ENGINES)
+                        .withoutRecording("edge-2")) {
             fleet.start();
-            new PathMeasure(fleet, System.out::println).recorder(requests, turns);
+            new EdgeBenchmark(fleet, System.out::println).runRecorder(requests, turns);
         }
         return 0;
     }
@@ -169,7 +169,7 @@
                             description = "for table and charts")
                     Path out)
             throws IOException {
-        new KnowledgeStudy(seeds, System.out::println).run(sizes, out);
+        new StateTransferStudy(seeds, System.out::println).run(sizes, out);
         return 0;
     }
 
@@ -181,13 +181,13 @@
         }
         try (ProcessFleet fleet =
                 new ProcessFleet(
-                        PathMeasure.fleet(),
+                        EdgeBenchmark.oneEdgeFleet(),
                         Fleets.folder("measure"),
                         Fleets.self(),
                         0,
-                        PathMeasure.FAST)) {
+                        EdgeBenchmark.FAST_ENGINES)) {
             fleet.start();
-            new PathMeasure(fleet, System.out::println).run(requests, concurrency, tokens);
+            new EdgeBenchmark(fleet, System.out::println).run(requests, concurrency, tokens);
         }
         return 0;
     }
--- a/app/src/main/java/sorrelhoist/app/command/OtherBuild.java
+++ b/app/src/main/java/sorrelhoist/app/command/OtherBuild.java
@@ -8,9 +8,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import sorrelhoist.core.record.CorruptRecordException;
+import sorrelhoist.core.record.Recording;
 import sorrelhoist.core.record.Replay;
-import sorrelhoist.core.record.Tape;
-import sorrelhoist.core.record.Unreadable;
 
 /**
  * Another build of this program, from its jar: says what it would have decided. The two have only
@@ -42,13 +42,13 @@
     }
 
     /** {@return the same events with what that build says to them} */
-    Tape again(Tape tape) throws IOException {
+    Recording again(Recording tape) throws IOException {
         try {
-            return Tape.of(List.of((byte[]) again.invoke(null, (Object) tape.file())));
+            return Recording.of(List.of((byte[]) again.invoke(null, (Object) tape.toFileBytes())));
         } catch (InvocationTargetException e) {
             throw new IOException(
                     "--build: that build cannot read this record: " + e.getCause().getMessage());
-        } catch (ReflectiveOperationException | Unreadable e) {
+        } catch (ReflectiveOperationException | CorruptRecordException e) {
             throw new IOException("--build: " + e.getMessage());
         }
     }
--- a/app/src/main/java/sorrelhoist/app/command/Programs.java
+++ b/app/src/main/java/sorrelhoist/app/command/Programs.java
@@ -11,9 +11,9 @@
 import sorrelhoist.edge.Edge;
 import sorrelhoist.edge.EdgeSettings;
 import sorrelhoist.planner.Planner;
-import sorrelhoist.protocol.net.Net;
-import sorrelhoist.standin.engine.Engine;
-import sorrelhoist.standin.registry.Registry;
+import sorrelhoist.protocol.net.LoopbackTransport;
+import sorrelhoist.standin.engine.EngineStandIn;
+import sorrelhoist.standin.registry.RegistryStandIn;
 
 /** The programs that serve until they are told to end. Each prints one line when it is ready. */
 public final class Programs {
@@ -28,7 +28,7 @@
         Path config;
 
         void ready(String what, int port) {
-            System.out.println("ready " + what + "=" + Net.LOOPBACK + ":" + port);
+            System.out.println("ready " + what + "=" + LoopbackTransport.LOOPBACK + ":" + port);
             System.out.flush();
         }
     }
@@ -76,8 +76,8 @@
         public Integer call() throws IOException, Config.Faulty {
             var settings = Config.engine(config);
             Lifetime life = new Lifetime();
-            EventLoopGroup loops = Net.loops(1, "engine");
-            Engine engine = new Engine(settings, loops).start();
+            EventLoopGroup loops = LoopbackTransport.newEventLoops(1, "engine");
+            EngineStandIn engine = new EngineStandIn(settings, loops).start();
             ready("engine", engine.port());
             life.await();
             engine.kill();
@@ -92,7 +92,9 @@
         public Integer call() throws IOException, Config.Faulty {
             var settings = Config.registry(config);
             Lifetime life = new Lifetime();
-            Registry registry = new Registry(settings, Net.loops(1, "registry")).start();
+            RegistryStandIn registry =
+                    new RegistryStandIn(settings, LoopbackTransport.newEventLoops(1, "registry"))
+                            .start();
             ready("registry", registry.port());
             life.await();
             registry.stop();
--- a/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
@@ -18,20 +18,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sorrelhoist.Reason;
-import sorrelhoist.Routing;
 import sorrelhoist.app.config.Config;
-import sorrelhoist.core.record.Compare;
-import sorrelhoist.core.record.Cut;
-import sorrelhoist.core.record.Entry;
-import sorrelhoist.core.record.Rename;
+import sorrelhoist.core.explain.ReasonFormatter;
+import sorrelhoist.core.record.CorruptRecordException;
+import sorrelhoist.core.record.RecordEntry;
+import sorrelhoist.core.record.Recording;
+import sorrelhoist.core.record.RecordingAnonymizer;
+import sorrelhoist.core.record.RecordingMinimizer;
 import sorrelhoist.core.record.Replay;
-import sorrelhoist.core.record.Shelf;
-import sorrelhoist.core.record.Story;
-import sorrelhoist.core.record.Tape;
-import sorrelhoist.core.record.Unreadable;
-import sorrelhoist.core.why.Words;
+import sorrelhoist.core.record.ReplayComparison;
+import sorrelhoist.core.record.RequestTimeline;
+import sorrelhoist.core.record.SegmentRetention;
 import sorrelhoist.edge.record.RecordFolder;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing;
 
 /** Works on the record of an edge's decisions. */
 @Command(
@@ -52,7 +52,7 @@
     }
 
     private interface Work {
-        int run(Tape tape) throws Said, IOException;
+        int run(Recording tape) throws Said, IOException;
     }
 
     private static int on(Path where, Work work) {
@@ -61,7 +61,7 @@
         } catch (Said e) {
             System.err.println("record: " + e.getMessage());
             return 2;
-        } catch (Unreadable | IOException e) {
+        } catch (CorruptRecordException | IOException e) {
             System.err.println(
                     "record: "
                             + where
@@ -73,19 +73,21 @@
         }
     }
 
-    private static Tape read(Path where) throws IOException, Unreadable {
+    private static Recording read(Path where) throws IOException, CorruptRecordException {
         List<byte[]> files = new ArrayList<>();
         if (Files.isDirectory(where)) {
             try (Stream<Path> list = Files.list(where)) {
                 for (Path f :
-                        list.filter(p -> p.toString().endsWith(Shelf.SUFFIX)).sorted().toList()) {
+                        list.filter(p -> p.toString().endsWith(SegmentRetention.FILE_SUFFIX))
+                                .sorted()
+                                .toList()) {
                     files.add(Files.readAllBytes(f));
                 }
             }
         } else {
             files.add(Files.readAllBytes(where));
         }
-        Tape tape = Tape.of(files);
+        Recording tape = Recording.of(files);
         tape.faults().forEach(f -> System.err.println("note: " + f));
         return tape;
     }
@@ -104,7 +106,8 @@
                 where,
                 tape -> {
                     if (entries) {
-                        tape.lines().forEach(l -> System.out.println(l.number() + " " + l.entry()));
+                        tape.entries()
+                                .forEach(l -> System.out.println(l.number() + " " + l.entry()));
                         return 0;
                     }
                     sum(tape, kind);
@@ -112,8 +115,8 @@
                 });
     }
 
-    private static void sum(Tape tape, Reason.Kind kind) {
-        Entry.Started head = tape.head();
+    private static void sum(Recording tape, Reason.Kind kind) {
+        RecordEntry.Header head = tape.header();
         System.out.printf(
                 "router %s, build %s, start %s, %d routers%n",
                 head.name(),
@@ -122,30 +125,31 @@
                 head.settings().routers());
         System.out.printf(
                 "entries %d%s%n",
-                tape.lines().size(),
-                tape.isWhole()
+                tape.entries().size(),
+                tape.isComplete()
                         ? ", from the start and without a gap"
                         : ", with gaps: a replay cannot be exact");
         tape.gaps().forEach(g -> System.out.printf("  missing: %d to %d%n", g[0], g[1] - 1));
         Map<String, Integer> counts = new TreeMap<>();
         Map<Reason.Kind, List<String>> samples = new TreeMap<>();
         Map<Long, String> names = new TreeMap<>();
-        for (Tape.Line l : tape.lines()) {
-            if (l.entry() instanceof Entry.Told t) {
+        for (Recording.NumberedEntry l : tape.entries()) {
+            if (l.entry() instanceof RecordEntry.Decision t) {
                 counts.merge("event " + t.event().getClass().getSimpleName(), 1, Integer::sum);
                 t.actions().forEach(a -> counts.merge("said " + label(a), 1, Integer::sum));
-            } else if (l.entry() instanceof Entry.Asked a) {
+            } else if (l.entry() instanceof RecordEntry.RequestSubmitted a) {
                 names.put(a.client(), a.name());
-            } else if (l.entry() instanceof Entry.Answered a) {
+            } else if (l.entry() instanceof RecordEntry.RequestCompleted a) {
                 counts.merge("answered " + a.how(), 1, Integer::sum);
-                if (a.how() == Entry.End.REFUSED || a.how() == Entry.End.FAILED) {
+                if (a.how() == RecordEntry.Completion.REFUSED
+                        || a.how() == RecordEntry.Completion.FAILED) {
                     samples.computeIfAbsent(a.why().kind(), k -> new ArrayList<>())
                             .add(
                                     names.getOrDefault(a.client(), "(at the door of the router)")
                                             + ": "
-                                            + Words.lack(a.why()));
+                                            + ReasonFormatter.describeFailure(a.why()));
                 }
-            } else if (l.entry() instanceof Entry.Marked m) {
+            } else if (l.entry() instanceof RecordEntry.Marker m) {
                 System.out.println(
                         "marked at " + m.at() + " us, entry " + l.number() + ": " + m.text());
             }
@@ -182,7 +186,7 @@
         return on(
                 where,
                 tape -> {
-                    List<String> story = new Story(tape).of(request);
+                    List<String> story = new RequestTimeline(tape).describe(request);
                     if (story.isEmpty()) {
                         throw new Said(
                                 "no request \""
@@ -200,13 +204,13 @@
         return on(
                 where,
                 tape -> {
-                    if (!tape.isWhole()) {
+                    if (!tape.isComplete()) {
                         System.err.println(
                                 "note: the record does not reach back to the start, so a difference"
                                         + " proves nothing");
                     }
                     long start = System.nanoTime();
-                    Replay.Result r = Replay.of(tape);
+                    Replay.Result r = Replay.run(tape);
                     double seconds = (System.nanoTime() - start) / 1e9;
                     System.out.printf(
                             Locale.ROOT,
@@ -215,12 +219,12 @@
                             r.actions(),
                             r.events() / seconds);
                     System.out.println(
-                            r.same()
+                            r.isIdentical()
                                     ? "every action is the same"
-                                    : r.first() != null
-                                            ? "first difference: " + r.first().text()
+                                    : r.firstDifference() != null
+                                            ? "first difference: " + r.firstDifference().describe()
                                             : r.fault());
-                    return r.same() ? 0 : 1;
+                    return r.isIdentical() ? 0 : 1;
                 });
     }
 
@@ -244,34 +248,39 @@
         return on(
                 where,
                 recorded -> {
-                    Tape tape = build == null ? recorded : as(build, recorded);
-                    Routing.Settings settings = tape.head().settings();
+                    Recording tape = build == null ? recorded : as(build, recorded);
+                    Routing.RoutingSettings settings = tape.header().settings();
                     try {
                         settings =
-                                config == null ? settings : Config.edge(config).router(0).decide();
+                                config == null ? settings : Config.edge(config).router(0).routing();
                     } catch (Config.Faulty e) {
                         throw new Said(e.getMessage());
                     }
-                    Compare.Report r = Compare.of(tape, settings);
+                    ReplayComparison.Report r = ReplayComparison.compare(tape, settings);
                     System.out.printf(
-                            Locale.ROOT, "%d requests, %d decided alike%n", r.requests(), r.same());
+                            Locale.ROOT,
+                            "%d requests, %d decided alike%n",
+                            r.requests(),
+                            r.unchanged());
                     System.out.printf(
                             Locale.ROOT,
                             "sent then, not now: %s, worth %.1f%n",
-                            r.nowRefused(),
-                            r.worthNowRefused());
+                            r.newlyRejected(),
+                            r.weightNewlyRejected());
                     System.out.printf(
                             Locale.ROOT,
                             "not sent then, now: %s, worth %.1f%n",
-                            r.nowSent(),
-                            r.worthNowSent());
+                            r.newlyForwarded(),
+                            r.weightNewlyForwarded());
                     System.out.printf(
                             Locale.ROOT,
                             "sent elsewhere: %d; by the read times that the record shows, %+.1f ms"
                                     + " each over %d%n",
-                            r.elsewhere(),
-                            r.known() == 0 ? 0 : -r.betterMicros() / r.known() / 1000,
-                            r.known());
+                            r.rerouted(),
+                            r.reroutedWithTimes() == 0
+                                    ? 0
+                                    : -r.savedPrefillMicros() / r.reroutedWithTimes() / 1000,
+                            r.reroutedWithTimes());
                     return 0;
                 });
     }
@@ -312,8 +321,9 @@
         return on(
                 where,
                 recorded -> {
-                    Tape tape = rename ? Rename.of(recorded) : recorded;
-                    Predicate<Tape> shows = t -> reads(t) >= learnt && !ended(t, kind).isEmpty();
+                    Recording tape = rename ? RecordingAnonymizer.anonymize(recorded) : recorded;
+                    Predicate<Recording> shows =
+                            t -> reads(t) >= learnt && !ended(t, kind).isEmpty();
                     if (build == null) {
                         return cut(tape, kind, shows, t -> t, out);
                     }
@@ -336,7 +346,11 @@
     }
 
     private static int cut(
-            Tape tape, Reason.Kind kind, Predicate<Tape> shows, UnaryOperator<Tape> said, Path out)
+            Recording tape,
+            Reason.Kind kind,
+            Predicate<Recording> shows,
+            UnaryOperator<Recording> said,
+            Path out)
             throws Said, IOException {
         if (!shows.test(Replay.again(tape))) {
             throw new Said(
@@ -344,22 +358,22 @@
                             + kind
                             + " there: see 'record show' for what does");
         }
-        Cut cut = new Cut(tape.head(), shows, CUT_REPLAYS);
-        Tape little = cut.of(tape);
-        Files.write(out, said.apply(little).file());
+        RecordingMinimizer cut = new RecordingMinimizer(tape.header(), shows, CUT_REPLAYS);
+        Recording little = cut.minimize(tape);
+        Files.write(out, said.apply(little).toFileBytes());
         System.out.printf(
                 "%d entries of %d, after %d replays: %s%n",
-                little.lines().size(), tape.lines().size(), cut.tried(), out);
+                little.entries().size(), tape.entries().size(), cut.replayCount(), out);
         return 0;
     }
 
-    private static Tape as(Path build, Tape tape) throws IOException {
+    private static Recording as(Path build, Recording tape) throws IOException {
         try (OtherBuild other = new OtherBuild(build)) {
             return other.again(tape);
         }
     }
 
-    private static Tape unchecked(OtherBuild build, Tape tape) {
+    private static Recording unchecked(OtherBuild build, Recording tape) {
         try {
             return build.again(tape);
         } catch (IOException e) {
@@ -368,7 +382,7 @@
     }
 
     /** Requests that end for a kind of reason. */
-    private static Set<Long> ended(Tape tape, Reason.Kind kind) {
+    private static Set<Long> ended(Recording tape, Reason.Kind kind) {
         return ids(
                 tape,
                 a ->
@@ -379,25 +393,25 @@
                                         : null);
     }
 
-    private static Set<Long> sent(Tape tape) {
+    private static Set<Long> sent(Recording tape) {
         return ids(tape, a -> a instanceof Routing.Send s ? s.id() : null);
     }
 
-    private static Set<Long> ids(Tape tape, Function<Routing.Action, Long> of) {
+    private static Set<Long> ids(Recording tape, Function<Routing.Action, Long> of) {
         Set<Long> ids = new HashSet<>();
-        for (Tape.Line l : tape.lines()) {
-            if (l.entry() instanceof Entry.Told t) {
+        for (Recording.NumberedEntry l : tape.entries()) {
+            if (l.entry() instanceof RecordEntry.Decision t) {
                 t.actions().stream().map(of).filter(Objects::nonNull).forEach(ids::add);
             }
         }
         return ids;
     }
 
-    private static long reads(Tape tape) {
-        return tape.lines().stream()
+    private static long reads(Recording tape) {
+        return tape.entries().stream()
                 .filter(
                         l ->
-                                l.entry() instanceof Entry.Told t
+                                l.entry() instanceof RecordEntry.Decision t
                                         && t.event() instanceof Routing.AttemptEnded e
                                         && e.outcome() == Routing.Outcome.READ)
                 .count();
--- a/app/src/main/java/sorrelhoist/app/command/SoakCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/SoakCommand.java
@@ -9,11 +9,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import sorrelhoist.lab.soak.RouterProcess;
-import sorrelhoist.lab.soak.Soak;
+import sorrelhoist.lab.soak.ScheduledFault;
 import sorrelhoist.lab.soak.SoakPlan;
 import sorrelhoist.lab.soak.SoakResult;
+import sorrelhoist.lab.soak.SoakRunner;
 import sorrelhoist.lab.soak.SystemCallFaults;
-import sorrelhoist.lab.soak.Trouble;
 
 /** Plays overlapping faults, drawn from a seed, on platform routers that run as processes. */
 @Command(
@@ -65,11 +65,11 @@
 
     @Override
     public Integer call() throws Exception {
-        Set<Trouble.Kind> kinds;
+        Set<ScheduledFault.Kind> kinds;
         try {
-            kinds = Trouble.Kind.parse(faults);
+            kinds = ScheduledFault.Kind.parse(faults);
         } catch (IllegalArgumentException e) {
-            System.err.println("--faults: all, or some of " + Set.of(Trouble.Kind.values()));
+            System.err.println("--faults: all, or some of " + Set.of(ScheduledFault.Kind.values()));
             return USAGE;
         }
         if (routers < 1 || routers > MOST_ROUTERS || workers < 4 || seconds < 8 || rate <= 0) {
@@ -78,27 +78,27 @@
             return USAGE;
         }
         SoakPlan plan = plan(kinds);
-        Soak soak = new Soak(System.out::println);
-        SoakResult result = soak.play(plan);
+        SoakRunner soak = new SoakRunner(System.out::println);
+        SoakResult result = soak.run(plan);
         report(plan, result);
         if (shrink && !result.violations().isEmpty()) {
-            System.out.println("needed: " + soak.shrink(plan, result));
+            System.out.println("needed: " + soak.minimize(plan, result));
         }
         System.out.println(result.summary());
         return result.passed() ? 0 : FAILED;
     }
 
-    private SoakPlan plan(Set<Trouble.Kind> kinds) throws IOException {
+    private SoakPlan plan(Set<ScheduledFault.Kind> kinds) throws IOException {
         Path files =
                 folder == null
                         ? Files.createTempDirectory("soak-" + seed + "-")
                         : Files.createDirectories(folder);
         Path library =
-                kinds.stream().anyMatch(Trouble.Kind::needsLibrary)
+                kinds.stream().anyMatch(ScheduledFault.Kind::needsLibrary)
                         ? SystemCallFaults.build(files)
                         : null;
         if (library == null) {
-            kinds.removeIf(Trouble.Kind::needsLibrary);
+            kinds.removeIf(ScheduledFault.Kind::needsLibrary);
             System.out.println(
                     "no system-call and clock faults: they are not asked for, or there is no C"
                             + " compiler");
@@ -108,8 +108,8 @@
                 seconds,
                 routers,
                 workers,
-                Trouble.draw(seed, seconds, kinds),
-                RouterProcess.deployed(root.toAbsolutePath()),
+                ScheduledFault.generateSchedule(seed, seconds, kinds),
+                RouterProcess.deployedCommand(root.toAbsolutePath()),
                 files,
                 library,
                 rate);
@@ -127,7 +127,7 @@
                         + ", excused as the harness was late: "
                         + result.excused());
         if (!result.passed()) {
-            plan.troubles().forEach(trouble -> System.out.println("    " + trouble));
+            plan.faults().forEach(trouble -> System.out.println("    " + trouble));
         }
     }
 }
--- a/app/src/main/java/sorrelhoist/app/command/WireCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/WireCommand.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import sorrelhoist.wire.WireHost;
+import sorrelhoist.adapter.SimulatorAdapter;
 
 /** The simulator's wire on standard input and output, recorded. */
 public final class WireCommand {
@@ -16,7 +16,7 @@
      */
     public static int recorded(Path folder) throws IOException {
         try (WireRecord record = new WireRecord(folder)) {
-            return new WireHost(record).run(System.in, System.out, System.err);
+            return new SimulatorAdapter(record).run(System.in, System.out, System.err);
         }
     }
 }
--- a/app/src/main/java/sorrelhoist/app/command/WireRecord.java
+++ b/app/src/main/java/sorrelhoist/app/command/WireRecord.java
@@ -10,22 +10,22 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.Routing.Action;
-import sorrelhoist.Routing.Event;
-import sorrelhoist.Routing.Settings;
-import sorrelhoist.core.record.Chunks;
-import sorrelhoist.core.record.Entry;
+import sorrelhoist.adapter.SimulatorAdapter;
+import sorrelhoist.core.record.ChunkCodec;
+import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.core.record.Recorder;
-import sorrelhoist.core.record.Shelf;
+import sorrelhoist.core.record.SegmentRetention;
 import sorrelhoist.edge.record.RecordWork;
-import sorrelhoist.wire.WireHost;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.Routing.Event;
+import sorrelhoist.routing.Routing.RoutingSettings;
 
 /**
  * Records what the instances on the simulator's wire decide, a file each, in the form of an edge's
  * record. A simulator may host instances in several processes and start one again in another, so
  * names hold the process.
  */
-final class WireRecord implements WireHost.Hearing, AutoCloseable {
+final class WireRecord implements SimulatorAdapter.DecisionListener, AutoCloseable {
     private final Path folder;
     private final Map<Long, Recorder> recorders = new HashMap<>();
     private final Map<Long, OutputStream> files = new HashMap<>();
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void started(long router, Settings settings, long seed) {
+    public void started(long router, RoutingSettings settings, long seed) {
         try {
             finish(router);
             long start = ++starts;
@@ -49,14 +49,14 @@
                                                     router,
                                                     ProcessHandle.current().pid(),
                                                     start,
-                                                    Shelf.SUFFIX)),
+                                                    SegmentRetention.FILE_SUFFIX)),
                                     StandardOpenOption.CREATE_NEW));
-            file.write(Chunks.header());
+            file.write(ChunkCodec.fileHeader());
             files.put(router, file);
             recorders.put(
                     router,
                     new Recorder(
-                            new Entry.Started(
+                            new RecordEntry.Header(
                                     RecordWork.BUILD, "router-" + router, start, settings, seed),
                             chunk -> write(file, chunk)));
         } catch (IOException e) {
@@ -75,7 +75,7 @@
 
     @Override
     public void told(long router, long now, Event event, List<Action> actions) {
-        recorders.get(router).told(now, event, actions);
+        recorders.get(router).onDecision(now, event, actions);
     }
 
     private void finish(long router) throws IOException {
--- a/app/src/main/java/sorrelhoist/app/config/Checks.java
+++ b/app/src/main/java/sorrelhoist/app/config/Checks.java
@@ -6,9 +6,9 @@
 import java.util.function.Function;
 import sorrelhoist.edge.EdgeSettings;
 import sorrelhoist.planner.PlannerSettings;
-import sorrelhoist.protocol.net.Net;
+import sorrelhoist.protocol.net.LoopbackTransport;
 import sorrelhoist.standin.engine.EngineSettings;
-import sorrelhoist.standin.registry.Registry;
+import sorrelhoist.standin.registry.RegistryStandIn;
 
 /** What types alone do not say of settings: ranges, words, and what has to fit together. */
 final class Checks {
@@ -47,7 +47,7 @@
 
     private void address(String path, String value) {
         try {
-            Net.parse(value);
+            LoopbackTransport.parseAddress(value);
         } catch (IllegalArgumentException e) {
             faults.add(path + ": " + e.getMessage());
         }
@@ -192,7 +192,7 @@
         range("stateLimitMicros", s.stateLimitMicros(), 1000, 3.6e9);
     }
 
-    void registry(Registry.Settings s) {
+    void registry(RegistryStandIn.Settings s) {
         range("port", s.port(), 0, PORTS);
         range("evictMicros", s.evictMicros(), 1000, 3.6e9);
         range("deltaMicros", s.deltaMicros(), 1000, 3.6e9);
--- a/app/src/main/java/sorrelhoist/app/config/Config.java
+++ b/app/src/main/java/sorrelhoist/app/config/Config.java
@@ -12,7 +12,7 @@
 import sorrelhoist.edge.EdgeSettings;
 import sorrelhoist.planner.PlannerSettings;
 import sorrelhoist.standin.engine.EngineSettings;
-import sorrelhoist.standin.registry.Registry;
+import sorrelhoist.standin.registry.RegistryStandIn;
 
 /** Settings: Jsonnet templates, checked whole before anything starts. */
 public final class Config {
@@ -60,8 +60,8 @@
     }
 
     /** {@return the settings of a stand-in registry} */
-    public static Registry.Settings registry(Path file) throws Faulty {
-        return load(file, Registry.Settings.class, Checks::registry);
+    public static RegistryStandIn.Settings registry(Path file) throws Faulty {
+        return load(file, RegistryStandIn.Settings.class, Checks::registry);
     }
 
     /** {@return what kind of settings a file holds, judged by what only one kind has} */
--- a/app/src/test/java/sorrelhoist/app/HardCasesTest.java
+++ b/app/src/test/java/sorrelhoist/app/HardCasesTest.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.lab.load.InferClient;
+import sorrelhoist.lab.load.InferenceClient;
 import sorrelhoist.planner.Planner;
-import sorrelhoist.protocol.net.Net;
+import sorrelhoist.protocol.net.LoopbackTransport;
 
 /** What goes wrong when several things happen at once. */
 class HardCasesTest {
@@ -29,21 +29,22 @@
         }
     }
 
-    private List<CompletableFuture<InferClient.Result>> burst(int edge, int count, String name) {
-        InferClient client = fleet.client(edge);
-        List<CompletableFuture<InferClient.Result>> all = new ArrayList<>();
+    private List<CompletableFuture<InferenceClient.Result>> burst(
+            int edge, int count, String name) {
+        InferenceClient client = fleet.client(edge);
+        List<CompletableFuture<InferenceClient.Result>> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(client.ask(InferenceProbe.ask(name + i, 30, 4_000_000), (n, t) -> {}));
+            all.add(client.send(InferenceProbe.ask(name + i, 30, 4_000_000), (n, t) -> {}));
         }
         return all;
     }
 
-    private static void oneAnswerEach(List<CompletableFuture<InferClient.Result>> all)
+    private static void oneAnswerEach(List<CompletableFuture<InferenceClient.Result>> all)
             throws Exception {
         for (var f : all) {
-            InferClient.Result r = f.get(6, TimeUnit.SECONDS);
-            assertTrue(r.tookMicros() < 4_000_000, r.toString());
-            assertTrue(r.served() || r.refused(), r.toString());
+            InferenceClient.Result r = f.get(6, TimeUnit.SECONDS);
+            assertTrue(r.durationMicros() < 4_000_000, r.toString());
+            assertTrue(r.served() || r.rejected(), r.toString());
         }
     }
 
@@ -100,9 +101,9 @@
         var all = burst(0, 40, "z");
         int refused = 0;
         for (var f : all) {
-            InferClient.Result r = f.get(6, TimeUnit.SECONDS);
-            assertTrue(r.served() || r.refused(), r.toString());
-            refused += r.refused() ? 1 : 0;
+            InferenceClient.Result r = f.get(6, TimeUnit.SECONDS);
+            assertTrue(r.served() || r.rejected(), r.toString());
+            refused += r.rejected() ? 1 : 0;
         }
         assertTrue(refused > 0);
         fleet.nothingLeft(0);
@@ -116,7 +117,7 @@
         long before = reads();
         int asked = 200;
         for (var f : burst(0, asked, "s")) {
-            assertTrue(f.get(6, TimeUnit.SECONDS).refused());
+            assertTrue(f.get(6, TimeUnit.SECONDS).rejected());
         }
         long sends = reads() - before;
         // 25 saved, 0.3 for each arrival, and the last fraction of a permit; without a budget it
@@ -127,7 +128,7 @@
     }
 
     private long reads() throws java.io.IOException {
-        return sorrelhoist.lab.judge.Line.readAll(traces).stream()
+        return sorrelhoist.lab.judge.TraceEvent.readAll(traces).stream()
                 .filter(l -> l.event().equals("prefill"))
                 .count();
     }
@@ -136,9 +137,9 @@
     private void send(int port, byte[] bytes) throws Exception {
         CompletableFuture<Void> over = new CompletableFuture<>();
         var channel =
-                Net.connect(
+                LoopbackTransport.connect(
                                 fleet.loops.next(),
-                                Net.LOOPBACK + ":" + port,
+                                LoopbackTransport.LOOPBACK + ":" + port,
                                 1_000_000,
                                 new ChannelInboundHandlerAdapter() {
                                     @Override
--- a/app/src/test/java/sorrelhoist/app/InferenceProbe.java
+++ b/app/src/test/java/sorrelhoist/app/InferenceProbe.java
@@ -1,15 +1,15 @@
 package sorrelhoist.app;
 
 import java.util.concurrent.TimeUnit;
-import sorrelhoist.lab.load.Ask;
-import sorrelhoist.lab.load.InferClient;
+import sorrelhoist.lab.load.InferenceClient;
+import sorrelhoist.lab.load.ScriptedRequest;
 
 /** Asks an edge for a short answer. */
 final class InferenceProbe {
     private InferenceProbe() {}
 
-    static Ask ask(String id, int maxTokens, long timeoutMicros) {
-        return new Ask(
+    static ScriptedRequest ask(String id, int maxTokens, long timeoutMicros) {
+        return new ScriptedRequest(
                 id,
                 null,
                 null,
@@ -21,9 +21,9 @@
     }
 
     static boolean served(LocalFleet fleet, int edge) {
-        InferClient client = fleet.client(edge);
+        InferenceClient client = fleet.client(edge);
         try {
-            return client.ask(ask("probe", 4, 2_000_000), (i, t) -> {})
+            return client.send(ask("probe", 4, 2_000_000), (i, t) -> {})
                     .get(5, TimeUnit.SECONDS)
                     .served();
         } catch (Exception e) {
--- a/app/src/test/java/sorrelhoist/app/LocalFleet.java
+++ b/app/src/test/java/sorrelhoist/app/LocalFleet.java
@@ -13,18 +13,18 @@
 import java.util.function.BooleanSupplier;
 import sorrelhoist.edge.Edge;
 import sorrelhoist.edge.EdgeSettings;
-import sorrelhoist.lab.load.InferClient;
+import sorrelhoist.lab.load.InferenceClient;
 import sorrelhoist.planner.Planner;
 import sorrelhoist.planner.PlannerSettings;
 import sorrelhoist.protocol.grpc.ClientCall;
 import sorrelhoist.protocol.grpc.GrpcChannel;
 import sorrelhoist.protocol.grpc.Status;
 import sorrelhoist.protocol.hpack.Headers;
-import sorrelhoist.protocol.net.Net;
-import sorrelhoist.standin.engine.Control;
-import sorrelhoist.standin.engine.Engine;
+import sorrelhoist.protocol.net.LoopbackTransport;
+import sorrelhoist.standin.engine.EngineControl;
 import sorrelhoist.standin.engine.EngineSettings;
-import sorrelhoist.standin.registry.Registry;
+import sorrelhoist.standin.engine.EngineStandIn;
+import sorrelhoist.standin.registry.RegistryStandIn;
 
 /**
  * A whole fleet inside the test's process, its parts talking over loopback sockets as they do
@@ -35,15 +35,15 @@
     private static final long LOOK =
             1_000_000; // nanoseconds between looks: a spinning test starves what it waits for
     private static final long BOUND = 60_000;
-    final EventLoopGroup loops = Net.loops(2, "fleet");
+    final EventLoopGroup loops = LoopbackTransport.newEventLoops(2, "fleet");
     private final Path traces;
-    final Registry registry;
+    final RegistryStandIn registry;
     Planner planner;
     final int plannerPort;
     String past = "";
     String record = "";
     List<EdgeSettings.KeySettings> keys = List.of();
-    final Map<String, Engine> engines = new LinkedHashMap<>();
+    final Map<String, EngineStandIn> engines = new LinkedHashMap<>();
     final List<Edge> edges = new ArrayList<>();
     private final List<EventLoopGroup> all = new ArrayList<>();
 
@@ -65,8 +65,9 @@
             throws IOException {
         this.traces = traces;
         registry =
-                new Registry(
-                                new Registry.Settings(0, 200_000, 30_000_000, trace("registry")),
+                new RegistryStandIn(
+                                new RegistryStandIn.Settings(
+                                        0, 200_000, 30_000_000, trace("registry")),
                                 loops)
                         .start();
         planner = new Planner(plannerSettings(0)).start();
@@ -96,7 +97,7 @@
     PlannerSettings plannerSettings(int port) {
         return new PlannerSettings(
                 port,
-                Net.LOOPBACK + ":" + registry.port(),
+                LoopbackTransport.LOOPBACK + ":" + registry.port(),
                 "ENGINES",
                 1,
                 50,
@@ -107,11 +108,11 @@
                 16);
     }
 
-    Engine engine(String id, String role, String rack, int slots) throws IOException {
-        EventLoopGroup own = Net.loops(1, id);
+    EngineStandIn engine(String id, String role, String rack, int slots) throws IOException {
+        EventLoopGroup own = LoopbackTransport.newEventLoops(1, id);
         all.add(own);
-        Engine engine =
-                new Engine(
+        EngineStandIn engine =
+                new EngineStandIn(
                         new EngineSettings(
                                 id,
                                 role.equals("read") ? "prefill" : "decode",
@@ -119,7 +120,7 @@
                                 "a",
                                 rack,
                                 0,
-                                Net.LOOPBACK + ":" + registry.port(),
+                                LoopbackTransport.LOOPBACK + ":" + registry.port(),
                                 200_000,
                                 1_000_000,
                                 slots == 0 ? 64 : slots,
@@ -143,7 +144,7 @@
                                 trace(id),
                                 7),
                         own);
-        engine.dies(engine::kill);
+        engine.onCrash(engine::kill);
         engines.put(id, engine.start());
         return engine;
     }
@@ -154,7 +155,7 @@
                 "a",
                 List.of("a"),
                 0,
-                Net.LOOPBACK + ":" + plannerPort,
+                LoopbackTransport.LOOPBACK + ":" + plannerPort,
                 MODEL,
                 1,
                 List.of(
@@ -180,11 +181,11 @@
     }
 
     String address(int edge) {
-        return Net.LOOPBACK + ":" + edges.get(edge).port();
+        return LoopbackTransport.LOOPBACK + ":" + edges.get(edge).port();
     }
 
-    InferClient client(int edge) {
-        return new InferClient(loops.next(), address(edge), MODEL);
+    InferenceClient client(int edge) {
+        return new InferenceClient(loops.next(), address(edge), MODEL);
     }
 
     /** Tells an engine what to suffer. */
@@ -192,32 +193,32 @@
         GrpcChannel channel =
                 new GrpcChannel(
                         loops.next(),
-                        Net.LOOPBACK + ":" + engines.get(engine).port(),
-                        GrpcChannel.Options.PLAIN);
+                        LoopbackTransport.LOOPBACK + ":" + engines.get(engine).port(),
+                        GrpcChannel.Options.BACKGROUND);
         var done = new java.util.concurrent.CompletableFuture<Status>();
         ClientCall call =
-                channel.call(
-                        Control.PATH,
+                channel.newCall(
+                        EngineControl.PATH,
                         null,
                         new ClientCall.Listener() {
                             @Override
-                            public void message(ClientCall c, byte[] message, int wireBytes) {
-                                c.credit(wireBytes);
+                            public void onMessage(ClientCall c, byte[] message, int wireBytes) {
+                                c.consumeBytes(wireBytes);
                             }
 
                             @Override
-                            public void closed(
+                            public void onClose(
                                     ClientCall c,
                                     Status status,
                                     Headers trailers,
-                                    ClientCall.End end) {
+                                    ClientCall.Termination end) {
                                 done.complete(status);
                             }
                         });
-        call.sendLast(Control.bytes(command));
+        call.sendLast(EngineControl.encode(command));
         channel.loop().execute(() -> channel.start(call));
         Status status = done.join();
-        channel.loop().execute(channel::shut);
+        channel.loop().execute(channel::shutdown);
         if (!status.isOk()) {
             throw new AssertionError(status);
         }
@@ -251,7 +252,7 @@
     public void close() {
         edges.forEach(Edge::stop);
         planner.stop();
-        engines.values().forEach(Engine::kill);
+        engines.values().forEach(EngineStandIn::kill);
         registry.stop();
         all.forEach(g -> g.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS));
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
--- a/app/src/test/java/sorrelhoist/app/PathTest.java
+++ b/app/src/test/java/sorrelhoist/app/PathTest.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.lab.load.InferClient;
-import sorrelhoist.protocol.grpc.Code;
+import sorrelhoist.lab.load.InferenceClient;
+import sorrelhoist.protocol.grpc.StatusCode;
 
 /**
  * The whole path: a client, an edge, a planner, a reader, a writer, tokens back; and what breaks on
@@ -29,9 +29,9 @@
     void tokensStreamBackInOrder() throws Exception {
         fleet = new LocalFleet(1, 1, 1);
         List<String> pieces = new ArrayList<>();
-        InferClient.Result r =
+        InferenceClient.Result r =
                 fleet.client(0)
-                        .ask(InferenceProbe.ask("one", 20, 3_000_000), (i, t) -> pieces.add(t))
+                        .send(InferenceProbe.ask("one", 20, 3_000_000), (i, t) -> pieces.add(t))
                         .get(5, TimeUnit.SECONDS);
         assertTrue(r.served(), r.toString());
         assertEquals(pieces.size(), r.tokens());
@@ -44,10 +44,10 @@
     @Test
     void anEngineThatDiesAfterTheFirstTokenLosesNoToken() throws Exception {
         fleet = new LocalFleet(2, 2, 1);
-        InferClient client = fleet.client(0);
+        InferenceClient client = fleet.client(0);
         boolean[] killed = {false};
         var asked =
-                client.ask(
+                client.send(
                         InferenceProbe.ask("long", 400, 10_000_000),
                         (i, t) -> {
                             if (i == 5) {
@@ -57,7 +57,7 @@
         LocalFleet.await("tokens", () -> killed[0]);
         // Whichever writes is told to die; the other goes on.
         fleet.engines.get("w1").kill();
-        InferClient.Result r = asked.get(15, TimeUnit.SECONDS);
+        InferenceClient.Result r = asked.get(15, TimeUnit.SECONDS);
         assertTrue(r.served(), r.toString());
         String[] words = r.text().split(" ");
         for (int i = 0; i < words.length; i++) {
@@ -71,13 +71,13 @@
         fleet = new LocalFleet(1, 2, 1);
         fleet.tell("w1", "errors 1 20000");
         fleet.tell("w2", "errors 1 20000");
-        InferClient.Result r =
+        InferenceClient.Result r =
                 fleet.client(0)
-                        .ask(InferenceProbe.ask("x", 20, 2_000_000), (i, t) -> {})
+                        .send(InferenceProbe.ask("x", 20, 2_000_000), (i, t) -> {})
                         .get(5, TimeUnit.SECONDS);
-        assertTrue(r.refused(), r.toString());
-        assertTrue(r.pushbackMillis() > 0);
-        assertTrue(r.tookMicros() < 2_000_000);
+        assertTrue(r.rejected(), r.toString());
+        assertTrue(r.retryAfterMillis() > 0);
+        assertTrue(r.durationMicros() < 2_000_000);
         fleet.nothingLeft(0);
     }
 
@@ -85,32 +85,32 @@
     void aHangingWriterMeansOneAnswerInTime() throws Exception {
         fleet = new LocalFleet(1, 1, 1);
         fleet.tell("w1", "hang 20000");
-        InferClient.Result r =
+        InferenceClient.Result r =
                 fleet.client(0)
-                        .ask(InferenceProbe.ask("x", 20, 1_500_000), (i, t) -> {})
+                        .send(InferenceProbe.ask("x", 20, 1_500_000), (i, t) -> {})
                         .get(5, TimeUnit.SECONDS);
         assertTrue(
-                r.status().code() == Code.RESOURCE_EXHAUSTED
-                        || r.status().code() == Code.DEADLINE_EXCEEDED
-                        || r.status().code() == Code.UNAVAILABLE,
+                r.status().code() == StatusCode.RESOURCE_EXHAUSTED
+                        || r.status().code() == StatusCode.DEADLINE_EXCEEDED
+                        || r.status().code() == StatusCode.UNAVAILABLE,
                 r.toString());
-        assertTrue(r.tookMicros() < 1_500_000, r.toString());
+        assertTrue(r.durationMicros() < 1_500_000, r.toString());
         fleet.nothingLeft(0);
     }
 
     @Test
     void aClientThatLeavesLeavesNothingBehind() throws Exception {
         fleet = new LocalFleet(1, 1, 1);
-        InferClient client = fleet.client(0);
+        InferenceClient client = fleet.client(0);
         for (int i = 0; i < 30; i++) {
-            var asked = client.ask(InferenceProbe.ask("gone-" + i, 300, 5_000_000), (n, t) -> {});
+            var asked = client.send(InferenceProbe.ask("gone-" + i, 300, 5_000_000), (n, t) -> {});
             int pause = i;
             fleet.loops.next().schedule(() -> asked.cancel(false), pause, TimeUnit.MILLISECONDS);
         }
         LocalFleet.await("requests to be gone", () -> fleet.edges.get(0).open() == 0);
         fleet.nothingLeft(0);
         assertTrue(
-                client.ask(InferenceProbe.ask("after", 5, 3_000_000), (n, t) -> {})
+                client.send(InferenceProbe.ask("after", 5, 3_000_000), (n, t) -> {})
                         .get(5, TimeUnit.SECONDS)
                         .served());
     }
@@ -122,7 +122,7 @@
         for (int i = 0; i < 5; i++) {
             assertTrue(
                     fleet.client(0)
-                            .ask(InferenceProbe.ask("p" + i, 5, 3_000_000), (n, t) -> {})
+                            .send(InferenceProbe.ask("p" + i, 5, 3_000_000), (n, t) -> {})
                             .get(5, TimeUnit.SECONDS)
                             .served());
         }
--- a/app/src/test/java/sorrelhoist/app/StormTest.java
+++ b/app/src/test/java/sorrelhoist/app/StormTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.LoggerFactory;
-import sorrelhoist.lab.day.Day;
 import sorrelhoist.lab.judge.Judge;
-import sorrelhoist.lab.judge.Line;
+import sorrelhoist.lab.judge.TraceEvent;
 import sorrelhoist.lab.judge.Verdict;
-import sorrelhoist.lab.load.ClientTrace;
-import sorrelhoist.lab.load.DayLoad;
-import sorrelhoist.lab.load.InferClient;
+import sorrelhoist.lab.load.ClientTraceWriter;
+import sorrelhoist.lab.load.InferenceClient;
+import sorrelhoist.lab.load.OpenLoopLoad;
+import sorrelhoist.lab.scenario.Scenario;
 
 /**
  * A thousand streams with cancels, stalls, errors, lost answers and deaths mixed by seed, judged by
@@ -38,23 +38,25 @@
         ListAppender<ILoggingEvent> seen = new ListAppender<>();
         seen.start();
         leaks.addAppender(seen);
-        Day day =
-                new Day(
+        Scenario day =
+                new Scenario(
                         "storm",
                         11,
                         12_000_000,
                         List.of(),
                         List.of(
-                                new Day.Load(
+                                new Scenario.Load(
                                         "chat", 80, 20, 60, 4, 30, 200, 10, 100, 4_000_000, 0.2),
-                                new Day.Load("order", 10, 20, 60, 4, 10, 50, 0, 0, 4_000_000, 0.1)),
+                                new Scenario.Load(
+                                        "order", 10, 20, 60, 4, 10, 50, 0, 0, 4_000_000, 0.1)),
                         List.of());
-        List<DayLoad.Planned> plan = DayLoad.plan(day, 1);
+        List<OpenLoopLoad.PlannedRequest> plan = OpenLoopLoad.plan(day, 1);
         assertTrue(plan.size() > 1000);
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (LocalFleet fleet = new LocalFleet(3, 3, 1, true, traces, null);
-                ClientTrace clients = new ClientTrace(traces.resolve("clients.jsonl"), "clients")) {
-            InferClient client = fleet.client(0);
+                ClientTraceWriter clients =
+                        new ClientTraceWriter(traces.resolve("clients.jsonl"), "clients")) {
+            InferenceClient client = fleet.client(0);
             SplittableRandom random = new SplittableRandom(day.seed());
             String[] commands = {"errors 0.5 400", "lose 0.3 300", "hang 300", "slow 5 500"};
             for (int i = 0; i < 12; i++) {
@@ -72,21 +74,22 @@
                     TimeUnit.MILLISECONDS);
             timer.schedule(
                     () -> fleet.engine("w3", "write", "rack1", 0), 2500, TimeUnit.MILLISECONDS);
-            DayLoad.run(plan, n -> client, clients, fleet.loops);
+            OpenLoopLoad.run(plan, n -> client, clients, fleet.loops);
             fleet.nothingLeft(0);
             timer.shutdown();
             assertTrue(timer.awaitTermination(5, TimeUnit.SECONDS));
         }
         Verdict v =
                 Judge.judge(
-                        Line.readAll(traces),
-                        new Judge.Figures(0, 1_000_000, 500_000, 500_000, Set.of(1)));
+                        TraceEvent.readAll(traces),
+                        new Judge.Limits(0, 1_000_000, 500_000, 500_000, Set.of(1)));
         System.out.println(v.table());
-        assertEquals(List.of(), v.broken(), v.table());
-        assertEquals(plan.size(), v.served() + v.refused() + v.failed() + v.cancelled(), v.table());
+        assertEquals(List.of(), v.violations(), v.table());
+        assertEquals(
+                plan.size(), v.served() + v.rejected() + v.failed() + v.cancelled(), v.table());
         // Most clients that leave at once are counted whatever the fleet does; how many are served
         // is a matter of speed.
-        long atOnce = plan.stream().filter(p -> p.leavesAt() == 0).count();
+        long atOnce = plan.stream().filter(p -> p.cancelsAtToken() == 0).count();
         assertTrue(atOnce > 5 && v.cancelled() >= atOnce, atOnce + " left at once: " + v.table());
         assertTrue(v.cancelled() > atOnce, "nobody left in mid-answer: " + v.table());
         assertTrue(v.served() > 100, v.table());
--- a/app/src/test/java/sorrelhoist/app/StreamsTest.java
+++ b/app/src/test/java/sorrelhoist/app/StreamsTest.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.lab.load.InferClient;
+import sorrelhoist.lab.load.InferenceClient;
 import sorrelhoist.protocol.grpc.ClientCall;
-import sorrelhoist.protocol.grpc.Code;
 import sorrelhoist.protocol.grpc.GrpcChannel;
 import sorrelhoist.protocol.grpc.Status;
+import sorrelhoist.protocol.grpc.StatusCode;
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.http2.Http2Limits;
 import sorrelhoist.protocol.inference.InferRequest;
@@ -47,10 +47,10 @@
         ClientCall call;
 
         @Override
-        public void message(ClientCall c, byte[] message, int wireBytes) {
+        public void onMessage(ClientCall c, byte[] message, int wireBytes) {
             messages.incrementAndGet();
             if (takes) {
-                c.credit(wireBytes);
+                c.consumeBytes(wireBytes);
             } else {
                 owed += wireBytes;
             }
@@ -58,19 +58,20 @@
 
         void take() {
             takes = true;
-            call.credit(owed);
+            call.consumeBytes(owed);
             owed = 0;
         }
 
         @Override
-        public void closed(ClientCall c, Status status, Headers trailers, ClientCall.End end) {
+        public void onClose(
+                ClientCall c, Status status, Headers trailers, ClientCall.Termination end) {
             closed.complete(status);
         }
     }
 
     private Idle idle(GrpcChannel channel, int tokens, Headers metadata) {
         Idle idle = new Idle();
-        idle.call = channel.call(ModelMessages.SERVICE + "ModelStreamInfer", metadata, idle);
+        idle.call = channel.newCall(ModelMessages.SERVICE + "ModelStreamInfer", metadata, idle);
         idle.call.sendLast(
                 new InferRequest(
                                 LocalFleet.MODEL,
@@ -79,7 +80,7 @@
                                 java.util.Map.of("max_tokens", new Parameter((long) tokens)),
                                 List.of(Tensor.text("text_input", "tell me all of it")),
                                 List.of())
-                        .bytes());
+                        .toByteArray());
         channel.loop().execute(() -> channel.start(idle.call));
         return idle;
     }
@@ -120,10 +121,10 @@
     @Test
     void anEdgeThatIsStoppedFinishesWhatRunsAndRefusesTheRest() throws Exception {
         fleet = new LocalFleet(1, 1, 1);
-        InferClient client = fleet.client(0);
+        InferenceClient client = fleet.client(0);
         CompletableFuture<Void> begun = new CompletableFuture<>();
         var running =
-                client.ask(
+                client.send(
                         InferenceProbe.ask("runs", 300, 10_000_000),
                         (i, t) -> begun.complete(null));
         begun.get(5, TimeUnit.SECONDS);
@@ -132,8 +133,8 @@
         assertTrue(running.get(10, TimeUnit.SECONDS).served());
         drain.join(10_000);
         assertFalse(drain.isAlive());
-        InferClient.Result after =
-                client.ask(InferenceProbe.ask("late", 5, 1_000_000), (i, t) -> {})
+        InferenceClient.Result after =
+                client.send(InferenceProbe.ask("late", 5, 1_000_000), (i, t) -> {})
                         .get(5, TimeUnit.SECONDS);
         assertFalse(after.served());
     }
@@ -144,13 +145,13 @@
         CompletableFuture<Void> begun = new CompletableFuture<>();
         var running =
                 fleet.client(0)
-                        .ask(
+                        .send(
                                 InferenceProbe.ask("runs", 4000, 10_000_000),
                                 (i, t) -> begun.complete(null));
         begun.get(5, TimeUnit.SECONDS);
         fleet.edges.get(0).drain(() -> true);
-        InferClient.Result r = running.get(5, TimeUnit.SECONDS);
-        assertEquals(Code.UNAVAILABLE, r.status().code());
+        InferenceClient.Result r = running.get(5, TimeUnit.SECONDS);
+        assertEquals(StatusCode.UNAVAILABLE, r.status().code());
         assertEquals("the edge stops", r.status().message());
     }
 
@@ -161,8 +162,8 @@
         fleet.past = folder.toString();
         fleet.edges.add(new sorrelhoist.edge.Edge(fleet.edgeSettings("edge-1", true)).start());
         LocalFleet.await("the edge", () -> InferenceProbe.served(fleet, 0));
-        sorrelhoist.lab.load.Ask ask =
-                new sorrelhoist.lab.load.Ask(
+        sorrelhoist.lab.load.ScriptedRequest ask =
+                new sorrelhoist.lab.load.ScriptedRequest(
                         "k",
                         null,
                         "session-7",
@@ -171,7 +172,7 @@
                         "all that stands in the guide, and then some more. ".repeat(10),
                         4,
                         3_000_000);
-        assertTrue(fleet.client(0).ask(ask, (i, t) -> {}).get(5, TimeUnit.SECONDS).served());
+        assertTrue(fleet.client(0).send(ask, (i, t) -> {}).get(5, TimeUnit.SECONDS).served());
         var before =
                 fleet.edges.get(0).known().join().keys().stream()
                         .filter(k -> k.name().equals("session-7"))
@@ -202,15 +203,16 @@
             throws java.io.IOException {
         java.nio.file.Path log = folder.resolve("past.log");
         return java.nio.file.Files.exists(log)
-                && sorrelhoist.core.know.PastKeeper.believe(
+                && sorrelhoist.core.statetransfer.SnapshotPolicy.selectRestorable(
                                 Long.MAX_VALUE / 2,
-                                sorrelhoist.core.know.PastFrames.read(
+                                sorrelhoist.core.statetransfer.SnapshotLog.read(
                                                 java.nio.file.Files.readAllBytes(log))
                                         .frames()
                                         .stream()
                                         .map(
                                                 f ->
-                                                        new sorrelhoist.core.know.PastFrames.Frame(
+                                                        new sorrelhoist.core.statetransfer
+                                                                .SnapshotLog.Frame(
                                                                 Long.MAX_VALUE / 2, f.payload()))
                                         .toList())
                         .stream()
@@ -230,8 +232,8 @@
         for (int i = 0; i < 40; i++) {
             assertTrue(
                     fleet.client(0)
-                            .ask(
-                                    new sorrelhoist.lab.load.Ask(
+                            .send(
+                                    new sorrelhoist.lab.load.ScriptedRequest(
                                             "k" + i,
                                             null,
                                             "session-" + i,
@@ -270,11 +272,11 @@
         LocalFleet.await("the edge", () -> InferenceProbe.served(fleet, 0));
         fleet.tell("w1", "errors 1 60000");
         fleet.tell("w2", "errors 1 60000");
-        InferClient.Result refused =
+        InferenceClient.Result refused =
                 fleet.client(0)
-                        .ask(InferenceProbe.ask("mine", 20, 2_000_000), (i, t) -> {})
+                        .send(InferenceProbe.ask("mine", 20, 2_000_000), (i, t) -> {})
                         .get(5, TimeUnit.SECONDS);
-        assertTrue(refused.refused(), refused.toString());
+        assertTrue(refused.rejected(), refused.toString());
         assertTrue(
                 refused.status()
                         .message()
@@ -291,11 +293,15 @@
                 files.add(java.nio.file.Files.readAllBytes(f));
             }
         }
-        var tape = sorrelhoist.core.record.Tape.of(files);
-        assertTrue(tape.isWhole() && tape.faults().isEmpty());
-        var again = sorrelhoist.core.record.Replay.of(tape);
-        assertTrue(again.same(), again.first() == null ? again.fault() : again.first().text());
-        List<String> story = new sorrelhoist.core.record.Story(tape).of("mine");
+        var tape = sorrelhoist.core.record.Recording.of(files);
+        assertTrue(tape.isComplete() && tape.faults().isEmpty());
+        var again = sorrelhoist.core.record.Replay.run(tape);
+        assertTrue(
+                again.isIdentical(),
+                again.firstDifference() == null
+                        ? again.fault()
+                        : again.firstDifference().describe());
+        List<String> story = new sorrelhoist.core.record.RequestTimeline(tape).describe("mine");
         assertTrue(story.get(0).contains("its client's mine"), story.toString());
         assertTrue(story.stream().anyMatch(l -> l.contains("ended: ERROR")), story.toString());
         assertTrue(story.get(story.size() - 1).contains("refused"), story.toString());
--- a/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
+++ b/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
@@ -46,7 +46,13 @@
                                         + "role: 'read', zone: 'a', rack: 'r' }")));
         assertEquals(Config.Kind.REGISTRY, Config.check(file("import 'registry.libsonnet'")));
         assertEquals(2, Config.edge(file(EDGE)).classes().size());
-        assertEquals(500_000, Config.edge(file(EDGE)).router(1).decide().rules().releaseMicros());
+        assertEquals(
+                500_000,
+                Config.edge(file(EDGE))
+                        .router(1)
+                        .routing()
+                        .serverLimits()
+                        .reservationLimitMicros());
     }
 
     @Test
--- a/app/src/test/java/sorrelhoist/edge/TracingBench.java
+++ b/app/src/test/java/sorrelhoist/edge/TracingBench.java
@@ -13,8 +13,8 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import sorrelhoist.Reason;
 import sorrelhoist.protocol.hpack.Headers;
+import sorrelhoist.routing.Reason;
 
 /**
  * What the spans of one request and its two attempts cost: off, on but not sampled, and sampled.
--- a/app/src/test/java/sorrelhoist/lab/soak/SoakTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/SoakTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import sorrelhoist.lab.soak.RequestTrace.AttemptTrace;
 import sorrelhoist.lab.soak.RequestTrace.HoldTrace;
-import sorrelhoist.lab.soak.Trouble.Kind;
+import sorrelhoist.lab.soak.ScheduledFault.Kind;
 import sorrelhoist.lab.soak.WorkerEntry.Role;
 
 /**
@@ -199,8 +199,12 @@
     @Test
     void theSameSeedDrawsTheSameSchedule() {
         Set<Kind> all = EnumSet.allOf(Kind.class);
-        assertEquals(Trouble.draw(SEED, 60, all), Trouble.draw(SEED, 60, all));
-        assertTrue(!Trouble.draw(SEED, 60, all).equals(Trouble.draw(SEED + 1, 60, all)));
+        assertEquals(
+                ScheduledFault.generateSchedule(SEED, 60, all),
+                ScheduledFault.generateSchedule(SEED, 60, all));
+        assertTrue(
+                !ScheduledFault.generateSchedule(SEED, 60, all)
+                        .equals(ScheduledFault.generateSchedule(SEED + 1, 60, all)));
     }
 
     /**
@@ -226,14 +230,14 @@
                         System.getProperty("java.class.path"),
                         "sorrelhoist.platform.Platform");
         SoakResult result =
-                new Soak(System.out::println)
-                        .play(
+                new SoakRunner(System.out::println)
+                        .run(
                                 new SoakPlan(
                                         SEED,
                                         SECONDS,
                                         ROUTERS,
                                         WORKERS,
-                                        Trouble.draw(SEED, SECONDS, kinds),
+                                        ScheduledFault.generateSchedule(SEED, SECONDS, kinds),
                                         command,
                                         folder.resolve("soak"),
                                         library,
--- a/core/src/main/java/sorrelhoist/core/why/Words.java
+++ b/core/src/main/java/sorrelhoist/core/explain/ReasonFormatter.java
@@ -1,13 +1,13 @@
-package sorrelhoist.core.why;
+package sorrelhoist.core.explain;
 
 import java.util.Locale;
-import sorrelhoist.Reason;
+import sorrelhoist.routing.Reason;
 
 /** A decision's reason in plain words: for a client's status, a log line, or whoever asks why. */
-public final class Words {
+public final class ReasonFormatter {
     private static final double MILLI = 1000;
 
-    private Words() {}
+    private ReasonFormatter() {}
 
     /**
      * Says why a request was refused, and when to come back.
@@ -16,13 +16,13 @@
      * @param backoffMicros when to come back; 0 for no advice
      * @return one sentence for the client, without names of engines
      */
-    public static String refusal(Reason why, long backoffMicros) {
+    public static String describeRejection(Reason why, long backoffMicros) {
         String when = backoffMicros > 0 ? "; come back in " + ms(backoffMicros) : "";
-        return "refused, and a repeat is harmless: " + lack(why) + when;
+        return "refused, and a repeat is harmless: " + describeFailure(why) + when;
     }
 
     /** {@return what was short, for a final answer that served nothing} */
-    public static String lack(Reason why) {
+    public static String describeFailure(Reason why) {
         String sum =
                 millis(why.expected())
                         + " expected to the first token (read "
@@ -66,7 +66,7 @@
      * @param why as given with a send
      * @return a part of a sentence
      */
-    public static String choice(Reason why) {
+    public static String describeSelection(Reason why) {
         String how =
                 switch (why.kind()) {
                     case KEPT -> "likely keeps most of the prompt";
--- a/core/src/main/java/sorrelhoist/core/guard/SendGuard.java
+++ b/core/src/main/java/sorrelhoist/core/guard/SendGuard.java
@@ -2,11 +2,11 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import sorrelhoist.Routing.ListForm;
-import sorrelhoist.Routing.Repeat;
-import sorrelhoist.Routing.Server;
-import sorrelhoist.Routing.ServerState;
-import sorrelhoist.Routing.Settings;
+import sorrelhoist.routing.Routing.Idempotency;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.RoutingSettings;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * The one way of an attempt's bytes to a socket: asked at the last moment, when the connection
@@ -23,13 +23,14 @@
      * @param settings with the rules
      * @param monitor counts violations
      */
-    public SendGuard(Settings settings, InvariantMonitor monitor) {
+    public SendGuard(RoutingSettings settings, InvariantMonitor monitor) {
         this.monitor = monitor;
         this.slowStart =
                 new SlowStartGuard(
-                        settings.rules().fallMultiple() * settings.rules().coldFrom(),
-                        settings.rules().fallMicros(),
-                        settings.rules().coldMicros());
+                        settings.serverLimits().overloadMultiple()
+                                * settings.serverLimits().coldCapacityShare(),
+                        settings.serverLimits().overloadMicros(),
+                        settings.serverLimits().warmUpMicros());
     }
 
     /**
@@ -53,14 +54,14 @@
             Object history,
             boolean open,
             long deadline,
-            Repeat repeat,
+            Idempotency repeat,
             boolean mayHaveRun,
             boolean read,
             long sendBy) {}
 
     /** Hears of engines, as discovery tells them. */
-    public void listed(ListForm form, Iterable<Server> servers, long now) {
-        if (form == ListForm.COMPLETE) {
+    public void listed(ListUpdateKind form, Iterable<Server> servers, long now) {
+        if (form == ListUpdateKind.COMPLETE) {
             serving.clear();
         }
         for (Server server : servers) {
@@ -81,8 +82,8 @@
         boolean harmless =
                 a.read()
                         || !a.mayHaveRun()
-                        || a.repeat() == Repeat.SAFE
-                        || a.repeat() == Repeat.KEYED && now < a.sendBy();
+                        || a.repeat() == Idempotency.SAFE
+                        || a.repeat() == Idempotency.KEYED && now < a.sendBy();
         boolean allowed = monitor.check(a.open(), Invariant.SEND_FOR_OPEN_REQUEST, now, a);
         allowed &= monitor.check(now < a.deadline(), Invariant.SEND_WITHIN_DEADLINE, now, a);
         allowed &=
--- a/core/src/main/java/sorrelhoist/core/life/AttemptId.java
+++ /dev/null
@@ -1,9 +0,0 @@
-package sorrelhoist.core.life;
-
-/**
- * Names an attempt.
- *
- * @param request the request's number at Decide; a stream that goes on elsewhere has a new one
- * @param number of the send, from 0
- */
-public record AttemptId(long request, int number) {}
--- a/core/src/main/java/sorrelhoist/core/members/RosterBook.java
+++ b/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sorrelhoist.Routing.ServerState;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * A planner's roster: what the registry lists, read as engines that serve, drain or are gone, with
@@ -16,7 +16,7 @@
  * STARTING and UNKNOWN are not offered before they were UP, and drain afterwards. What is no longer
  * listed is gone.
  */
-public final class RosterBook {
+public final class EndpointTracker {
     /** Metadata keys that an engine registers itself with. */
     public static final String ZONE = "zone";
 
@@ -38,10 +38,10 @@
      * @param entry the engine; its age as of {@code learnedAt}
      * @param learnedAt when this state was learned, this planner's clock
      */
-    public record Line(EngineTable.Entry entry, long learnedAt) {}
+    public record TrackedEndpoint(EngineTable.ListedEngine entry, long learnedAt) {}
 
-    private final Map<String, Line> lines = new LinkedHashMap<>();
-    private final List<String> complaints = new ArrayList<>();
+    private final Map<String, TrackedEndpoint> endpoints = new LinkedHashMap<>();
+    private final List<String> warnings = new ArrayList<>();
     private final long doubtMicros;
     private long epoch;
     private long doubtSince;
@@ -53,7 +53,7 @@
      *     a registry that restarted lists nothing, while the engines run. Harm: if they are gone
      *     indeed, requests sent meanwhile fail to connect and are repeated elsewhere
      */
-    public RosterBook(long doubtMicros) {
+    public EndpointTracker(long doubtMicros) {
         this.doubtMicros = doubtMicros;
     }
 
@@ -64,27 +64,27 @@
      * @param listed all instances
      * @return lines that changed
      */
-    public List<Line> take(long now, List<RegistryView.Instance> listed) {
-        complaints.clear();
-        List<Line> changed = new ArrayList<>();
+    public List<TrackedEndpoint> update(long now, List<RegistryView.Instance> listed) {
+        warnings.clear();
+        List<TrackedEndpoint> changed = new ArrayList<>();
         Set<String> seen = new HashSet<>();
         for (RegistryView.Instance i : listed) {
-            Line before = lines.get(i.id());
-            EngineTable.Entry entry = read(now, i, before);
+            TrackedEndpoint before = endpoints.get(i.id());
+            EngineTable.ListedEngine entry = read(now, i, before);
             if (entry != null) {
                 seen.add(i.id());
                 note(now, before, entry, changed);
             }
         }
-        List<Line> absent =
-                lines.values().stream()
+        List<TrackedEndpoint> absent =
+                endpoints.values().stream()
                         .filter(
                                 l ->
                                         l.entry().state() != ServerState.GONE
                                                 && !seen.contains(l.entry().id()))
                         .toList();
         if (doubted(now, absent.size())) {
-            complaints.add(absent.size() + " engines vanished at once; this is not believed yet");
+            warnings.add(absent.size() + " engines vanished at once; this is not believed yet");
         } else {
             absent.forEach(l -> note(now, l, with(l.entry(), ServerState.GONE), changed));
         }
@@ -94,7 +94,9 @@
 
     private boolean doubted(long now, int absent) {
         long had =
-                lines.values().stream().filter(l -> l.entry().state() != ServerState.GONE).count();
+                endpoints.values().stream()
+                        .filter(l -> l.entry().state() != ServerState.GONE)
+                        .count();
         if (absent < 2 || 2L * absent < had) {
             doubtSince = 0;
             return false;
@@ -103,20 +105,25 @@
         return now - doubtSince < doubtMicros;
     }
 
-    private void note(long now, Line before, EngineTable.Entry entry, List<Line> changed) {
+    private void note(
+            long now,
+            TrackedEndpoint before,
+            EngineTable.ListedEngine entry,
+            List<TrackedEndpoint> changed) {
         boolean same =
                 before != null
-                        && with(entry, before.entry().state(), before.entry().upForMicros())
+                        && with(entry, before.entry().state(), before.entry().uptimeMicros())
                                 .equals(before.entry())
                         && before.entry().state() == entry.state();
         if (!same) {
-            Line line = new Line(entry, now);
-            lines.put(entry.id(), line);
+            TrackedEndpoint line = new TrackedEndpoint(entry, now);
+            endpoints.put(entry.id(), line);
             changed.add(line);
         }
     }
 
-    private EngineTable.Entry read(long now, RegistryView.Instance i, Line before) {
+    private EngineTable.ListedEngine read(
+            long now, RegistryView.Instance i, TrackedEndpoint before) {
         Map<String, String> m = i.metadata();
         try {
             long started = Long.parseLong(m.getOrDefault(STARTED, "0"));
@@ -127,7 +134,7 @@
             ServerState state = state(i.status(), before);
             return state == null
                     ? null
-                    : new EngineTable.Entry(
+                    : new EngineTable.ListedEngine(
                             i.id(),
                             m.get(ZONE),
                             m.getOrDefault(RACK, ""),
@@ -138,12 +145,12 @@
                             Math.max(0, now - started * 1000),
                             i.address());
         } catch (IllegalArgumentException e) {
-            complaints.add("instance " + i.id() + ": metadata cannot be used: " + e.getMessage());
+            warnings.add("instance " + i.id() + ": metadata cannot be used: " + e.getMessage());
             return null;
         }
     }
 
-    private static ServerState state(String status, Line before) {
+    private static ServerState state(String status, TrackedEndpoint before) {
         return switch (status) {
             case "UP" -> ServerState.SERVING;
             case "DOWN", "OUT_OF_SERVICE" -> ServerState.DRAINING;
@@ -151,12 +158,13 @@
         };
     }
 
-    private static EngineTable.Entry with(EngineTable.Entry e, ServerState state) {
-        return with(e, state, e.upForMicros());
+    private static EngineTable.ListedEngine with(EngineTable.ListedEngine e, ServerState state) {
+        return with(e, state, e.uptimeMicros());
     }
 
-    private static EngineTable.Entry with(EngineTable.Entry e, ServerState state, long upFor) {
-        return new EngineTable.Entry(
+    private static EngineTable.ListedEngine with(
+            EngineTable.ListedEngine e, ServerState state, long upFor) {
+        return new EngineTable.ListedEngine(
                 e.id(),
                 e.zone(),
                 e.rack(),
@@ -169,13 +177,13 @@
     }
 
     /** {@return all lines, those gone too} */
-    public List<Line> lines() {
-        return new ArrayList<>(lines.values());
+    public List<TrackedEndpoint> endpoints() {
+        return new ArrayList<>(endpoints.values());
     }
 
     /** {@return the address of an engine that is not gone, or null} */
     public String address(String id) {
-        Line line = lines.get(id);
+        TrackedEndpoint line = endpoints.get(id);
         return line == null || line.entry().state() == ServerState.GONE
                 ? null
                 : line.entry().address();
@@ -187,7 +195,7 @@
     }
 
     /** {@return what was wrong with the list taken last} */
-    public List<String> complaints() {
-        return List.copyOf(complaints);
+    public List<String> warnings() {
+        return List.copyOf(warnings);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/members/EngineTable.java
+++ b/core/src/main/java/sorrelhoist/core/members/EngineTable.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.Routing.Server;
-import sorrelhoist.Routing.ServerState;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * An edge's own view of the roster: turns names of zones, racks and kinds into the numbers that
@@ -26,10 +26,10 @@
      * @param state as listed
      * @param size for comparison within its role
      * @param incarnation of its process; a restart has a higher one
-     * @param upForMicros since its start
+     * @param uptimeMicros since its start
      * @param address host:port
      */
-    public record Entry(
+    public record ListedEngine(
             String id,
             String zone,
             String rack,
@@ -37,7 +37,7 @@
             ServerState state,
             double size,
             long incarnation,
-            long upForMicros,
+            long uptimeMicros,
             String address) {}
 
     private record Known(long incarnation, long since, String address) {}
@@ -46,7 +46,7 @@
     private final List<String> kinds;
     private final Map<String, Integer> racks = new HashMap<>();
     private final Map<String, Known> known = new HashMap<>();
-    private final List<String> complaints = new ArrayList<>();
+    private final List<String> warnings = new ArrayList<>();
 
     /**
      * Makes an empty table.
@@ -66,14 +66,14 @@
      * @param entries as told
      * @return the same for {@code Decide}, those left out that it can't know
      */
-    public List<Server> take(long now, List<Entry> entries) {
-        complaints.clear();
+    public List<Server> update(long now, List<ListedEngine> entries) {
+        warnings.clear();
         List<Server> servers = new ArrayList<>();
-        for (Entry e : entries) {
+        for (ListedEngine e : entries) {
             int zone = zones.indexOf(e.zone());
             int kind = kinds.indexOf(e.kind());
             if (zone < 0 || kind < 0) {
-                complaints.add(
+                warnings.add(
                         "engine "
                                 + e.id()
                                 + ": "
@@ -86,7 +86,7 @@
             if (before != null && e.incarnation() <= before.incarnation()) {
                 since = before.since();
             } else {
-                long told = Math.max(1, now - e.upForMicros());
+                long told = Math.max(1, now - e.uptimeMicros());
                 since = before == null ? told : Math.max(told, before.since() + 1);
             }
             // Late word of a process that was replaced meanwhile says nothing of the one that runs.
@@ -101,8 +101,8 @@
     }
 
     /** {@return what was wrong with the entries taken last} */
-    public List<String> complaints() {
-        return List.copyOf(complaints);
+    public List<String> warnings() {
+        return List.copyOf(warnings);
     }
 
     /** {@return an engine's address, or null} */
@@ -118,7 +118,7 @@
     }
 
     /** {@return when an engine's process started, on this edge's clock, or Long.MIN_VALUE} */
-    public long since(String id) {
+    public long startedAt(String id) {
         Known k = known.get(id);
         return k == null ? Long.MIN_VALUE : k.since();
     }
--- a/core/src/main/java/sorrelhoist/core/members/ProcessStarts.java
+++ b/core/src/main/java/sorrelhoist/core/members/ProcessStartTimes.java
@@ -17,7 +17,7 @@
  * <p>Risk: a router that starts with a clock that runs ahead by more than the cold time takes
  * servers that started just before it for warm.
  */
-public final class ProcessStarts {
+public final class ProcessStartTimes {
     /** The start of a process that runs for long. */
     public static final long LONG_AGO = 0;
 
@@ -33,7 +33,7 @@
                     return size() > MOST_REMEMBERED;
                 }
             };
-    private boolean listed;
+    private boolean discoveryListReceived;
 
     /** What was told of a server's start, and when that was on this router's clock. */
     private record Start(long told, long since) {}
@@ -47,18 +47,19 @@
      * @param now this router's clock, in microseconds
      * @return since when it runs, on this router's clock; {@link #LONG_AGO} for long ago
      */
-    public long since(String server, long told, long now) {
+    public long localStartTime(String server, long told, long now) {
         Start before = starts.get(server);
         if (before != null && before.told() == told) {
             return before.since();
         }
-        long since = told == LONG_AGO ? LONG_AGO : listed ? now : Math.min(told, now);
+        long since =
+                told == LONG_AGO ? LONG_AGO : discoveryListReceived ? now : Math.min(told, now);
         starts.put(server, new Start(told, since));
         return since;
     }
 
     /** A list of discovery's own was taken, not one handed down from before this router's start. */
-    public void listed() {
-        listed = true;
+    public void discoveryListReceived() {
+        discoveryListReceived = true;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/members/RegistryView.java
+++ b/core/src/main/java/sorrelhoist/core/members/RegistryView.java
@@ -38,7 +38,7 @@
     public RegistryView() {}
 
     /** Takes a full fetch. */
-    public void full(List<Instance> all) {
+    public void replaceAll(List<Instance> all) {
         instances.clear();
         all.forEach(i -> instances.put(key(i), i));
         complete = true;
@@ -51,7 +51,7 @@
      * @param hashCode the hash code that the registry says its whole list has
      * @return whether this view has the same; otherwise a full fetch is due
      */
-    public boolean delta(List<Change> changes, String hashCode) {
+    public boolean applyDelta(List<Change> changes, String hashCode) {
         for (Change c : changes) {
             if (c.action().equals("DELETED")) {
                 instances.remove(key(c.instance()));
@@ -59,7 +59,7 @@
                 instances.put(key(c.instance()), c.instance());
             }
         }
-        complete = complete && hashCodeText().equals(hashCode);
+        complete = complete && statusHashCode().equals(hashCode);
         return complete;
     }
 
@@ -77,7 +77,7 @@
      * {@return counts by status, STATUS_COUNT_ for each in alphabetical order, as the registry
      * counts}
      */
-    public String hashCodeText() {
+    public String statusHashCode() {
         Map<String, Integer> counts = new TreeMap<>();
         instances.values().forEach(i -> counts.merge(i.status(), 1, Integer::sum));
         StringBuilder text = new StringBuilder();
--- a/core/src/main/java/sorrelhoist/core/members/Seats.java
+++ b/core/src/main/java/sorrelhoist/core/members/ReplicaSlots.java
@@ -10,14 +10,14 @@
  * while, as it may still be sending, and at least as many are counted as the deployment expects, as
  * the others may be about to come.
  */
-public final class Seats {
+public final class ReplicaSlots {
     /**
      * An edge's place.
      *
-     * @param routers how many there are
-     * @param self its number
+     * @param replicas how many there are
+     * @param index its number
      */
-    public record Seat(int routers, int self) {}
+    public record Slot(int replicas, int index) {}
 
     private static final class Held {
         int number;
@@ -35,13 +35,13 @@
      * @param expected edges that the deployment is to have, 1 or more
      * @param leaseMicros how long an edge that left keeps its seat
      */
-    public Seats(int expected, long leaseMicros) {
+    public ReplicaSlots(int expected, long leaseMicros) {
         this.expected = expected;
         this.lease = leaseMicros;
     }
 
     /** An edge came, or came back. */
-    public void attached(String edge) {
+    public void join(String edge) {
         Held seat = seats.get(edge);
         if (seat == null) {
             seat = new Held();
@@ -52,7 +52,7 @@
     }
 
     /** An edge left. */
-    public void left(long now, String edge) {
+    public void leave(long now, String edge) {
         Held seat = seats.get(edge);
         if (seat != null) {
             seat.attached = false;
@@ -64,7 +64,7 @@
      * Gives up seats whose edges stayed away, and closes the gaps in the numbers' order. {@return
      * whether anything changed}
      */
-    public boolean expire(long now) {
+    public boolean expireLeases(long now) {
         if (!seats.values().removeIf(s -> !s.attached && now - s.leftAt >= lease)) {
             return false;
         }
@@ -87,13 +87,13 @@
     }
 
     /** {@return an edge's place, or null for one without} */
-    public Seat of(String edge) {
+    public Slot slotOf(String edge) {
         Held seat = seats.get(edge);
-        return seat == null ? null : new Seat(Math.max(expected, seats.size()), seat.number);
+        return seat == null ? null : new Slot(Math.max(expected, seats.size()), seat.number);
     }
 
     /** {@return the edge with this number, or null} */
-    public String at(int number) {
+    public String edgeAt(int number) {
         return seats.entrySet().stream()
                 .filter(e -> e.getValue().number == number)
                 .map(e -> e.getKey())
--- a/core/src/main/java/sorrelhoist/core/record/Danger.java
+++ b/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.Reason;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.*;
 
 /**
  * Says when a rule came close to breaking, or service fell, so that the record around it is kept:
@@ -13,11 +13,11 @@
  * It looks at what a tap hears, decides nothing of a request, and is quiet for a while after each
  * word.
  */
-public final class Danger implements Tap {
+public final class AnomalyTrigger implements DecisionListener {
     /** When to speak. */
-    public interface Alarm {
+    public interface AnomalyListener {
         /** A rule is in danger, or service fell. */
-        void raise(long at, String what);
+        void onAnomaly(long at, String what);
     }
 
     private static final long LAST_MOMENT =
@@ -26,9 +26,9 @@
     private static final long WINDOW = 1_000_000;
     private static final int MANY = 50; // failures, not refusals, in a window
     private static final long QUIET = 60_000_000; // after each word: one record an incident
-    private final Tap next;
+    private final DecisionListener next;
     private final long releaseMicros;
-    private final Alarm alarm;
+    private final AnomalyListener alarm;
     private final Map<Long, Long> readAt = new HashMap<>();
     private final ArrayDeque<Long> failed = new ArrayDeque<>();
     private long quietUntil = Long.MIN_VALUE;
@@ -40,15 +40,15 @@
      * @param releaseMicros a held state is taken or let go within this time
      * @param alarm told of danger
      */
-    public Danger(Tap next, long releaseMicros, Alarm alarm) {
+    public AnomalyTrigger(DecisionListener next, long releaseMicros, AnomalyListener alarm) {
         this.next = next;
         this.releaseMicros = releaseMicros;
         this.alarm = alarm;
     }
 
     @Override
-    public void told(long at, Event event, List<Action> actions) {
-        next.told(at, event, actions);
+    public void onDecision(long at, Event event, List<Action> actions) {
+        next.onDecision(at, event, actions);
         if (event instanceof AttemptEnded e && e.outcome() == Outcome.READ) {
             readAt.put(e.id(), at);
         }
@@ -77,27 +77,28 @@
     }
 
     @Override
-    public void taught(long at, long age, sorrelhoist.Knowledge knowledge) {
-        next.taught(at, age, knowledge);
+    public void onKnowledgeAdopted(long at, long age, sorrelhoist.routing.Knowledge knowledge) {
+        next.onKnowledgeAdopted(at, age, knowledge);
     }
 
     @Override
-    public void asked(Entry.Asked asked, String prompt) {
-        next.asked(asked, prompt);
+    public void onRequestSubmitted(RecordEntry.RequestSubmitted asked, String prompt) {
+        next.onRequestSubmitted(asked, prompt);
     }
 
     @Override
-    public void answered(Entry.Answered a) {
-        next.answered(a);
-        boolean owed = a.how() != Entry.End.LEFT && a.how() != Entry.End.STALLED;
-        if (owed && a.leftMicros() < LAST_MOMENT && a.how() != Entry.End.SERVED) {
+    public void onRequestCompleted(RecordEntry.RequestCompleted a) {
+        next.onRequestCompleted(a);
+        boolean owed =
+                a.how() != RecordEntry.Completion.LEFT && a.how() != RecordEntry.Completion.STALLED;
+        if (owed && a.leftMicros() < LAST_MOMENT && a.how() != RecordEntry.Completion.SERVED) {
             raise(
                     a.at(),
                     "rule one: an answer came "
                             + a.leftMicros() / 1000
                             + " ms before its client's time was up");
         }
-        if (a.how() == Entry.End.FAILED && a.why().kind() != Reason.Kind.DEADLINE) {
+        if (a.how() == RecordEntry.Completion.FAILED && a.why().kind() != Reason.Kind.DEADLINE) {
             failed.add(a.at());
             while (failed.peek() < a.at() - WINDOW) {
                 failed.poll();
@@ -111,7 +112,7 @@
     private void raise(long at, String what) {
         if (at >= quietUntil) {
             quietUntil = at + QUIET;
-            alarm.raise(at, what);
+            alarm.onAnomaly(at, what);
         }
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/Chunks.java
+++ b/core/src/main/java/sorrelhoist/core/record/ChunkCodec.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import net.openhft.hashing.LongHashFunction;
-import sorrelhoist.Routing;
+import sorrelhoist.routing.Routing;
 
 /**
  * A record as bytes: a header, then chunks that each stand alone. A chunk has its length, a
@@ -13,7 +13,7 @@
  * and names that recur in it are written once. So a file may be cut anywhere, a damaged chunk costs
  * itself alone, and what is missing shows by the numbers.
  */
-public final class Chunks {
+public final class ChunkCodec {
     /** What a file of them begins with; the last figure is the form's version. */
     private static final byte[] HEADER = {'S', 'R', 'L', 'R', 'E', 'C', '0', '1'};
 
@@ -25,15 +25,15 @@
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
     /** Tags of entries, events and actions: once given, never given again. */
-    private static final List<Class<? extends Entry>> ENTRIES =
+    private static final List<Class<? extends RecordEntry>> ENTRIES =
             List.of(
-                    Entry.Started.class,
-                    Entry.Told.class,
-                    Entry.Taught.class,
-                    Entry.Asked.class,
-                    Entry.Answered.class,
-                    Entry.Lost.class,
-                    Entry.Marked.class);
+                    RecordEntry.Header.class,
+                    RecordEntry.Decision.class,
+                    RecordEntry.KnowledgeAdopted.class,
+                    RecordEntry.RequestSubmitted.class,
+                    RecordEntry.RequestCompleted.class,
+                    RecordEntry.EntriesDropped.class,
+                    RecordEntry.Marker.class);
 
     private static final List<Class<? extends Routing.Event>> EVENTS =
             List.of(
@@ -81,7 +81,7 @@
      * @param head what the router was made of
      * @param entries the others
      */
-    public record Chunk(long first, Entry.Started head, List<Entry> entries) {}
+    public record Chunk(long first, RecordEntry.Header head, List<RecordEntry> entries) {}
 
     /**
      * What a file holds.
@@ -92,10 +92,10 @@
      */
     public record Read(List<Chunk> chunks, List<String> faults, boolean foreign) {}
 
-    private Chunks() {}
+    private ChunkCodec() {}
 
     /** {@return what a new file begins with} */
-    public static byte[] header() {
+    public static byte[] fileHeader() {
         return HEADER.clone();
     }
 
@@ -136,7 +136,7 @@
         }
 
         @Override
-        public String read(Input in) throws Unreadable {
+        public String read(Input in) throws CorruptRecordException {
             long n = in.count();
             if (n == NULL) {
                 return null;
@@ -147,7 +147,7 @@
                 }
                 return text;
             } else if (n - OLD >= texts.size() || n < 0) {
-                throw new Unreadable("a name that was not given before");
+                throw new CorruptRecordException("a name that was not given before");
             }
             return texts.get((int) (n - OLD));
         }
@@ -160,7 +160,7 @@
         private int entries;
 
         /** Begins a chunk. */
-        void begin(long first, Entry.Started head) {
+        void begin(long first, RecordEntry.Header head) {
             out.cut(0);
             texts.clear();
             entries = 0;
@@ -189,8 +189,8 @@
             entries++;
         }
 
-        void entry(Entry entry) {
-            if (entry instanceof Entry.Told t) {
+        void entry(RecordEntry entry) {
+            if (entry instanceof RecordEntry.Decision t) {
                 told(t.at(), t.event(), t.actions());
             } else {
                 tagged(entry);
@@ -271,40 +271,41 @@
                 }
                 try {
                     chunks.add(chunk(body));
-                } catch (Unreadable e) {
+                } catch (CorruptRecordException e) {
                     faults.add("the chunk at byte " + at + ": " + e.getMessage());
                 }
             }
-        } catch (Unreadable e) {
+        } catch (CorruptRecordException e) {
             faults.add(e.getMessage());
         }
         return new Read(chunks, faults, false);
     }
 
-    private static Chunk chunk(Input in) throws Unreadable {
+    private static Chunk chunk(Input in) throws CorruptRecordException {
         Known texts = new Known();
         long first = in.count();
-        List<Entry> entries = new ArrayList<>();
-        Entry.Started head = null;
+        List<RecordEntry> entries = new ArrayList<>();
+        RecordEntry.Header head = null;
         while (in.left() > 0) {
             int tag = in.one();
             Input body = in.part(in.length(1));
-            Entry entry = tag == TOLD ? told(body, texts) : tagged(ENTRIES, tag, body, texts);
-            if (head == null && !(entry instanceof Entry.Started)) {
-                throw new Unreadable("it does not begin with what the router was made of");
+            RecordEntry entry = tag == TOLD ? told(body, texts) : tagged(ENTRIES, tag, body, texts);
+            if (head == null && !(entry instanceof RecordEntry.Header)) {
+                throw new CorruptRecordException(
+                        "it does not begin with what the router was made of");
             } else if (head == null) {
-                head = (Entry.Started) entry;
+                head = (RecordEntry.Header) entry;
             } else {
                 entries.add(entry);
             }
         }
         if (head == null) {
-            throw new Unreadable("it is empty");
+            throw new CorruptRecordException("it is empty");
         }
         return new Chunk(first, head, entries);
     }
 
-    private static Entry told(Input in, Known texts) throws Unreadable {
+    private static RecordEntry told(Input in, Known texts) throws CorruptRecordException {
         long at = in.number();
         Routing.Event event = tagged(EVENTS, in.one(), in.part(in.length(1)), texts);
         int n = in.length(2);
@@ -312,13 +313,14 @@
         for (int i = 0; i < n; i++) {
             actions.add(tagged(ACTIONS, in.one(), in.part(in.length(1)), texts));
         }
-        return new Entry.Told(at, event, actions);
+        return new RecordEntry.Decision(at, event, actions);
     }
 
     private static <T> T tagged(List<Class<? extends T>> family, int tag, Input in, Known texts)
-            throws Unreadable {
+            throws CorruptRecordException {
         if (tag >= family.size()) {
-            throw new Unreadable("an entry of kind " + tag + ", which this build does not know");
+            throw new CorruptRecordException(
+                    "an entry of kind " + tag + ", which this build does not know");
         }
         return RecordForm.of(family.get(tag)).read(in, texts);
     }
--- a/core/src/main/java/sorrelhoist/core/record/Unreadable.java
+++ b/core/src/main/java/sorrelhoist/core/record/CorruptRecordException.java
@@ -1,10 +1,10 @@
 package sorrelhoist.core.record;
 
 /** Bytes that are no record of this program, or damaged ones; the message says what was found. */
-public final class Unreadable extends Exception {
+public final class CorruptRecordException extends Exception {
     private static final long serialVersionUID = 1;
 
-    Unreadable(String message) {
+    CorruptRecordException(String message) {
         super(message, null, false, false);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/Input.java
+++ b/core/src/main/java/sorrelhoist/core/record/Input.java
@@ -23,14 +23,14 @@
         return end - at;
     }
 
-    int one() throws Unreadable {
+    int one() throws CorruptRecordException {
         if (at >= end) {
-            throw new Unreadable("cut short");
+            throw new CorruptRecordException("cut short");
         }
         return data[at++] & 0xFF;
     }
 
-    long count() throws Unreadable {
+    long count() throws CorruptRecordException {
         long value = 0;
         for (int shift = 0; shift <= MOST_BITS; shift += 7) {
             int b = one();
@@ -39,24 +39,25 @@
                 return value;
             }
         }
-        throw new Unreadable("a number that does not end");
+        throw new CorruptRecordException("a number that does not end");
     }
 
     /** A length of something that follows, each item at least so many bytes long. */
-    int length(int itemBytes) throws Unreadable {
+    int length(int itemBytes) throws CorruptRecordException {
         long n = count();
         if (n < 0 || n * itemBytes > left() || n > left()) {
-            throw new Unreadable("a length of " + n + " where " + left() + " bytes are left");
+            throw new CorruptRecordException(
+                    "a length of " + n + " where " + left() + " bytes are left");
         }
         return (int) n;
     }
 
-    long number() throws Unreadable {
+    long number() throws CorruptRecordException {
         long raw = count();
         return raw >>> 1 ^ -(raw & 1);
     }
 
-    long eight() throws Unreadable {
+    long eight() throws CorruptRecordException {
         long value = 0;
         for (int i = 0; i < 8; i++) {
             value = value << 8 | one();
@@ -64,7 +65,7 @@
         return value;
     }
 
-    String text() throws Unreadable {
+    String text() throws CorruptRecordException {
         int length = length(1);
         String text = new String(data, at, length, StandardCharsets.UTF_8);
         at += length;
--- a/core/src/main/java/sorrelhoist/core/record/Entry.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
@@ -1,15 +1,15 @@
 package sorrelhoist.core.record;
 
 import java.util.List;
-import sorrelhoist.Knowledge;
-import sorrelhoist.Reason;
-import sorrelhoist.Routing;
+import sorrelhoist.routing.Knowledge;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing;
 
 /**
  * One thing that a record holds, in the order in which it happened. Times are microseconds on the
  * router's clock.
  */
-public sealed interface Entry {
+public sealed interface RecordEntry {
     /**
      * What the router was made of; every chunk begins with it.
      *
@@ -19,9 +19,13 @@
      * @param settings of the decisions
      * @param seed of all randomness
      */
-    record Started(
-            String build, String name, long incarnation, Routing.Settings settings, long seed)
-            implements Entry {}
+    record Header(
+            String build,
+            String name,
+            long incarnation,
+            Routing.RoutingSettings settings,
+            long seed)
+            implements RecordEntry {}
 
     /**
      * Decide was told something, and said something.
@@ -30,7 +34,8 @@
      * @param event what it was told
      * @param actions what it said, in order
      */
-    record Told(long at, Routing.Event event, List<Routing.Action> actions) implements Entry {}
+    record Decision(long at, Routing.Event event, List<Routing.Action> actions)
+            implements RecordEntry {}
 
     /**
      * Decide was taught.
@@ -39,7 +44,7 @@
      * @param age how old that was
      * @param knowledge what
      */
-    record Taught(long at, long age, Knowledge knowledge) implements Entry {}
+    record KnowledgeAdopted(long at, long age, Knowledge knowledge) implements RecordEntry {}
 
     /**
      * A client's request, or what is left of one whose stream broke, got its number at Decide. No
@@ -54,7 +59,7 @@
      * @param timeoutMicros until the client gives up on the whole answer; 0 where it did not say
      * @param fromToken tokens that the client has already
      */
-    record Asked(
+    record RequestSubmitted(
             long at,
             long id,
             long client,
@@ -63,7 +68,7 @@
             long promptHash,
             long timeoutMicros,
             int fromToken)
-            implements Entry {}
+            implements RecordEntry {}
 
     /**
      * A client got its final answer.
@@ -75,11 +80,12 @@
      * @param leftMicros of its time; Long.MAX_VALUE where it did not say
      * @param why what Decide gave, or {@link Reason#UNKNOWN}
      */
-    record Answered(long at, long client, End how, int tokens, long leftMicros, Reason why)
-            implements Entry {}
+    record RequestCompleted(
+            long at, long client, Completion how, int tokens, long leftMicros, Reason why)
+            implements RecordEntry {}
 
     /** How a request ended for its client. */
-    enum End {
+    enum Completion {
         SERVED,
         REFUSED,
         FAILED,
@@ -92,7 +98,7 @@
      *
      * @param entries how many
      */
-    record Lost(long entries) implements Entry {}
+    record EntriesDropped(long entries) implements RecordEntry {}
 
     /**
      * Something worth finding again.
@@ -100,5 +106,5 @@
      * @param at when
      * @param text what
      */
-    record Marked(long at, String text) implements Entry {}
+    record Marker(long at, String text) implements RecordEntry {}
 }
--- a/core/src/main/java/sorrelhoist/core/record/RecordForm.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordForm.java
@@ -14,7 +14,7 @@
 import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToLongFunction;
-import sorrelhoist.Reason;
+import sorrelhoist.routing.Reason;
 
 /**
  * The form of any Java record made of whole numbers, fractions, flags, texts, enums, records and
@@ -32,13 +32,13 @@
     interface Texts {
         void write(Bytes out, String text);
 
-        String read(Input in) throws Unreadable;
+        String read(Input in) throws CorruptRecordException;
     }
 
     private interface Part {
         void write(Bytes out, Object record, Texts texts);
 
-        Object read(Input in, Texts texts) throws Unreadable;
+        Object read(Input in, Texts texts) throws CorruptRecordException;
 
         Object neutral();
     }
@@ -89,7 +89,7 @@
     }
 
     @SuppressWarnings("unchecked")
-    R read(Input in, Texts texts) throws Unreadable {
+    R read(Input in, Texts texts) throws CorruptRecordException {
         Object[] values = new Object[parts.size()];
         for (int i = 0; i < values.length; i++) {
             values[i] = in.left() > 0 ? parts.get(i).read(in, texts) : parts.get(i).neutral();
@@ -97,7 +97,7 @@
         try {
             return (R) maker.invokeExact(values);
         } catch (Throwable e) {
-            throw new Unreadable("values that make no event: " + e.getMessage());
+            throw new CorruptRecordException("values that make no event: " + e.getMessage());
         }
     }
 
@@ -182,7 +182,7 @@
         }
 
         @Override
-        public Object read(Input in, Texts texts) throws Unreadable {
+        public Object read(Input in, Texts texts) throws CorruptRecordException {
             return value(in.number());
         }
 
@@ -215,13 +215,13 @@
         }
 
         @Override
-        public Object read(Input in, Texts texts) throws Unreadable {
+        public Object read(Input in, Texts texts) throws CorruptRecordException {
             int how = in.one();
             return switch (how) {
                 case NO_NUMBER -> Double.NaN;
                 case WHOLE -> (double) in.number();
                 case FRACTION -> Double.longBitsToDouble(in.eight());
-                default -> throw new Unreadable("a fraction of kind " + how);
+                default -> throw new CorruptRecordException("a fraction of kind " + how);
             };
         }
 
@@ -238,7 +238,7 @@
         }
 
         @Override
-        public Object read(Input in, Texts texts) throws Unreadable {
+        public Object read(Input in, Texts texts) throws CorruptRecordException {
             return shape.read(in, texts);
         }
 
@@ -254,7 +254,7 @@
     private interface Shape {
         void write(Bytes out, Object value, Texts texts);
 
-        Object read(Input in, Texts texts) throws Unreadable;
+        Object read(Input in, Texts texts) throws CorruptRecordException;
 
         Object neutral();
     }
@@ -285,7 +285,7 @@
         }
 
         @Override
-        public Object read(Input in, Texts texts) throws Unreadable {
+        public Object read(Input in, Texts texts) throws CorruptRecordException {
             return texts.read(in);
         }
 
@@ -302,7 +302,7 @@
         }
 
         @Override
-        public Object read(Input in, Texts texts) throws Unreadable {
+        public Object read(Input in, Texts texts) throws CorruptRecordException {
             return in.number();
         }
 
@@ -319,7 +319,7 @@
         }
 
         @Override
-        public Object read(Input in, Texts texts) throws Unreadable {
+        public Object read(Input in, Texts texts) throws CorruptRecordException {
             return in.one() != 0;
         }
 
@@ -336,14 +336,14 @@
         }
 
         @Override
-        public Object read(Input in, Texts texts) throws Unreadable {
+        public Object read(Input in, Texts texts) throws CorruptRecordException {
             long n = in.count();
             // A kind that a later build added: known not to be known.
             if (n < 0 || n >= constants.length) {
                 if (constants[0] == Reason.Kind.UNKNOWN) {
                     return constants[0];
                 }
-                throw new Unreadable(
+                throw new CorruptRecordException(
                         "number " + n + " of " + constants[0].getClass().getSimpleName());
             }
             return constants[(int) n];
@@ -364,7 +364,7 @@
         }
 
         @Override
-        public Object read(Input in, Texts texts) throws Unreadable {
+        public Object read(Input in, Texts texts) throws CorruptRecordException {
             return form.read(in.part(in.length(1)), texts);
         }
 
@@ -385,7 +385,7 @@
         }
 
         @Override
-        public Object read(Input in, Texts texts) throws Unreadable {
+        public Object read(Input in, Texts texts) throws CorruptRecordException {
             int n = in.length(1);
             List<Object> list = new ArrayList<>(Math.min(n, 1000));
             for (int i = 0; i < n; i++) {
--- a/core/src/main/java/sorrelhoist/core/record/Tape.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recording.java
@@ -8,23 +8,27 @@
  * A record put together: the entries of one router's one start, in order, and where some are
  * missing.
  */
-public final class Tape {
+public final class Recording {
     /**
      * An entry in its place.
      *
      * @param number counted from the router's start
      * @param entry what it holds
      */
-    public record Line(long number, Entry entry) {}
+    public record NumberedEntry(long number, RecordEntry entry) {}
 
-    private final Entry.Started head;
-    private final List<Line> lines;
+    private final RecordEntry.Header header;
+    private final List<NumberedEntry> entries;
     private final List<String> faults;
     private final List<long[]> gaps;
 
-    private Tape(Entry.Started head, List<Line> lines, List<String> faults, List<long[]> gaps) {
-        this.head = head;
-        this.lines = lines;
+    private Recording(
+            RecordEntry.Header head,
+            List<NumberedEntry> lines,
+            List<String> faults,
+            List<long[]> gaps) {
+        this.header = head;
+        this.entries = lines;
         this.faults = faults;
         this.gaps = gaps;
     }
@@ -35,23 +39,24 @@
      *
      * @param files whole files, in any order
      * @return the tape
-     * @throws Unreadable where no sound chunk is found
+     * @throws CorruptRecordException where no sound chunk is found
      */
-    public static Tape of(List<byte[]> files) throws Unreadable {
-        List<Chunks.Chunk> all = new ArrayList<>();
+    public static Recording of(List<byte[]> files) throws CorruptRecordException {
+        List<ChunkCodec.Chunk> all = new ArrayList<>();
         List<String> faults = new ArrayList<>();
         for (byte[] file : files) {
-            Chunks.Read read = Chunks.read(file);
+            ChunkCodec.Read read = ChunkCodec.read(file);
             all.addAll(read.chunks());
             faults.addAll(read.faults());
         }
         if (all.isEmpty()) {
-            throw new Unreadable(faults.isEmpty() ? "the record is empty" : faults.get(0));
+            throw new CorruptRecordException(
+                    faults.isEmpty() ? "the record is empty" : faults.get(0));
         }
-        Entry.Started head =
+        RecordEntry.Header head =
                 all.stream()
-                        .map(Chunks.Chunk::head)
-                        .max(Comparator.comparingLong(Entry.Started::incarnation))
+                        .map(ChunkCodec.Chunk::head)
+                        .max(Comparator.comparingLong(RecordEntry.Header::incarnation))
                         .orElseThrow();
         long others = all.stream().filter(c -> !c.head().equals(head)).count();
         if (others > 0) {
@@ -61,43 +66,43 @@
                             + " over");
         }
         all.removeIf(c -> !c.head().equals(head));
-        all.sort(Comparator.comparingLong(Chunks.Chunk::first));
-        List<Line> lines = new ArrayList<>();
+        all.sort(Comparator.comparingLong(ChunkCodec.Chunk::first));
+        List<NumberedEntry> lines = new ArrayList<>();
         List<long[]> gaps = new ArrayList<>();
         long next = 0;
-        for (Chunks.Chunk c : all) {
+        for (ChunkCodec.Chunk c : all) {
             if (c.first() > next) {
                 gaps.add(new long[] {next, c.first()});
             }
             long number = c.first();
-            for (Entry e : c.entries()) {
-                if (e instanceof Entry.Lost || number < next) {
+            for (RecordEntry e : c.entries()) {
+                if (e instanceof RecordEntry.EntriesDropped || number < next) {
                     // Lost entries show by the numbers; a chunk that was kept twice counts once.
-                    number += e instanceof Entry.Lost ? 0 : 1;
+                    number += e instanceof RecordEntry.EntriesDropped ? 0 : 1;
                     continue;
                 }
-                lines.add(new Line(number++, e));
+                lines.add(new NumberedEntry(number++, e));
                 next = number;
             }
         }
-        return new Tape(head, lines, faults, gaps);
+        return new Recording(head, lines, faults, gaps);
     }
 
     /** {@return a tape made of these entries, numbered anew} */
-    public static Tape of(Entry.Started head, List<Entry> entries) {
-        List<Line> lines = new ArrayList<>();
-        entries.forEach(e -> lines.add(new Line(lines.size(), e)));
-        return new Tape(head, lines, List.of(), List.of());
+    public static Recording of(RecordEntry.Header head, List<RecordEntry> entries) {
+        List<NumberedEntry> lines = new ArrayList<>();
+        entries.forEach(e -> lines.add(new NumberedEntry(lines.size(), e)));
+        return new Recording(head, lines, List.of(), List.of());
     }
 
     /** {@return what the router was made of} */
-    public Entry.Started head() {
-        return head;
+    public RecordEntry.Header header() {
+        return header;
     }
 
     /** {@return the entries, in order} */
-    public List<Line> lines() {
-        return lines;
+    public List<NumberedEntry> entries() {
+        return entries;
     }
 
     /** {@return what could not be read, in plain words} */
@@ -114,22 +119,22 @@
      * {@return whether it reaches back to the router's start without a gap, so that a replay must
      * be exact}
      */
-    public boolean isWhole() {
+    public boolean isComplete() {
         return gaps.isEmpty();
     }
 
     /** {@return it as one file} */
-    public byte[] file() {
-        Bytes out = new Bytes().raw(Chunks.header(), Chunks.header().length);
-        Chunks.Writer w = new Chunks.Writer();
+    public byte[] toFileBytes() {
+        Bytes out = new Bytes().raw(ChunkCodec.fileHeader(), ChunkCodec.fileHeader().length);
+        ChunkCodec.Writer w = new ChunkCodec.Writer();
         long expected = -1;
-        for (Line line : lines) {
+        for (NumberedEntry line : entries) {
             if (line.number() != expected || w.size() > Recorder.CHUNK) {
                 if (expected >= 0) {
                     byte[] chunk = w.end();
                     out.raw(chunk, chunk.length);
                 }
-                w.begin(line.number(), head);
+                w.begin(line.number(), header);
             }
             w.entry(line.entry());
             expected = line.number() + 1;
--- a/core/src/main/java/sorrelhoist/core/record/Rename.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingAnonymizer.java
@@ -3,40 +3,41 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Routing.*;
 
 /**
  * A tape under neutral names, to be shown to others: servers, sessions, shared beginnings, requests
  * and the router. Equal names stay equal. As readers are also chosen by names, the tape may show
  * something else afterwards; its actions are those of this build.
  */
-public final class Rename {
+public final class RecordingAnonymizer {
     private final Map<String, String> names = new HashMap<>();
 
-    private Rename() {}
+    private RecordingAnonymizer() {}
 
     /**
      * {@return the tape under neutral names; requests' own names and what peers told are left out}
      */
-    public static Tape of(Tape tape) {
-        Rename r = new Rename();
-        Entry.Started h = tape.head();
-        Entry.Started head = new Entry.Started(h.build(), "router", 1, h.settings(), h.seed());
-        List<Entry> entries =
-                tape.lines().stream()
-                        .map(Tape.Line::entry)
+    public static Recording anonymize(Recording tape) {
+        RecordingAnonymizer r = new RecordingAnonymizer();
+        RecordEntry.Header h = tape.header();
+        RecordEntry.Header head =
+                new RecordEntry.Header(h.build(), "router", 1, h.settings(), h.seed());
+        List<RecordEntry> entries =
+                tape.entries().stream()
+                        .map(Recording.NumberedEntry::entry)
                         .filter(
                                 e ->
-                                        e instanceof Entry.Told t
+                                        e instanceof RecordEntry.Decision t
                                                 && !(t.event() instanceof PeerMessage))
                         .map(r::entry)
                         .toList();
-        return Replay.again(Tape.of(head, entries));
+        return Replay.again(Recording.of(head, entries));
     }
 
-    private Entry entry(Entry e) {
-        Entry.Told t = (Entry.Told) e;
-        return new Entry.Told(t.at(), event(t.event()), List.of());
+    private RecordEntry entry(RecordEntry e) {
+        RecordEntry.Decision t = (RecordEntry.Decision) e;
+        return new RecordEntry.Decision(t.at(), event(t.event()), List.of());
     }
 
     private Event event(Event event) {
--- a/core/src/main/java/sorrelhoist/core/record/Replay.java
+++ b/core/src/main/java/sorrelhoist/core/record/Replay.java
@@ -5,35 +5,36 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import sorrelhoist.Decide;
-import sorrelhoist.Routing;
-import sorrelhoist.Routing.Action;
+import sorrelhoist.routing.Routing;
+import sorrelhoist.routing.Routing.Action;
+import sorrelhoist.routing.RoutingPolicy;
 
 /**
- * Plays a tape's events into a new {@link Decide} and compares all that it says with what the tape
- * holds.
+ * Plays a tape's events into a new {@link RoutingPolicy} and compares all that it says with what
+ * the tape holds.
  */
 public final class Replay {
     /**
      * The first difference.
      *
-     * @param line where
-     * @param place of the action that differs, from 0
+     * @param entry where
+     * @param actionIndex of the action that differs, from 0
      * @param recorded what the tape holds; null for nothing more
      * @param replayed what was said now; null for nothing more
      */
-    public record Difference(Tape.Line line, int place, Action recorded, Action replayed) {
+    public record Difference(
+            Recording.NumberedEntry entry, int actionIndex, Action recorded, Action replayed) {
         /** {@return it in plain words} */
-        public String text() {
-            Entry.Told t = (Entry.Told) line.entry();
+        public String describe() {
+            RecordEntry.Decision t = (RecordEntry.Decision) entry.entry();
             return "entry "
-                    + line.number()
+                    + entry.number()
                     + ", at "
                     + t.at()
                     + " us, on "
                     + t.event()
                     + ": action "
-                    + place
+                    + actionIndex
                     + " was "
                     + (recorded == null ? "no more" : recorded)
                     + " and is now "
@@ -46,38 +47,38 @@
      *
      * @param events played
      * @param actions compared
-     * @param first difference, or null
+     * @param firstDifference difference, or null
      * @param fault what stopped it, or null
      */
-    public record Result(long events, long actions, Difference first, String fault) {
+    public record Result(long events, long actions, Difference firstDifference, String fault) {
         /** {@return whether every action was the same to the last byte} */
-        public boolean same() {
-            return first == null && fault == null;
+        public boolean isIdentical() {
+            return firstDifference == null && fault == null;
         }
     }
 
     private Replay() {}
 
     /** {@return the result of playing a tape, with the settings and the seed that it holds} */
-    public static Result of(Tape tape) {
-        return of(tape, tape.head().settings(), true, (line, actions) -> {});
+    public static Result run(Recording tape) {
+        return run(tape, tape.header().settings(), true, (line, actions) -> {});
     }
 
     /** {@return the same events with what this build says to them} */
-    public static Tape again(Tape tape) {
+    public static Recording again(Recording tape) {
         Map<Long, List<Action>> said = new HashMap<>();
-        of(
+        run(
                 tape,
-                tape.head().settings(),
+                tape.header().settings(),
                 false,
                 (line, actions) -> said.put(line.number(), actions));
-        return Tape.of(
-                tape.head(),
-                tape.lines().stream()
+        return Recording.of(
+                tape.header(),
+                tape.entries().stream()
                         .map(
                                 l ->
-                                        l.entry() instanceof Entry.Told t
-                                                ? new Entry.Told(
+                                        l.entry() instanceof RecordEntry.Decision t
+                                                ? new RecordEntry.Decision(
                                                         t.at(),
                                                         t.event(),
                                                         said.getOrDefault(l.number(), List.of()))
@@ -91,10 +92,10 @@
      *
      * @param file a record's bytes
      * @return the record with what this build says
-     * @throws Unreadable where they are none
+     * @throws CorruptRecordException where they are none
      */
-    public static byte[] again(byte[] file) throws Unreadable {
-        return again(Tape.of(List.of(file))).file();
+    public static byte[] again(byte[] file) throws CorruptRecordException {
+        return again(Recording.of(List.of(file))).toFileBytes();
     }
 
     /**
@@ -106,21 +107,21 @@
      * @param heard told of each event and what was said to it now
      * @return how it went
      */
-    public static Result of(
-            Tape tape,
-            Routing.Settings settings,
+    public static Result run(
+            Recording tape,
+            Routing.RoutingSettings settings,
             boolean stops,
-            BiConsumer<Tape.Line, List<Action>> heard) {
-        Decide decide = new Decide(settings, tape.head().seed());
+            BiConsumer<Recording.NumberedEntry, List<Action>> heard) {
+        RoutingPolicy decide = new RoutingPolicy(settings, tape.header().seed());
         long events = 0;
         long compared = 0;
         Difference first = null;
-        for (Tape.Line line : tape.lines()) {
+        for (Recording.NumberedEntry line : tape.entries()) {
             try {
-                if (line.entry() instanceof Entry.Taught t) {
-                    decide.learn(t.at(), t.knowledge(), t.age());
-                } else if (line.entry() instanceof Entry.Told t) {
-                    List<Action> now = decide.on(t.at(), t.event());
+                if (line.entry() instanceof RecordEntry.KnowledgeAdopted t) {
+                    decide.importKnowledge(t.at(), t.knowledge(), t.age());
+                } else if (line.entry() instanceof RecordEntry.Decision t) {
+                    List<Action> now = decide.onEvent(t.at(), t.event());
                     events++;
                     compared += t.actions().size();
                     heard.accept(line, now);
@@ -140,7 +141,8 @@
         return new Result(events, compared, first, null);
     }
 
-    private static Difference difference(Tape.Line line, List<Action> was, List<Action> is) {
+    private static Difference difference(
+            Recording.NumberedEntry line, List<Action> was, List<Action> is) {
         for (int i = 0; i < Math.max(was.size(), is.size()); i++) {
             Action a = i < was.size() ? was.get(i) : null;
             Action b = i < is.size() ? is.get(i) : null;
@@ -155,6 +157,7 @@
     static boolean same(Action a, Action b) {
         return a.equals(b)
                 || a.getClass() == b.getClass()
-                        && Arrays.equals(Chunks.bytes((Record) a), Chunks.bytes((Record) b));
+                        && Arrays.equals(
+                                ChunkCodec.bytes((Record) a), ChunkCodec.bytes((Record) b));
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/Compare.java
+++ b/core/src/main/java/sorrelhoist/core/record/ReplayComparison.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sorrelhoist.Reason;
-import sorrelhoist.Routing.*;
+import sorrelhoist.routing.Reason;
+import sorrelhoist.routing.Routing.*;
 
 /**
  * What another build, or other settings, would have decided at each place of a tape. The world is
@@ -13,35 +13,35 @@
  * compared no further, and what the other choice would have met is said as what the tape shows of
  * that engine at that time, where it shows anything.
  */
-public final class Compare {
+public final class ReplayComparison {
     /**
      * What changed.
      *
      * @param requests that arrived
-     * @param same decided alike to their ends
-     * @param nowRefused sent before, refused or failed now, by reason
-     * @param nowSent refused or failed before, sent now, by the reason they had
-     * @param elsewhere sent to another engine
-     * @param worthNowRefused worth of those
-     * @param worthNowSent worth of those
-     * @param betterMicros over those sent elsewhere and known of both engines: time of reads that
-     *     the tape shows at the engine chosen before less that at the one chosen now, in all
-     * @param known of those sent elsewhere, how many the tape could tell that of
+     * @param unchanged decided alike to their ends
+     * @param newlyRejected sent before, refused or failed now, by reason
+     * @param newlyForwarded refused or failed before, sent now, by the reason they had
+     * @param rerouted sent to another engine
+     * @param weightNewlyRejected worth of those
+     * @param weightNewlyForwarded worth of those
+     * @param savedPrefillMicros over those sent elsewhere and known of both engines: time of reads
+     *     that the tape shows at the engine chosen before less that at the one chosen now, in all
+     * @param reroutedWithTimes of those sent elsewhere, how many the tape could tell that of
      */
     public record Report(
             int requests,
-            int same,
-            Map<Reason.Kind, Integer> nowRefused,
-            Map<Reason.Kind, Integer> nowSent,
-            int elsewhere,
-            double worthNowRefused,
-            double worthNowSent,
-            double betterMicros,
-            int known) {}
+            int unchanged,
+            Map<Reason.Kind, Integer> newlyRejected,
+            Map<Reason.Kind, Integer> newlyForwarded,
+            int rerouted,
+            double weightNewlyRejected,
+            double weightNewlyForwarded,
+            double savedPrefillMicros,
+            int reroutedWithTimes) {}
 
     private static final double RECENT = 0.3; // of the newest time at an engine
 
-    private final Tape tape;
+    private final Recording tape;
     private final Map<Long, Arrived> open = new LinkedHashMap<>();
     private final Map<String, Double> timeAt = new LinkedHashMap<>();
     private final Map<Reason.Kind, Integer> nowRefused = new EnumMap<>(Reason.Kind.class);
@@ -54,14 +54,14 @@
     private double worthSent;
     private double better;
 
-    private Compare(Tape tape) {
+    private ReplayComparison(Recording tape) {
         this.tape = tape;
     }
 
     /** {@return what changes with other settings, or with the tape's own under this build} */
-    public static Report of(Tape tape, Settings settings) {
-        Compare c = new Compare(tape);
-        Replay.of(tape, settings, false, c::heard);
+    public static Report compare(Recording tape, RoutingSettings settings) {
+        ReplayComparison c = new ReplayComparison(tape);
+        Replay.run(tape, settings, false, c::heard);
         return new Report(
                 c.requests,
                 c.requests - c.changed,
@@ -74,8 +74,8 @@
                 c.known);
     }
 
-    private void heard(Tape.Line line, List<Action> now) {
-        Entry.Told t = (Entry.Told) line.entry();
+    private void heard(Recording.NumberedEntry line, List<Action> now) {
+        RecordEntry.Decision t = (RecordEntry.Decision) line.entry();
         if (t.event() instanceof Arrived a) {
             requests++;
             open.put(a.id(), a);
@@ -104,7 +104,7 @@
         Map<Long, Action> all = new LinkedHashMap<>();
         for (Action a : actions) {
             if (a instanceof Send || a instanceof Refuse || a instanceof Fail) {
-                all.put(Story.request(a), a);
+                all.put(RequestTimeline.request(a), a);
             }
         }
         return all;
@@ -117,7 +117,7 @@
         }
         boolean wasSent = was instanceof Send;
         boolean isSent = is instanceof Send;
-        double worth = tape.head().settings().classes().get(a.cls()).worth();
+        double worth = tape.header().settings().classes().get(a.cls()).priorityWeight();
         if (was != null && is != null && !wasSent && !isSent) {
             open.remove(id);
             return;
--- a/core/src/main/java/sorrelhoist/core/record/Story.java
+++ b/core/src/main/java/sorrelhoist/core/record/RequestTimeline.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
-import sorrelhoist.Routing.*;
-import sorrelhoist.core.why.Words;
+import sorrelhoist.core.explain.ReasonFormatter;
+import sorrelhoist.routing.Routing.*;
 
 /** One request's whole story, in readable lines. */
-public final class Story {
-    private final Tape tape;
+public final class RequestTimeline {
+    private final Recording tape;
 
     /** Makes one that tells from a tape. */
-    public Story(Tape tape) {
+    public RequestTimeline(Recording tape) {
         this.tape = tape;
     }
 
@@ -23,10 +23,10 @@
      * @param request its name at engines, its client's own name for it, or its number
      * @return lines; empty where the tape does not hold it
      */
-    public List<String> of(String request) {
+    public List<String> describe(String request) {
         Set<Long> clients = new LinkedHashSet<>();
-        for (Tape.Line l : tape.lines()) {
-            if (l.entry() instanceof Entry.Asked a
+        for (Recording.NumberedEntry l : tape.entries()) {
+            if (l.entry() instanceof RecordEntry.RequestSubmitted a
                     && (request.equals(a.name())
                             || request.equals(a.clientId())
                             || request.equals("" + a.id()))) {
@@ -36,8 +36,9 @@
         List<String> lines = new ArrayList<>();
         Set<Long> ids = new LinkedHashSet<>();
         long from = 0;
-        for (Tape.Line l : tape.lines()) {
-            if (l.entry() instanceof Entry.Asked a && clients.contains(a.client())) {
+        for (Recording.NumberedEntry l : tape.entries()) {
+            if (l.entry() instanceof RecordEntry.RequestSubmitted a
+                    && clients.contains(a.client())) {
                 if (ids.isEmpty()) {
                     from = a.at();
                 }
@@ -57,17 +58,18 @@
                                         + (a.timeoutMicros() > 0
                                                 ? ", its client waits " + ms(a.timeoutMicros())
                                                 : "")));
-            } else if (l.entry() instanceof Entry.Answered a && clients.contains(a.client())) {
+            } else if (l.entry() instanceof RecordEntry.RequestCompleted a
+                    && clients.contains(a.client())) {
                 lines.add(line(a.at() - from, answered(a)));
-            } else if (l.entry() instanceof Entry.Told t) {
+            } else if (l.entry() instanceof RecordEntry.Decision t) {
                 told(t, ids, from, lines);
             }
         }
         if (lines.isEmpty() && request.matches("[0-9]{1,18}")) {
             // A record without clients, as a bench day's: the number at Decide is all there is.
             ids.add(Long.parseLong(request));
-            for (Tape.Line l : tape.lines()) {
-                if (l.entry() instanceof Entry.Told t) {
+            for (Recording.NumberedEntry l : tape.entries()) {
+                if (l.entry() instanceof RecordEntry.Decision t) {
                     from = lines.isEmpty() ? t.at() : from;
                     told(t, ids, from, lines);
                 }
@@ -76,7 +78,7 @@
         return lines;
     }
 
-    private static void told(Entry.Told t, Set<Long> ids, long from, List<String> lines) {
+    private static void told(RecordEntry.Decision t, Set<Long> ids, long from, List<String> lines) {
         String event = concerns(t.event(), ids) ? event(t.event()) : null;
         if (event != null) {
             lines.add(line(t.at() - from, event));
@@ -97,19 +99,20 @@
         return String.format(Locale.ROOT, "%.1f ms", micros / 1000.0);
     }
 
-    private static String answered(Entry.Answered a) {
+    private static String answered(RecordEntry.RequestCompleted a) {
         String left =
                 a.leftMicros() == Long.MAX_VALUE
                         ? ""
                         : ", " + ms(a.leftMicros()) + " before its time was up";
         return switch (a.how()) {
             case SERVED -> "answered: served, " + a.tokens() + " tokens" + left;
-            case REFUSED -> "answered: refused, as " + Words.lack(a.why()) + left;
+            case REFUSED ->
+                    "answered: refused, as " + ReasonFormatter.describeFailure(a.why()) + left;
             case FAILED ->
                     "answered: failed after "
                             + a.tokens()
                             + " tokens, as "
-                            + Words.lack(a.why())
+                            + ReasonFormatter.describeFailure(a.why())
                             + left;
             case STALLED -> "given up: its client took nothing of its answer";
             case LEFT -> "its client left after " + a.tokens() + " tokens";
@@ -212,13 +215,16 @@
 
     private static String action(Action action) {
         if (action instanceof Send a) {
-            return "send to " + a.server() + ": " + Words.choice(a.why());
+            return "send to " + a.server() + ": " + ReasonFormatter.describeSelection(a.why());
         } else if (action instanceof Refuse a) {
-            return "refuse: " + Words.lack(a.why());
+            return "refuse: " + ReasonFormatter.describeFailure(a.why());
         } else if (action instanceof Fail a) {
-            return "fail: " + Words.lack(a.why());
+            return "fail: " + ReasonFormatter.describeFailure(a.why());
         } else if (action instanceof Cancel a) {
-            return "stop waiting for attempt " + a.attempt() + ": " + Words.lack(a.why());
+            return "stop waiting for attempt "
+                    + a.attempt()
+                    + ": "
+                    + ReasonFormatter.describeFailure(a.why());
         } else if (action instanceof Release) {
             return "let go of what is held";
         }
--- a/core/src/main/java/sorrelhoist/core/life/ClientCommands.java
+++ b/core/src/main/java/sorrelhoist/core/request/ClientCommands.java
@@ -1,16 +1,16 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 /** The commands that concern clients, and the log. */
 public interface ClientCommands {
     /** Gives a client a token or an event. */
-    void deliver(Command.Deliver command);
+    void deliverToken(Command.DeliverToken command);
 
     /** Gives a client its final answer. */
-    void finish(Command.Finish command);
+    void finishRequest(Command.FinishRequest command);
 
     /** Writes a line. */
-    void log(Command.Log command);
+    void writeLog(Command.WriteLog command);
 
     /** Says that what must always hold did not. */
-    void violation(Command.Violation command);
+    void reportViolation(Command.ReportViolation command);
 }
--- a/core/src/main/java/sorrelhoist/core/life/CommandHandler.java
+++ b/core/src/main/java/sorrelhoist/core/request/CommandHandler.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 /** Carries out commands: one method for each, so that a new one cannot be forgotten. */
 public interface CommandHandler extends ClientCommands, EngineCommands, PlannerCommands {}
--- a/core/src/main/java/sorrelhoist/core/life/EngineCommands.java
+++ b/core/src/main/java/sorrelhoist/core/request/EngineCommands.java
@@ -1,28 +1,28 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 /** The commands that concern engines. */
 public interface EngineCommands {
     /** Sends a request to a reader. */
-    void read(Command.Read command);
+    void startPrefill(Command.StartPrefill command);
 
     /** Sends a request to a writer. */
-    void write(Command.Write command);
+    void startDecode(Command.StartDecode command);
 
     /** Gives up an attempt. */
-    void drop(Command.Drop command);
+    void cancelAttempt(Command.CancelAttempt command);
 
     /** Asks for a place. */
-    void reserve(Command.Reserve command);
+    void reserveDecodeSlot(Command.ReserveDecodeSlot command);
 
     /** Has something released that a request has reserved. */
-    void release(Command.Release command);
+    void releaseReservation(Command.ReleaseReservation command);
 
     /** Gives up the wait for a release's answer. */
     void abandonRelease(Command.AbandonRelease command);
 
     /** Reports what no engine has released in time. */
-    void releaseExpired(Command.ReleaseExpired command);
+    void reportExpiredRelease(Command.ReportExpiredRelease command);
 
     /** Closes idle connections. */
-    void closeIdle(Command.CloseIdle command);
+    void closeIdleConnections(Command.CloseIdleConnections command);
 }
--- a/core/src/main/java/sorrelhoist/core/life/Departure.java
+++ b/core/src/main/java/sorrelhoist/core/request/GracefulShutdown.java
@@ -1,15 +1,15 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 /**
  * How a router that is told to end hands its running streams on, where clients come again for the
  * rest: a few at a time over the time it has, so that they do not all come to the others at once,
  * each with all of its text to be read anew, when it is killed. The youngest go first, as the old
  * ones may still end by themselves. None goes while no other router is there to take it ({@link
- * Neighbours}): its client would find nobody.
+ * PeerLiveness}): its client would find nobody.
  */
-public final class Departure {
+public final class GracefulShutdown {
     /** Between two looks, in microseconds. */
-    public static final long STEP = 100_000;
+    public static final long STEP_MICROS = 100_000;
 
     private final long until;
 
@@ -18,7 +18,7 @@
      *
      * @param until when the last stream should have gone, in microseconds of the caller's clock
      */
-    public Departure(long until) {
+    public GracefulShutdown(long until) {
         this.until = until;
     }
 
@@ -30,8 +30,8 @@
      * @param somewhere whether another router is there
      * @return 0 to {@code streams}; all once the time is up, where there is another router
      */
-    public int due(long now, int streams, boolean somewhere) {
-        long steps = (until - now) / STEP;
+    public int streamsToMigrate(long now, int streams, boolean somewhere) {
+        long steps = (until - now) / STEP_MICROS;
         return !somewhere ? 0 : steps <= 0 ? streams : (int) ((streams + steps - 1) / steps);
     }
 }
--- a/core/src/main/java/sorrelhoist/core/life/Life.java
+++ b/core/src/main/java/sorrelhoist/core/request/Life.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import java.util.ArrayDeque;
 import sorrelhoist.core.reservation.ReservationKey;
@@ -40,7 +40,7 @@
     private static final int HISTORY = 8;
 
     final long client;
-    final Call call;
+    final InferenceRequest call;
     final long arrivedAt;
 
     /** Until the whole answer has to be given; Long.MAX_VALUE where the client did not say. */
@@ -65,13 +65,13 @@
     Attempt out;
 
     /** What the next writer is to fetch; null where nothing is. */
-    Held state;
+    HeldPrefillState state;
 
     ReservationKey stateKey;
     String placeEngine;
     String place = "";
 
-    Life(long client, Call call, long arrivedAt, long endsBy) {
+    Life(long client, InferenceRequest call, long arrivedAt, long endsBy) {
         this.client = client;
         this.call = call;
         this.arrivedAt = arrivedAt;
--- a/core/src/main/java/sorrelhoist/core/life/Liveness.java
+++ b/core/src/main/java/sorrelhoist/core/request/Liveness.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 /**
  * Judges from what was seen how long a running stream may be silent before it counts as dead.
--- a/core/src/main/java/sorrelhoist/core/life/Lives.java
+++ b/core/src/main/java/sorrelhoist/core/request/Lives.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,7 +17,7 @@
     private long ids;
 
     /** A client asks. */
-    Life open(Call call, long now, long endsBy) {
+    Life open(InferenceRequest call, long now, long endsBy) {
         Life life = new Life(++ids, call, now, endsBy);
         byClient.put(life.client, life);
         return life;
--- a/core/src/main/java/sorrelhoist/core/life/Neighbours.java
+++ b/core/src/main/java/sorrelhoist/core/request/PeerLiveness.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -10,7 +10,7 @@
  * end says so. Lost messages cost a second or two. Only a departure asks this; no request is routed
  * by it.
  */
-public final class Neighbours {
+public final class PeerLiveness {
     private static final long SECOND = 1_000_000;
     private static final int FLEET_WORDS = 4; // a second, by all routers together
     private static final long SILENT = 5 * SECOND / 2;
@@ -30,14 +30,14 @@
      * @param routers how many there are
      * @param startedAt when this one started, on the caller's clock in microseconds
      */
-    public Neighbours(int self, int routers, long startedAt) {
+    public PeerLiveness(int self, int routers, long startedAt) {
         this.self = self;
         this.routers = routers;
         this.startedAt = startedAt;
     }
 
     /** {@return microseconds between two words of this router} */
-    public long every() {
+    public long heartbeatIntervalMicros() {
         return Math.max(SECOND, SECOND * routers / FLEET_WORDS);
     }
 
@@ -45,8 +45,8 @@
      * {@return microseconds from the start to its first word: routers that start together speak in
      * turns}
      */
-    public long first() {
-        return SETTLED + every() * self / routers;
+    public long firstHeartbeatDelayMicros() {
+        return SETTLED + heartbeatIntervalMicros() * self / routers;
     }
 
     /**
@@ -56,7 +56,7 @@
      * @param leaving whether it was told to end
      * @return what to tell all others, or null where there is nothing to say
      */
-    public String word(long now, boolean leaving) {
+    public String heartbeatMessage(long now, boolean leaving) {
         return leaving ? LEAVING : now - startedAt >= SETTLED ? HERE : null;
     }
 
@@ -68,7 +68,7 @@
      * @param body the message
      * @return whether it was for this; others are the decisions'
      */
-    public boolean heard(long now, int from, String body) {
+    public boolean messageReceived(long now, int from, String body) {
         if (body.equals(HERE)) {
             here.put(from, now);
         } else if (body.equals(LEAVING)) {
@@ -80,7 +80,7 @@
     }
 
     /** {@return whether another router is there that has been for a while} */
-    public boolean any(long now) {
+    public boolean hasLivePeer(long now) {
         return here.entrySet().stream()
                 .anyMatch(e -> e.getKey() != self && now - e.getValue() <= SILENT);
     }
--- a/core/src/main/java/sorrelhoist/core/life/Phase.java
+++ b/core/src/main/java/sorrelhoist/core/request/Phase.java
@@ -1,4 +1,4 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import java.util.EnumMap;
 import java.util.Map;
--- a/core/src/main/java/sorrelhoist/core/life/PlannerCommands.java
+++ b/core/src/main/java/sorrelhoist/core/request/PlannerCommands.java
@@ -1,13 +1,13 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 /** The commands that concern the view of the fleet: probes, other routers, the list of engines. */
 public interface PlannerCommands {
     /** Probes an engine. */
-    void probe(Command.Probe command);
+    void probeEngine(Command.ProbeEngine command);
 
     /** Sends a message to other routers. */
-    void tell(Command.Tell command);
+    void sendPeerMessage(Command.SendPeerMessage command);
 
     /** Asks for the whole list of engines. */
-    void fetchRoster(Command.FetchRoster command);
+    void fetchEndpointList(Command.FetchEndpointList command);
 }
--- a/core/src/main/java/sorrelhoist/core/life/Answer.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestResult.java
@@ -1,9 +1,9 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
-import sorrelhoist.Reason;
+import sorrelhoist.routing.Reason;
 
 /** A client's one final answer. */
-public sealed interface Answer {
+public sealed interface RequestResult {
     /** {@return what Decide gave for it, or {@link Reason#UNKNOWN}} */
     default Reason reason() {
         return Reason.UNKNOWN;
@@ -14,15 +14,15 @@
      *
      * @param tokens how many
      */
-    record Served(int tokens) implements Answer {}
+    record Served(int tokens) implements RequestResult {}
 
     /**
      * Not served, and a repeat is harmless.
      *
-     * @param backoffMicros when to come back; 0 for no advice
+     * @param retryAfterMicros when to come back; 0 for no advice
      * @param why what was short
      */
-    record Refused(long backoffMicros, Reason why) implements Answer {
+    record Refused(long retryAfterMicros, Reason why) implements RequestResult {
         @Override
         public Reason reason() {
             return why;
@@ -33,17 +33,18 @@
      * Given up because the client takes nothing: nothing more can be told to it, so its stream is
      * reset.
      *
-     * @param why for the log
+     * @param message for the log
      */
-    record Stalled(String why) implements Answer {}
+    record Stalled(String message) implements RequestResult {}
 
     /**
      * Not served whole, and nothing is known of a repeat.
      *
-     * @param why for the client and the log
-     * @param late whether the client's time is up
+     * @param message for the client and the log
+     * @param deadlineExceeded whether the client's time is up
      * @param reason what Decide gave, or {@link Reason#UNKNOWN} where an answer broke off after its
      *     first token
      */
-    record Failed(String why, boolean late, Reason reason) implements Answer {}
+    record Failed(String message, boolean deadlineExceeded, Reason reason)
+            implements RequestResult {}
 }
--- a/core/src/main/java/sorrelhoist/core/life/Reservations.java
+++ b/core/src/main/java/sorrelhoist/core/request/Reservations.java
@@ -1,13 +1,9 @@
-package sorrelhoist.core.life;
+package sorrelhoist.core.request;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import sorrelhoist.Routing.ListForm;
-import sorrelhoist.Routing.Outcome;
-import sorrelhoist.Routing.Server;
-import sorrelhoist.Routing.ServerState;
 import sorrelhoist.core.reservation.AttemptPurpose;
 import sorrelhoist.core.reservation.EngineActivity;
 import sorrelhoist.core.reservation.Hold;
@@ -17,6 +13,10 @@
 import sorrelhoist.core.reservation.ReservationCarrier;
 import sorrelhoist.core.reservation.ReservationKey;
 import sorrelhoist.core.reservation.ReservationTable;
+import sorrelhoist.routing.Routing.ListUpdateKind;
+import sorrelhoist.routing.Routing.Outcome;
+import sorrelhoist.routing.Routing.Server;
+import sorrelhoist.routing.Routing.ServerState;
 
 /**
  * Tells the table of reservations what happens to requests. Where holders release by name, each
@@ -41,7 +41,7 @@
                         policy,
                         shared ? engines : this::holder,
                         new Commands(carrier),
-                        ROOM * settings.maxOpen());
+                        ROOM * settings.maxOpenRequests());
     }
 
     /**
@@ -57,7 +57,7 @@
         public void release(ReleaseCall call) {
             Hold hold = call.hold();
             carrier.accept(
-                    new Command.Release(
+                    new Command.ReleaseReservation(
                             call.id(),
                             call.request(),
                             call.engine(),
@@ -73,7 +73,7 @@
 
         @Override
         public void expired(ReservationKey key, String engine, int calls) {
-            carrier.accept(new Command.ReleaseExpired(key.request(), engine, calls));
+            carrier.accept(new Command.ReportExpiredRelease(key.request(), engine, calls));
         }
     }
 
@@ -81,8 +81,8 @@
     // ------------------------------------------------------------------------------------------
 
     /** The list of engines, or news of it. */
-    void members(ListForm form, List<Server> servers) {
-        if (form == ListForm.COMPLETE) {
+    void members(ListUpdateKind form, List<Server> servers) {
+        if (form == ListUpdateKind.COMPLETE) {
             engines.replaced(
                     servers.stream()
                             .filter(s -> s.state() != ServerState.GONE)
@@ -138,7 +138,7 @@
 
     /** A read ended well: its state waits there. */
     void readDone(Life life, Life.Attempt read, String state, long now) {
-        life.state = new Held(read.engine, state);
+        life.state = new HeldPrefillState(read.engine, state);
         life.stateKey = keyOf(life, read.id.number());
         table.readDone(life.stateKey, Hold.ofState(read.engine, state), now);
     }
