--- a/app/src/main/java/sorrelhoist/app/Main.java
+++ b/app/src/main/java/sorrelhoist/app/Main.java
@@ -1,19 +1,19 @@
 package sorrelhoist.app;
 
 import java.io.IOException;
-import java.nio.file.Path;
-import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import sorrelhoist.adapter.SimulatorAdapter;
 import sorrelhoist.app.command.ConfigCommand;
-import sorrelhoist.app.command.FleetCommands;
+import sorrelhoist.app.command.DemoCommand;
 import sorrelhoist.app.command.MeasureCommand;
-import sorrelhoist.app.command.Programs;
+import sorrelhoist.app.command.PlatformCommand;
+import sorrelhoist.app.command.ProgramCommands;
 import sorrelhoist.app.command.RecordCommand;
+import sorrelhoist.app.command.RequestCommand;
+import sorrelhoist.app.command.ScenarioCommand;
+import sorrelhoist.app.command.SimulatorAdapterCommand;
 import sorrelhoist.app.command.SoakCommand;
-import sorrelhoist.app.command.WireCommand;
+import sorrelhoist.app.command.UpCommand;
 import sorrelhoist.platform.Platform;
 
 /** The command line. */
@@ -25,77 +25,66 @@
                 "Routes requests for language models that are read by one pool of engines and"
                         + " answered by another.",
         subcommands = {
-            Programs.EdgeProgram.class,
-            Programs.PlannerProgram.class,
-            Programs.EngineProgram.class,
-            Programs.RegistryProgram.class,
+            ProgramCommands.EdgeCommand.class,
+            ProgramCommands.PlannerCommand.class,
+            ProgramCommands.EngineCommand.class,
+            ProgramCommands.RegistryCommand.class,
             ConfigCommand.class,
-            FleetCommands.Demo.class,
-            FleetCommands.Up.class,
-            FleetCommands.AskCommand.class,
-            FleetCommands.DayCommand.class,
+            DemoCommand.class,
+            UpCommand.class,
+            RequestCommand.class,
+            ScenarioCommand.class,
             MeasureCommand.class,
             SoakCommand.class,
             RecordCommand.class,
-            Main.Wirehost.class,
-            Main.PlatformProgram.class
+            SimulatorAdapterCommand.class,
+            PlatformCommand.class
         })
 public final class Main {
-    private Main() {}
-
-    /** The bench's wire. */
-    @Command(
-            name = "wirehost",
-            description = "Serves the simulator's wire on standard input and output.")
-    static final class Wirehost implements Callable<Integer> {
-        @Option(
-                names = "--record",
-                paramLabel = "FOLDER",
-                description = "records each instance's decisions there")
-        Path record;
-
-        @Override
-        public Integer call() throws IOException {
-            return record == null
-                    ? new SimulatorAdapter().run(System.in, System.out, System.err)
-                    : WireCommand.recorded(record);
-        }
-    }
+    private static final int EXIT_FAILURE = 1;
+    private static final int EXIT_USAGE = 2;
 
-    /** The router on the operators' platform. */
-    @Command(
-            name = "platform",
-            description =
-                    "Runs one router on the operators' platform, as LB_CONFIG and its kin tell it.")
-    static final class PlatformProgram implements Callable<Integer> {
-        @Override
-        public Integer call() throws IOException {
-            return Platform.run(System.getenv());
-        }
-    }
+    private Main() {}
 
     /**
      * Runs a command and exits with its status.
      *
      * @param args sub-command and options
+     * @throws IOException if the platform's router cannot be started
      */
     public static void main(String[] args) throws IOException {
-        if (args.length == 1 && args[0].equals("platform")) {
+        if (args.length == 1 && args[0].equals(PlatformCommand.NAME)) {
             // A machine with part of a core and tens of megabytes: nothing of the command tree is
             // loaded there.
             System.exit(Platform.run(System.getenv()));
         }
+        CommandLine line = commandLine();
+        System.exit(args.length == 0 ? printUsage(line) : line.execute(args));
+    }
+
+    /** {@return the command tree} */
+    static CommandLine commandLine() {
         CommandLine line = new CommandLine(new Main());
+        addFormerName(line, "ask", new RequestCommand());
+        addFormerName(line, "day", new ScenarioCommand());
+        addFormerName(line, "wirehost", new SimulatorAdapterCommand());
         line.setExecutionExceptionHandler(
-                (e, command, parsed) -> {
-                    System.err.println(command.getCommandName() + ": " + e.getMessage());
-                    return 1;
+                (exception, command, parsed) -> {
+                    System.err.println(command.getCommandName() + ": " + exception.getMessage());
+                    return EXIT_FAILURE;
                 });
-        System.exit(args.length == 0 ? usage(line) : line.execute(args));
+        return line;
+    }
+
+    /** Accepts a command under its former name too, for one release; help does not show it. */
+    private static void addFormerName(CommandLine line, String formerName, Object command) {
+        CommandLine former = new CommandLine(command);
+        former.getCommandSpec().usageMessage().hidden(true);
+        line.addSubcommand(formerName, former);
     }
 
-    private static int usage(CommandLine line) {
+    private static int printUsage(CommandLine line) {
         line.usage(System.err);
-        return 2;
+        return EXIT_USAGE;
     }
 }
--- a/app/src/main/java/sorrelhoist/app/command/ConfigCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/ConfigCommand.java
@@ -2,9 +2,11 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.Locale;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 import sorrelhoist.app.config.Config;
+import sorrelhoist.app.config.InvalidSettingsException;
 
 /** Works on settings. */
 @Command(
@@ -19,9 +21,9 @@
                     file
                             + ": good settings of a"
                             + (kind == Config.Kind.EDGE || kind == Config.Kind.ENGINE ? "n " : " ")
-                            + kind.name().toLowerCase(java.util.Locale.ROOT));
+                            + kind.name().toLowerCase(Locale.ROOT));
             return 0;
-        } catch (Config.Faulty e) {
+        } catch (InvalidSettingsException e) {
             System.err.println(e.getMessage());
             return 1;
         }
--- a/app/src/main/java/sorrelhoist/app/command/OtherBuild.java
+++ b/app/src/main/java/sorrelhoist/app/command/ExternalBuild.java
@@ -13,19 +13,22 @@
 import sorrelhoist.core.record.Replay;
 
 /**
- * Another build of this program, from its jar: says what it would have decided. The two have only
- * bytes in common.
+ * Another build of this program, loaded from its jar: replays recordings as that build decides. The
+ * two builds share no classes and exchange bytes alone.
  */
-final class OtherBuild implements AutoCloseable {
+final class ExternalBuild implements AutoCloseable {
+    private static final String REPLAY_METHOD = "again";
+
     private final URLClassLoader loader;
-    private final Method again;
+    private final Method replayMethod;
 
     /**
-     * Loads it.
+     * Loads a build.
      *
      * @param jar the whole program, as bin/sorrelhoist builds it
+     * @throws IOException if that is no jar, or holds no build that replays
      */
-    OtherBuild(Path jar) throws IOException {
+    ExternalBuild(Path jar) throws IOException {
         if (!Files.isRegularFile(jar)) {
             throw new IOException("--build: no jar there");
         }
@@ -33,23 +36,25 @@
                 new URLClassLoader(
                         new URL[] {jar.toUri().toURL()}, ClassLoader.getPlatformClassLoader());
         try {
-            again = loader.loadClass(Replay.class.getName()).getMethod("again", byte[].class);
+            replayMethod =
+                    loader.loadClass(Replay.class.getName()).getMethod(REPLAY_METHOD, byte[].class);
         } catch (ReflectiveOperationException e) {
             loader.close();
             throw new IOException(
-                    "--build: that jar holds no build that replays: " + e.getMessage());
+                    "--build: that jar holds no build that replays: " + e.getMessage(), e);
         }
     }
 
-    /** {@return the same events with what that build says to them} */
-    Recording again(Recording tape) throws IOException {
+    /** {@return the same events with the actions that the other build decides} */
+    Recording replay(Recording recording) throws IOException {
         try {
-            return Recording.of(List.of((byte[]) again.invoke(null, (Object) tape.toFileBytes())));
+            byte[] replayed = (byte[]) replayMethod.invoke(null, recording.toFileBytes());
+            return Recording.of(List.of(replayed));
         } catch (InvocationTargetException e) {
             throw new IOException(
-                    "--build: that build cannot read this record: " + e.getCause().getMessage());
+                    "--build: that build cannot read this record: " + e.getCause().getMessage(), e);
         } catch (ReflectiveOperationException | CorruptRecordException e) {
-            throw new IOException("--build: " + e.getMessage());
+            throw new IOException("--build: " + e.getMessage(), e);
         }
     }
 
--- a/app/src/main/java/sorrelhoist/app/command/MeasureCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/MeasureCommand.java
@@ -50,8 +50,8 @@
         try (ProcessFleet fleet =
                 new ProcessFleet(
                         EdgeBenchmark.oneEdgeFleet(),
-                        Fleets.folder("streams"),
-                        Fleets.self(),
+                        LocalFleets.newFolder("streams"),
+                        LocalFleets.programCommand(),
                         0,
                         StreamBenchmark.STEADY_ENGINES)) {
             fleet.start();
@@ -91,7 +91,11 @@
         }
         try (ProcessFleet fleet =
                 new ProcessFleet(
-                        Fleets.builtIn(), Fleets.folder("fleet"), Fleets.self(), 0, Map.of())) {
+                        LocalFleets.builtInScenario(),
+                        LocalFleets.newFolder("fleet"),
+                        LocalFleets.programCommand(),
+                        0,
+                        Map.of())) {
             fleet.start();
             new FleetBenchmark(fleet, System.out::println)
                     .run(new FleetBenchmark.Plan(rates, seconds, burst, bursts, !alone), table);
@@ -139,8 +143,8 @@
         try (ProcessFleet fleet =
                 new ProcessFleet(
                                 EdgeBenchmark.twoEdgeFleet(),
-                                Fleets.folder("recorder"),
-                                Fleets.self(),
+                                LocalFleets.newFolder("recorder"),
+                                LocalFleets.programCommand(),
                                 0,
                                 EdgeBenchmark.FAST_ENGINES)
                         .withoutRecording("edge-2")) {
@@ -182,8 +186,8 @@
         try (ProcessFleet fleet =
                 new ProcessFleet(
                         EdgeBenchmark.oneEdgeFleet(),
-                        Fleets.folder("measure"),
-                        Fleets.self(),
+                        LocalFleets.newFolder("measure"),
+                        LocalFleets.programCommand(),
                         0,
                         EdgeBenchmark.FAST_ENGINES)) {
             fleet.start();
--- /dev/null
+++ b/app/src/main/java/sorrelhoist/app/command/PlatformCommand.java
@@ -0,0 +1,21 @@
+package sorrelhoist.app.command;
+
+import java.io.IOException;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import sorrelhoist.platform.Platform;
+
+/** Runs one router on the operators' platform. */
+@Command(
+        name = PlatformCommand.NAME,
+        description =
+                "Runs one router on the operators' platform, as LB_CONFIG and its kin tell it.")
+public final class PlatformCommand implements Callable<Integer> {
+    /** The command's name. */
+    public static final String NAME = "platform";
+
+    @Override
+    public Integer call() throws IOException {
+        return Platform.run(System.getenv());
+    }
+}
--- a/app/src/main/java/sorrelhoist/app/command/SoakCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/SoakCommand.java
@@ -49,7 +49,7 @@
             names = "--faults",
             split = ",",
             defaultValue = "all",
-            description = "kinds of troubles, or all")
+            description = "kinds of faults, or all")
     List<String> faults;
 
     @Option(names = "--folder", description = "for logs; a temporary one unless it is given")
@@ -60,7 +60,7 @@
 
     @Option(
             names = "--shrink",
-            description = "after a failure, leave out troubles that it does not need")
+            description = "after a failure, leave out faults that it does not need")
     boolean shrink;
 
     @Override
--- a/app/src/main/java/sorrelhoist/app/config/Config.java
+++ b/app/src/main/java/sorrelhoist/app/config/Config.java
@@ -14,112 +14,136 @@
 import sorrelhoist.standin.engine.EngineSettings;
 import sorrelhoist.standin.registry.RegistryStandIn;
 
-/** Settings: Jsonnet templates, checked whole before anything starts. */
+/** Loads settings files: Jsonnet templates, validated as a whole before anything starts. */
 public final class Config {
-    /** Settings that cannot be used, with all that is wrong with them. */
-    public static final class Faulty extends Exception {
-        private static final long serialVersionUID = 1;
-        private final transient List<String> faults;
-
-        Faulty(Path file, List<String> faults) {
-            super(file + ": " + String.join("\n" + file + ": ", faults));
-            this.faults = faults;
-        }
-
-        /** {@return each fault, as path: what} */
-        public List<String> faults() {
-            return faults;
-        }
-    }
-
-    /** Kinds of settings, as {@code config check} tells them apart. */
+    /** Kinds of settings, as {@code config check} prints them. */
     public enum Kind {
+        /** The settings of an edge. */
         EDGE,
+
+        /** The settings of a planner. */
         PLANNER,
+
+        /** The settings of a stand-in engine. */
         ENGINE,
+
+        /** The settings of a stand-in registry. */
         REGISTRY
     }
 
     private static final String[] TEMPLATES = {"edge", "planner", "engine", "registry"};
+    private static final String TEMPLATE_SUFFIX = ".libsonnet";
 
     private Config() {}
 
-    /** {@return the settings of an edge} */
-    public static EdgeSettings edge(Path file) throws Faulty {
-        return load(file, EdgeSettings.class, Checks::edge);
+    /**
+     * {@return the settings of an edge}
+     *
+     * @param file the settings file
+     * @throws InvalidSettingsException if they cannot be used
+     */
+    public static EdgeSettings edge(Path file) throws InvalidSettingsException {
+        return load(file, EdgeSettings.class, EdgeSettingsValidator::validate);
     }
 
-    /** {@return the settings of a planner} */
-    public static PlannerSettings planner(Path file) throws Faulty {
-        return load(file, PlannerSettings.class, Checks::planner);
+    /**
+     * {@return the settings of a planner}
+     *
+     * @param file the settings file
+     * @throws InvalidSettingsException if they cannot be used
+     */
+    public static PlannerSettings planner(Path file) throws InvalidSettingsException {
+        return load(file, PlannerSettings.class, PlannerSettingsValidator::validate);
     }
 
-    /** {@return the settings of a stand-in engine} */
-    public static EngineSettings engine(Path file) throws Faulty {
-        return load(file, EngineSettings.class, Checks::engine);
+    /**
+     * {@return the settings of a stand-in engine}
+     *
+     * @param file the settings file
+     * @throws InvalidSettingsException if they cannot be used
+     */
+    public static EngineSettings engine(Path file) throws InvalidSettingsException {
+        return load(file, EngineSettings.class, StandInSettingsValidator::validate);
     }
 
-    /** {@return the settings of a stand-in registry} */
-    public static RegistryStandIn.Settings registry(Path file) throws Faulty {
-        return load(file, RegistryStandIn.Settings.class, Checks::registry);
+    /**
+     * {@return the settings of a stand-in registry}
+     *
+     * @param file the settings file
+     * @throws InvalidSettingsException if they cannot be used
+     */
+    public static RegistryStandIn.Settings registry(Path file) throws InvalidSettingsException {
+        return load(file, RegistryStandIn.Settings.class, StandInSettingsValidator::validate);
     }
 
-    /** {@return what kind of settings a file holds, judged by what only one kind has} */
-    public static Kind kind(Path file) throws Faulty {
-        JsonNode n = evaluate(file);
-        return n.has("planner") || n.has("classes")
-                ? Kind.EDGE
-                : n.has("edges") || n.has("pollMs")
-                        ? Kind.PLANNER
-                        : n.has("role") || n.has("slots") ? Kind.ENGINE : Kind.REGISTRY;
+    /**
+     * {@return the kind of settings that a file holds, judged by keys that only one kind has}
+     *
+     * @param file the settings file
+     * @throws InvalidSettingsException if it cannot be evaluated
+     */
+    public static Kind kind(Path file) throws InvalidSettingsException {
+        JsonNode settings = evaluate(file);
+        if (settings.has("planner") || settings.has("classes")) {
+            return Kind.EDGE;
+        } else if (settings.has("edges") || settings.has("pollMs")) {
+            return Kind.PLANNER;
+        }
+        return settings.has("role") || settings.has("slots") ? Kind.ENGINE : Kind.REGISTRY;
     }
 
-    /** Checks a file of any kind. {@return its kind} */
-    public static Kind check(Path file) throws Faulty {
+    /**
+     * Checks a file of any kind.
+     *
+     * @param file the settings file
+     * @return its kind
+     * @throws InvalidSettingsException if the settings cannot be used
+     */
+    public static Kind check(Path file) throws InvalidSettingsException {
         Kind kind = kind(file);
         switch (kind) {
             case EDGE -> edge(file);
             case PLANNER -> planner(file);
             case ENGINE -> engine(file);
-            default -> registry(file);
+            case REGISTRY -> registry(file);
         }
         return kind;
     }
 
-    private static JsonNode evaluate(Path file) throws Faulty {
+    private static JsonNode evaluate(Path file) throws InvalidSettingsException {
         try {
             return Jsonnet.evaluate(file);
         } catch (IOException e) {
-            throw new Faulty(file, List.of(e.getMessage().replace(file + ": ", "")));
+            throw new InvalidSettingsException(
+                    file, List.of(e.getMessage().replace(file + ": ", "")));
         }
     }
 
-    private static <T> T load(Path file, Class<T> type, BiConsumer<Checks, T> check) throws Faulty {
-        List<String> faults = new ArrayList<>();
-        T settings = new RecordSchema(faults).read(evaluate(file), type, "");
+    private static <T> T load(Path file, Class<T> type, BiConsumer<T, SettingsErrors> validator)
+            throws InvalidSettingsException {
+        List<String> errors = new ArrayList<>();
+        T settings = new RecordReader(errors).read(evaluate(file), type, "");
         if (settings != null) {
-            check.accept(new Checks(faults), settings);
+            validator.accept(settings, new SettingsErrors(errors));
         }
-        if (!faults.isEmpty()) {
-            throw new Faulty(file, faults);
+        if (!errors.isEmpty()) {
+            throw new InvalidSettingsException(file, errors);
         }
         return settings;
     }
 
     /**
-     * Writes the templates.
+     * Writes the templates on which settings build.
      *
-     * @param folder where to; made if missing
+     * @param folder where to; created if missing
+     * @throws IOException if they cannot be written
      */
     public static void writeTemplates(Path folder) throws IOException {
         Files.createDirectories(folder);
-        for (String name : TEMPLATES) {
-            try (InputStream in =
-                    Config.class.getResourceAsStream("/templates/" + name + ".libsonnet")) {
-                Files.copy(
-                        in,
-                        folder.resolve(name + ".libsonnet"),
-                        StandardCopyOption.REPLACE_EXISTING);
+        for (String template : TEMPLATES) {
+            String name = template + TEMPLATE_SUFFIX;
+            try (InputStream in = Config.class.getResourceAsStream("/templates/" + name)) {
+                Files.copy(in, folder.resolve(name), StandardCopyOption.REPLACE_EXISTING);
             }
         }
     }
--- a/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
+++ b/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
@@ -27,9 +27,9 @@
         return Files.writeString(folder.resolve("x.jsonnet"), text);
     }
 
-    private List<String> faults(String text) throws IOException {
+    private List<String> errors(String text) throws IOException {
         Path f = file(text);
-        return assertThrows(Config.Faulty.class, () -> Config.check(f)).faults();
+        return assertThrows(InvalidSettingsException.class, () -> Config.check(f)).errors();
     }
 
     @Test
@@ -56,9 +56,9 @@
     }
 
     @Test
-    void faultsAreToldTogetherWithTheirPaths() throws IOException {
+    void errorsAreReportedTogetherWithTheirPaths() throws IOException {
         List<String> all =
-                faults(
+                errors(
                         EDGE
                                 + " + { port: 'x', serving+: { maxOpen: -1, drainsMs: 5 }, limits+:"
                                 + " { cancel: 1 } }");
@@ -68,7 +68,7 @@
                 all.toString());
         assertTrue(all.contains("limits.cancel: true or false is needed, not 1"), all.toString());
         List<String> ranges =
-                faults(
+                errors(
                         EDGE
                                 + " + { port: 70000, zone: 'b', zones: ['a'], planner:"
                                 + " '10.0.0.1:5', rules+: { coldFrom: 0 }, classes: [{ name: 'c',"
@@ -97,13 +97,13 @@
     @Test
     void whatATemplateAsksForIsSaid() throws IOException {
         assertTrue(
-                faults("(import 'edge.libsonnet') + { zone: 'a', planner: '127.0.0.1:9' }")
+                errors("(import 'edge.libsonnet') + { zone: 'a', planner: '127.0.0.1:9' }")
                         .get(0)
                         .contains("give this edge a name of its own"));
-        assertTrue(faults("{ broken ").size() > 0);
+        assertTrue(errors("{ broken ").size() > 0);
         Path missing = folder.resolve("missing.jsonnet");
         assertTrue(
-                assertThrows(Config.Faulty.class, () -> Config.check(missing))
+                assertThrows(InvalidSettingsException.class, () -> Config.check(missing))
                         .getMessage()
                         .contains("no such file"));
     }
