--- a/app/src/test/java/sorrelhoist/lab/soak/MemoryTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/MemoryTest.java
@@ -24,49 +24,58 @@
     @Test
     void largeRequestsThatDoNotFitAreAnsweredAndTheRouterLivesOn() throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
-        try (OneRouter one =
-                new OneRouter(
-                        folder,
-                        null,
-                        "-Xms19m",
-                        "-Xmx19m",
-                        "-XX:+UseSerialGC",
-                        "-Xss256k",
-                        "-XX:MaxDirectMemorySize=8m",
-                        "-Dio.netty.allocator.numHeapArenas=1",
-                        "-Dio.netty.allocator.numDirectArenas=1",
-                        "-Dio.netty.allocator.pageSize=4096",
-                        "-Dio.netty.allocator.maxOrder=6",
-                        "-Dio.netty.allocator.useCacheForAllThreads=false")) {
-            assertEquals(200, one.ask());
-            one.fleet.runOnLoop(() -> one.fleet.workers.forEach(w -> w.standIn.setHanging(true)));
+        try (RouterFixture fixture = startSmallRouter()) {
+            assertEquals(200, fixture.requestStatus());
+            setAllWorkersHanging(fixture, true);
             List<Future<Integer>> answers = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                answers.add(
-                        clients.submit(
-                                () -> {
-                                    try (Socket socket = one.connect()) {
-                                        return one.send(socket, LARGE).answer();
-                                    }
-                                }));
+                answers.add(clients.submit(() -> sendLarge(fixture)));
             }
             List<Integer> statuses = new ArrayList<>();
             for (Future<Integer> answer : answers) {
-                statuses.add(answer.get(OneRouter.BOUND_MILLIS, TimeUnit.MILLISECONDS));
+                statuses.add(answer.get(RouterFixture.BOUND_MILLIS, TimeUnit.MILLISECONDS));
             }
             assertTrue(
                     statuses.stream().allMatch(s -> s == 502 || s == 503 || s == 504),
-                    statuses + one.router.process.log());
-            one.fleet.runOnLoop(() -> one.fleet.workers.forEach(w -> w.standIn.setHanging(false)));
-            assertTrue(one.router.process.isAlive(), one.router.process.log());
-            int status = one.ask();
+                    statuses + fixture.router.process.log());
+            setAllWorkersHanging(fixture, false);
+            assertTrue(fixture.router.process.isAlive(), fixture.router.process.log());
+            int status = fixture.requestStatus();
             for (int i = 0; i < 10 && status != 200; i++) {
-                status = one.ask();
+                status = fixture.requestStatus();
             }
-            assertEquals(200, status, one.router.process.log());
-            assertEquals("", one.router.process.log(), "no fault of its own is met on the way");
+            assertEquals(200, status, fixture.router.process.log());
+            assertEquals("", fixture.router.process.log(), "no fault of its own is met on the way");
         } finally {
             clients.shutdownNow();
         }
     }
+
+    private RouterFixture startSmallRouter() throws Exception {
+        return new RouterFixture(
+                folder,
+                null,
+                "-Xms19m",
+                "-Xmx19m",
+                "-XX:+UseSerialGC",
+                "-Xss256k",
+                "-XX:MaxDirectMemorySize=8m",
+                "-Dio.netty.allocator.numHeapArenas=1",
+                "-Dio.netty.allocator.numDirectArenas=1",
+                "-Dio.netty.allocator.pageSize=4096",
+                "-Dio.netty.allocator.maxOrder=6",
+                "-Dio.netty.allocator.useCacheForAllThreads=false");
+    }
+
+    private static void setAllWorkersHanging(RouterFixture fixture, boolean hanging)
+            throws Exception {
+        fixture.fleet.runOnLoop(
+                () -> fixture.fleet.workers.forEach(w -> w.standIn.setHanging(hanging)));
+    }
+
+    private static int sendLarge(RouterFixture fixture) throws Exception {
+        try (Socket socket = fixture.connect()) {
+            return fixture.send(socket, LARGE).answer();
+        }
+    }
 }
--- a/app/src/test/java/sorrelhoist/lab/soak/OneRouter.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/RouterFixture.java
@@ -18,14 +18,14 @@
  * One router process with a reader and a writer, and clients on plain sockets. Every wait has a
  * bound.
  */
-final class OneRouter implements AutoCloseable {
+final class RouterFixture implements AutoCloseable {
     static final int BOUND_MILLIS = 20_000;
     static final int BUDGET_MILLIS = 3000;
     static final int NOTHING_CAME = 0;
     static final int CLOSED = -1;
     final SoakFleet fleet;
     final RouterNode router;
-    private final AtomicInteger asked = new AtomicInteger();
+    private final AtomicInteger sentRequests = new AtomicInteger();
 
     /**
      * Starts it.
@@ -34,7 +34,7 @@
      * @param library of system-call faults, or null
      * @param options of its JVM
      */
-    OneRouter(Path folder, Path library, String... options) throws Exception {
+    RouterFixture(Path folder, Path library, String... options) throws Exception {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of(options));
@@ -74,13 +74,13 @@
         return socket;
     }
 
-    int ask() throws Exception {
+    int requestStatus() throws Exception {
         try (Socket socket = connect()) {
-            return ask(socket);
+            return requestStatus(socket);
         }
     }
 
-    int ask(Socket socket) throws Exception {
+    int requestStatus(Socket socket) throws Exception {
         return send(socket, 0).answer();
     }
 
@@ -88,7 +88,12 @@
     Sent send(Socket socket, int characters) throws Exception {
         RequestTrace trace =
                 new RequestTrace(
-                        "t" + asked.incrementAndGet(), FleetRules.RequestClass.SAFE, 0, 0, 0, true);
+                        "t" + sentRequests.incrementAndGet(),
+                        FleetRules.RequestClass.SAFE,
+                        0,
+                        0,
+                        0,
+                        true);
         fleet.runOnLoop(() -> fleet.log.add(trace));
         String body =
                 "{\"model\":\"m\",\"messages\":[],\"text\":\"" + "x".repeat(characters) + "\"}";
--- a/app/src/test/java/sorrelhoist/lab/soak/SoakTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/SoakTest.java
@@ -26,15 +26,15 @@
     private static final int WORKERS = 6;
     @TempDir private Path folder;
     private final TrafficLog log = new TrafficLog();
-    private final FleetTimeline time = new FleetTimeline();
-    private final long start = time.startedAt;
-    private final FleetTimeline.RouterIncarnation life =
+    private final FleetTimeline timeline = new FleetTimeline();
+    private final long start = timeline.startedAt;
+    private final FleetTimeline.RouterIncarnation incarnation =
             new FleetTimeline.RouterIncarnation(0, 0, start);
 
     private RequestTrace request(FleetRules.RequestClass requestClass) {
-        life.readyAt = start;
-        if (time.incarnations.isEmpty()) {
-            time.incarnations.add(life);
+        incarnation.readyAt = start;
+        if (timeline.incarnations.isEmpty()) {
+            timeline.incarnations.add(incarnation);
         }
         RequestTrace request = new RequestTrace("r", requestClass, 0, 0, 2 * SECOND, true);
         request.sentAt = start + SECOND;
@@ -55,24 +55,24 @@
         return attempt;
     }
 
-    private RequestTrace sound(FleetRules.RequestClass requestClass) {
+    private RequestTrace soundRequest(FleetRules.RequestClass requestClass) {
         RequestTrace request = request(requestClass);
         attempt(request, Role.WRITE, "w1", start + 3 * SECOND / 2);
         return request;
     }
 
-    private void finds(Invariant... expected) {
-        time.observedUntil(start + 60 * SECOND);
+    private void assertViolations(Invariant... expected) {
+        timeline.observedUntil(start + 60 * SECOND);
         List<Invariant> found =
-                new SoakOracle(FleetRules.ORDINARY, log, time)
+                new SoakOracle(FleetRules.ORDINARY, log, timeline)
                         .judge(List.of(), 100).stream().map(Violation::invariant).toList();
         assertEquals(List.of(expected), found);
     }
 
     @Test
     void aSoundRequestIsNoViolation() {
-        sound(FleetRules.RequestClass.UNSAFE);
-        finds();
+        soundRequest(FleetRules.RequestClass.UNSAFE);
+        assertViolations();
     }
 
     @Test
@@ -82,9 +82,9 @@
         request.answeredAt = RequestTrace.NEVER;
         request.complete = false;
         request.abandonedAt = request.sentAt + 4 * SECOND;
-        life.endedAt = start + 59 * SECOND;
-        life.terminatedAt = start + 50 * SECOND;
-        finds(Invariant.ANSWERED);
+        incarnation.endedAt = start + 59 * SECOND;
+        incarnation.terminatedAt = start + 50 * SECOND;
+        assertViolations(Invariant.ANSWERED);
     }
 
     @Test
@@ -94,31 +94,31 @@
         request.answeredAt = RequestTrace.NEVER;
         request.complete = false;
         request.closedAt = request.sentAt + SECOND / 2;
-        finds(Invariant.ANSWERED);
+        assertViolations(Invariant.ANSWERED);
     }
 
     @Test
-    void anAttemptBehindTheAnswerIsSeen() {
-        RequestTrace request = sound(FleetRules.RequestClass.SAFE);
+    void anAttemptAfterTheAnswerIsSeen() {
+        RequestTrace request = soundRequest(FleetRules.RequestClass.SAFE);
         attempt(request, Role.READ, "w0", request.answeredAt + SECOND / 2);
-        finds(Invariant.NOTHING_AFTER_ANSWER);
+        assertViolations(Invariant.NOTHING_AFTER_ANSWER);
     }
 
     @Test
     void anAttemptForAClientThatLeftIsSeen() {
-        RequestTrace request = sound(FleetRules.RequestClass.SAFE);
+        RequestTrace request = soundRequest(FleetRules.RequestClass.SAFE);
         request.abandonedAt = start + SECOND;
-        finds(Invariant.NOTHING_AFTER_CLIENT_LEFT);
+        assertViolations(Invariant.NOTHING_AFTER_CLIENT_LEFT);
     }
 
     @Test
-    void aSecondEffectAndARefusalBehindOneAreSeen() {
-        RequestTrace request = sound(FleetRules.RequestClass.UNSAFE);
+    void aSecondEffectAndARejectionAfterOneAreSeen() {
+        RequestTrace request = soundRequest(FleetRules.RequestClass.UNSAFE);
         attempt(request, Role.WRITE, "w3", start + 17 * SECOND / 10);
-        finds(Invariant.ONE_EFFECT);
+        assertViolations(Invariant.ONE_EFFECT);
         request.attempts.remove(1);
         request.status = 503;
-        finds(Invariant.ONE_EFFECT);
+        assertViolations(Invariant.ONE_EFFECT);
     }
 
     @Test
@@ -126,7 +126,7 @@
         RequestTrace request = request(FleetRules.RequestClass.KEYED);
         attempt(request, Role.WRITE, "w1", start + SECOND);
         attempt(request, Role.WRITE, "w3", start + SECOND + 800_000_000);
-        finds(Invariant.ONE_EFFECT);
+        assertViolations(Invariant.ONE_EFFECT);
     }
 
     @Test
@@ -134,44 +134,44 @@
         RequestTrace request = request(FleetRules.RequestClass.SAFE);
         attempt(request, Role.READ, "w0", start + SECOND).endedAt = start + 3 * SECOND / 2;
         attempt(request, Role.WRITE, "w1", start + SECOND + SECOND / 10);
-        finds(Invariant.ONE_ATTEMPT_AT_A_TIME);
+        assertViolations(Invariant.ONE_ATTEMPT_AT_A_TIME);
     }
 
     @Test
     void aSendToADrainingWorkerAfterTheGraceIsSeen() {
-        sound(FleetRules.RequestClass.SAFE);
-        time.recordNotification("w1", 0, 0, start, false);
-        finds(Invariant.DRAIN);
+        soundRequest(FleetRules.RequestClass.SAFE);
+        timeline.recordNotification("w1", 0, 0, start, false);
+        assertViolations(Invariant.DRAIN);
     }
 
     @Test
-    void aDeadlineBeyondWhatIsLeftIsSeen() {
-        sound(FleetRules.RequestClass.SAFE).attempts.get(0).budgetMillis = 1800;
-        finds(Invariant.DEADLINE_TOLD);
+    void aBudgetBeyondWhatIsLeftIsSeen() {
+        soundRequest(FleetRules.RequestClass.SAFE).attempts.get(0).budgetMillis = 1800;
+        assertViolations(Invariant.DEADLINE_TOLD);
     }
 
     @Test
     void aStateThatIsNotReleasedIsSeen() {
-        RequestTrace request = sound(FleetRules.RequestClass.SAFE);
+        RequestTrace request = soundRequest(FleetRules.RequestClass.SAFE);
         request.states.add(new StateTrace("w0", start + SECOND));
-        finds(Invariant.RELEASED);
+        assertViolations(Invariant.RELEASED);
     }
 
     @Test
     void aLateEventAndAStreamThatNobodyFinishedAreSeen() {
-        RequestTrace request = sound(FleetRules.RequestClass.SAFE);
+        RequestTrace request = soundRequest(FleetRules.RequestClass.SAFE);
         request.maxEventDelay = SECOND / 2;
         request.attempts.get(0).streamFinished = false;
-        finds(Invariant.EVENTS_IN_TIME, Invariant.WHOLE_STREAMS);
+        assertViolations(Invariant.EVENTS_IN_TIME, Invariant.WHOLE_STREAMS);
     }
 
     @Test
-    void aColdWorkerThatIsPushedOverIsSeen() {
+    void aColdWorkerThatIsOverloadedIsSeen() {
         FleetTimeline.WorkerStart started = new FleetTimeline.WorkerStart("w1", start);
         started.notifiedAt.put(0, start);
-        time.workerStarts.add(started);
-        life.readyAt = start;
-        time.incarnations.add(life);
+        timeline.workerStarts.add(started);
+        incarnation.readyAt = start;
+        timeline.incarnations.add(incarnation);
         for (int i = 0; i < 900; i++) {
             RequestTrace request =
                     new RequestTrace("r" + i, FleetRules.RequestClass.SAFE, 0, 0, 2 * SECOND, true);
@@ -179,26 +179,26 @@
             attempt(request, Role.WRITE, "w1", start + SECOND + i * SECOND / 900).endedAt =
                     start + 2 * SECOND;
         }
-        finds(Invariant.SLOW_START);
+        assertViolations(Invariant.SLOW_START);
     }
 
     @Test
     void aProcessThatEndsOrIsNotReadyIsSeen() {
-        time.incarnations.add(life);
-        life.endedAt = start + 20 * SECOND;
-        life.exitStatus = 1;
-        finds(Invariant.READY, Invariant.ALIVE);
+        timeline.incarnations.add(incarnation);
+        incarnation.endedAt = start + 20 * SECOND;
+        incarnation.exitStatus = 1;
+        assertViolations(Invariant.READY, Invariant.ALIVE);
     }
 
     @Test
-    void whatAHarnessThatWasLateSawIsNoViolation() {
-        sound(FleetRules.RequestClass.SAFE).attempts.get(0).budgetMillis = 1800;
-        time.recordHarnessLag(start + SECOND, start + 2 * SECOND);
-        finds();
+    void whatALaggingHarnessSawIsNoViolation() {
+        soundRequest(FleetRules.RequestClass.SAFE).attempts.get(0).budgetMillis = 1800;
+        timeline.recordHarnessLag(start + SECOND, start + 2 * SECOND);
+        assertViolations();
     }
 
     @Test
-    void theSameSeedDrawsTheSameSchedule() {
+    void theSameSeedGivesTheSameSchedule() {
         Set<Kind> all = EnumSet.allOf(Kind.class);
         assertEquals(
                 ScheduledFault.generateSchedule(SEED, 60, all),
--- a/app/src/test/java/sorrelhoist/lab/soak/SystemCallFaultsTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/SystemCallFaultsTest.java
@@ -28,7 +28,7 @@
     private static final long SLACK_MILLIS = 150;
     private static final int FEW = 3;
     @TempDir private Path folder;
-    private OneRouter one;
+    private RouterFixture fixture;
     private RouterNode router;
     private SystemCallFaults faults;
 
@@ -38,16 +38,16 @@
         assumeTrue(
                 library != null,
                 "no C compiler on this machine: system-call faults are not tested");
-        one = new OneRouter(folder, library, "-Xmx64m");
-        router = one.router;
+        fixture = new RouterFixture(folder, library, "-Xmx64m");
+        router = fixture.router;
         faults = router.process.faults();
-        assertEquals(200, one.ask(), "before any fault");
+        assertEquals(200, fixture.requestStatus(), "before any fault");
     }
 
     @AfterEach
     void stop() {
-        if (one != null) {
-            one.close();
+        if (fixture != null) {
+            fixture.close();
         }
     }
 
@@ -55,7 +55,7 @@
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
     void whereNoSocketCanBeMadeRequestsAreAnsweredAndServedAsSoonAsOneCan(Errno error)
             throws Exception {
-        one.fleet.runOnLoop(() -> router.links.forEach(FaultProxy::reset));
+        fixture.fleet.runOnLoop(() -> router.links.forEach(FaultProxy::reset));
         failing(SystemCall.SOCKET, error);
     }
 
@@ -63,7 +63,7 @@
     @EnumSource(names = {"EADDRNOTAVAIL", "ENETUNREACH", "ETIMEDOUT", "EHOSTUNREACH"})
     void whereNoConnectionCanBeMadeRequestsAreAnsweredAndServedAsSoonAsOneCan(Errno error)
             throws Exception {
-        one.fleet.runOnLoop(() -> router.links.forEach(FaultProxy::reset));
+        fixture.fleet.runOnLoop(() -> router.links.forEach(FaultProxy::reset));
         failing(SystemCall.CONNECT, error);
     }
 
@@ -71,7 +71,7 @@
         faults.fail(call, error, 1);
         for (int i = 0; i < FEW; i++) {
             long from = System.nanoTime();
-            int status = one.ask();
+            int status = fixture.requestStatus();
             assertTrue(
                     status == 502 || status == 503,
                     "answered " + status + ": " + router.process.log());
@@ -92,18 +92,18 @@
     @Test
     void aMomentWithoutDescriptorsIsSurvived() throws Exception {
         List<SystemCall> needing = List.of(SystemCall.OPEN, SystemCall.SOCKET, SystemCall.ACCEPT);
-        try (Socket kept = one.connect()) {
-            one.fleet.runOnLoop(() -> router.links.forEach(FaultProxy::reset));
+        try (Socket kept = fixture.connect()) {
+            fixture.fleet.runOnLoop(() -> router.links.forEach(FaultProxy::reset));
             needing.forEach(call -> faults.fail(call, Errno.EMFILE, 1));
-            int status = one.ask(kept);
+            int status = fixture.requestStatus(kept);
             assertTrue(
                     status == 502 || status == 503,
                     "answered " + status + ": " + router.process.log());
-            try (Socket waiting = one.connect()) {
+            try (Socket waiting = fixture.connect()) {
                 awaitFailures(SystemCall.ACCEPT);
                 needing.forEach(faults::clear);
                 assertServedAgain();
-                assertEquals(200, one.ask(waiting), "what waited in the queue");
+                assertEquals(200, fixture.requestStatus(waiting), "what waited in the queue");
             }
         }
         assertTrue(faults.failures(SystemCall.SOCKET) > 0, "the fault was never met");
@@ -114,28 +114,28 @@
     void connectionsThatCouldNotBeAcceptedAreAcceptedAsSoonAsTheyCanBe(Errno error)
             throws Exception {
         faults.fail(SystemCall.ACCEPT, error, 1);
-        try (Socket waiting = one.connect()) {
+        try (Socket waiting = fixture.connect()) {
             awaitFailures(SystemCall.ACCEPT);
             faults.clear(SystemCall.ACCEPT);
             assertServedAgain();
-            assertEquals(200, one.ask(waiting), "what waited in the queue");
+            assertEquals(200, fixture.requestStatus(waiting), "what waited in the queue");
         }
     }
 
     @Test
     void timeThatAConnectionWaitedToBeAcceptedIsNotLeftToItsWorkers() throws Exception {
         faults.fail(SystemCall.ACCEPT, Errno.EMFILE, 1);
-        try (Socket waiting = one.connect()) {
+        try (Socket waiting = fixture.connect()) {
             long sentAt = System.nanoTime();
-            OneRouter.Sent sent = one.send(waiting, 0);
+            RouterFixture.Sent sent = fixture.send(waiting, 0);
             awaitFailures(SystemCall.ACCEPT);
             Thread.sleep(WAITED_MILLIS);
             faults.clear(SystemCall.ACCEPT);
             assertEquals(200, sent.answer());
             RequestTrace.AttemptTrace write =
-                    one.fleet.callOnLoop(() -> sent.trace().attempts.get(1));
+                    fixture.fleet.callOnLoop(() -> sent.trace().attempts.get(1));
             long left =
-                    OneRouter.BUDGET_MILLIS
+                    RouterFixture.BUDGET_MILLIS
                             - TimeUnit.NANOSECONDS.toMillis(write.arrivedAt - sentAt);
             assertTrue(
                     write.budgetMillis <= left + SLACK_MILLIS,
@@ -149,7 +149,7 @@
         faults.shorten(SystemCall.READ, 1);
         faults.shorten(SystemCall.WRITE, 1);
         for (int i = 0; i < FEW; i++) {
-            assertEquals(200, one.ask());
+            assertEquals(200, fixture.requestStatus());
         }
         for (SystemCall call : List.of(SystemCall.EPOLL_WAIT, SystemCall.READ, SystemCall.WRITE)) {
             assertTrue(faults.failures(call) > 0, call + " was never made to fail");
@@ -157,7 +157,7 @@
     }
 
     private void awaitFailures(SystemCall call) throws InterruptedException {
-        long bound = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(OneRouter.BOUND_MILLIS);
+        long bound = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RouterFixture.BOUND_MILLIS);
         while (faults.failures(call) == 0 && System.nanoTime() < bound) {
             Thread.sleep(1);
         }
@@ -166,11 +166,11 @@
 
     private void assertServedAgain() throws Exception {
         long healed = System.nanoTime();
-        int status = one.ask();
+        int status = fixture.requestStatus();
         while (status != 200
                 && System.nanoTime() - healed
-                        < TimeUnit.MILLISECONDS.toNanos(OneRouter.BOUND_MILLIS)) {
-            status = one.ask();
+                        < TimeUnit.MILLISECONDS.toNanos(RouterFixture.BOUND_MILLIS)) {
+            status = fixture.requestStatus();
         }
         long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - healed);
         assertEquals(200, status, router.process.log());
--- a/lab/src/main/java/sorrelhoist/lab/benchmark/FleetBenchmark.java
+++ b/lab/src/main/java/sorrelhoist/lab/benchmark/FleetBenchmark.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executors;
@@ -28,8 +29,8 @@
 public final class FleetBenchmark {
     private static final int OPENINGS = 8;
     private static final int TOKENS = 24;
-    private static final long AIM = 1_000_000;
-    private static final long TIMEOUT = 4_000_000;
+    private static final long LATENCY_OBJECTIVE_MICROS = 1_000_000;
+    private static final long TIMEOUT_MICROS = 4_000_000;
     private static final int CLIENTS = 4;
     private static final long REST_MILLIS = 3000;
     private static final String[] WORDS =
@@ -51,60 +52,60 @@
     /** One stretch's results. */
     private static final class Tally {
         final ConcurrentHistogram first = new ConcurrentHistogram(60_000_000, 3);
-        final ConcurrentHistogram refusal = new ConcurrentHistogram(60_000_000, 3);
+        final ConcurrentHistogram rejection = new ConcurrentHistogram(60_000_000, 3);
         final ConcurrentHistogram lateSend = new ConcurrentHistogram(60_000_000, 3);
         final Map<String, Integer> reasons = new TreeMap<>();
         int inTime;
         int late;
-        int refused;
+        int rejected;
         int failed;
 
         synchronized void served(long micros) {
             first.recordValue(Math.min(micros, 59_000_000));
-            if (micros <= AIM) {
+            if (micros <= LATENCY_OBJECTIVE_MICROS) {
                 inTime++;
             } else {
                 late++;
             }
         }
 
-        synchronized void lost(boolean isRefusal, long micros, String why) {
-            if (isRefusal) {
-                refused++;
-                refusal.recordValue(Math.min(micros, 59_000_000));
+        synchronized void unserved(boolean isRejection, long micros, String reason) {
+            if (isRejection) {
+                rejected++;
+                rejection.recordValue(Math.min(micros, 59_000_000));
             } else {
                 failed++;
             }
-            reasons.merge(why, 1, Integer::sum);
+            reasons.merge(reason, 1, Integer::sum);
         }
 
         int all() {
-            return inTime + late + refused + failed;
+            return inTime + late + rejected + failed;
         }
     }
 
     private final ProcessFleet fleet;
-    private final Consumer<String> say;
+    private final Consumer<String> output;
     private final EventLoopGroup loops = LoopbackTransport.newEventLoops(CLIENTS + 1, "measure");
     private final List<InferenceClient> clients = new ArrayList<>();
-    private final PlainClient plain;
+    private final LeastLoadedClient plain;
     private final List<String> rows = new ArrayList<>();
     private int number;
 
     /**
-     * Makes it.
+     * Creates a benchmark.
      *
      * @param fleet started
-     * @param say takes lines of the report
+     * @param output takes the lines of the report
      */
-    public FleetBenchmark(ProcessFleet fleet, Consumer<String> say) {
+    public FleetBenchmark(ProcessFleet fleet, Consumer<String> output) {
         this.fleet = fleet;
-        this.say = say;
+        this.output = output;
         for (int i = 0; i < CLIENTS; i++) {
             String edge = fleet.address("edge-" + (1 + i % fleet.edgeCount()));
             clients.add(new InferenceClient(loops.next(), edge, ProcessFleet.MODEL));
         }
-        plain = new PlainClient(loops.next(), addresses("read"), addresses("write"));
+        plain = new LeastLoadedClient(loops.next(), addresses("read"), addresses("write"));
     }
 
     private List<String> addresses(String role) {
@@ -115,16 +116,16 @@
     }
 
     /**
-     * Measures.
+     * Measures the stretches of a plan one after the other.
      *
      * @param plan what
      * @param table takes the figures as CSV; null for none
      */
     public void run(Plan plan, Path table) throws IOException {
-        say.accept("warming up");
+        output.accept("warming up");
         stretch("warm-up", "edge", 100, plan.seconds());
         rows.clear();
-        say.accept(
+        output.accept(
                 "asked                who    in time  late  refused failed  first token 50th / 99th"
                         + " ms  refused 99th ms");
         for (int rate : plan.rates()) {
@@ -142,7 +143,8 @@
         if (table != null) {
             rows.add(
                     0,
-                    "asked,who,in_time,late,refused,failed,first_50_ms,first_99_ms,refused_99_ms,send_late_99_ms");
+                    "asked,who,in_time,late,refused,failed,first_50_ms,first_99_ms,"
+                            + "refused_99_ms,send_late_99_ms");
             Files.write(table, rows);
         }
         loops.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
@@ -208,7 +210,7 @@
                         shared.length() / 4,
                         shared + words(1000 + n, 90),
                         TOKENS,
-                        TIMEOUT);
+                        TIMEOUT_MICROS);
         return clients.get(n % CLIENTS)
                 .send(ask, (i, t) -> {})
                 .thenAccept(
@@ -221,7 +223,7 @@
                                 tally.served(behind + r.firstTokenMicros());
                             } else {
                                 String why = r.status().message();
-                                tally.lost(
+                                tally.unserved(
                                         r.rejected(),
                                         behind + r.durationMicros(),
                                         why.substring(0, Math.min(why.length(), 200)));
@@ -230,21 +232,21 @@
     }
 
     private CompletableFuture<?> direct(int n, long due, Tally tally) {
-        return plain.ask("f" + n, words(n % OPENINGS, 90) + words(1000 + n, 90), TOKENS)
-                .orTimeout(TIMEOUT, TimeUnit.MICROSECONDS)
+        return plain.send("f" + n, words(n % OPENINGS, 90) + words(1000 + n, 90), TOKENS)
+                .orTimeout(TIMEOUT_MICROS, TimeUnit.MICROSECONDS)
                 .handle(
                         (first, e) -> {
                             if (e == null) {
                                 tally.served(first);
                             } else {
-                                tally.lost(false, 0, "plain: " + e.getClass().getSimpleName());
+                                tally.unserved(false, 0, "plain: " + e.getClass().getSimpleName());
                             }
                             return null;
                         });
     }
 
     private static String words(int seed, int count) {
-        java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < count; i++) {
             text.append(WORDS[random.nextInt(WORDS.length)]).append(' ');
@@ -252,43 +254,43 @@
         return text.toString();
     }
 
-    private void report(String name, String who, Tally t) {
-        double all = Math.max(1, t.all());
-        say.accept(
+    private void report(String name, String who, Tally tally) {
+        double all = Math.max(1, tally.all());
+        output.accept(
                 String.format(
                         Locale.ROOT,
                         "%-20s %-6s %6.1f%% %5.1f%% %6.1f%% %5.1f%%  %8.1f / %8.1f  %14.1f%s",
                         name,
                         who,
-                        100 * t.inTime / all,
-                        100 * t.late / all,
-                        100 * t.refused / all,
-                        100 * t.failed / all,
-                        t.first.getValueAtPercentile(50) / 1000.0,
-                        t.first.getValueAtPercentile(99) / 1000.0,
-                        t.refusal.getValueAtPercentile(99) / 1000.0,
-                        t.lateSend.getValueAtPercentile(99) > 20_000
+                        100 * tally.inTime / all,
+                        100 * tally.late / all,
+                        100 * tally.rejected / all,
+                        100 * tally.failed / all,
+                        tally.first.getValueAtPercentile(50) / 1000.0,
+                        tally.first.getValueAtPercentile(99) / 1000.0,
+                        tally.rejection.getValueAtPercentile(99) / 1000.0,
+                        tally.lateSend.getValueAtPercentile(99) > 20_000
                                 ? "  (sent late by "
-                                        + t.lateSend.getValueAtPercentile(99) / 1000
+                                        + tally.lateSend.getValueAtPercentile(99) / 1000
                                         + " ms: the generator is short)"
                                 : ""));
-        t.reasons.entrySet().stream()
+        tally.reasons.entrySet().stream()
                 .sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
                 .limit(3)
-                .forEach(e -> say.accept("    " + e.getValue() + " x " + e.getKey()));
+                .forEach(e -> output.accept("    " + e.getValue() + " x " + e.getKey()));
         rows.add(
                 String.format(
                         Locale.ROOT,
                         "%s,%s,%d,%d,%d,%d,%.1f,%.1f,%.1f,%.1f",
                         name,
                         who,
-                        t.inTime,
-                        t.late,
-                        t.refused,
-                        t.failed,
-                        t.first.getValueAtPercentile(50) / 1000.0,
-                        t.first.getValueAtPercentile(99) / 1000.0,
-                        t.refusal.getValueAtPercentile(99) / 1000.0,
-                        t.lateSend.getValueAtPercentile(99) / 1000.0));
+                        tally.inTime,
+                        tally.late,
+                        tally.rejected,
+                        tally.failed,
+                        tally.first.getValueAtPercentile(50) / 1000.0,
+                        tally.first.getValueAtPercentile(99) / 1000.0,
+                        tally.rejection.getValueAtPercentile(99) / 1000.0,
+                        tally.lateSend.getValueAtPercentile(99) / 1000.0));
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/fleet/ProcessFleet.java
+++ b/lab/src/main/java/sorrelhoist/lab/fleet/ProcessFleet.java
@@ -9,8 +9,11 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
 import sorrelhoist.lab.load.InferenceClient;
+import sorrelhoist.lab.load.ScriptedRequest;
 import sorrelhoist.lab.scenario.Scenario;
 import sorrelhoist.protocol.net.LoopbackTransport;
 
@@ -67,23 +70,25 @@
         this.command = command;
         this.portBase = portBase;
         this.files = new FleetFiles(folder, scenario, engineExtra);
-        for (Scenario.Zone z : scenario.zones()) {
-            for (Scenario.Rack r : z.racks()) {
-                for (int i = 1; i <= r.readers(); i++) {
-                    engines.add(new EngineSlot(r.name() + "-r" + i, "read", z.name(), r.name()));
-                }
-                for (int i = 1; i <= r.writers(); i++) {
-                    engines.add(new EngineSlot(r.name() + "-w" + i, "write", z.name(), r.name()));
-                }
-            }
-            for (int i = 0; i < z.edges(); i++) {
+        for (Scenario.Zone zone : scenario.zones()) {
+            zone.racks().forEach(rack -> addEngines(zone.name(), rack));
+            for (int i = 0; i < zone.edges(); i++) {
                 String name = "edge-" + (edges.size() + 1);
                 edges.add(name);
-                zoneOf.put(name, z.name());
+                zoneOf.put(name, zone.name());
             }
         }
     }
 
+    private void addEngines(String zone, Scenario.Rack rack) {
+        for (int i = 1; i <= rack.readers(); i++) {
+            engines.add(new EngineSlot(rack.name() + "-r" + i, "read", zone, rack.name()));
+        }
+        for (int i = 1; i <= rack.writers(); i++) {
+            engines.add(new EngineSlot(rack.name() + "-w" + i, "write", zone, rack.name()));
+        }
+    }
+
     /** An edge that records nothing; before {@link #start}. {@return this} */
     public ProcessFleet withoutRecording(String edge) {
         files.disableRecording(edge);
@@ -137,14 +142,19 @@
                 "planner",
                 process("planner").start("planner", files.planner(port(edges.size()), registry)));
         long seed = scenario.seed();
-        for (EngineSlot e : engines) {
+        for (EngineSlot engine : engines) {
             waiting.put(
-                    e.id(),
-                    process(e.id())
+                    engine.id(),
+                    process(engine.id())
                             .start(
                                     "engine",
                                     files.engine(
-                                            e.id(), e.role(), e.zone(), e.rack(), registry, true,
+                                            engine.id(),
+                                            engine.role(),
+                                            engine.zone(),
+                                            engine.rack(),
+                                            registry,
+                                            true,
                                             seed++)));
         }
         String planner = ManagedProcess.await(waiting.get("planner"), "planner");
@@ -187,7 +197,7 @@
     private static boolean serves(InferenceClient client) {
         try {
             return client.send(
-                            new sorrelhoist.lab.load.ScriptedRequest(
+                            new ScriptedRequest(
                                     "", null, null, null, 0, "Are you there?", 2, 2_000_000),
                             (i, t) -> {})
                     .get(3, TimeUnit.SECONDS)
@@ -195,8 +205,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
-        } catch (java.util.concurrent.ExecutionException
-                | java.util.concurrent.TimeoutException e) {
+        } catch (ExecutionException | TimeoutException e) {
             return false;
         }
     }
@@ -228,23 +237,23 @@
         return processes.get(name).address();
     }
 
-    /** Kills a process outright. */
+    /** Kills a process outright and waits until it is gone. */
     public void kill(String name) {
         processes.get(name).kill();
     }
 
     /** Starts an engine again, cold. */
-    public void restartEngine(EngineSlot e) throws IOException {
+    public void restartEngine(EngineSlot engine) throws IOException {
         Path config =
                 files.engine(
-                        e.id(),
-                        e.role(),
-                        e.zone(),
-                        e.rack(),
+                        engine.id(),
+                        engine.role(),
+                        engine.zone(),
+                        engine.rack(),
                         address("registry"),
                         false,
                         scenario.seed());
-        process(e.id()).start("engine", config);
+        process(engine.id()).start("engine", config);
     }
 
     /** Starts an edge again, on the port that it had. */
--- a/lab/src/main/java/sorrelhoist/lab/load/InferenceClient.java
+++ b/lab/src/main/java/sorrelhoist/lab/load/InferenceClient.java
@@ -51,8 +51,8 @@
         }
     }
 
-    private static final int MAX_MESSAGE = 4 << 20;
-    private static final long GRACE = 500_000;
+    private static final int MAX_MESSAGE_BYTES = 4 << 20;
+    private static final long GRACE_MICROS = 500_000;
     private final GrpcChannel channel;
     private final String model;
 
@@ -69,51 +69,56 @@
                         loop,
                         address,
                         new GrpcChannel.Options(
-                                8, 1_000_000, 60_000_000, MAX_MESSAGE, Http2Limits.CLIENT));
+                                8, 1_000_000, 60_000_000, MAX_MESSAGE_BYTES, Http2Limits.CLIENT));
         this.model = model;
     }
 
     /**
-     * Asks, and follows the answer.
+     * Sends a request, and follows the answer.
      *
-     * @param ask what
-     * @param piece told of each piece of text and its place, on the event loop
+     * @param request what
+     * @param textListener told of each piece of text and its place, on the event loop
      * @return how it ended, and a handle that cancels it when cancelled
      */
-    public CompletableFuture<Result> send(ScriptedRequest ask, BiConsumer<Integer, String> piece) {
-        return send(ask, piece, 0);
+    public CompletableFuture<Result> send(
+            ScriptedRequest request, BiConsumer<Integer, String> textListener) {
+        return send(request, textListener, 0);
     }
 
     /**
-     * Asks as a client that reads slowly: it gives leave for more only after a pause.
+     * Sends a request as a client that reads slowly: it lets more come only after a pause.
      *
-     * @param ask what
-     * @param piece told of each piece of text and its place, on the event loop
+     * @param request what
+     * @param textListener told of each piece of text and its place, on the event loop
      * @param pauseMillis before it takes each message; 0 for at once
      * @return how it ended, and a handle that cancels it when cancelled
      */
     public CompletableFuture<Result> send(
-            ScriptedRequest ask, BiConsumer<Integer, String> piece, long pauseMillis) {
-        Answer answer = new Answer(piece, channel.loop(), pauseMillis);
+            ScriptedRequest request, BiConsumer<Integer, String> textListener, long pauseMillis) {
+        Answer answer = new Answer(textListener, channel.loop(), pauseMillis);
         Headers metadata =
-                ask.timeoutMicros() > 0
-                        ? new Headers().add("grpc-timeout", GrpcTimeout.format(ask.timeoutMicros()))
+                request.timeoutMicros() > 0
+                        ? new Headers()
+                                .add("grpc-timeout", GrpcTimeout.format(request.timeoutMicros()))
                         : null;
         ClientCall call =
                 new ClientCall(
-                        ModelMessages.SERVICE + "ModelStreamInfer", metadata, MAX_MESSAGE, answer);
-        call.sendLast(ask.request(model).toByteArray());
+                        ModelMessages.SERVICE + "ModelStreamInfer",
+                        metadata,
+                        MAX_MESSAGE_BYTES,
+                        answer);
+        call.sendLast(request.toInferRequest(model).toByteArray());
         channel.loop()
                 .execute(
                         () -> {
                             channel.start(call);
-                            if (ask.timeoutMicros() > 0) {
+                            if (request.timeoutMicros() > 0) {
                                 // The client's own deadline: an edge that keeps it is never caught
                                 // by this.
                                 channel.loop()
                                         .schedule(
                                                 call::cancel,
-                                                ask.timeoutMicros() + GRACE,
+                                                request.timeoutMicros() + GRACE_MICROS,
                                                 TimeUnit.MICROSECONDS);
                             }
                         });
@@ -126,14 +131,14 @@
         return answer.result;
     }
 
-    /** Asks whether the edge is ready. */
+    /** {@return whether the edge says that it is ready} */
     public CompletableFuture<Boolean> ready() {
         CompletableFuture<Boolean> result = new CompletableFuture<>();
         ClientCall call =
                 new ClientCall(
                         ModelMessages.SERVICE + "ServerReady",
                         null,
-                        MAX_MESSAGE,
+                        MAX_MESSAGE_BYTES,
                         new ClientCall.Listener() {
                             private boolean yes;
 
@@ -163,23 +168,23 @@
 
     private static final class Answer implements ClientCall.Listener {
         final CompletableFuture<Result> result = new CompletableFuture<>();
-        private final BiConsumer<Integer, String> piece;
+        private final BiConsumer<Integer, String> textListener;
         private final EventLoop loop;
         private final long pauseMillis;
         private final StringBuilder text = new StringBuilder();
         private final long start = System.nanoTime();
         private int tokens;
-        private long first = -1;
+        private long firstTokenMicros = -1;
         private boolean isFinal;
         private long declared = -1;
 
-        Answer(BiConsumer<Integer, String> piece, EventLoop loop, long pauseMillis) {
-            this.piece = piece;
+        Answer(BiConsumer<Integer, String> textListener, EventLoop loop, long pauseMillis) {
+            this.textListener = textListener;
             this.loop = loop;
             this.pauseMillis = pauseMillis;
         }
 
-        private long since() {
+        private long elapsedMicros() {
             return (System.nanoTime() - start) / 1000;
         }
 
@@ -200,9 +205,9 @@
                 }
                 String part = r.text();
                 if (!part.isEmpty()) {
-                    first = first < 0 ? since() : first;
+                    firstTokenMicros = firstTokenMicros < 0 ? elapsedMicros() : firstTokenMicros;
                     text.append(part);
-                    piece.accept(tokens++, part);
+                    textListener.accept(tokens++, part);
                 }
             } catch (ProtoException e) {
                 call.cancel();
@@ -226,8 +231,8 @@
                             isFinal,
                             declared,
                             pushback,
-                            first,
-                            since()));
+                            firstTokenMicros,
+                            elapsedMicros()));
         }
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/load/ScriptedRequest.java
+++ b/lab/src/main/java/sorrelhoist/lab/load/ScriptedRequest.java
@@ -28,20 +28,25 @@
         String prompt,
         int maxTokens,
         long timeoutMicros) {
-    InferRequest request(String model) {
-        Map<String, Parameter> p = new LinkedHashMap<>();
-        put(p, "class", requestClass);
-        put(p, "session", session);
-        put(p, "prefix", prefix);
-        put(p, "prefix_tokens", prefix == null ? null : (Object) (long) prefixTokens);
-        put(p, "max_tokens", maxTokens == 0 ? null : (Object) (long) maxTokens);
+    InferRequest toInferRequest(String model) {
+        Map<String, Parameter> parameters = new LinkedHashMap<>();
+        put(parameters, "class", requestClass);
+        put(parameters, "session", session);
+        put(parameters, "prefix", prefix);
+        put(parameters, "prefix_tokens", prefix == null ? null : (Object) (long) prefixTokens);
+        put(parameters, "max_tokens", maxTokens == 0 ? null : (Object) (long) maxTokens);
         return new InferRequest(
-                model, "", id, p, List.of(Tensor.text(InferRequest.TEXT_INPUT, prompt)), List.of());
+                model,
+                "",
+                id,
+                parameters,
+                List.of(Tensor.text(InferRequest.TEXT_INPUT, prompt)),
+                List.of());
     }
 
-    private static void put(Map<String, Parameter> p, String name, Object value) {
+    private static void put(Map<String, Parameter> parameters, String name, Object value) {
         if (value != null) {
-            p.put(name, new Parameter(value));
+            parameters.put(name, new Parameter(value));
         }
     }
 }
--- a/lab/src/main/java/sorrelhoist/lab/sim/StateTransferStudy.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/StateTransferStudy.java
@@ -114,32 +114,48 @@
         for (int i = 0; i < routers; i++) {
             fleet.take(i);
         }
-        double missed = 0;
-        double prompt = 0;
-        double missedOthers = 0;
-        double promptOthers = 0;
+        Sums restarted = new Sums();
+        Sums others = new Sums();
         for (int step = 0; step < STEPS; step++) {
             fleet.run(STEP_SECONDS * SECOND);
-            SimFleet.Tally fresh = fleet.take(0);
-            double sum = 0;
-            int served = 0;
-            for (int i = 1; i < routers; i++) {
-                SimFleet.Tally t = fleet.take(i);
-                sum += t.firstMicros;
-                served += t.served;
-                missedOthers += t.missed;
-                promptOthers += t.prompt;
-            }
-            missed += fresh.missed;
-            prompt += fresh.prompt;
-            c.refused += fresh.unserved;
-            double others = sum / Math.max(1, served);
-            c.others[step] += others / 1000 / seeds;
-            c.first[step] +=
-                    (Double.isNaN(fresh.meanFirst()) ? others : fresh.meanFirst()) / 1000 / seeds;
+            addStep(c, step, fleet, routers, restarted, others);
+        }
+        c.missed += restarted.missedShare() / seeds;
+        c.missedOthers += others.missedShare() / seeds;
+    }
+
+    /** Prompt tokens of a run: all, and those that were prefilled as no engine had them cached. */
+    private static final class Sums {
+        private double missed;
+        private double prompt;
+
+        void add(SimFleet.Tally tally) {
+            missed += tally.missed;
+            prompt += tally.prompt;
+        }
+
+        double missedShare() {
+            return missed / Math.max(1, prompt);
+        }
+    }
+
+    private void addStep(
+            Curve c, int step, SimFleet fleet, int routers, Sums restarted, Sums others) {
+        SimFleet.Tally fresh = fleet.take(0);
+        double firstMicros = 0;
+        int served = 0;
+        for (int i = 1; i < routers; i++) {
+            SimFleet.Tally tally = fleet.take(i);
+            firstMicros += tally.firstMicros;
+            served += tally.served;
+            others.add(tally);
         }
-        c.missed += missed / Math.max(1, prompt) / seeds;
-        c.missedOthers += missedOthers / Math.max(1, promptOthers) / seeds;
+        restarted.add(fresh);
+        c.refused += fresh.unserved;
+        double meanOfOthers = firstMicros / Math.max(1, served);
+        double meanFirst = Double.isNaN(fresh.meanFirst()) ? meanOfOthers : fresh.meanFirst();
+        c.others[step] += meanOfOthers / 1000 / seeds;
+        c.first[step] += meanFirst / 1000 / seeds;
     }
 
     private static String row(int routers, Way way, Curve c) {
--- a/lab/src/main/java/sorrelhoist/lab/soak/Invariant.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/Invariant.java
@@ -18,19 +18,20 @@
     SLOW_START,
     /** What is held for a request is taken or released in time. */
     RELEASED,
-    /** A worker is told at most the time that is left to the client. */
+    /** The budget that a worker is given is at most the time that is left to the client. */
     DEADLINE_TOLD,
     /** Events are passed on as they come. */
     EVENTS_IN_TIME,
     /**
-     * A stream that is ended as whole is whole, and one that its worker finished reaches its end.
+     * A stream that is ended as complete is complete, and one that its worker finished reaches
+     * its end.
      */
     WHOLE_STREAMS,
     /** A router is ready in time after its start. */
     READY,
-    /** A router lives until it is told to end, and then ends by itself with status 0. */
+    /** A router runs until SIGTERM, and then ends by itself with status 0. */
     ALIVE,
-    /** What cannot be served is told so, or closed, in time. */
+    /** What cannot be served gets an error or a close in time. */
     BAD_CLIENTS,
     /** Only ids that clients sent reach workers. */
     KNOWN_IDS
--- a/lab/src/main/java/sorrelhoist/lab/soak/SoakResult.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/SoakResult.java
@@ -8,10 +8,10 @@
  * @param requests that clients sent
  * @param faultCount that were played
  * @param violations that the oracle saw
- * @param crashedProcesses processes that ended without having been told to
+ * @param crashedProcesses processes that ended by themselves, or not with status 0 after SIGTERM
  * @param excused violations not counted, as the harness was late just then
  * @param guardViolations lines in which routers reported a violated invariant of their own
- * @param served requests answered with a whole stream
+ * @param served requests answered with a complete stream
  */
 public record SoakResult(
         long requests,
--- a/lab/src/main/java/sorrelhoist/lab/soak/SoakRunner.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/SoakRunner.java
@@ -32,15 +32,14 @@
      * @throws Exception if the fleet cannot be started or controlled
      */
     public SoakResult run(SoakPlan plan) throws Exception {
-        try (SoakFleet fleet = new SoakFleet(plan)) {
-            Thread ending = new Thread(fleet::close);
-            Runtime.getRuntime().addShutdownHook(ending);
-            try {
-                return run(plan, fleet);
-            } finally {
-                fleet.close();
-                Runtime.getRuntime().removeShutdownHook(ending);
-            }
+        SoakFleet fleet = new SoakFleet(plan);
+        Thread closing = new Thread(fleet::close);
+        Runtime.getRuntime().addShutdownHook(closing);
+        try {
+            return run(plan, fleet);
+        } finally {
+            fleet.close();
+            Runtime.getRuntime().removeShutdownHook(closing);
         }
     }
 
--- a/standin/src/main/java/sorrelhoist/standin/registry/XmlWriter.java
+++ b/standin/src/main/java/sorrelhoist/standin/registry/XmlWriter.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.StringWriter;
-import java.util.Iterator;
 import java.util.Map;
 import javax.xml.stream.XMLOutputFactory;
 import javax.xml.stream.XMLStreamException;
@@ -27,7 +26,7 @@
         StringWriter text = new StringWriter();
         try {
             XMLStreamWriter out = XMLOutputFactory.newInstance().createXMLStreamWriter(text);
-            Map.Entry<String, JsonNode> top = root.fields().next();
+            Map.Entry<String, JsonNode> top = root.properties().iterator().next();
             new XmlWriter(out).element(top.getKey(), top.getValue());
             out.close();
         } catch (XMLStreamException e) {
@@ -54,9 +53,7 @@
     }
 
     private void attributes(JsonNode object) throws XMLStreamException {
-        Iterator<Map.Entry<String, JsonNode>> fields = object.fields();
-        while (fields.hasNext()) {
-            Map.Entry<String, JsonNode> field = fields.next();
+        for (Map.Entry<String, JsonNode> field : object.properties()) {
             if (field.getKey().startsWith(ATTRIBUTE_PREFIX)) {
                 out.writeAttribute(field.getKey().substring(1), field.getValue().asText());
             }
@@ -64,9 +61,7 @@
     }
 
     private void content(JsonNode object) throws XMLStreamException {
-        Iterator<Map.Entry<String, JsonNode>> fields = object.fields();
-        while (fields.hasNext()) {
-            Map.Entry<String, JsonNode> field = fields.next();
+        for (Map.Entry<String, JsonNode> field : object.properties()) {
             if (field.getKey().equals(TEXT_KEY)) {
                 out.writeCharacters(field.getValue().asText());
             } else if (!field.getKey().startsWith(ATTRIBUTE_PREFIX)) {
--- a/standin/src/test/java/sorrelhoist/standin/registry/RegistryStandInTest.java
+++ b/standin/src/test/java/sorrelhoist/standin/registry/RegistryStandInTest.java
@@ -60,8 +60,11 @@
                         "application/json",
                         "{\"instance\":{\"instanceId\":\""
                                 + id
-                                + "\",\"hostName\":\"127.0.0.1\",\"app\":\"ENGINES\",\"status\":\"UP\",\"ipAddr\":\"127.0.0.1\",\"port\""
-                                + ":{\"$\":99,\"@enabled\":\"true\"},\"leaseInfo\":{\"durationInSecs\":"
+                                + "\",\"hostName\":\"127.0.0.1\",\"app\":\"ENGINES\","
+                                + "\"status\":\"UP\","
+                                + "\"ipAddr\":\"127.0.0.1\",\"port\""
+                                + ":{\"$\":99,\"@enabled\":\"true\"},"
+                                + "\"leaseInfo\":{\"durationInSecs\":"
                                 + leaseSeconds
                                 + "},\"metadata\":{\"zone\":\"a\"}}}")
                 .status();
@@ -106,7 +109,8 @@
     @Test
     void instancesAreRegisteredAndListedInXml() throws Exception {
         String xml =
-                "<instance><instanceId>x1</instanceId><hostName>127.0.0.1</hostName><app>ENGINES</app><status>UP</status><port"
+                "<instance><instanceId>x1</instanceId><hostName>127.0.0.1</hostName>"
+                    + "<app>ENGINES</app><status>UP</status><port"
                     + " enabled=\"true\">99</port><leaseInfo><durationInSecs>90</durationInSecs>"
                     + "</leaseInfo><metadata><zone>b</zone></metadata></instance>";
         assertEquals(204, call("POST", "/eureka/apps/ENGINES", "application/xml", xml).status());
