--- a/adapter/src/main/java/sorrelhoist/adapter/JsonObject.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/JsonObject.java
@@ -79,8 +79,8 @@
         return switch (parser.currentToken()) {
             case VALUE_STRING -> parser.getText();
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
-            case VALUE_TRUE -> Boolean.TRUE;
-            case VALUE_FALSE -> Boolean.FALSE;
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
             default -> null;
         };
     }
--- a/app/src/main/java/sorrelhoist/app/LogSpanExporter.java
+++ b/app/src/main/java/sorrelhoist/app/LogSpanExporter.java
@@ -1,6 +1,7 @@
 package sorrelhoist.app;
 
 import io.opentelemetry.api.OpenTelemetry;
+import io.opentelemetry.api.common.AttributeKey;
 import io.opentelemetry.sdk.OpenTelemetrySdk;
 import io.opentelemetry.sdk.common.CompletableResultCode;
 import io.opentelemetry.sdk.trace.SdkTracerProvider;
@@ -9,6 +10,7 @@
 import io.opentelemetry.sdk.trace.export.SpanExporter;
 import io.opentelemetry.sdk.trace.samplers.Sampler;
 import java.util.Collection;
+import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -55,7 +57,10 @@
                         .addKeyValue("span", span.getSpanId())
                         .addKeyValue("parent", span.getParentSpanId())
                         .addKeyValue("took_us", durationMicros);
-        span.getAttributes().forEach((key, value) -> line.addKeyValue(key.getKey(), value));
+        for (Map.Entry<AttributeKey<?>, Object> attribute :
+                span.getAttributes().asMap().entrySet()) {
+            line = line.addKeyValue(attribute.getKey().getKey(), attribute.getValue());
+        }
         line.log(span.getName());
     }
 
--- a/app/src/main/java/sorrelhoist/app/command/RecordingSummary.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordingSummary.java
@@ -111,6 +111,12 @@
                 recording.isComplete()
                         ? ", from the start and without a gap"
                         : ", with gaps: a replay cannot be exact");
-        recording.gaps().forEach(gap -> out.printf("  missing: %d to %d%n", gap.firstMissing(), gap.nextPresent() - 1));
+        recording
+                .gaps()
+                .forEach(
+                        gap ->
+                                out.printf(
+                                        "  missing: %d to %d%n",
+                                        gap.firstMissing(), gap.nextPresent() - 1));
     }
 }
--- a/app/src/test/java/sorrelhoist/edge/TracingBench.java
+++ b/app/src/test/java/sorrelhoist/edge/TracingBench.java
@@ -45,8 +45,7 @@
     private int request(Tracing tracing) {
         Headers metadata = new Headers();
         RequestTrace trace = tracing.startRequest(headers, 0);
-        InferenceRequest request =
-                InferenceRequest.builder("", 0, 1).attachment(trace).build();
+        InferenceRequest request = InferenceRequest.builder("", 0, 1).attachment(trace).build();
         Span prefill =
                 tracing.startAttempt(
                         attempt(EngineAttempt.Phase.PREFILL, 0, "r1", request), metadata);
--- a/core/src/test/java/sorrelhoist/core/request/Histories.java
+++ b/core/src/test/java/sorrelhoist/core/request/Histories.java
@@ -24,7 +24,6 @@
  */
 final class Histories {
     private static final class Client {
-        long sentAt;
         long firstTokenBy;
         long endsBy = Long.MAX_VALUE;
         int cls;
@@ -126,7 +125,6 @@
     private void arrive() {
         Client c = new Client();
         c.cls = random.nextInt(3);
-        c.sentAt = now;
         long timeout = random.nextInt(3) == 0 ? 50_000 + random.nextLong(5 * Fleet.SECOND) : 0;
         int most = 1 + random.nextInt(30);
         c.firstTokenBy =
--- a/core/src/test/java/sorrelhoist/core/request/StreamTimeoutsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/StreamTimeoutsTest.java
@@ -43,7 +43,7 @@
         assertEquals(DEFAULT_TIMEOUT, timeouts.deadAt(attempt));
         timeouts.tokenReceived(attempt, 100_000);
         long deadAt = timeouts.deadAt(attempt);
-        assertEquals(25 * 100_000, deadAt, 500_000);
+        assertEquals(2_500_000.0, (double) deadAt, 500_000.0);
         assertEquals(TokenGapEstimator.MIN_TIMEOUT_MICROS, timeouts.nextCheckAt(attempt, 0));
     }
 
--- a/core/src/test/java/sorrelhoist/core/scheduling/BackgroundSchedulerTest.java
+++ b/core/src/test/java/sorrelhoist/core/scheduling/BackgroundSchedulerTest.java
@@ -6,9 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
 
 /** Priorities, budgets, deadlines, and the bound on starvation, with time in the test's hands. */
 class BackgroundSchedulerTest {
@@ -101,8 +100,8 @@
             // It overspends, as work that cannot be cut exactly does.
             long cost = slice.cpuMicros() + random.nextLong(3000);
             long size = random.nextLong(40_000);
-            cpu[slice.job() == LOW ? 0 : 1] += cost;
-            bytes += slice.job() == HIGH ? size : 0;
+            cpu[slice.job().equals(LOW) ? 0 : 1] += cost;
+            bytes += slice.job().equals(HIGH) ? size : 0;
             now += cost;
             scheduler.sliceFinished(now, cost, size, now, NEVER);
         }
--- a/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
+++ b/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
@@ -112,7 +112,7 @@
         }
         String session = random.nextInt(10) == 0 ? null : "a" + random.nextInt(40);
         String prefix = random.nextInt(4) == 0 ? null : "p" + random.nextInt(6);
-        long prompt = 50 + random.nextInt(6000);
+        long prompt = 50L + random.nextInt(6000);
         Arrived a =
                 new Arrived(
                         nextId++,
@@ -208,7 +208,7 @@
     }
 
     private void giveEnd(Open r, int n, Outcome outcome, long note, String server) {
-        long took = 1000 + random.nextInt(300_000);
+        long took = 1000L + random.nextInt(300_000);
         ServerLoad load = ServerLoad.NONE;
         if (!random.nextBoolean()) {
             load = new ServerLoad(random.nextDouble(), random.nextInt(9000), 1, Double.NaN);
--- a/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
@@ -122,7 +122,7 @@
                 d.onEvent(now, request(i, "s" + i, null, 1000, 0));
             }
             List<Action> later = d.onEvent(now + tick.delayMicros(), new TimerFired(tick.token()));
-            assertEquals(s == pull, !all(later, Probe.class).isEmpty());
+            assertEquals(s.equals(pull), !all(later, Probe.class).isEmpty());
         }
     }
 
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordWriter.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordWriter.java
@@ -33,7 +33,6 @@
     private static final int CHUNKS_PER_SLICE = 16;
     private static final long STOP_TIMEOUT_MILLIS = 2000;
     private static final String THREAD_NAME = "record-writer";
-    private static final LongConsumer UNCOUNTED = bytes -> {};
 
     private final RecordDirectory directory;
     private final SegmentRetention retention;
@@ -70,7 +69,8 @@
             throws IOException {
         this.directory = directory;
         this.retention =
-                new SegmentRetention(limits, router.identity().incarnation(), directory.existingFiles());
+                new SegmentRetention(
+                        limits, router.identity().incarnation(), directory.existingFiles());
         this.recorder =
                 new Recorder(
                         new RecordEntry.Header(
@@ -130,7 +130,7 @@
     private void handOnAllChunks() {
         boolean more = true;
         while (more) {
-            more = runSlice(UNCOUNTED);
+            more = runSlice(uncounted -> {});
         }
     }
 
--- a/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
@@ -142,7 +142,8 @@
         writer.stop(told + 1000);
         Recording recording = recording();
         assertEquals(1, recording.gaps().size());
-        long missing = recording.gaps().get(0).nextPresent() - recording.gaps().get(0).firstMissing();
+        long missing =
+                recording.gaps().get(0).nextPresent() - recording.gaps().get(0).firstMissing();
         assertTrue(missing > 0);
         assertEquals(told + 1000, recording.entries().size() - 1 + missing);
         assertEntriesAreInOrder(recording);
--- a/lab/src/main/java/sorrelhoist/lab/benchmark/FleetBenchmark.java
+++ b/lab/src/main/java/sorrelhoist/lab/benchmark/FleetBenchmark.java
@@ -173,7 +173,7 @@
                         all[next[0]] =
                                 who.equals("edge")
                                         ? edge(number++, due, tally)
-                                        : direct(number++, due, tally);
+                                        : direct(number++, tally);
                         next[0]++;
                     }
                     if (next[0] == count) {
@@ -231,7 +231,7 @@
                         });
     }
 
-    private CompletableFuture<?> direct(int n, long due, Tally tally) {
+    private CompletableFuture<?> direct(int n, Tally tally) {
         return plain.send("f" + n, words(n % OPENINGS, 90) + words(1000 + n, 90), TOKENS)
                 .orTimeout(TIMEOUT_MICROS, TimeUnit.MICROSECONDS)
                 .handle(
--- a/lab/src/main/java/sorrelhoist/lab/sim/AdmissionStudy.java
+++ b/lab/src/main/java/sorrelhoist/lab/sim/AdmissionStudy.java
@@ -100,7 +100,7 @@
                 sentAt.add(new HashMap<>());
                 wakeAt[e] = Long.MAX_VALUE;
                 Router[] made = new Router[1];
-                made[0] = new Router(settings(edges, e), o -> carry(made[0], edge, o));
+                made[0] = new Router(settings(edges, e), o -> carry(edge, o));
                 routers.add(made[0]);
                 made[0].endpointsUpdated(world.now, ListUpdateKind.COMPLETE, servers);
                 arm(edge);
@@ -235,7 +235,7 @@
             routers.forEach(r -> r.endpointsUpdated(world.now, ListUpdateKind.UPDATE, news));
         }
 
-        private void carry(Router router, int edge, Command order) {
+        private void carry(int edge, Command order) {
             if (order instanceof Command.StartPrefill o) {
                 StepEngine e = engines.get(o.engine());
                 long have =
--- a/lab/src/main/java/sorrelhoist/lab/soak/ClientConnection.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/ClientConnection.java
@@ -12,9 +12,9 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import sorrelhoist.protocol.http1.HttpBodyDecoder;
+import sorrelhoist.protocol.http1.HttpDecodeException;
 import sorrelhoist.protocol.http1.HttpHead;
 import sorrelhoist.protocol.http1.HttpHeadDecoder;
-import sorrelhoist.protocol.http1.HttpDecodeException;
 
 /**
  * One client's connection, with one request at a time. Some clients leave early, read slowly, or
--- a/lab/src/main/java/sorrelhoist/lab/soak/RouterFaults.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/RouterFaults.java
@@ -78,7 +78,7 @@
     /** Stops a router's process for a moment. */
     void pause(Injection fault) throws Exception {
         int spread = MAX_PAUSE_MILLIS - MIN_PAUSE_MILLIS;
-        long millis = MIN_PAUSE_MILLIS + fault.random().nextInt(spread);
+        long millis = (long) MIN_PAUSE_MILLIS + fault.random().nextInt(spread);
         fault.router().process.signal("STOP");
         Thread.sleep(millis);
         fault.router().process.signal("CONT");
--- a/lab/src/main/java/sorrelhoist/lab/soak/SystemCallFaults.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/SystemCallFaults.java
@@ -5,6 +5,7 @@
 import java.nio.ByteOrder;
 import java.nio.MappedByteBuffer;
 import java.nio.channels.FileChannel;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
@@ -108,7 +109,8 @@
             return null;
         }
         try {
-            String said = new String(compiler.getInputStream().readAllBytes());
+            String said =
+                    new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             if (!compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
                 throw new IOException("cannot build " + SOURCE + ": " + said);
             }
--- a/lab/src/main/java/sorrelhoist/lab/soak/WorkerConnection.java
+++ b/lab/src/main/java/sorrelhoist/lab/soak/WorkerConnection.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.TimeUnit;
 import sorrelhoist.lab.soak.RequestTrace.AttemptTrace;
 import sorrelhoist.protocol.http1.HttpBodyDecoder;
+import sorrelhoist.protocol.http1.HttpDecodeException;
 import sorrelhoist.protocol.http1.HttpHead;
 import sorrelhoist.protocol.http1.HttpHeadDecoder;
-import sorrelhoist.protocol.http1.HttpDecodeException;
 
 /** One connection of a router to a worker, with one request at a time. */
 final class WorkerConnection extends ChannelInboundHandlerAdapter {
--- a/planner/src/main/java/sorrelhoist/planner/RegistryClient.java
+++ b/planner/src/main/java/sorrelhoist/planner/RegistryClient.java
@@ -5,7 +5,6 @@
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -135,9 +134,7 @@
 
     private static RegistryView.Instance instance(JsonNode node) {
         Map<String, String> metadata = new LinkedHashMap<>();
-        Iterator<Map.Entry<String, JsonNode>> fields = node.path("metadata").fields();
-        while (fields.hasNext()) {
-            Map.Entry<String, JsonNode> field = fields.next();
+        for (Map.Entry<String, JsonNode> field : node.path("metadata").properties()) {
             metadata.put(field.getKey(), field.getValue().asText());
         }
         String id = node.path("instanceId").asText(node.path("hostName").asText(""));
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/FieldType.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/FieldType.java
@@ -108,6 +108,7 @@
             }
         };
 
+        @SuppressWarnings("ImmutableEnumChecker") // boxed numbers, strings, and an empty array
         private final Object defaultValue;
 
         Scalar(Object defaultValue) {
--- a/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
@@ -85,8 +85,7 @@
         }
     }
 
-    private static void http(byte[] noise, SplittableRandom random)
-            throws HttpDecodeException {
+    private static void http(byte[] noise, SplittableRandom random) throws HttpDecodeException {
         String text =
                 "POST /a HTTP/1.1\r\nhost: h\r\n"
                         + (random.nextBoolean()
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
@@ -65,7 +65,9 @@
     void pump() {
         boolean moved = true;
         while (moved) {
-            moved = move(clientChannel, serverChannel) | move(serverChannel, clientChannel);
+            boolean toServer = move(clientChannel, serverChannel);
+            boolean toClient = move(serverChannel, clientChannel);
+            moved = toServer || toClient;
         }
     }
 
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageBytesTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageBytesTest.java
@@ -46,6 +46,7 @@
  * Every message's bytes, and what becomes of damaged bytes, are the same as when each class read
  * and wrote its fields by hand: checksums come from those.
  */
+@SuppressWarnings("ArrayAsKeyOfSetOrMap") // each array is its own key, in the order added
 class MessageBytesTest {
     private static final int SEEDS = 200;
 
--- a/standin/src/main/java/sorrelhoist/standin/engine/WorkQueue.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/WorkQueue.java
@@ -80,7 +80,7 @@
 
     /** {@return requests that wait for a slot} */
     long queuedRequests() {
-        return waitingDecodes.size() + Math.max(0, prefills.size() - slots);
+        return (long) waitingDecodes.size() + Math.max(0, prefills.size() - slots);
     }
 
     /** {@return prompt tokens that are still to be prefilled or fetched} */
