--- a/decide/src/main/java/sorrelhoist/routing/AdmissionController.java
+++ b/decide/src/main/java/sorrelhoist/routing/AdmissionController.java
@@ -5,22 +5,32 @@
 import sorrelhoist.routing.RoutingSettings.RequestClass;
 
 /**
- * Sheds load on arrival: rejects at once what would come late by its prefill and its first token.
+ * Sheds load on arrival: rejects a request at once if its first token is expected later than a
+ * limit that depends on the latency objective.
  */
 final class AdmissionController {
-    /** Share of the latency objective that a request may need. */
+    /** Share of the latency objective that a request may use. */
     private static final double OBJECTIVE_SHARE = 1;
 
-    /** The same where a class of more weight needs the capacity. */
+    /**
+     * Share of the objective that a request may use if another class has a higher weight: the rest
+     * is capacity for that class.
+     */
     private static final double LESSER_CLASS_SHARE = 0.85;
 
-    /** The same where a tenant within its quota needs the capacity. */
+    /**
+     * Share of the objective that a request of a tenant over its quota may use: the rest is
+     * capacity for tenants within their quotas.
+     */
     private static final double OVER_QUOTA_SHARE = 0.35;
 
-    /** Share of the time left that a request may need whose answer has begun already. */
+    /** Share of the time until the deadline that a resumed request may use. */
     private static final double RESUMED_SHARE = 0.5;
 
-    /** Waiting requests, over all routers, that are always admitted to learn from. */
+    /**
+     * Number of waiting requests, over all routers, up to which every request is admitted to learn
+     * service times.
+     */
     private static final double ALWAYS_ADMITTED = 12;
 
     private final RoutingContext context;
@@ -49,14 +59,15 @@
     }
 
     /**
-     * Decides whether a request is rejected on arrival. A class of less weight is held to the
-     * tightest objective of those that weigh more: by its own it would fill the queue.
+     * Decides whether a request is rejected on arrival. A class with a lower weight has to meet the
+     * tightest objective of the classes with a higher weight: by its own objective it would fill
+     * the queue.
      *
      * @param request the request; it counts against its tenant's quota
-     * @param prefill candidates for its prefill
-     * @param selected the one that was selected, or null
-     * @param decode candidates for its decode
-     * @return why it is rejected, or null
+     * @param prefill the prefill candidates
+     * @param selected the selected prefill endpoint, or null
+     * @param decode the decode candidates
+     * @return the reason for the rejection, or null if the request is admitted
      */
     Reason rejection(
             TrackedRequest request,
@@ -110,7 +121,11 @@
                 completion, completions.uncontended(selected, request) + delays.ofPrefills());
     }
 
-    /** The delay of the better third: dead endpoints must not keep requests from the living. */
+    /**
+     * Returns the larger of the mean delay of first tokens and the upper bound of the best third of
+     * the overdue times: dead endpoints must not cause the rejection of requests that the others
+     * can serve.
+     */
     private double decodeDelay(List<Endpoint> decode) {
         double[] overdue = decode.stream().mapToDouble(delays::overdue).sorted().toArray();
         double third = overdue.length == 0 ? 0 : overdue[overdue.length / 3];
@@ -118,9 +133,10 @@
     }
 
     /**
-     * After a loss of servers many come for the rest of broken answers, with all their text to
-     * read; the objective alone rejects most, and what was written for them is lost. Harm: new ones
-     * wait behind them.
+     * Raises the limit of resumed requests. After a loss of servers many clients resume broken
+     * answers, whose whole text has to be prefilled again. The objective alone would reject most of
+     * them, and the tokens generated for them would be lost. Drawback: new requests wait behind
+     * them.
      */
     private double limit(TrackedRequest request, double limit) {
         return request.arrival.resumed()
--- a/decide/src/main/java/sorrelhoist/routing/ArrivalRate.java
+++ b/decide/src/main/java/sorrelhoist/routing/ArrivalRate.java
@@ -1,11 +1,14 @@
 package sorrelhoist.routing;
 
 /**
- * How often requests arrive at this router: their count and the decaying mean of the gaps between
+ * Rate of arrivals at this router: the number of requests and the decaying mean of the gaps between
  * them.
  */
 final class ArrivalRate {
-    /** Mean gap below which requests are dense: a regression then turns over within its window. */
+    /**
+     * Mean gap below which requests are dense: a regression then replaces its samples within the
+     * load window.
+     */
     private static final double DENSE_GAP_MICROS = 200_000;
 
     private static final long MAX_GAP_MICROS = SendHistory.LOAD_WINDOW_MICROS;
@@ -22,9 +25,7 @@
         lastArrivalAt = now;
     }
 
-    /**
-     * {@return whether requests are dense enough that recent samples show queues rather than noise}
-     */
+    /** {@return whether requests are dense: recent samples then show queueing rather than noise} */
     boolean isDense() {
         return meanGapMicros < DENSE_GAP_MICROS;
     }
--- a/decide/src/main/java/sorrelhoist/routing/Attempt.java
+++ b/decide/src/main/java/sorrelhoist/routing/Attempt.java
@@ -5,10 +5,11 @@
 /** One send of a request to one endpoint. */
 final class Attempt {
     /**
-     * How long an attempt should take.
+     * The expected duration of an attempt.
      *
-     * @param serviceMicros alone at the endpoint
-     * @param totalMicros behind the own attempts that are in flight there
+     * @param serviceMicros service time at an idle endpoint, in microseconds
+     * @param totalMicros time including this router's awaited attempts at the endpoint, in
+     *     microseconds
      */
     record Estimate(double serviceMicros, double totalMicros) {}
 
@@ -20,19 +21,19 @@
     final long sentAt;
     final Estimate estimate;
 
-    /** Whether something should have shown by now that its endpoint has it, and nothing does. */
+    /** Whether the endpoint should have confirmed the attempt by now and has not. */
     boolean unconfirmed;
 
     /**
      * Creates an attempt.
      *
      * @param number number of the send, from 0
-     * @param endpoint where it is sent
-     * @param prefill whether only the prompt is read there
+     * @param endpoint the endpoint that it is sent to
+     * @param prefill whether the endpoint only does the prefill
      * @param missedTokens prompt tokens that the endpoint likely does not have cached
-     * @param tokensInFlight tokens that a decode may hold there; 0 for a prefill
+     * @param tokensInFlight maximum number of tokens that a decode may hold there; 0 for a prefill
      * @param sentAt time of the send, in microseconds
-     * @param estimate how long it should take
+     * @param estimate the expected duration
      */
     Attempt(
             int number,
@@ -51,7 +52,7 @@
         this.estimate = estimate;
     }
 
-    /** {@return whether it ended with nothing to show that it had ever reached its endpoint} */
+    /** {@return whether the attempt ended without any confirmation that it reached its endpoint} */
     boolean wasNeverConfirmed(Outcome outcome) {
         return unconfirmed && (outcome == Outcome.CANCELLED || outcome == Outcome.TIMED_OUT);
     }
--- a/decide/src/main/java/sorrelhoist/routing/AttemptSender.java
+++ b/decide/src/main/java/sorrelhoist/routing/AttemptSender.java
@@ -2,12 +2,17 @@
 
 import sorrelhoist.routing.RoutingActions.Send;
 
-/** Sends a request to the endpoint that was selected, and sets the attempt's timeout. */
+/** Sends a request to the selected endpoint and sets the timeout of the attempt. */
 final class AttemptSender {
-    /** Share of the remaining time for an attempt, so that another one fits. */
+    /**
+     * Share of the time until the deadline that an attempt may use, so that another attempt fits.
+     */
     private static final double TIMEOUT_SHARE = 0.6;
 
-    /** Multiple of the expected time for an attempt, if more: work may go on after a timeout. */
+    /**
+     * Minimum timeout as a multiple of the expected time: an endpoint may go on working on an
+     * attempt after its timeout.
+     */
     private static final double TIMEOUT_MULTIPLE = 4;
 
     private final RoutingContext context;
@@ -26,7 +31,7 @@
         this.delays = delays;
     }
 
-    /** Sends a request to have its prompt read alone. */
+    /** Sends a request to a prefill endpoint, which only processes the prompt. */
     void sendPrefill(TrackedRequest request, Selection selection) {
         Endpoint endpoint = selection.endpoint();
         long missed = prefixes.missedTokens(endpoint, request);
@@ -46,7 +51,10 @@
         send(request, attempt, selection, timeout(request, service + delays.ofPrefills()));
     }
 
-    /** Sends a request to have its answer written, its prompt read before or there. */
+    /**
+     * Sends a request to the endpoint that decodes its answer. The prefill was done before, or the
+     * same endpoint does it.
+     */
     void sendDecode(TrackedRequest request, Selection selection) {
         Endpoint endpoint = selection.endpoint();
         long missed = prefixes.missedTokens(endpoint, request);
--- a/decide/src/main/java/sorrelhoist/routing/CachedPrefix.java
+++ b/decide/src/main/java/sorrelhoist/routing/CachedPrefix.java
@@ -14,7 +14,7 @@
             this.tokens = tokens;
         }
 
-        /** Forgets the uses before a time and returns how many are left. */
+        /** Removes the uses before a time and returns the number of those left. */
         int usesSince(long time) {
             while (!usedAt.isEmpty() && usedAt.peek() < time) {
                 usedAt.poll();
@@ -29,15 +29,15 @@
 
     final String name;
 
-    /** Holders by the endpoint's id. */
+    /** Holders by endpoint id. */
     final TreeMap<String, Holder> holders = new TreeMap<>();
 
     long lastUsedAt;
 
-    /** Requests that arrived with it since it is known. */
+    /** Number of requests that arrived with this prefix since it became known. */
     int uses;
 
-    /** How many holders were marked ahead of the evidence. */
+    /** Number of holders that were marked without evidence that they have the prefix cached. */
     int expectedHolders;
 
     CachedPrefix(String name) {
--- a/decide/src/main/java/sorrelhoist/routing/CandidateFilter.java
+++ b/decide/src/main/java/sorrelhoist/routing/CandidateFilter.java
@@ -7,9 +7,12 @@
 import sorrelhoist.routing.RoutingSettings.Idempotency;
 import sorrelhoist.routing.RoutingSettings.Role;
 
-/** Finds the endpoints that may take a request now. */
+/** Selects the endpoints that may be sent a request now. */
 final class CandidateFilter {
-    /** Share of a role that stays a candidate whatever its health: the fault may be common. */
+    /**
+     * Minimum share of a role's endpoints that stay candidates whatever their health, as the fault
+     * may affect all of them.
+     */
     private static final double MIN_CANDIDATE_SHARE = 0.34;
 
     private final RoutingContext context;
@@ -32,8 +35,8 @@
     }
 
     /**
-     * {@return endpoints of a role that may take this request, by id; ejected ones only to keep the
-     * floor}
+     * {@return the endpoints of a role that may be sent this request, sorted by id; ejected ones
+     * are included only to reach the minimum share}
      */
     List<Endpoint> candidates(Role role, TrackedRequest request) {
         List<Endpoint> all = endpoints.serving(role, endpoint -> allows(request, endpoint));
@@ -60,10 +63,10 @@
     }
 
     /**
-     * Finds an ejected endpoint whose recovery probe is due. The probe is a request that can afford
-     * a retry.
+     * Finds an ejected endpoint whose recovery probe is due, and schedules the endpoint's next
+     * probe. The given request serves as the probe; it has to be one that can afford a retry.
      *
-     * @return the endpoint, its next wait begun; null where none is due
+     * @return the endpoint, or null if no probe is due or the request cannot afford a retry
      */
     Selection recoveryProbe(Role role, TrackedRequest request) {
         boolean idempotent = request.requestClass.idempotency() == Idempotency.SAFE;
@@ -82,7 +85,7 @@
         return new Selection(due.get(0), Kind.TRIAL, Double.NaN, null, Double.NaN);
     }
 
-    /** {@return what keeps a role's endpoints from a request for which none could be found} */
+    /** {@return the reason why no endpoint of a role can be sent a request} */
     Kind unavailability(Role role, TrackedRequest request) {
         List<Endpoint> all = endpoints.serving(role);
         if (all.isEmpty()) {
--- a/decide/src/main/java/sorrelhoist/routing/CompletionEstimator.java
+++ b/decide/src/main/java/sorrelhoist/routing/CompletionEstimator.java
@@ -1,6 +1,6 @@
 package sorrelhoist.routing;
 
-/** Estimates when a prefill would end at an endpoint, in microseconds from now. */
+/** Estimates the time until a prefill would complete at an endpoint, in microseconds from now. */
 final class CompletionEstimator {
     private final ServiceTimes serviceTimes;
     private final QueueingDelays delays;
@@ -13,8 +13,8 @@
     }
 
     /**
-     * {@return time until a prefill would end: own ones in flight, the delay they don't explain,
-     * and it}
+     * {@return the time until a prefill would complete: this router's awaited attempts, the
+     * queueing delay that they do not explain, and the prefill itself}
      */
     double completion(Endpoint endpoint, TrackedRequest request) {
         return endpoint.inFlight.awaitedMicros()
@@ -22,17 +22,20 @@
                 + uncontended(endpoint, request);
     }
 
-    /** {@return the time that a prefill takes with nothing ahead of it} */
+    /** {@return the time of a prefill at an idle endpoint} */
     double uncontended(Endpoint endpoint, TrackedRequest request) {
         return serviceTimes.prefillMicros(endpoint, prefixes.missedTokens(endpoint, request));
     }
 
     /**
-     * Estimates the same by the intervals between prefills, for admission where requests are dense.
-     * The time between two prefills' ends at an endpoint is what each costs those behind it; the
-     * time from send to end holds the waiting too, and summed over a queue counts it over and over.
-     * Guards against rejecting bursts that endpoints have capacity for; harm: where others'
-     * prefills come in between by chance, more is admitted than can be read in time.
+     * Estimates the time until a prefill would complete from the intervals between prefills; used
+     * by admission while requests are dense.
+     *
+     * <p>The interval between the ends of two prefills at an endpoint is the delay that one prefill
+     * adds for the prefills queued behind it. The time from send to end includes the queueing, so
+     * its sum over a queue would count the queueing repeatedly and reject bursts that the endpoints
+     * have capacity for. Drawback: if prefills of other routers happen to run in between, more is
+     * admitted than can be processed in time.
      */
     double pacedCompletion(Endpoint endpoint, TrackedRequest request) {
         double delay = delays.at(endpoint);
--- a/decide/src/main/java/sorrelhoist/routing/DecayedRegression.java
+++ b/decide/src/main/java/sorrelhoist/routing/DecayedRegression.java
@@ -2,12 +2,18 @@
 
 import sorrelhoist.routing.Knowledge.RegressionSums;
 
-/** Linear regression of a time in microseconds on a number of tokens; old samples decay. */
+/**
+ * Linear regression of a time in microseconds on a number of tokens, with decaying weights of old
+ * samples.
+ */
 final class DecayedRegression {
-    /** What a past sample weighs after each new one: about 50 samples count. */
+    /**
+     * Factor by which the weight of each sample decays with every new one: about 50 samples are
+     * effective.
+     */
     static final double DECAY = 0.98;
 
-    // Made-up first samples: a short and a long prompt that lie on one line.
+    // Initial synthetic samples: a short and a long prompt on one line.
     private static final double INITIAL_TOKENS = 1000;
     private static final double INITIAL_BASE_MICROS = 30_000;
     private static final double INITIAL_MICROS_PER_TOKEN = 60;
@@ -33,7 +39,7 @@
     }
 
     /**
-     * Takes another router's regression in place of its own, as if so many samples had shown it.
+     * Replaces this regression by another router's, with the weight of a given number of samples.
      */
     void adopt(RegressionSums imported, double samples) {
         double scale = samples / imported.weight();
@@ -55,8 +61,8 @@
     }
 
     /**
-     * {@return the expected time, at least 1; a slope that falls, or that no sample shows, counts
-     * as flat}
+     * {@return the expected time in microseconds, at least 1; a slope that is negative or not
+     * supported by the samples counts as 0}
      */
     double micros(double atTokens) {
         double spread = weight * squaredTokens - tokens * tokens;
--- a/decide/src/main/java/sorrelhoist/routing/DecodeSelector.java
+++ b/decide/src/main/java/sorrelhoist/routing/DecodeSelector.java
@@ -4,9 +4,11 @@
 import java.util.SplittableRandom;
 import sorrelhoist.routing.Reason.Kind;
 
-/** Chooses the endpoint that writes an answer by the power of two random choices. */
+/** Selects the decode endpoint by the power of two random choices. */
 final class DecodeSelector {
-    /** Delay behind the best endpoint from which an endpoint is passed over, in microseconds. */
+    /**
+     * Delay beyond that of the best endpoint above which an endpoint is avoided, in microseconds.
+     */
     private static final double MAX_EXCESS_DELAY_MICROS = 200_000;
 
     private final RoutingContext context;
@@ -20,11 +22,16 @@
     }
 
     /**
-     * Draws two in the cell of the prefill, else its zone, else all; fewer own tokens in flight
-     * win. Exception: an endpoint where a first token is long overdue is passed over. Guards
-     * against a full, slow or hanging one that tokens do not show; harm: the state crosses cells.
+     * Draws two endpoints at random and selects the one with fewer of this router's tokens in
+     * flight. They are drawn from the cell of the prefill, or else from its zone, or else from all
+     * candidates. The part of the cell's prefills that exceeds its decode capacity is decoded in
+     * cells of the zone with spare decode capacity, unless the link out of the cell is slow.
+     *
+     * <p>Exceptions are endpoints whose delay exceeds the lowest one by too much, for example
+     * because a first token is long overdue. They are avoided, as the tokens in flight do not show
+     * that an endpoint is full, slow or hanging. Drawback: the state may have to cross cells.
      *
-     * @return null where there is no candidate
+     * @return the selection, or null if there are no candidates
      */
     Selection select(Endpoint prefilledAt, List<Endpoint> candidates) {
         int cell = prefilledAt.cell;
@@ -50,8 +57,8 @@
     }
 
     /**
-     * {@return the one of two drawn endpoints with fewer own tokens in flight; null for an empty
-     * list}
+     * {@return the one with fewer of this router's tokens in flight, of two endpoints drawn at
+     * random; null for an empty list}
      */
     Selection lighterOfTwo(List<Endpoint> candidates) {
         if (candidates.isEmpty()) {
@@ -73,8 +80,10 @@
     }
 
     /**
-     * Draws whether mixed endpoints take a request: their share of the whole size, prefill and
-     * decode.
+     * Decides whether a request is sent to a mixed endpoint: never if there are no mixed
+     * candidates, always if prefill or decode candidates are missing, otherwise by a random draw.
+     * The probability is the share of the mixed endpoints in the total size of mixed, prefill and
+     * decode endpoints.
      */
     boolean goesToMixed(List<Endpoint> prefill, List<Endpoint> decode, List<Endpoint> mixed) {
         double mixedSize = Endpoints.totalSize(mixed);
--- a/decide/src/main/java/sorrelhoist/routing/DeliveryFailover.java
+++ b/decide/src/main/java/sorrelhoist/routing/DeliveryFailover.java
@@ -7,16 +7,16 @@
 import sorrelhoist.routing.RoutingSettings.Role;
 
 /**
- * Decides what follows where nothing shows that an attempt has reached its endpoint: others are
- * preferred to that endpoint for a while, and the request is sent to another one where a repeat is
- * harmless and the budget of retries has one left: where half of a fleet is silent, everything that
- * is sent again would only pile up at the rest. What may not be repeated waits on: the attempt may
- * yet arrive.
+ * Handles attempts that are not confirmed to have reached their endpoint. Other endpoints are
+ * preferred to that endpoint for a while. The request is sent to another endpoint if a repeat is
+ * harmless and the retry budget permits it: if half of a fleet is silent, unlimited retries would
+ * only overload the rest. A request that may not be repeated keeps waiting, as its attempt may yet
+ * arrive.
  */
 final class DeliveryFailover {
     /**
-     * How long others are preferred. About what a stopped or unreachable endpoint needs to be
-     * ejected by its failures, or to come back.
+     * Time for which other endpoints are preferred; about the time in which a stopped or
+     * unreachable endpoint is ejected for its failures or recovers.
      */
     private static final long AVOIDANCE_MICROS = 1_000_000;
 
@@ -36,7 +36,7 @@
         this.retries = retries;
     }
 
-    /** Nothing shows that a request's attempt in flight has reached its endpoint. */
+    /** Handles a request whose attempt in flight is not confirmed to have reached its endpoint. */
     void onDeliveryUnconfirmed(TrackedRequest request, DeliveryUnconfirmed event) {
         Attempt attempt = request.attempt;
         attempt.unconfirmed = true;
@@ -60,9 +60,10 @@
     }
 
     /**
-     * A keyed decode that reads its prompt by itself may arrive after its window, and have its
-     * effect once more then. One that needs a prefilled state finds that gone, unless its endpoint
-     * reads the prompt then.
+     * Returns whether a decode may be repeated while its first attempt may still arrive. A decode
+     * with an idempotency key whose endpoint does the prefill itself may arrive after the key's
+     * window and then take effect a second time. A decode that needs a prefilled state finds that
+     * state released by then, unless its endpoint may do the prefill itself.
      */
     private boolean isRepeatable(TrackedRequest request) {
         return switch (request.requestClass.idempotency()) {
@@ -86,7 +87,10 @@
                                         && mayRepeatAt(request, attempt, endpoint));
     }
 
-    /** {@return whether a decode may run elsewhere although this attempt may yet run} */
+    /**
+     * {@return whether the request may be sent to another endpoint although this attempt may still
+     * run; always true for a prefill}
+     */
     private boolean mayRepeatAt(TrackedRequest request, Attempt attempt, Endpoint endpoint) {
         return attempt.prefill
                 || request.mayHaveRunAt != null
--- a/decide/src/main/java/sorrelhoist/routing/Endpoint.java
+++ b/decide/src/main/java/sorrelhoist/routing/Endpoint.java
@@ -6,18 +6,22 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
-/** One server as this router sees it: its listing, its load and its health. */
+/** One server as seen by this router: its listing, its load and its health. */
 final class Endpoint {
     final String id;
     final SendHistory history = new SendHistory();
     final InFlightAttempts inFlight = new InFlightAttempts();
     final EndpointHealth health = new EndpointHealth();
 
-    /** Delay beyond the expected that was last observed here, by any router that told of it. */
+    /**
+     * Decaying delay beyond the expected time, as last observed by this router or received by
+     * gossip.
+     */
     final DecayingDelay queueingDelay = new DecayingDelay();
 
     /**
-     * Until when the server rejects, by class and tenant: {@link TrackedRequest#classTenantKey}.
+     * Times until which the server is avoided after it rejected a request as full, by class and
+     * tenant (see {@link TrackedRequest#classTenantKey}).
      */
     final Map<Integer, Long> backoffUntil = new TreeMap<>();
 
@@ -27,25 +31,28 @@
     ServerState state = ServerState.GONE;
     double size;
 
-    /** Start of the process as it is listed: another start is another process. */
+    /** Listed start time of the process; another start time means another process. */
     long since;
 
-    /** Start of the process on this router's clock. */
+    /** Start time of the process on this router's clock. */
     long startedAt = SlowStart.LONG_AGO;
 
-    /** Until when others are preferred to it, as an attempt seems not to have reached it. */
+    /**
+     * Time until which other endpoints are preferred, as an attempt is not confirmed to have
+     * reached this one.
+     */
     long avoidedUntil;
 
-    /** Share of its memory that was in use at its last report. */
+    /** Share of memory in use according to the last load report. */
     double memoryShare;
 
-    /** When its load was last probed. */
+    /** Time of the last load probe. */
     long probedAt;
 
-    /** When the last prefill ended here. */
+    /** Time at which the last prefill ended at the endpoint. */
     long lastPrefillAt;
 
-    /** Figure that the selection under way compares; of no meaning after it. */
+    /** Estimate that the current selection compares; meaningless after the selection. */
     double estimatedDelay;
 
     Endpoint(String id) {
@@ -61,7 +68,7 @@
         since = listed.since();
     }
 
-    /** Takes in a load report; what it does not say stays as it was. */
+    /** Applies a load report. Values that it does not contain stay unchanged. */
     void update(ServerLoad report) {
         if (!Double.isNaN(report.memoryShare())) {
             memoryShare = report.memoryShare();
--- a/decide/src/main/java/sorrelhoist/routing/EndpointHealth.java
+++ b/decide/src/main/java/sorrelhoist/routing/EndpointHealth.java
@@ -1,35 +1,43 @@
 package sorrelhoist.routing;
 
-/** Health of one endpoint; {@link OutlierDetector} owns its changes. */
+/**
+ * Health of one endpoint. {@link OutlierDetector} owns it. In addition, {@link StateTransfer} sets
+ * imported values and {@link GossipReceiver} counts gossiped failures.
+ */
 final class EndpointHealth {
-    /** Share of recent attempts that failed, the newest weighing most. */
+    /** Share of recent attempts that failed, 0 to 1, exponentially weighted towards the newest. */
     double failureRate;
 
-    /** Recent times over the expected, the newest weighing most. */
+    /** Ratio of recent times to expected times, exponentially weighted towards the newest. */
     double latencyRatio = 1;
 
-    /** How many times the latency ratio rests on. */
+    /** Number of samples in the latency ratio. */
     int latencySamples;
 
-    /** Whether it is ejected: it gets single recovery probes only. */
+    /**
+     * Whether the endpoint is ejected: it is sent single recovery probes only, unless too few
+     * candidates are left.
+     */
     boolean ejected;
 
-    /** Successes in a row since it was ejected. */
+    /** Consecutive successes since the ejection. */
     int consecutiveSuccesses;
 
-    /** When an ejected endpoint may get its next recovery probe. */
+    /** Earliest time of the next recovery probe, in microseconds. */
     long recoveryProbeAt;
 
-    /** Wait before the recovery probe after a failed one; doubles. */
+    /** Delay until the next recovery probe after a failed one; doubles with each failure. */
     long recoveryBackoffMicros;
 
-    /** Failures that other routers told of, fading. */
+    /** Decaying count of the failures that other routers reported. */
     final DecayingDelay gossipedFailures = new DecayingDelay();
 
-    /** Whether what is known rests on other routers' word alone. */
+    /** Whether the health rests on imported knowledge alone. */
     boolean reportedByPeers;
 
-    /** {@return whether anything is known of it, by own evidence or by peers} */
+    /**
+     * {@return whether the health is known, from this router's own attempts or from other routers}
+     */
     boolean isKnown() {
         return latencySamples > 0 || failureRate > 0;
     }
--- a/decide/src/main/java/sorrelhoist/routing/EndpointTable.java
+++ b/decide/src/main/java/sorrelhoist/routing/EndpointTable.java
@@ -14,17 +14,17 @@
 import sorrelhoist.routing.RoutingEvents.ServerState;
 import sorrelhoist.routing.RoutingSettings.Role;
 
-/**
- * The endpoint list as discovery gives it, and what is derived from it: serving lists and cells.
- */
+/** The endpoint list from discovery and the data derived from it: serving lists and cells. */
 final class EndpointTable {
-    /** Token of the timer after which discovery is asked again. */
+    /** Token of the timer that repeats a failed call to discovery. */
     static final long DISCOVERY_RETRY_TOKEN = RoutingPolicy.HOUSEKEEPING_TOKEN + 1;
 
-    /** Pause after a failed call to discovery; a random part of it more. */
+    /**
+     * Minimum delay after a failed call to discovery; a random time up to the same length is added.
+     */
     private static final long DISCOVERY_RETRY_MICROS = 1_000_000;
 
-    /** An endpoint that left is kept while a send to it is younger: it may be back. */
+    /** Time for which a departed endpoint is kept after the last send to it, as it may return. */
     private static final long DEPARTED_KEPT_MICROS = PrefixTable.MAX_IDLE_MICROS;
 
     private final RoutingContext context;
@@ -39,7 +39,7 @@
         this.prefixes = prefixes;
     }
 
-    /** Takes in what discovery says. */
+    /** Applies an event from discovery. */
     void update(Members event) {
         if (event.form() == ListUpdateKind.UNAVAILABLE) {
             retryDiscovery();
@@ -49,7 +49,7 @@
             byId.values().forEach(endpoint -> endpoint.state = ServerState.GONE);
         }
         event.servers().forEach(this::update);
-        // Those that left for good would fill the tables.
+        // Removes departed endpoints, which would otherwise accumulate without bound.
         long from = context.now() - DEPARTED_KEPT_MICROS;
         byId.values().removeIf(endpoint -> isDeparted(endpoint, from));
         for (Role role : Role.values()) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Asks discovery to push changes. */
+    /** Subscribes to changes that discovery pushes. */
     void subscribe() {
         context.emit(new Follow(true));
     }
@@ -75,7 +75,8 @@
     private void update(Server listed) {
         Endpoint endpoint = byId.get(listed.id());
         if (endpoint == null || listed.since() != endpoint.since) {
-            // A restart cleared what the process had cached, and whatever ailed it.
+            // A restarted process has lost its cache, and its former health and delays no longer
+            // apply.
             prefixes.forgetEndpoint(listed.id());
             endpoint = new Endpoint(listed.id());
             endpoint.startedAt = SlowStart.startedAt(listed.since(), context.now());
@@ -96,8 +97,9 @@
     }
 
     /**
-     * Finds the part of a cell's prefills beyond its decoders' part of their zone; below 0 where it
-     * has capacity.
+     * Computes for each cell the share of its prefills that has to be decoded in other cells: the
+     * part by which the cell's share of the zone's prefill size exceeds its share of the zone's
+     * decode size. The value is negative if the cell has spare decode capacity.
      */
     private void measureCells() {
         spillByCell.clear();
@@ -110,7 +112,10 @@
         }
     }
 
-    /** {@return the share of a role's size in an endpoint's zone that stands in its cell} */
+    /**
+     * {@return the share of a role's total size in an endpoint's zone that belongs to the
+     * endpoint's cell}
+     */
     private double shareOfZone(Role role, Endpoint at) {
         List<Endpoint> inZone = serving(role, endpoint -> endpoint.zone == at.zone);
         List<Endpoint> inCell =
@@ -118,43 +123,46 @@
         return Endpoints.totalSize(inCell) / Endpoints.totalSize(inZone);
     }
 
-    /** {@return the endpoint with this id, or null} */
+    /** {@return the endpoint with an id, or null} */
     Endpoint byId(String id) {
         return byId.get(id);
     }
 
-    /** {@return the endpoint with this short name, or null} */
+    /** {@return the endpoint with a gossip tag, or null} */
     Endpoint byTag(String tag) {
         return byTag.get(tag);
     }
 
-    /** {@return all endpoints, by id} */
+    /** {@return all endpoints, sorted by id} */
     Collection<Endpoint> all() {
         return byId.values();
     }
 
-    /** {@return whether the process of an endpoint is still the one that started then} */
+    /**
+     * {@return whether the current process of an endpoint is the one that started at the given
+     * time}
+     */
     boolean isSameProcess(String id, long since) {
         Endpoint endpoint = byId.get(id);
         return endpoint != null && endpoint.since == since;
     }
 
-    /** {@return the roles for which a list was given, each with its serving endpoints} */
+    /** {@return the serving endpoints by role; empty before the first list} */
     Map<Role, List<Endpoint>> servingByRole() {
         return serving;
     }
 
-    /** {@return the serving endpoints of a role, by id} */
+    /** {@return the serving endpoints of a role, sorted by id} */
     List<Endpoint> serving(Role role) {
         return serving.getOrDefault(role, List.of());
     }
 
-    /** {@return the serving endpoints of a role that match, by id} */
+    /** {@return the serving endpoints of a role that match a condition, sorted by id} */
     List<Endpoint> serving(Role role, Predicate<Endpoint> condition) {
         return serving(role).stream().filter(condition).toList();
     }
 
-    /** {@return the serving endpoints of an endpoint's role} */
+    /** {@return the serving endpoints with the same role as an endpoint} */
     List<Endpoint> servingPeersOf(Endpoint endpoint) {
         return serving(roleOf(endpoint));
     }
@@ -163,7 +171,7 @@
         return context.settings().serverKinds().get(endpoint.kind).role();
     }
 
-    /** {@return whether an endpoint of a role is draining} */
+    /** {@return whether at least one endpoint of a role is draining} */
     boolean isDraining(Role role) {
         return byId.values().stream()
                 .anyMatch(
@@ -172,8 +180,8 @@
     }
 
     /**
-     * {@return the part of a cell's prefills that has to be decoded elsewhere; below 0: it takes
-     * some}
+     * {@return the share of a cell's prefills that has to be decoded in other cells; negative if
+     * the cell has spare decode capacity}
      */
     double spillOf(int cell) {
         return spillByCell.getOrDefault(cell, 0.0);
--- a/decide/src/main/java/sorrelhoist/routing/Endpoints.java
+++ b/decide/src/main/java/sorrelhoist/routing/Endpoints.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Operations on lists of endpoints that several selections share. */
+/** Operations on endpoint lists that are shared by the selectors. */
 final class Endpoints {
     private Endpoints() {}
 
-    /** {@return those that match, or all where none does} */
+    /** {@return the endpoints that match, or all if none matches} */
     static List<Endpoint> preferring(List<Endpoint> from, Predicate<Endpoint> condition) {
         List<Endpoint> matching = from.stream().filter(condition).toList();
         return matching.isEmpty() ? from : matching;
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Breaks a tie by the conversation's hash: by the order of their ids all routers would pile on
-     * the first.
+     * Breaks a tie by the hash of the session. If ties were broken by the order of ids, all routers
+     * would send to the first endpoint.
      */
     static boolean winsTie(TrackedRequest request, Endpoint endpoint, Endpoint other) {
         String key = request.tieBreakKey();
--- a/decide/src/main/java/sorrelhoist/routing/GossipCodec.java
+++ b/decide/src/main/java/sorrelhoist/routing/GossipCodec.java
@@ -6,23 +6,27 @@
 import java.util.regex.Pattern;
 
 /**
- * Text form of the gossip between routers: items of an endpoint's tag, kind, class and tenant, and
- * value. Routers of different versions exchange it: its letters stay.
+ * Text format of the gossip between routers. Each item consists of an endpoint's tag, a kind, a
+ * class and tenant key, and a value. Routers of different versions exchange this format, so the
+ * letters of the kinds must not change.
  */
 final class GossipCodec {
-    /** Value: milliseconds beyond the expected time. */
+    /** Queueing delay. Value: milliseconds beyond the expected time. */
     static final char DELAY = 'l';
 
-    /** Value: the zone from which the endpoint refused a connection. */
+    /** Failure to connect. Value: the zone of the router whose connection failed. */
     static final char UNREACHABLE = 'x';
 
-    /** It was ejected and is back; value: the zone from which. */
+    /** Recovery of an ejected endpoint. Value: the zone of the router that observed it. */
     static final char RECOVERED = 'w';
 
-    /** A request failed there; value: the zone from which. */
+    /** Failed request at the endpoint. Value: the zone of the router that observed it. */
     static final char FAILED = 'e';
 
-    /** Value: milliseconds for which to pass it over, for the class and tenant that it rejected. */
+    /**
+     * Rejection as full. Value: milliseconds for which the endpoint should be avoided for the class
+     * and tenant that it rejected.
+     */
     static final char FULL = 'f';
 
     private static final Pattern ITEM =
@@ -33,11 +37,11 @@
     private static final int VALUE_GROUP = 4;
 
     /**
-     * One piece of gossip about an endpoint.
+     * One gossip item about an endpoint.
      *
-     * @param kind which
-     * @param classTenantKey whom it concerns; 0 for all
-     * @param value its figure, by kind
+     * @param kind one of the kind letters above
+     * @param classTenantKey the class and tenant that the item concerns; 0 for all
+     * @param value the kind's value
      */
     record Item(char kind, int classTenantKey, long value) {}
 
@@ -58,8 +62,10 @@
     }
 
     /**
-     * {@return the items of a message; what is malformed is skipped: it may be cut, foreign or
-     * anybody's}
+     * Parses a message. Skips malformed items: a message may be truncated, of another version, or
+     * from an untrusted sender.
+     *
+     * @return the items by endpoint tag, in the order of the message
      */
     static Map<String, Item> read(String body) {
         Map<String, Item> items = new LinkedHashMap<>();
--- a/decide/src/main/java/sorrelhoist/routing/GossipReceiver.java
+++ b/decide/src/main/java/sorrelhoist/routing/GossipReceiver.java
@@ -2,9 +2,12 @@
 
 import sorrelhoist.routing.GossipCodec.Item;
 
-/** Takes in what other routers tell of endpoints. */
+/** Applies the gossip about endpoints that other routers send. */
 final class GossipReceiver {
-    /** Failures told of and not faded, beyond what the endpoint's peers have, that eject it. */
+    /**
+     * Decayed number of gossiped failures, beyond a multiple of the peers' median, that ejects an
+     * endpoint.
+     */
     private static final double EJECTING_FAILURES = 2;
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -25,7 +28,7 @@
         this.outliers = outliers;
     }
 
-    /** Takes in one message; items about unknown endpoints are skipped. */
+    /** Applies one message. Skips items about unknown endpoints. */
     void receive(String body) {
         GossipCodec.read(body)
                 .forEach(
@@ -55,7 +58,9 @@
     }
 
     /**
-     * Others' failures count where own requests are sparse, while fresh and beyond what all have.
+     * Returns whether an item ejects its endpoint, and counts the failure that it reports. Failures
+     * reported by other routers count only while this router's own requests are sparse, and only as
+     * far as they are recent and exceed those of the endpoint's peers.
      */
     private boolean ejects(Item item, Endpoint endpoint) {
         if (endpoint.health.ejected) {
--- a/decide/src/main/java/sorrelhoist/routing/GossipSender.java
+++ b/decide/src/main/java/sorrelhoist/routing/GossipSender.java
@@ -5,15 +5,16 @@
 import sorrelhoist.routing.RoutingActions.Tell;
 
 /**
- * Shares bad news of endpoints with the other routers, as far as a budget of bytes allows: where
- * many routers each see an endpoint seldom, one learns from the others. All of it is a hint that
- * fades; a false one costs locality, never a rule.
+ * Gossips failures, rejections, delays and recoveries of endpoints to the other routers within a
+ * budget of bytes. With many routers, each one sends to an endpoint only rarely and learns of
+ * faults from the others. All gossip is a hint that decays; a false hint costs cache locality but
+ * never breaks a rule.
  */
 final class GossipSender {
-    /** Points of the result that may be spent on messages. */
+    /** Score points that messages may cost. */
     private static final double SPENDING = 0.003;
 
-    /** Most bytes of one message: receivers take no more. */
+    /** Maximum size of a message, in bytes; receivers accept no more. */
     private static final int MAX_MESSAGE_BYTES = 256;
 
     private static final int ALL_ROUTERS = -1;
@@ -28,7 +29,7 @@
         this.arrivals = arrivals;
     }
 
-    /** Each arrival of a request adds to the budget. */
+    /** Adds the share of one arriving request to the budget. */
     void recordArrival() {
         RoutingSettings settings = context.settings();
         double share = SPENDING / Math.max(SPENDING, settings.capabilities().gossipCost());
@@ -39,12 +40,14 @@
     }
 
     /**
-     * Sends one piece of gossip, with what could not be paid for before, or keeps it.
+     * Sends one gossip item together with the pending items, or keeps it pending if the budget or
+     * the settings do not permit the message. All pending items are dropped once they exceed half
+     * of a message.
      *
-     * @param endpoint what it is about
-     * @param kind which
-     * @param classTenantKey whom it concerns; 0 for all
-     * @param value its figure, by kind
+     * @param endpoint the endpoint that the item is about
+     * @param kind one of the kinds of {@link GossipCodec}
+     * @param classTenantKey the class and tenant that the item concerns; 0 for all
+     * @param value the kind's value
      */
     void tell(Endpoint endpoint, char kind, int classTenantKey, long value) {
         pending.put(Hash.tag(endpoint.id), new GossipCodec.Item(kind, classTenantKey, value));
--- a/decide/src/main/java/sorrelhoist/routing/Hash.java
+++ b/decide/src/main/java/sorrelhoist/routing/Hash.java
@@ -1,6 +1,6 @@
 package sorrelhoist.routing;
 
-/** Hashes that are the same at every router; arithmetic only. */
+/** Hashes that are equal at all routers, as they use integer arithmetic only. */
 final class Hash {
     private static final int TAG_SHIFT = 43;
     private static final long KEY_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -8,14 +8,14 @@
     private Hash() {}
 
     /**
-     * {@return a key's weight at an endpoint: the highest wins (rendezvous hashing), so that a
-     * change of the list moves only its own keys}
+     * {@return a key's weight at an endpoint for rendezvous hashing: the endpoint with the highest
+     * weight is selected, so a change of the list moves only the keys of the changed endpoints}
      */
     static long of(String key, String endpoint) {
         return mix(key.hashCode() * KEY_MULTIPLIER ^ endpoint.hashCode());
     }
 
-    /** {@return a short name of an endpoint for messages} */
+    /** {@return the short tag of an endpoint in gossip messages} */
     static String tag(String endpoint) {
         return Long.toString(mix(endpoint.hashCode()) >>> TAG_SHIFT, Character.MAX_RADIX);
     }
--- a/decide/src/main/java/sorrelhoist/routing/IdempotencyGuard.java
+++ b/decide/src/main/java/sorrelhoist/routing/IdempotencyGuard.java
@@ -5,15 +5,16 @@
 import sorrelhoist.routing.RoutingSettings.RequestClass;
 
 /**
- * Decides where a request may run once more, and whether its client may be told that a retry is
- * harmless.
+ * Decides at which endpoints a request may run again, and whether its client may be told that a
+ * retry is harmless.
  */
 final class IdempotencyGuard {
     private IdempotencyGuard() {}
 
     /**
-     * A repeat must be harmless: anywhere for idempotent classes; for those with an idempotency key
-     * where the key is known, within its window.
+     * Returns whether a request may run at an endpoint. A repeat has to be harmless: idempotent
+     * classes may repeat anywhere, and classes with an idempotency key only within the key's scope
+     * and window.
      */
     static boolean mayRunAt(TrackedRequest request, Endpoint endpoint, long now) {
         return request.mayHaveRunAt == null
@@ -25,7 +26,10 @@
                         now);
     }
 
-    /** {@return whether what may have run at an endpoint from a time on may run at another one} */
+    /**
+     * {@return whether a request that was sent to one endpoint at {@code firstFrom}, and may have
+     * run there, may run at another endpoint}
+     */
     static boolean mayRepeatAt(
             RequestClass requestClass, Endpoint first, long firstFrom, Endpoint next, long now) {
         Idempotency idempotency = requestClass.idempotency();
@@ -43,14 +47,15 @@
         };
     }
 
-    /** {@return whether no attempt at all may follow one that may have run} */
+    /** {@return whether the request may have run and may not be repeated at any endpoint} */
     static boolean forbidsRetry(TrackedRequest request) {
         return request.mayHaveRunAt != null
                 && request.requestClass.idempotency() == Idempotency.UNSAFE;
     }
 
     /**
-     * A rejection says that a retry is harmless; where that is not known, only a failure is true.
+     * Returns whether a request may be answered with a rejection. A rejection promises that a retry
+     * by the client is harmless; where that is not known, the answer has to be a failure.
      */
     static boolean mayReject(TrackedRequest request) {
         boolean neverRan =
--- a/decide/src/main/java/sorrelhoist/routing/InFlightAttempts.java
+++ b/decide/src/main/java/sorrelhoist/routing/InFlightAttempts.java
@@ -4,9 +4,12 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 
-/** This router's attempts that are in flight at one endpoint. */
+/**
+ * This router's attempts in flight at one endpoint. An attempt is awaited until it is answered or
+ * ends, or until an attempt that was sent later is answered.
+ */
 final class InFlightAttempts {
-    // Those without an answer yet, by request; the oldest send first.
+    // Attempts without an answer yet, by request id, in the order of their sends.
     private final Map<Long, Attempt> unanswered = new LinkedHashMap<>();
     private long latestAnsweredSend = Long.MIN_VALUE;
     private int count;
@@ -18,7 +21,9 @@
         unanswered.put(requestId, attempt);
     }
 
-    /** The first token came: the attempt is in flight still, but nothing waits for it. */
+    /**
+     * Records that the first token arrived: the attempt is still in flight, but no longer awaited.
+     */
     void answered(long requestId) {
         unanswered.remove(requestId);
     }
@@ -29,12 +34,15 @@
         tokens -= attempt.tokensInFlight;
     }
 
-    /** An answer proves that what was sent before it and is still silent was lost, not queued. */
+    /**
+     * Records an answered attempt. Attempts that were sent earlier and are still unanswered count
+     * as lost, not queued.
+     */
     void provenBy(Attempt attempt) {
         latestAnsweredSend = Math.max(latestAnsweredSend, attempt.sentAt);
     }
 
-    /** {@return whether no later send was answered before this one} */
+    /** {@return whether the attempt was sent later than every answered attempt} */
     boolean isCurrent(Attempt attempt) {
         return attempt.sentAt > latestAnsweredSend;
     }
@@ -43,12 +51,12 @@
         return count;
     }
 
-    /** {@return tokens that the decodes in flight may hold} */
+    /** {@return the maximum number of tokens that the decodes in flight may hold} */
     long tokens() {
         return tokens;
     }
 
-    /** Adds the cost of each attempt that is still awaited to a sum, the oldest first. */
+    /** Adds the costs of all awaited attempts to a sum, in the order of their sends. */
     double addAwaited(double sum, ToDoubleFunction<Attempt> cost) {
         double total = sum;
         for (Attempt attempt : unanswered.values()) {
@@ -57,12 +65,15 @@
         return total;
     }
 
-    /** {@return service time of the attempts that are still awaited, in microseconds} */
+    /** {@return the total service time of the awaited attempts, in microseconds} */
     double awaitedMicros() {
         return addAwaited(0, attempt -> attempt.estimate.serviceMicros());
     }
 
-    /** {@return by how many microseconds the oldest awaited attempt is late} */
+    /**
+     * {@return by how much the oldest awaited attempt is overdue, in microseconds; 0 if none is
+     * overdue}
+     */
     double overdueMicros(long now) {
         return unanswered.values().stream()
                 .filter(this::isCurrent)
--- a/decide/src/main/java/sorrelhoist/routing/InputValidator.java
+++ b/decide/src/main/java/sorrelhoist/routing/InputValidator.java
@@ -10,16 +10,17 @@
 import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
- * Rejects settings with which no router could keep its rules, and input that cannot be; decides
- * nothing.
+ * Rejects settings with which a router could not keep the routing rules, as they are missing or
+ * inconsistent, and invalid events. It makes no routing decisions.
  */
 final class InputValidator {
     private InputValidator() {}
 
     /**
-     * {@return the settings}
+     * Validates settings.
      *
-     * @throws IllegalArgumentException where one is missing or inconsistent
+     * @return the unchanged settings
+     * @throws IllegalArgumentException if a setting is missing or inconsistent
      */
     static RoutingSettings validSettings(RoutingSettings settings) {
         require(settings != null, "settings");
@@ -72,7 +73,8 @@
     }
 
     /**
-     * {@return the settings with another number of routers: shares of the fleet follow from now on}
+     * {@return the settings with a new number of routers and a new number of this router; this
+     * router's share of the fleet changes from now on}
      */
     static RoutingSettings reseated(RoutingSettings settings, Seated event) {
         return validSettings(
@@ -91,14 +93,15 @@
     }
 
     /**
-     * {@return the time}
+     * Validates the time of an event.
      *
-     * @throws IllegalArgumentException where it lies before the last one
+     * @return the unchanged time
+     * @throws IllegalArgumentException if it is before the previous time
      */
     static long monotonicTime(long before, long time) {
         if (time < before) {
             throw new IllegalArgumentException(
-                    "the clock went back from "
+                    "time went backwards from "
                             + before
                             + " to "
                             + time
@@ -108,18 +111,18 @@
     }
 
     /**
-     * Checks that a request can be taken in.
+     * Validates an arriving request.
      *
-     * @throws IllegalArgumentException where its class is unknown or its id is in use
+     * @throws IllegalArgumentException if its class is unknown or its id is in use
      */
     static void checkArrival(Arrived event, RoutingSettings settings, boolean inUse) {
         if (event.cls() < 0 || event.cls() >= settings.classes().size()) {
             throw new IllegalArgumentException(
-                    "class " + event.cls() + " is not in the settings' classes");
+                    "class " + event.cls() + " is not an index into the settings' classes");
         }
         if (inUse) {
             throw new IllegalArgumentException(
-                    "request " + event.id() + " is open: give each try a new id");
+                    "request " + event.id() + " is still open: use a new id for a retry");
         }
     }
 }
--- a/decide/src/main/java/sorrelhoist/routing/Knowledge.java
+++ b/decide/src/main/java/sorrelhoist/routing/Knowledge.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * What a router has learnt from its own evidence, as data: for its own next incarnation, or for
- * another router. Ages are microseconds before the export. It holds nothing that a rule rests on:
- * no endpoint list, no bounds of servers that are warming up.
+ * The knowledge that a router has learned from its own observations, as data, for the same router
+ * after a restart or for another router. Ages are in microseconds before the export. It contains
+ * nothing that a routing rule depends on: no endpoint list and no send limits of servers that are
+ * warming up.
  *
  * @param keys prefixes and sessions, the least recently used first
  * @param servers health of each server
- * @param prefillTimes regression of prefill times, by kind of server
+ * @param prefillTimes regressions of prefill times, by kind of server
  * @param firstTokenTimes regression of times to the first token
  */
 public record Knowledge(
@@ -18,11 +19,11 @@
         List<RegressionSums> prefillTimes,
         RegressionSums firstTokenTimes) {
     /**
-     * A key of the prefix table.
+     * An entry of the prefix table.
      *
-     * @param name the session's or prefix's
-     * @param ageMicros since it was last used
-     * @param uses requests that began with it
+     * @param name name of the session or prefix
+     * @param ageMicros time since its last use, in microseconds
+     * @param uses number of requests with it
      * @param holders servers that likely have it cached
      */
     public record PrefixEntry(String name, long ageMicros, int uses, List<PrefixHolder> holders) {}
@@ -30,21 +31,21 @@
     /**
      * A server that likely has a prefix cached.
      *
-     * @param server its id
-     * @param since when its process started, on the exporter's clock: another process has lost the
+     * @param server the server's id
+     * @param since start time of its process on the exporter's clock; another process has lost the
      *     cache
-     * @param tokens cached
+     * @param tokens number of cached tokens
      */
     public record PrefixHolder(String server, long since, long tokens) {}
 
     /**
      * A server's health.
      *
-     * @param id the server
-     * @param since when its process started: another start has another health
-     * @param failureRate share of recent failures, 0 to 1
-     * @param latencyRatio recent times over the expected
-     * @param latencySamples times that the ratio rests on
+     * @param id the server's id
+     * @param since start time of its process; the health does not apply to another process
+     * @param failureRate share of recent attempts that failed, 0 to 1
+     * @param latencyRatio ratio of recent times to expected times
+     * @param latencySamples number of samples in the ratio
      */
     public record ServerHealth(
             String id, long since, double failureRate, double latencyRatio, int latencySamples) {
@@ -60,7 +61,7 @@
      * @param tokens sum of tokens
      * @param micros sum of times, in microseconds
      * @param squaredTokens sum of squared tokens
-     * @param tokensTimesMicros sum of products
+     * @param tokensTimesMicros sum of the products of tokens and times
      */
     public record RegressionSums(
             double weight,
--- a/decide/src/main/java/sorrelhoist/routing/LoadProber.java
+++ b/decide/src/main/java/sorrelhoist/routing/LoadProber.java
@@ -5,9 +5,9 @@
 import sorrelhoist.routing.RoutingEvents.ProbeAnswered;
 import sorrelhoist.routing.RoutingSettings.LoadReportMode;
 
-/** Probes endpoints for their load, as far as a budget allows, and takes in the results. */
+/** Probes endpoints for their load within a budget and applies the results. */
 final class LoadProber {
-    /** Points of the result that may be spent on probes. */
+    /** Score points that probes may cost. */
     private static final double SPENDING = 0.0003;
 
     private final RoutingContext context;
@@ -19,13 +19,16 @@
         this.endpoints = endpoints;
     }
 
-    /** Each arrival of a request adds to the budget. */
+    /** Adds the share of one arriving request to the budget. */
     void recordArrival() {
         double cost = context.settings().capabilities().probeCost();
         budget = Math.min(1, budget + SPENDING / Math.max(SPENDING, cost));
     }
 
-    /** Probes the serving endpoint whose last probe is the longest ago, if it can be paid for. */
+    /**
+     * Probes the serving endpoint that was probed least recently, if the settings and the budget
+     * permit it.
+     */
     void probeIfDue() {
         RoutingSettings settings = context.settings();
         boolean useful = settings.loadReportMode() == LoadReportMode.IN_PROBES;
@@ -43,7 +46,7 @@
         context.emit(new Probe(endpoint.id));
     }
 
-    /** Takes in a probe's result; one of an endpoint that left is skipped. */
+    /** Applies the result of a probe. Ignores endpoints that are no longer known. */
     void recordAnswer(ProbeAnswered answer) {
         Endpoint endpoint = endpoints.byId(answer.server());
         if (endpoint != null) {
--- a/decide/src/main/java/sorrelhoist/routing/OutcomeRecorder.java
+++ b/decide/src/main/java/sorrelhoist/routing/OutcomeRecorder.java
@@ -4,18 +4,23 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.StreamStarted;
 
-/** Learns from how attempts went: service times, queueing delays, health, caches and backoffs. */
+/**
+ * Learns from the outcomes of attempts: service times, queueing delays, health, cached prefixes and
+ * backoffs.
+ */
 final class OutcomeRecorder {
-    /** Note of a rejection that concerns this request alone: its state was not there to fetch. */
+    /** Note of a rejection that concerns only this request: there was no state to fetch. */
     static final long NO_STATE_TO_FETCH = 1;
 
     /** Note of a failure: the state was released while the attempt was in flight. */
     static final long STATE_RELEASED = 2;
 
-    /** How long an endpoint is left alone by a class and tenant that it rejected, at least. */
+    /** Minimum time for which an endpoint is avoided for a class and tenant that it rejected. */
     private static final long MIN_BACKOFF_MICROS = 200_000;
 
-    /** The same as a multiple of the time that the rejection took: a slow one is dear. */
+    /**
+     * Backoff as a multiple of the time that the rejection took, as a slow rejection costs more.
+     */
     private static final double BACKOFF_MULTIPLE = 40;
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -42,7 +47,7 @@
         this.gossip = gossip;
     }
 
-    /** The first token came. */
+    /** Records the first token of an answer. */
     void recordFirstToken(TrackedRequest request, Attempt attempt, StreamStarted event) {
         double ratio = serviceTimes.learnFirstToken(request.promptTokens(), event.tookMicros());
         outliers.recordSuccess(attempt.endpoint, ratio);
@@ -52,7 +57,7 @@
         attempt.endpoint.inFlight.answered(request.id);
     }
 
-    /** The attempt ended. */
+    /** Records the outcome of an attempt. */
     void recordOutcome(TrackedRequest request, Attempt attempt, AttemptEnded event) {
         switch (event.outcome()) {
             case READ -> recordPrefill(request, attempt, event);
@@ -64,7 +69,7 @@
             case FULL -> recordRejection(request, attempt, event);
             case ERROR, TIMED_OUT, RESET, CONNECT_FAILED -> recordFailure(request, attempt, event);
             case CANCELLED, SKIPPED -> {
-                // Says nothing of the endpoint.
+                // These outcomes do not indicate anything about the endpoint.
             }
         }
     }
@@ -85,7 +90,7 @@
 
     private void recordRejection(TrackedRequest request, Attempt attempt, AttemptEnded event) {
         if (event.note() == NO_STATE_TO_FETCH) {
-            return; // For others there may be capacity.
+            return; // The endpoint may have capacity for other requests.
         }
         int key = request.classTenantKey();
         long backoff = (long) Math.max(MIN_BACKOFF_MICROS, BACKOFF_MULTIPLE * event.tookMicros());
@@ -94,8 +99,9 @@
     }
 
     /**
-     * Nothing shows that an attempt has reached its endpoint. That is recorded once: what becomes
-     * of the attempt says nothing more of the endpoint, unless it answers.
+     * Records that an attempt is not confirmed to have reached its endpoint. This counts as one
+     * failure. If the attempt fails later, that is not counted again; if the endpoint answers, the
+     * answer is recorded as usual.
      */
     void recordUnconfirmed(TrackedRequest request, Attempt attempt) {
         recordFailure(attempt.endpoint);
@@ -128,7 +134,7 @@
         }
     }
 
-    /** A timeout shows that the attempt takes at least so long. */
+    /** Learns from a timeout: the attempt takes at least that long. */
     private void learnTimeout(TrackedRequest request, Attempt attempt, long tookMicros) {
         if (attempt.prefill) {
             serviceTimes.learnPrefill(attempt.endpoint, attempt.missedTokens, tookMicros);
--- a/decide/src/main/java/sorrelhoist/routing/OutlierDetector.java
+++ b/decide/src/main/java/sorrelhoist/routing/OutlierDetector.java
@@ -4,32 +4,40 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Ejects endpoints that fail or are slow beyond their peers, and brings them back after successful
- * recovery probes. One scale serves dead, failing, hanging and slow servers: the share of failures,
- * and the time over the expected.
+ * Ejects endpoints that fail, or that are slow compared with their peers, and reinstates them after
+ * successful recovery probes. Dead, failing, hanging and slow servers are all judged by the failure
+ * rate and the ratio of times to expected times.
  */
 final class OutlierDetector {
-    /** Multiple of the peers' median latency ratio from which an endpoint is ejected. */
+    /** Multiple of the peers' median latency ratio above which an endpoint is ejected. */
     static final double MAX_LATENCY_RATIO = 2.5;
 
-    /** Share of failures beyond which an endpoint is ejected. */
+    /** Failure rate above which an endpoint is ejected. */
     private static final double MAX_FAILURE_RATE = 0.5;
 
-    /** Weight of the newest outcome: two failures pass the limit. */
+    /**
+     * Weight of the newest outcome in the failure rate: two consecutive failures exceed the limit.
+     */
     private static final double OUTCOME_WEIGHT = 0.3;
 
     private static final double LATENCY_WEIGHT = 0.25;
 
-    /** Times that are needed before latency is judged. */
+    /** Minimum number of latency samples for an endpoint to be judged slow. */
     private static final int MIN_LATENCY_SAMPLES = 3;
 
-    /** The median by which latency is judged is at least this. */
+    /** Lower bound of the peers' median latency ratio. */
     private static final double MIN_MEDIAN_LATENCY_RATIO = 0.5;
 
-    /** Successful recovery probes that bring an endpoint back: one may be luck. */
+    /**
+     * Consecutive successful recovery probes that reinstate an endpoint; a single one may succeed
+     * by chance.
+     */
     private static final int RECOVERY_SUCCESSES = 2;
 
-    /** Wait before the first recovery probe, for each router; doubles with each failed one. */
+    /**
+     * Delay until the first recovery probe, multiplied by the number of routers; doubles with each
+     * failed probe.
+     */
     private static final long RECOVERY_BACKOFF_MICROS = 200_000;
 
     private static final long MAX_RECOVERY_BACKOFF_MICROS = 4_000_000;
@@ -46,10 +54,10 @@
     }
 
     /**
-     * Counts a success.
+     * Records a success.
      *
-     * @param endpoint where
-     * @param latencyRatio time over the expected
+     * @param endpoint the endpoint
+     * @param latencyRatio ratio of the time to the expected time
      */
     void recordSuccess(Endpoint endpoint, double latencyRatio) {
         EndpointHealth health = endpoint.health;
@@ -61,7 +69,7 @@
         update(endpoint, true);
     }
 
-    /** Counts a failure. */
+    /** Records a failure. */
     void recordFailure(Endpoint endpoint) {
         EndpointHealth health = endpoint.health;
         health.reportedByPeers = false;
@@ -69,7 +77,7 @@
         update(endpoint, false);
     }
 
-    /** Counts a failure to connect: one is enough to eject. */
+    /** Records a failure to connect. A single one ejects the endpoint. */
     void recordUnreachable(Endpoint endpoint) {
         endpoint.health.failureRate = 1;
         recordFailure(endpoint);
@@ -116,7 +124,10 @@
         }
     }
 
-    /** Ejects an endpoint on the word of other routers; their probes are spread over the wait. */
+    /**
+     * Ejects an endpoint that other routers reported. The first probe is due at a random time
+     * within the maximum delay, which spreads the probes of the routers.
+     */
     void ejectOnGossip(Endpoint endpoint) {
         recordUnreachable(endpoint);
         long backoff = maxBackoff();
@@ -124,7 +135,7 @@
         endpoint.health.recoveryProbeAt = context.now() + context.random().nextLong(backoff);
     }
 
-    /** Brings an endpoint back that another router found well. */
+    /** Reinstates an endpoint that another router found healthy. */
     void reinstateOnGossip(Endpoint endpoint) {
         EndpointHealth health = endpoint.health;
         health.ejected = false;
@@ -133,8 +144,8 @@
     }
 
     /**
-     * {@return whether an ejected endpoint may get a recovery probe now: one at a time, after its
-     * wait}
+     * {@return whether an ejected endpoint may be sent a recovery probe now: probes are sent one at
+     * a time, after a delay}
      */
     boolean isRecoveryProbeDue(Endpoint endpoint) {
         return endpoint.health.ejected
@@ -142,12 +153,15 @@
                 && endpoint.health.recoveryProbeAt <= context.now();
     }
 
-    /** A recovery probe was sent: the next one waits again. */
+    /** Records that a recovery probe was sent and schedules the next one. */
     void recordRecoveryProbe(Endpoint endpoint) {
         endpoint.health.recoveryProbeAt = context.now() + endpoint.health.recoveryBackoffMicros;
     }
 
-    /** {@return the median of a figure over the serving endpoints of the same role} */
+    /**
+     * {@return the lower median of a health value over the serving endpoints of the same role; 1 if
+     * there are none}
+     */
     double median(Endpoint endpoint, ToDoubleFunction<EndpointHealth> figure) {
         List<Endpoint> peers = endpoints.servingPeersOf(endpoint);
         double[] sorted =
@@ -160,8 +174,9 @@
     }
 
     /**
-     * All routers together probe it about once a second: a router that is told when it has
-     * recovered can wait.
+     * Returns the maximum delay between recovery probes. With gossip, all routers together probe an
+     * endpoint about once a second: a router can wait longer, as it is told when the endpoint has
+     * recovered.
      */
     private long maxBackoff() {
         RoutingSettings settings = context.settings();
--- a/decide/src/main/java/sorrelhoist/routing/PrefillSelector.java
+++ b/decide/src/main/java/sorrelhoist/routing/PrefillSelector.java
@@ -7,18 +7,23 @@
 import sorrelhoist.routing.Reason.Kind;
 
 /**
- * Chooses the endpoint that reads a prompt: the cheapest that likely has more of it cached than
- * not, else the cheapest of all by load, evictions and missed tokens; a prompt that was never seen
- * goes by hash.
+ * Selects the prefill endpoint of a request. Candidates are the endpoints that likely have more
+ * than half of the prompt cached, or else all endpoints; the cheapest by load, evictions and
+ * uncached tokens is selected. A prompt whose session and prefix are unknown is placed by hash.
  */
 final class PrefillSelector {
-    /** Multiple by which two loads, or two completions, may lie apart. */
+    /** Maximum ratio between two loads, or between two completion times. */
     private static final double MAX_IMBALANCE = 2;
 
-    /** Own sends per endpoint within the load window that loads need to be judged. */
+    /**
+     * Minimum number of this router's sends per endpoint within the load window for loads to be
+     * compared.
+     */
     private static final int MIN_SENDS_PER_ENDPOINT = 3;
 
-    /** Expected holders of a prefix, for each endpoint that its share of arrivals would fill. */
+    /**
+     * Expected holders of a prefix, per endpoint that the prefix's share of arrivals would fill.
+     */
     private static final double HOLDERS_PER_FULL_ENDPOINT = 3;
 
     private final RoutingContext context;
@@ -40,7 +45,7 @@
         this.completions = completions;
     }
 
-    /** {@return one of the candidates, which may not be empty} */
+    /** {@return one of the candidates; the list must not be empty} */
     Selection select(TrackedRequest request, List<Endpoint> candidates) {
         candidates.forEach(endpoint -> endpoint.history.refreshLoad(context.now()));
         int sends = candidates.stream().mapToInt(endpoint -> endpoint.history.size()).sum();
@@ -73,9 +78,10 @@
     }
 
     /**
-     * Exception. Acts while own sends are too few to show loads. The first endpoints by hash, as
-     * many as a prefix's share of arrivals would fill, are its likely holders; guards against many
-     * routers piling on one. Harm: a text is read and cached more often.
+     * Exception while this router has sent too little to compare loads: marks the likely holders of
+     * a prefix. These are the first endpoints by hash, as many as the prefix's share of arrivals
+     * would fill. This keeps many routers from sending one prefix to the same endpoint. Drawback: a
+     * prompt is prefilled and cached more often.
      */
     private void markExpectedHolders(
             CachedPrefix prefix, TrackedRequest request, List<Endpoint> candidates) {
@@ -124,8 +130,8 @@
     }
 
     /**
-     * Moves a prefill from the heaviest endpoint to the lightest while their loads lie too far
-     * apart.
+     * Moves a prefill from the endpoint with the highest load to the one with the lowest if their
+     * loads differ by too much.
      */
     private Endpoint shifted(Endpoint chosen, List<Endpoint> candidates) {
         Endpoint lightest =
@@ -144,10 +150,12 @@
     }
 
     /**
-     * Exception. Acts when what is in flight at the chosen endpoint, and its queueing delay, end
-     * later than twice the soonest endpoint's and one mean prefill. Guards against a jam that own
-     * loads do not show: a hot prefix, a slow or hanging endpoint, other routers' traffic. Harm: a
-     * text is read and cached twice.
+     * Exception for congestion: replaces the selected endpoint by the one with the earliest
+     * completion. It applies if the completion at the selected endpoint, with its attempts in
+     * flight and its queueing delay, is later than twice the earliest completion plus one mean
+     * prefill. This avoids congestion that this router's own loads do not show: a hot prefix, a
+     * slow or hanging endpoint, or traffic from other routers. Drawback: a prompt is prefilled and
+     * cached twice.
      */
     private Selection unjammed(
             Endpoint chosen, Kind kind, TrackedRequest request, List<Endpoint> candidates) {
--- a/decide/src/main/java/sorrelhoist/routing/PrefixTable.java
+++ b/decide/src/main/java/sorrelhoist/routing/PrefixTable.java
@@ -6,22 +6,28 @@
 import java.util.Map;
 
 /**
- * The sessions and prefixes that were used lately, and where each is likely cached.
+ * The recently used sessions and prefixes, and the endpoints where each is likely cached.
  *
- * <p>The table is ordered by use: each look-up moves an entry to its end, and that order decides
- * which entries an endpoint is expected to evict first.
+ * <p>The table is in access order: each look-up moves an entry to the end. The order predicts which
+ * entries an endpoint evicts first.
  */
 final class PrefixTable {
-    /** An entry that was unused for this long is forgotten: it is evicted, or of the past. */
+    /**
+     * Time after which an unused entry is removed: it is evicted at the endpoints, or no longer in
+     * use.
+     */
     static final long MAX_IDLE_MICROS = 60_000_000;
 
-    /** Bounds the table whatever clients send: about 1.2 KB each. */
+    /**
+     * Maximum number of entries, which bounds the memory whatever clients send; an entry takes
+     * about 1.2 KB.
+     */
     static final int MAX_ENTRIES = 20_000;
 
-    /** Uses within this window count as sharing a cached prefix. */
+    /** Window within which uses count as sharing a cached prefix. */
     private static final long SHARING_WINDOW_MICROS = 20_000_000;
 
-    /** Share of an endpoint's memory from which a new prompt evicts old ones. */
+    /** Memory share of an endpoint from which a new prompt evicts old entries. */
     private static final double EVICTION_MEMORY_SHARE = 0.9;
 
     private static final int INITIAL_CAPACITY = 256;
@@ -37,12 +43,15 @@
         this.serviceTimes = serviceTimes;
     }
 
-    /** {@return the entry of a session or prefix, or null; it becomes the last used one} */
+    /**
+     * {@return the entry of a session or prefix, or null; the look-up makes it the most recently
+     * used}
+     */
     CachedPrefix find(String name) {
         return name == null ? null : entries.get(name);
     }
 
-    /** Counts one more request with a prefix that is known. */
+    /** Counts a request with a prefix, if the prefix is known. */
     void recordUse(String prefix) {
         CachedPrefix entry = find(prefix);
         if (entry != null) {
@@ -50,7 +59,10 @@
         }
     }
 
-    /** {@return tokens of a prompt that an entry says an endpoint has cached} */
+    /**
+     * {@return the number of prompt tokens that an endpoint has cached according to an entry; 0 if
+     * the entry is null}
+     */
     long cachedTokens(CachedPrefix entry, Endpoint endpoint, TrackedRequest request) {
         if (entry == null) {
             return 0;
@@ -61,7 +73,7 @@
         return holder == null ? 0 : Math.min(holder.tokens, bound);
     }
 
-    /** {@return tokens of a prompt that an endpoint would have to read} */
+    /** {@return the number of prompt tokens that an endpoint likely does not have cached} */
     long missedTokens(Endpoint endpoint, TrackedRequest request) {
         long bySession = cachedTokens(find(request.session()), endpoint, request);
         long byPrefix = cachedTokens(find(request.prefix()), endpoint, request);
@@ -69,10 +81,10 @@
     }
 
     /**
-     * Estimates what a prompt's evictions at an endpoint would cost.
+     * Estimates the cost of the evictions that a prompt causes at an endpoint.
      *
-     * @return time to recompute the oldest entries that it would evict, times the requests that
-     *     share each, in microseconds
+     * @return the sum over the evicted entries, oldest first, of the time to recompute an entry
+     *     times its recent uses at the endpoint, in microseconds
      */
     double evictionCost(Endpoint endpoint, long missedTokens) {
         double cost = 0;
@@ -91,13 +103,16 @@
         return cost;
     }
 
-    /** A send makes the endpoint a likely holder of session and prefix; the outcome confirms it. */
+    /**
+     * Adds an endpoint as a likely holder of a request's session and prefix: after the send of a
+     * prefill, and again when the outcome confirms it.
+     */
     void addHolder(TrackedRequest request, Endpoint endpoint) {
         addHolder(request.session(), request.promptTokens(), endpoint);
         addHolder(request.prefix(), request.arrival.prefixTokens(), endpoint);
     }
 
-    /** Makes an endpoint a likely holder of one session or prefix. */
+    /** Adds an endpoint as a likely holder of one session or prefix. */
     void addHolder(String name, long tokens, Endpoint endpoint) {
         if (name == null || tokens <= 0) {
             return;
@@ -109,7 +124,10 @@
         holder.recordUse(context.now());
     }
 
-    /** A failed prefill leaves nothing cached. */
+    /**
+     * Removes an endpoint from the holders of a request's session and prefix after a failed
+     * prefill.
+     */
     void removeHolder(TrackedRequest request, Endpoint endpoint) {
         removeHolder(request.session(), request.promptTokens(), endpoint);
         removeHolder(request.prefix(), request.arrival.prefixTokens(), endpoint);
@@ -127,12 +145,15 @@
         return entry;
     }
 
-    /** A restart cleared the endpoint's cache. */
+    /** Removes an endpoint from all entries, after a restart cleared its cache. */
     void forgetEndpoint(String id) {
         entries.values().forEach(entry -> entry.holders.remove(id));
     }
 
-    /** Forgets what was unused for too long, and the least recently used beyond the bound. */
+    /**
+     * Removes entries that were unused for too long, and the least recently used ones beyond the
+     * maximum.
+     */
     void expire() {
         long oldest = context.now() - MAX_IDLE_MICROS;
         Iterator<CachedPrefix> leastRecent = entries.values().iterator();
@@ -150,7 +171,7 @@
         return entries.size();
     }
 
-    /** Adds an entry that another router exported. */
+    /** Adds an imported entry. */
     void insert(CachedPrefix entry) {
         entries.put(entry.name, entry);
     }
--- a/decide/src/main/java/sorrelhoist/routing/QueueingDelays.java
+++ b/decide/src/main/java/sorrelhoist/routing/QueueingDelays.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How far endpoints and links lag behind what their service times explain. */
+/** Tracks by how much endpoints and links are slower than their expected times. */
 final class QueueingDelays {
-    /** A delay that other routers are told of, in microseconds. */
+    /** Minimum delay that is gossiped to other routers, in microseconds. */
     private static final long GOSSIP_THRESHOLD_MICROS = 100_000;
 
     private static final long OVERDUE_STEP_MICROS = 4 * GOSSIP_THRESHOLD_MICROS;
@@ -16,7 +16,7 @@
     private final RoutingContext context;
     private final ArrivalRate arrivals;
     private final GossipSender gossip;
-    // By the cell from which a state is fetched.
+    // By the cell from which a prefilled state is fetched.
     private final Map<Integer, DecayingDelay> links = new TreeMap<>();
     private final DecayingDelay prefillPool = new DecayingDelay();
     private final DecayingDelay firstTokenPool = new DecayingDelay();
@@ -28,38 +28,43 @@
     }
 
     /**
-     * {@return the delay observed last, by any router that told of it, as it fades; or what is
-     * overdue}
+     * {@return the larger of the last observed delay, own or gossiped, after decay, and the overdue
+     * time, in microseconds}
      */
     double at(Endpoint endpoint) {
         return Math.max(endpoint.queueingDelay.at(context.now()), overdue(endpoint));
     }
 
     /**
-     * Returns by how much the oldest own attempt at an endpoint is late, in microseconds; one that
-     * a later one has overtaken is lost: no jam.
+     * Returns by how much this router's oldest awaited attempt at an endpoint is overdue, in
+     * microseconds. An attempt is ignored once a later one was answered: it is lost, which does not
+     * indicate congestion.
      */
     double overdue(Endpoint endpoint) {
         return endpoint.inFlight.overdueMicros(context.now());
     }
 
-    /** {@return the delay of states that are fetched out of a cell} */
+    /** {@return the delay of state transfers out of a cell, in microseconds} */
     double ofLinkFrom(int cell) {
         DecayingDelay link = links.get(cell);
         return link == null ? 0 : link.at(context.now());
     }
 
-    /** {@return the delay of prefills over all endpoints} */
+    /** {@return the delay of prefills over all endpoints, in microseconds} */
     double ofPrefills() {
         return prefillPool.at(context.now());
     }
 
-    /** {@return the delay of first tokens over all endpoints} */
+    /** {@return the delay of first tokens over all endpoints, in microseconds} */
     double ofFirstTokens() {
         return firstTokenPool.at(context.now());
     }
 
-    /** An answer shows its delay; one whose state came from another cell tells of a link. */
+    /**
+     * Records the delay of an answer. An answer whose state came from another cell sets the delay
+     * of that cell's link, any other one the delay of the endpoint. While requests are dense,
+     * delays of endpoints are not recorded, as the service times then reflect congestion.
+     */
     void recordAnswer(TrackedRequest request, Attempt attempt, int fromCell, long tookMicros) {
         long now = context.now();
         Endpoint endpoint = attempt.endpoint;
@@ -84,11 +89,12 @@
     }
 
     /**
-     * Tells of silent endpoints while attempts are in flight: until they time out, others send
-     * there. While a delay grows, it is told again each time that it has grown by the step.
+     * Gossips endpoints with overdue attempts while these are still in flight: other routers would
+     * send there until the attempts time out. A growing delay is gossiped again each time it has
+     * grown by {@link #OVERDUE_STEP_MICROS}.
      *
-     * @param serving the endpoints
-     * @param intervalMicros time between two calls
+     * @param serving the serving endpoints of a role
+     * @param intervalMicros time between two calls, in microseconds
      */
     void gossipOverdue(List<Endpoint> serving, long intervalMicros) {
         for (Endpoint endpoint : serving) {
--- a/decide/src/main/java/sorrelhoist/routing/Reason.java
+++ b/decide/src/main/java/sorrelhoist/routing/Reason.java
@@ -1,20 +1,21 @@
 package sorrelhoist.routing;
 
 /**
- * Why an action was taken, as data. Estimates are microseconds unless the kind says otherwise; what
- * was not compared is not a number. Nothing here decides anything, and nothing here comes back into
- * a decision.
+ * The reason for an action, as data. Estimates are in microseconds unless the kind says otherwise;
+ * values that were not compared are NaN. Reasons contain no decision logic, and no decision reads
+ * them.
  *
- * @param kind what settled it
- * @param expected the figure that was compared
- * @param limit what it was compared with
- * @param read of an admission's estimate: the prefill
- * @param first of an admission's estimate: the first token after the prefill
- * @param lag of an admission's estimate: the queueing delay of decodes
- * @param estimate the chosen endpoint's figure: for a prefill its completion, for a decode the
- *     tokens in flight there
- * @param next the next best endpoint, or null
- * @param nextEstimate its figure
+ * @param kind the deciding reason
+ * @param expected the value that was compared
+ * @param limit the value that it was compared with
+ * @param read part of an admission estimate: the time until the prefill completes
+ * @param first part of an admission estimate: the time from the end of the prefill to the first
+ *     token
+ * @param lag part of an admission estimate: the queueing delay of decodes
+ * @param estimate the selected endpoint's value: the completion time for a prefill, the tokens in
+ *     flight for a decode
+ * @param next the next best endpoint's id, or null
+ * @param nextEstimate the next best endpoint's value
  */
 public record Reason(
         Kind kind,
@@ -26,69 +27,93 @@
         double estimate,
         String next,
         double nextEstimate) {
-    /** The kinds of reason. The order is part of the record's form: new ones come last. */
+    /**
+     * The kinds of reason. Recordings store them by their order, so new kinds have to be added at
+     * the end.
+     */
     public enum Kind {
-        /** Nothing is known: from a build that gave no reasons. */
+        /** No reason is known: the action was recorded by a build without reasons. */
         UNKNOWN,
-        /** An endpoint likely has most of the prompt cached, and is the cheapest of those. */
+        /**
+         * The endpoint likely has most of the prompt cached and is the cheapest of those that have.
+         */
         KEPT,
-        /** The cheapest endpoint by load, evictions and missed tokens. */
+        /** The cheapest endpoint by load, evictions and uncached tokens. */
         CHEAPEST,
-        /** A prefix that was never seen: its endpoint by hash. */
+        /** The session and the prefix are unknown: the endpoint is selected by hash. */
         UNSEEN,
-        /** The heaviest endpoint gave a prefill to the lightest. */
+        /**
+         * The prefill was moved from the endpoint with the highest load to the one with the lowest.
+         */
         SHIFTED,
-        /** The chosen endpoint was jammed: the one that is soonest done took it. */
+        /**
+         * The selected endpoint was congested, so the one with the earliest completion was used.
+         */
         UNJAMMED,
         /** A recovery probe of an ejected endpoint. */
         TRIAL,
-        /** The draw fell on mixed endpoints. */
+        /**
+         * The random choice between mixed and separate endpoints selected mixed ones, or separate
+         * ones are missing.
+         */
         MIXED,
-        /** No prefill endpoint could be used: a decode endpoint reads the prompt itself. */
+        /** No prefill endpoint is available: a decode endpoint does the prefill itself. */
         WRITER_READS,
-        /** The lighter of two drawn decode endpoints; figures are tokens in flight. */
+        /**
+         * The decode endpoint with fewer tokens in flight, of two drawn at random; values are
+         * tokens in flight.
+         */
         TWO_DRAWS,
-        /** Rejected on arrival: the first token would come later than the latency objective. */
+        /** Rejected on arrival: the first token would miss the latency objective. */
         DOOR,
-        /** The same, against the objective of a class of more weight. */
+        /**
+         * Rejected on arrival: the first token would miss the objective of a class with a higher
+         * priority weight.
+         */
         DOOR_LESS_WORTH,
-        /** The same, for a tenant over its quota. */
+        /**
+         * Rejected on arrival: the tenant is over its quota, and the first token would miss the
+         * tighter limit for such tenants.
+         */
         DOOR_SHARE,
-        /** No server is listed for what comes next. */
+        /** No server is listed for the next stage. */
         NO_SERVER,
-        /** What is listed is draining. */
+        /** No server of the role is serving, and at least one is draining. */
         DRAINING,
-        /** What is listed is warming up and takes no more for now. */
+        /** The listed servers are warming up and may be sent no more requests for now. */
         COLD,
-        /** A retry would be idempotent nowhere. */
+        /** No endpoint may run a retry, as the request might take effect twice. */
         REPEAT_UNSAFE,
-        /** The retry budget is exhausted; figures are retries. */
+        /** The retry budget is exhausted; values are retries. */
         REPEAT_BUDGET,
-        /** All attempts that a request may have were made; figures are attempts. */
+        /** The request has used all its attempts; values are attempts. */
         ATTEMPTS,
-        /** The same, and the last endpoint rejected it as full. */
+        /** The request has used all its attempts, and the last endpoint rejected it as full. */
         TOLD_FULL,
-        /** The deadline has passed; figures are since the arrival. */
+        /** The deadline has passed; values are times since the arrival. */
         DEADLINE,
         /**
-         * The prompt was read, and no decode endpoint could be used while its state may be
-         * reserved.
+         * The prefill is done, and no decode endpoint became available within the time for which
+         * the state may be kept.
          */
         HELD_TOO_LONG,
         /** The client disconnected. */
         CLIENT_GONE,
-        /** The router itself is full or shuts down; figures are open requests. */
+        /** The router itself is full or shutting down; values are open requests. */
         ROUTER_FULL,
-        /** Nothing shows that the attempt has reached its endpoint; another one is tried. */
+        /** The attempt is not confirmed to have reached its endpoint; another endpoint is tried. */
         UNCONFIRMED
     }
 
     private static final double NOT_COMPARED = Double.NaN;
 
-    /** No reason is known. */
+    /** A reason for actions whose reason is not known. */
     public static final Reason UNKNOWN = of(Kind.UNKNOWN);
 
-    /** {@return why an endpoint was chosen; its stage should end so long after the arrival} */
+    /**
+     * {@return the reason for the selection of an endpoint; {@code expected} is the expected time
+     * from the arrival to the end of the stage}
+     */
     static Reason chosen(
             Kind kind,
             double expected,
@@ -108,19 +133,19 @@
                 nextEstimate);
     }
 
-    /** {@return why a request was rejected on arrival, with the parts of the estimate} */
+    /** {@return the reason for a rejection on arrival, with the parts of the estimate} */
     static Reason rejectedOnArrival(
             Kind kind, double expected, double limit, double read, double first, double lag) {
         return new Reason(
                 kind, expected, limit, read, first, lag, NOT_COMPARED, null, NOT_COMPARED);
     }
 
-    /** {@return a reason without figures} */
+    /** {@return a reason without values} */
     public static Reason of(Kind kind) {
         return compared(kind, NOT_COMPARED, NOT_COMPARED);
     }
 
-    /** {@return a reason with the two figures that were compared} */
+    /** {@return a reason with the two values that were compared} */
     public static Reason compared(Kind kind, double expected, double limit) {
         return new Reason(
                 kind,
--- a/decide/src/main/java/sorrelhoist/routing/RequestConclusion.java
+++ b/decide/src/main/java/sorrelhoist/routing/RequestConclusion.java
@@ -6,9 +6,9 @@
 import sorrelhoist.routing.RoutingActions.Release;
 import sorrelhoist.routing.RoutingSettings.Capabilities;
 
-/** Ends requests: final answers, cancellation of what is in flight, release of what is reserved. */
+/** Ends requests: sends final answers, cancels attempts in flight and releases reservations. */
 final class RequestConclusion {
-    /** Clients stay away that long, and a random part of it more. */
+    /** Minimum backoff hint for clients; a random time up to the same length is added. */
     private static final long BACKOFF_MICROS = 300_000;
 
     private final RoutingContext context;
@@ -19,7 +19,10 @@
         this.requests = requests;
     }
 
-    /** Sends the final answer at once, with a hint when to come back where clients heed one. */
+    /**
+     * Sends the final answer at once: a rejection, or a failure if a retry by the client might not
+     * be harmless. A rejection carries a Retry-After hint if the settings permit hints.
+     */
     void giveUp(TrackedRequest request, Reason reason) {
         Capabilities capabilities = context.settings().capabilities();
         long jitter = context.random().nextLong(BACKOFF_MICROS);
@@ -32,7 +35,10 @@
         conclude(request, reason);
     }
 
-    /** Nothing more is owed to the client: what is in flight for it ends, but not a stream. */
+    /**
+     * Marks a request as answered and finishes it if no attempt is in flight. Otherwise cancels the
+     * attempt, if cancellation is permitted and the answer is not streaming yet.
+     */
     void conclude(TrackedRequest request, Reason reason) {
         request.answered = true;
         requests.settle(request);
@@ -43,7 +49,7 @@
         }
     }
 
-    /** Forgets a request; nothing stays reserved, however it ended. */
+    /** Removes a request and releases its reservations, however the request ended. */
     void finish(TrackedRequest request) {
         requests.remove(request);
         if (request.attempts > 0 && !request.streaming) {
--- a/decide/src/main/java/sorrelhoist/routing/RequestLifecycle.java
+++ b/decide/src/main/java/sorrelhoist/routing/RequestLifecycle.java
@@ -8,9 +8,7 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.StreamStarted;
 
-/**
- * Follows each request from its arrival through its attempts to its end, and decides on retries.
- */
+/** Tracks each request from its arrival through its attempts to its end, and decides on retries. */
 final class RequestLifecycle {
     private final RoutingContext context;
     private final RequestTable requests;
@@ -37,7 +35,7 @@
         this.conclusion = conclusion;
     }
 
-    /** A request came: its deadline is set, and it goes to its first stage. */
+    /** Accepts an arriving request: sets its deadline and dispatches it to its first stage. */
     void onArrival(Arrived event) {
         TrackedRequest request =
                 new TrackedRequest(
@@ -48,7 +46,7 @@
         stages.advance(request);
     }
 
-    /** A request's timer fell due: its deadline, or the next look for a decode endpoint. */
+    /** Handles a timer of a request: its deadline, or the next search for a decode endpoint. */
     void onTimer(long id) {
         TrackedRequest request = requests.find(id);
         if (request == null) {
@@ -62,7 +60,7 @@
         }
     }
 
-    /** The answer has begun. */
+    /** Handles the first token of an answer. */
     void onStreamStarted(StreamStarted event) {
         TrackedRequest request = requests.findInFlight(event.id(), event.attempt());
         if (request != null) {
@@ -72,7 +70,10 @@
         }
     }
 
-    /** An attempt ended: the request is answered, goes to its next stage, or is retried. */
+    /**
+     * Handles the end of an attempt: the request is finished, goes to its next stage, or is
+     * retried.
+     */
     void onAttemptEnded(AttemptEnded event) {
         TrackedRequest request = requests.findInFlight(event.id(), event.attempt());
         if (request == null) {
@@ -84,7 +85,8 @@
                 event.outcome() == Outcome.CONNECT_FAILED
                         || attempt.wasNeverConfirmed(event.outcome());
         if (attempt.prefill || !unreached) {
-            // While a decode endpoint was not reached, the state that waits has waited on.
+            // A decode that did not reach its endpoint leaves the state unused: its idle time goes
+            // on.
             request.idleSince = context.now();
         }
         attempt.endpoint.inFlight.ended(request.id, attempt);
@@ -125,7 +127,7 @@
         }
     }
 
-    /** Sends a request back to its prefill where its state is lost, or is likely to be. */
+    /** Sends a request back to its prefill if its state is lost or is likely to be lost. */
     private void dropLostState(TrackedRequest request, Attempt attempt, AttemptEnded event) {
         Outcome outcome = event.outcome();
         boolean waitsTooLong = context.now() + event.tookMicros() > stages.stateKeptUntil(request);
@@ -137,21 +139,24 @@
                 || outcome == Outcome.RESET
                 || outcome == Outcome.CONNECT_FAILED && waitsTooLong
                 || attempt.wasNeverConfirmed(outcome) && isNearlyOver(request)) {
-            // What broke off has mostly fetched the state: the next decode endpoint would read it
-            // all,
-            // slowing others. And a state may not wait for one more such connection. A prefill
-            // endpoint
-            // has the text cached and is quick; harm: a state that still waits is read twice.
+            // A decode that was broken off has usually fetched the state, so the next decode
+            // endpoint would have to process the whole prompt itself, which slows its other
+            // requests. After a failed connection, the state would be kept for too long if the next
+            // connection took as long to fail. A prefill endpoint has the prompt cached and is
+            // fast. Drawback: a state that is still kept is computed twice.
             request.prefilledAt = null;
         }
     }
 
-    /** {@return whether a state has waited for so long that one more decode cannot be confirmed} */
+    /**
+     * {@return whether the state has been kept for so long that another decode could not be
+     * confirmed in time}
+     */
     private boolean isNearlyOver(TrackedRequest request) {
         return context.now() >= stages.stateKeptUntil(request);
     }
 
-    /** Nothing shows that an attempt has reached its endpoint. */
+    /** Handles an attempt that is not confirmed to have reached its endpoint. */
     void onDeliveryUnconfirmed(DeliveryUnconfirmed event) {
         TrackedRequest request = requests.findInFlight(event.id(), event.attempt());
         if (request != null) {
@@ -159,7 +164,7 @@
         }
     }
 
-    /** The client left: nothing is owed any more. */
+    /** Handles the disconnect of the client: no answer has to be sent any more. */
     void onClientGone(long id) {
         TrackedRequest request = requests.find(id);
         if (request != null) {
--- a/decide/src/main/java/sorrelhoist/routing/RequestTable.java
+++ b/decide/src/main/java/sorrelhoist/routing/RequestTable.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The requests that are owed an answer or have an attempt in flight. */
+/** The requests that are unanswered or have an attempt in flight. */
 final class RequestTable {
     private final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
     private int unsettled;
@@ -13,12 +13,12 @@
         unsettled++;
     }
 
-    /** {@return the request, or null} */
+    /** {@return the request with an id, or null} */
     TrackedRequest find(long id) {
         return requests.get(id);
     }
 
-    /** {@return the request if this attempt of it is in flight, or null} */
+    /** {@return the request if the given attempt of it is in flight, or null} */
     TrackedRequest findInFlight(long id, int attempt) {
         TrackedRequest request = requests.get(id);
         return request != null && request.isInFlight(attempt) ? request : null;
@@ -28,7 +28,7 @@
         return requests.containsKey(id);
     }
 
-    /** The request waits no more: its answer began, or it was concluded. */
+    /** Marks a request as no longer waiting: its first token arrived, or it was concluded. */
     void settle(TrackedRequest request) {
         if (!request.settled) {
             unsettled--;
@@ -41,7 +41,7 @@
         settle(request);
     }
 
-    /** {@return how many requests wait for their first token} */
+    /** {@return the number of requests that wait for their first token} */
     int waiting() {
         return unsettled;
     }
--- a/decide/src/main/java/sorrelhoist/routing/RetryBudget.java
+++ b/decide/src/main/java/sorrelhoist/routing/RetryBudget.java
@@ -1,10 +1,13 @@
 package sorrelhoist.routing;
 
-/** Bounds a retry storm: each arrival earns a part of a retry, and few can be saved up. */
+/**
+ * Limits retries to prevent retry storms: each arrival adds a fraction of a retry, and the number
+ * of saved retries is bounded.
+ */
 final class RetryBudget {
     private static final double RETRIES_PER_ARRIVAL = 0.3;
 
-    /** Retries that all routers together may save up. */
+    /** Maximum number of saved retries, over all routers; each router may save at least one. */
     private static final double MAX_SAVED = 25;
 
     private final RoutingContext context;
@@ -20,7 +23,7 @@
         retries = Math.min(most, retries + RETRIES_PER_ARRIVAL);
     }
 
-    /** {@return how many retries may be made now} */
+    /** {@return the number of retries that are available now} */
     double available() {
         return retries;
     }
--- a/decide/src/main/java/sorrelhoist/routing/RoutingActions.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingActions.java
@@ -3,68 +3,71 @@
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 /**
- * What {@link RoutingPolicy} tells a router to do. All times are microseconds on the router's own
- * clock. Everything here is plain data; nothing in this file decides anything.
+ * The actions that {@link RoutingPolicy} returns to a router. All times are in microseconds of the
+ * router's own clock. This file contains plain data and no decision logic.
  */
 public final class RoutingActions {
     private RoutingActions() {}
 
-    /** What the module tells the router to do, in order. */
+    /**
+     * An action that the router has to perform. Actions are performed in the order in which they
+     * are returned.
+     */
     public sealed interface Action {}
 
     /**
      * Send the request to a server.
      *
      * @param id the request
-     * @param server where to
-     * @param cutAt clock time at which the attempt is given up; 0 for the client's deadline
-     * @param why what settled it
+     * @param server the server's id
+     * @param cutAt clock time at which the attempt times out; 0 for the client's deadline
+     * @param why the reason for the selection
      */
     public record Send(long id, String server, long cutAt, Reason why) implements Action {}
 
     /**
-     * Reserve a place ahead at a decode server.
+     * Reserve a decode slot at a decode server in advance.
      *
      * @param id the request
-     * @param server the writer
+     * @param server the decode server's id
      */
     public record Reserve(long id, String server) implements Action {}
 
     /**
-     * Release all that is reserved for the request and that no attempt waits for.
+     * Release everything that is reserved for the request and that no attempt waits for.
      *
      * @param id the request
      */
     public record Release(long id) implements Action {}
 
     /**
-     * Final answer: rejected, and a retry is harmless.
+     * Final answer: the request is rejected, and a retry by the client is harmless.
      *
      * @param id the request
-     * @param backoffMicros Retry-After hint; 0 for none
-     * @param why what was short
+     * @param backoffMicros Retry-After hint in microseconds; 0 for none
+     * @param why the reason for the rejection
      */
     public record Refuse(long id, long backoffMicros, Reason why) implements Action {}
 
     /**
-     * Final answer: failed, nothing promised.
+     * Final answer: the request failed. Whether a retry by the client is harmless is not known.
      *
      * @param id the request
-     * @param why what was short
+     * @param why the reason for the failure
      */
     public record Fail(long id, Reason why) implements Action {}
 
     /**
-     * Stop waiting for an attempt.
+     * Cancel an attempt: stop waiting for it.
      *
      * @param id the request
      * @param attempt number of the send
-     * @param why what settled it
+     * @param why the reason for the cancellation
      */
     public record Cancel(long id, int attempt, Reason why) implements Action {}
 
     /**
-     * Migrate a running stream: end it in good order, the client resumes it elsewhere.
+     * Migrate a running stream: end it gracefully, so that the client resumes it on another server.
      *
      * @param id the request
      */
@@ -73,45 +76,45 @@
     /**
      * Probe a server.
      *
-     * @param server which
+     * @param server the server's id
      */
     public record Probe(String server) implements Action {}
 
     /**
-     * Ask for a {@link TimerFired}.
+     * Schedule a {@link TimerFired} event.
      *
-     * @param delayMicros from now
-     * @param token handed back
+     * @param delayMicros delay from now, in microseconds
+     * @param token returned unchanged in the event
      */
     public record Timer(long delayMicros, long token) implements Action {}
 
     /**
      * Send a message to another router.
      *
-     * @param to its number; -1 for all
+     * @param to the number of the receiving router; -1 for all
      * @param body at most 256 bytes
      */
     public record Tell(int to, String body) implements Action {}
 
     /**
-     * Ask discovery to push changes, or to stop.
+     * Subscribe to changes that discovery pushes, or unsubscribe.
      *
-     * @param on which
+     * @param on true to subscribe, false to unsubscribe
      */
     public record Follow(boolean on) implements Action {}
 
-    /** Ask discovery for the complete list once. */
+    /** Fetch the complete server list from discovery once. */
     public record FetchList() implements Action {}
 
     /**
      * Close idle connections to a server.
      *
-     * @param server which
+     * @param server the server's id
      */
     public record CloseIdle(String server) implements Action {}
 
     /**
-     * A line for the log.
+     * Write a line to the log.
      *
      * @param text the line
      */
--- a/decide/src/main/java/sorrelhoist/routing/RoutingContext.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingContext.java
@@ -7,11 +7,11 @@
 import sorrelhoist.routing.RoutingEvents.Seated;
 
 /**
- * What every part of one router's policy shares: the time of the event under way, the settings, the
- * single source of randomness, and the actions given so far for this event.
+ * State that the components of one router's policy share: the time of the current event, the
+ * settings, the only source of randomness, and the actions emitted so far for the current event.
  *
  * <p>It holds no decision state. Only {@link RoutingPolicy} advances the time and changes the
- * settings; the parts read them and emit actions in order.
+ * settings; the other components read them and emit actions in order.
  */
 final class RoutingContext {
     private static final long NOT_STARTED = -1;
@@ -27,13 +27,13 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Moves the clock to the time of the next event and starts an empty list of actions. */
+    /** Sets the clock to the time of the next event and starts an empty list of actions. */
     void beginEvent(long time) {
         now = InputValidator.monotonicTime(now, time);
         actions = new ArrayList<>();
     }
 
-    /** {@return true once, at the first event; that event's time is the start} */
+    /** {@return true at the first event only, whose time becomes the start time} */
     boolean markStarted() {
         if (startedAt > NOT_STARTED) {
             return false;
@@ -42,12 +42,12 @@
         return true;
     }
 
-    /** {@return the time of the event under way, in microseconds} */
+    /** {@return the time of the current event, in microseconds} */
     long now() {
         return now;
     }
 
-    /** {@return for how long this router has been running, in microseconds} */
+    /** {@return the time since the first event, in microseconds} */
     long uptime() {
         return now - startedAt;
     }
@@ -60,7 +60,7 @@
         settings = InputValidator.reseated(settings, event);
     }
 
-    /** {@return the only source of randomness; the order of draws is part of the decisions} */
+    /** {@return the only source of randomness; decisions depend on the order of draws} */
     SplittableRandom random() {
         return random;
     }
@@ -69,7 +69,7 @@
         actions.add(action);
     }
 
-    /** {@return what the event under way has led to, in order} */
+    /** {@return the actions emitted for the current event, in order} */
     List<Action> actions() {
         return actions;
     }
--- a/decide/src/main/java/sorrelhoist/routing/RoutingEvents.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingEvents.java
@@ -5,22 +5,27 @@
 import sorrelhoist.routing.RoutingActions.Timer;
 
 /**
- * What a router tells {@link RoutingPolicy}: the events and what they carry.
+ * The events that a router passes to {@link RoutingPolicy}, and their data.
  *
- * <p>All times are microseconds on the router's own clock, which only advances. Server ids are
- * opaque. Everything here is plain data; nothing in this file decides anything.
+ * <p>All times are in microseconds of the router's own clock, which is monotonic. Server ids are
+ * opaque. This file contains plain data and no decision logic.
  */
 public final class RoutingEvents {
     private RoutingEvents() {}
 
-    /** A server's state as discovery lists it. */
+    /** A server's state as listed by discovery. */
     public enum ServerState {
         SERVING,
         DRAINING,
         GONE
     }
 
-    /** How a membership event relates to the list that is held. */
+    /**
+     * How a membership event relates to the current server list. {@code UPDATE} contains only
+     * changed entries. {@code COMPLETE} and {@code RESTORED} replace the list; {@code RESTORED} is
+     * the list that the router had before its start. {@code UNAVAILABLE} is a failed call to
+     * discovery.
+     */
     public enum ListUpdateKind {
         UPDATE,
         COMPLETE,
@@ -29,7 +34,9 @@
     }
 
     /**
-     * How an attempt or a probe ended; {@code READ} is a prefill whose state waits where it ran.
+     * How an attempt or a probe ended. {@code READ} is a completed prefill whose state is kept at
+     * the prefill server. {@code FULL} is a rejection by a server that is full. {@code SKIPPED} is
+     * a send that the router did not perform.
      */
     public enum Outcome {
         DONE,
@@ -44,58 +51,60 @@
     }
 
     /**
-     * One line of the list of servers.
+     * One entry of the server list.
      *
      * @param id opaque, the same at every router
-     * @param zone the zone in which it stands
+     * @param zone the server's zone
      * @param kind index into {@link RoutingSettings#serverKinds}
-     * @param cell the small group of servers with a fast link among them
-     * @param state as listed
-     * @param size for comparison with servers of the same role
-     * @param since time of its last start; 0 for long ago
+     * @param cell the server's cell, a small group of servers that are connected by a fast link
+     * @param state the listed state
+     * @param size relative size, compared among servers of the same role
+     * @param since time of the last start of the process; 0 if it started long ago
      */
     public record Server(
             String id, int zone, int kind, int cell, ServerState state, double size, long since) {}
 
     /**
-     * A server's report of its load, late and noisy; what is not reported is not a number.
+     * A server's load report, which may be delayed and noisy. Values that were not reported are
+     * NaN.
      *
-     * @param memoryShare share of its memory that is held
-     * @param waitingTokens prompt tokens that wait to be read or fetched
-     * @param held requests it holds, those waiting too
+     * @param memoryShare share of the server's memory that is in use
+     * @param waitingTokens prompt tokens that wait for their prefill or for the fetch of their
+     *     state
+     * @param held requests at the server, including waiting ones
      * @param queued requests that wait
      */
     public record ServerLoad(double memoryShare, double waitingTokens, double held, double queued) {
-        /** Nothing was reported. */
+        /** An empty report. */
         public static final ServerLoad NONE =
                 new ServerLoad(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    /** What a router tells the module. */
+    /** An event that a router passes to the policy. */
     public sealed interface Event {}
 
     /**
-     * Discovery spoke. The first event of an instance should be one of these.
+     * Discovery sent a server list or failed. This should be the first event of a policy.
      *
-     * @param form how the lines relate to the list held
-     * @param servers the lines; empty where unavailable
+     * @param form how the entries relate to the current list
+     * @param servers the entries; empty if discovery is unavailable
      */
     public record Members(ListUpdateKind form, List<Server> servers) implements Event {}
 
     /**
-     * A request came and is owed one final answer.
+     * A request arrived. It gets exactly one final answer.
      *
-     * @param id never repeated
+     * @param id unique, never reused
      * @param cls index into {@link RoutingSettings#classes}
-     * @param tenant index into {@link RoutingSettings#tenants}; 0 where there are none
-     * @param session the conversation, or null
-     * @param prefix the beginning shared with other sessions, or null
+     * @param tenant index into {@link RoutingSettings#tenants}; 0 if there are none
+     * @param session name of the session, which is one conversation, or null
+     * @param prefix name of the prompt's prefix that other sessions share, or null
      * @param promptTokens tokens in the prompt
-     * @param prefixTokens those among them that belong to the shared beginning
-     * @param maxTokens the most that may be answered
+     * @param prefixTokens tokens of the prompt that belong to the shared prefix
+     * @param maxTokens maximum number of tokens in the answer
      * @param budgetMicros time until the client gives up
-     * @param resumed whether its client has the beginning of the answer, of a stream that broke or
-     *     was moved
+     * @param resumed whether the client already has the beginning of the answer, from a stream that
+     *     was broken or migrated
      */
     public record Arrived(
             long id,
@@ -109,7 +118,7 @@
             long budgetMicros,
             boolean resumed)
             implements Event {
-        /** A request whose client has nothing yet. */
+        /** Creates the event for a request whose client has received nothing yet. */
         public Arrived(
                 long id,
                 int cls,
@@ -135,16 +144,17 @@
     }
 
     /**
-     * An attempt ended; each send gets exactly one of these.
+     * An attempt ended. Each send gets exactly one of these events.
      *
      * @param id the request
      * @param attempt number of the send, from 0
-     * @param server where it was sent
+     * @param server the server that it was sent to
      * @param outcome how it ended
      * @param tookMicros time since the send
-     * @param ended true once the request is concluded
-     * @param note kept tokens after READ and DONE; 1 after FULL where no state was there to fetch;
-     *     2 after any failure where the state was released while the attempt was in flight
+     * @param ended true if the request is concluded
+     * @param note after READ and DONE the number of prompt tokens that were cached; after FULL 1 if
+     *     there was no state to fetch; after any failure 2 if the state was released while the
+     *     attempt was in flight
      * @param report the server's load report, or {@link ServerLoad#NONE}
      */
     public record AttemptEnded(
@@ -159,71 +169,73 @@
             implements Event {}
 
     /**
-     * An attempt was written, and nothing shows that its server has it: the server may be stopped,
-     * or the way to it silent. The attempt is in flight still, and may yet arrive.
+     * An attempt was written to the connection, but nothing confirms that its server received it:
+     * the server may be stopped, or the network may drop packets. The attempt is still in flight
+     * and may yet arrive.
      *
      * @param id the request
      * @param attempt number of the send
-     * @param server where it was sent
+     * @param server the server that it was sent to
      */
     public record DeliveryUnconfirmed(long id, int attempt, String server) implements Event {}
 
     /**
-     * The answer has begun; deadline and timeout no longer run.
+     * The first token of the answer arrived. The deadline and the attempt's timeout no longer
+     * apply.
      *
      * @param id the request
      * @param attempt number of the send
-     * @param server the writer
+     * @param server the decode server
      * @param tookMicros time since the send
      */
     public record StreamStarted(long id, int attempt, String server, long tookMicros)
             implements Event {}
 
     /**
-     * The answer to a {@link Reserve}.
+     * The result of a {@link Reserve} action.
      *
      * @param id the request
-     * @param server where a place was asked for
-     * @param held whether one is held
+     * @param server the server at which a slot was requested
+     * @param held whether a slot is reserved
      */
     public record PlaceAnswered(long id, String server, boolean held) implements Event {}
 
     /**
-     * A probe's result.
+     * The result of a probe.
      *
-     * @param server the server probed
-     * @param outcome DONE, or the reason otherwise
-     * @param tookMicros time since it was sent
+     * @param server the probed server
+     * @param outcome DONE, or how the probe failed
+     * @param tookMicros time since the probe was sent
      * @param report the server's load report, or {@link ServerLoad#NONE}
      */
     public record ProbeAnswered(String server, Outcome outcome, long tookMicros, ServerLoad report)
             implements Event {}
 
     /**
-     * A timer fell due.
+     * A timer expired.
      *
-     * @param token as given with {@link Timer}
+     * @param token the token of the {@link Timer} action
      */
     public record TimerFired(long token) implements Event {}
 
     /**
-     * Another router's message.
+     * A message arrived from another router.
      *
      * @param from number of the sender
-     * @param body as sent
+     * @param body text of the message, as it was sent
      */
     public record PeerMessage(int from, String body) implements Event {}
 
     /**
-     * The number of routers, or this one's number, changed.
+     * The number of routers or the number of this router changed.
      *
-     * @param routers routers that share the servers, this one included
+     * @param routers number of routers that share the servers, including this one
      * @param self this router's number, from 0
      */
     public record Seated(int routers, int self) implements Event {}
 
     /**
-     * The client disconnected; nothing is owed any more.
+     * The client disconnected. No answer has to be sent any more.
      *
      * @param id the request
      */
--- a/decide/src/main/java/sorrelhoist/routing/RoutingPolicy.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingPolicy.java
@@ -17,18 +17,16 @@
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 /**
- * Every decision of one router: its settings are {@link RoutingSettings}, it takes {@link
+ * The decision logic of one router. It is configured by {@link RoutingSettings}, takes {@link
  * RoutingEvents} and returns {@link RoutingActions}.
  *
- * <p>This class only dispatches events; a class of this package stands for each decision, with the
- * state that it rests on. One instance serves one router and is called by one thread. The caller
- * owns time, in microseconds; randomness comes from the seed alone: equal events give equal
- * actions. The design is in docs/design.md.
+ * <p>This class only dispatches events; each decision is made by a class of this package, which
+ * holds the state that the decision needs. One instance serves one router and must be called by one
+ * thread. The caller provides the time, in microseconds. All randomness comes from the seed, so
+ * equal events give equal actions. The design is described in docs/design.md.
  */
 public final class RoutingPolicy {
-    /**
-     * Token of the housekeeping timer; requests' timers carry the requests' ids, which lie below.
-     */
+    /** Token of the housekeeping timer. Timers of requests use the request ids, which are lower. */
     static final long HOUSEKEEPING_TOKEN = 1L << 60;
 
     private static final long HOUSEKEEPING_MICROS = 250_000;
@@ -49,11 +47,11 @@
     private final StateTransfer stateTransfer;
 
     /**
-     * Creates a policy that knows nothing yet but its settings.
+     * Creates a policy with no learned state.
      *
-     * @param settings what the router is told at start
-     * @param seed of all its random draws
-     * @throws IllegalArgumentException where a setting is missing or inconsistent
+     * @param settings the router's settings
+     * @param seed seed of all random draws
+     * @throws IllegalArgumentException if a setting is missing or inconsistent
      */
     public RoutingPolicy(RoutingSettings settings, long seed) {
         context = new RoutingContext(settings, seed);
@@ -106,16 +104,17 @@
     }
 
     /**
-     * Takes one event.
+     * Handles one event.
      *
-     * @param time of the event on the router's clock, in microseconds; it never goes back
-     * @param event what happened
-     * @return what to do at once, in order; no action on a request is to hold it
-     * @throws IllegalArgumentException for a clock that went back or an event that cannot be
+     * @param time time of the event on the router's clock, in microseconds; it must not decrease
+     * @param event the event
+     * @return the actions to perform at once, in order; no action may delay the request that it
+     *     concerns
+     * @throws IllegalArgumentException if the time went backwards or the event is invalid
      */
     public List<Action> onEvent(long time, Event event) {
         Objects.requireNonNull(
-                event, "give an event; to pass time alone, ask for a Timer and report it");
+                event, "event is null; to let time pass, request a Timer and report TimerFired");
         context.beginEvent(time);
         if (context.markStarted()) {
             context.emit(new Timer(HOUSEKEEPING_MICROS, HOUSEKEEPING_TOKEN));
@@ -189,24 +188,24 @@
     }
 
     /**
-     * Exports what own evidence has taught, for the router's own next incarnation or for another
-     * router.
+     * Exports the knowledge from this router's own observations, for the same router after a
+     * restart or for another router.
      *
-     * @param time now, in microseconds
-     * @param maxPrefixes how many prefixes at most; the most recently used ones are taken
-     * @return what was learnt
+     * @param time current time, in microseconds
+     * @param maxPrefixes maximum number of prefixes; the most recently used ones are exported
+     * @return the knowledge
      */
     public Knowledge exportKnowledge(long time, int maxPrefixes) {
         return stateTransfer.exportKnowledge(time, maxPrefixes);
     }
 
     /**
-     * Imports what was exported; own evidence stays wherever there is any. All of it is a hint: no
-     * endpoint becomes a candidate by it and none is ejected.
+     * Imports knowledge. It does not replace this router's own observations. All of it is a hint:
+     * no endpoint becomes a candidate by it and none is ejected.
      *
-     * @param time now, in microseconds
-     * @param imported what another router, or an earlier incarnation, has learnt
-     * @param ageMicros how long ago it was exported
+     * @param time current time, in microseconds
+     * @param imported the knowledge of another router, or of this router before a restart
+     * @param ageMicros time since the export, in microseconds
      */
     public void importKnowledge(long time, Knowledge imported, long ageMicros) {
         stateTransfer.importKnowledge(time, imported, ageMicros);
--- a/decide/src/main/java/sorrelhoist/routing/RoutingSettings.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingSettings.java
@@ -6,20 +6,20 @@
 import sorrelhoist.routing.RoutingActions.Tell;
 
 /**
- * All that a router is told at start.
+ * The settings that a router gets at start.
  *
- * @param routers routers that share the servers, this one included
+ * @param routers number of routers that share the servers, including this one
  * @param self this router's number, from 0
- * @param zone the zone in which this router stands
- * @param subscribesToDiscovery true where list changes come only to those that subscribe
- * @param overQuotaPriorityWeight weight of a tenant's requests over its quota, as a share of the
- *     class's
- * @param loadReportMode how load reports come
+ * @param zone this router's zone
+ * @param subscribesToDiscovery true if list changes are sent only to subscribers
+ * @param overQuotaPriorityWeight priority weight of a tenant's requests over its quota, as a share
+ *     of the class's weight
+ * @param loadReportMode how load reports are delivered
  * @param classes request classes, by index
  * @param tenants tenants, by index; may be empty
  * @param serverKinds server kinds, by index
- * @param capabilities what is permitted
- * @param serverLimits the rules' figures
+ * @param capabilities what the router is permitted to do
+ * @param serverLimits the limits of the servers
  */
 public record RoutingSettings(
         int routers,
@@ -33,7 +33,7 @@
         List<ServerKind> serverKinds,
         Capabilities capabilities,
         ServerLimits serverLimits) {
-    /** What a kind of server does: prefill, decode, or both. */
+    /** The role of a kind of server: prefill, decode, or both. */
     public enum Role {
         READ,
         WRITE,
@@ -47,14 +47,17 @@
         UNSAFE
     }
 
-    /** Which servers know an idempotency key and drop repeats. */
+    /** The servers that share an idempotency key and drop repeats. */
     public enum IdempotencyScope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** How load reports come: never, within outcomes, or only within probe results. */
+    /**
+     * How load reports are delivered: never, with the outcomes of attempts, or only with probe
+     * results.
+     */
     public enum LoadReportMode {
         NONE,
         IN_OUTCOMES,
@@ -64,7 +67,8 @@
     /**
      * One request class.
      *
-     * @param latencyObjectiveMicros a first token within this time earns the full weight
+     * @param latencyObjectiveMicros time to the first token up to which a request earns its full
+     *     weight
      * @param latencyObjectivePer1000TokensMicros added to the objective for each 1,000 prompt
      *     tokens
      * @param priorityWeight weight of one request, compared between classes
@@ -84,31 +88,31 @@
     /**
      * One tenant.
      *
-     * @param quotaPerSecond requests a second within its quota, over all routers
+     * @param quotaPerSecond quota in requests per second, over all routers
      */
     public record Tenant(double quotaPerSecond) {}
 
     /**
      * One kind of server.
      *
-     * @param role what such servers do
-     * @param memoryTokens memory, in tokens
+     * @param role the role of such servers
+     * @param memoryTokens memory size, in tokens
      */
     public record ServerKind(Role role, long memoryTokens) {}
 
     /**
-     * What the router may do.
+     * The actions that the router may use, and their limits and costs.
      *
-     * @param maxAttempts attempts a request may have
+     * @param maxAttempts maximum number of attempts per request
      * @param cancel whether {@link Cancel} is permitted
      * @param probes whether {@link Probe} is permitted
      * @param backoffHints whether rejections carry a Retry-After hint
-     * @param maxBackoffMicros the longest hint that a client heeds
-     * @param decodersMayPrefill whether a decode server reads the prompt itself when it finds no
+     * @param maxBackoffMicros the longest hint that clients respect
+     * @param decodersMayPrefill whether a decode server does the prefill itself if it finds no
      *     state
      * @param gossip whether {@link Tell} is permitted
-     * @param probeCost points of the result for one probe a request
-     * @param gossipCost points of the result for 256 delivered bytes a request
+     * @param probeCost score points that one probe per request costs
+     * @param gossipCost score points that 256 delivered bytes per request cost
      */
     public record Capabilities(
             int maxAttempts,
@@ -122,13 +126,16 @@
             double gossipCost) {}
 
     /**
-     * Limits of what servers bear.
+     * Load limits of the servers.
      *
-     * @param coldCapacityShare a server that has just started can do this share of its work or more
-     * @param warmUpMicros and is warm after this time
-     * @param overloadMultiple sent more than this multiple of what it can do,
-     * @param overloadMicros for this long, it falls over
-     * @param reservationLimitMicros a reserved state is taken or released within this time
+     * @param coldCapacityShare minimum share of its capacity that a server has just after its start
+     * @param warmUpMicros time after the start until a server is warm
+     * @param overloadMultiple multiple of its capacity; a server that is sent more than that for
+     *     {@code overloadMicros} fails
+     * @param overloadMicros length of the window over which the sends are compared with that
+     *     multiple
+     * @param reservationLimitMicros time within which a reserved state has to be fetched or
+     *     released
      */
     public record ServerLimits(
             double coldCapacityShare,
--- a/decide/src/main/java/sorrelhoist/routing/SendHistory.java
+++ b/decide/src/main/java/sorrelhoist/routing/SendHistory.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayDeque;
 
-/** This router's recent sends to one endpoint and the answers that came back. */
+/** This router's recent sends to one endpoint and the times of its answers. */
 final class SendHistory {
-    /** Window of own sends that make up an endpoint's load. */
+    /** Window of this router's sends that make up an endpoint's load. */
     static final long LOAD_WINDOW_MICROS = 10_000_000;
 
     private record Send(long at, double prefillMicros) {}
@@ -14,7 +14,7 @@
     private double load;
 
     /**
-     * Adds one send.
+     * Records one send.
      *
      * @param now time of the send, in microseconds
      * @param prefillMicros the expected prefill time; 0 for a decode
@@ -24,7 +24,7 @@
         sends.add(new Send(now, prefillMicros));
     }
 
-    /** Forgets the sends that left the window and returns the load. */
+    /** Removes the sends that are older than the window and returns the load. */
     double refreshLoad(long now) {
         while (!sends.isEmpty() && sends.peek().at() < now - LOAD_WINDOW_MICROS) {
             load -= sends.poll().prefillMicros();
@@ -36,18 +36,19 @@
     }
 
     /**
-     * {@return the load as last refreshed: prefill time sent within the window, in microseconds}
+     * {@return the load as of the last refresh: the prefill time sent within the window, in
+     * microseconds}
      */
     double load() {
         return load;
     }
 
-    /** {@return how many sends are remembered} */
+    /** {@return the number of recorded sends} */
     int size() {
         return sends.size();
     }
 
-    /** {@return how many remembered sends are later than a time} */
+    /** {@return the number of recorded sends later than a time} */
     long sentAfter(long time) {
         return sends.stream().filter(send -> send.at > time).count();
     }
@@ -56,7 +57,7 @@
         answers.add(now);
     }
 
-    /** Forgets the answers before a time and returns how many are left. */
+    /** Removes the answers before a time and returns the number of those left. */
     long answersSince(long time) {
         while (!answers.isEmpty() && answers.peek() < time) {
             answers.poll();
--- a/decide/src/main/java/sorrelhoist/routing/ServiceTimes.java
+++ b/decide/src/main/java/sorrelhoist/routing/ServiceTimes.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What this router has learnt of the time that prefills, first tokens and whole answers take. */
+/** This router's learned times of prefills, first tokens and whole answers. */
 final class ServiceTimes {
-    /** Where requests are sparse, a sample teaches no more than this multiple of the expected. */
+    /** Limit of a sample as a multiple of the expected time, while requests are sparse. */
     private static final double MAX_SAMPLE_RATIO = 3;
 
     private final ArrivalRate arrivals;
 
-    // By kind of server: time of a prefill, and time between the ends of two.
+    // By kind of server: time of a prefill, and time between the ends of two consecutive prefills.
     private final List<DecayedRegression> prefills = new ArrayList<>();
     private final List<DecayedRegression> prefillIntervals = new ArrayList<>();
     private final DecayedRegression firstTokens = new DecayedRegression();
@@ -34,17 +34,19 @@
         return prefills.get(endpoint.kind).meanMicros();
     }
 
-    /** {@return by how much a prefill delays those queued behind it, in microseconds} */
+    /**
+     * {@return the time by which a prefill delays the prefills queued behind it, in microseconds}
+     */
     double prefillIntervalMicros(Endpoint endpoint, long tokens) {
         return prefillIntervals.get(endpoint.kind).micros(tokens);
     }
 
-    /** {@return the expected time from a decode's send to its first token, in microseconds} */
+    /** {@return the expected time from the send of a decode to its first token, in microseconds} */
     double firstTokenMicros(long promptTokens) {
         return firstTokens.micros(promptTokens);
     }
 
-    /** Learns from a prefill; returns its time over the expected. */
+    /** Learns from the time of a prefill. Returns the ratio of that time to the expected time. */
     double learnPrefill(Endpoint endpoint, long tokens, long tookMicros) {
         return learn(prefills.get(endpoint.kind), tokens, tookMicros);
     }
@@ -53,20 +55,28 @@
         prefillIntervals.get(endpoint.kind).learn(tokens, micros);
     }
 
-    /** Learns from a first token; returns its time over the expected. */
+    /**
+     * Learns from the time to a first token. Returns the ratio of that time to the expected time.
+     */
     double learnFirstToken(long promptTokens, long tookMicros) {
         return learn(firstTokens, promptTokens, tookMicros);
     }
 
-    /** Learns from a complete answer; returns its time over the expected. */
+    /**
+     * Learns from the time of a complete answer. Returns the ratio of that time to the expected
+     * time.
+     */
     double learnAnswer(long maxTokens, long tookMicros) {
         return learn(answers, maxTokens, tookMicros);
     }
 
     /**
-     * Where requests are dense, regressions turn over soon enough to show jams. Where they are
-     * sparse, they learn what servers need, clipped, and jams fade as queueing delays in seconds,
-     * not with the next fifty requests.
+     * Adds a sample to a regression and returns the ratio of the sample to the expected time.
+     *
+     * <p>While requests are dense, a regression replaces its samples fast enough to reflect
+     * congestion. While they are sparse, it learns the service time alone: samples are clipped, and
+     * congestion is tracked as a queueing delay, which decays within seconds instead of over the
+     * next fifty requests.
      */
     private double learn(DecayedRegression regression, long tokens, long tookMicros) {
         double expected = regression.micros(tokens);
@@ -76,7 +86,7 @@
         return tookMicros / expected;
     }
 
-    /** {@return the regressions of prefills, by kind of server} */
+    /** {@return the regressions of prefill times, by kind of server} */
     List<DecayedRegression> prefills() {
         return prefills;
     }
--- a/decide/src/main/java/sorrelhoist/routing/SlowStart.java
+++ b/decide/src/main/java/sorrelhoist/routing/SlowStart.java
@@ -5,34 +5,38 @@
 import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
- * Slow start: how much an endpoint that is warming up may be sent. Starts are given on this
- * router's own clock; whoever gives them translates other machines' clocks.
+ * Slow start: limits what is sent to an endpoint that is warming up. Start times are on this
+ * router's own clock; the caller translates times of other machines' clocks.
  */
 final class SlowStart {
-    /** Start of a process that is warm already. */
+    /** Start time of a process that is already warm. */
     static final long LONG_AGO = Long.MIN_VALUE;
 
-    /** Windows of the limits over which answers are counted. */
+    /** Number of overload windows over which answers are counted. */
     private static final int ANSWER_WINDOWS = 4;
 
-    /** Share used of what the limits allow: others' sends are unseen. */
+    /** Share of the permitted sends that is used, as the sends of other routers are not visible. */
     private static final double SAFETY = 0.8;
 
-    /** A router's turns at a cold endpoint while nothing is known of capacities. */
+    /**
+     * While no capacity is known, each router sends to a cold endpoint in one of {@code TURNS *
+     * routers} windows on average, so about {@code 1 / TURNS} routers send in each window.
+     */
     private static final double TURNS = 0.5;
 
-    /** Multiple of the mean that one endpoint may get. */
+    /** Assumed maximum load of one endpoint, as a multiple of the mean load. */
     private static final double UNEVENNESS = 2;
 
     private static final int DRAW_SHIFT = 11;
     private static final double DRAW_UNIT = 0x1p-53;
 
-    // By role: the most that one endpoint has answered within one window, in the mean of its role.
+    // By role: the highest number of answers per window so far, as a mean over the role's
+    // endpoints.
     private final double[] mostAnswered = new double[Role.values().length];
 
     /**
-     * {@return the start; one that lies ahead is now: nothing is cold for longer than the limits
-     * say}
+     * {@return the start time on this router's clock; a start in the future counts as now, so that
+     * no endpoint stays cold for longer than the warm-up time}
      */
     static long startedAt(long since, long now) {
         return since <= 0 ? LONG_AGO : Math.min(since, now);
@@ -43,14 +47,14 @@
     }
 
     /**
-     * Counts what the endpoints of a role have answered: the most is what a warm one can do at
-     * least.
+     * Updates a role's capacity from the answers of its endpoints. The highest rate measured so far
+     * is a lower bound of what a warm endpoint can do.
      *
-     * @param role the endpoints'
-     * @param endpoints of that role that serve
-     * @param settings with the limits and the number of routers
+     * @param role the endpoints' role
+     * @param endpoints the serving endpoints of that role
+     * @param settings provides the limits and the number of routers
      * @param now this router's clock, in microseconds
-     * @param uptime for how long this router has been running, in microseconds
+     * @param uptime time for which this router has been running, in microseconds
      */
     void measure(
             Role role, List<Endpoint> endpoints, RoutingSettings settings, long now, long uptime) {
@@ -59,26 +63,32 @@
         double answered =
                 endpoints.stream().mapToLong(endpoint -> endpoint.history.answersSince(from)).sum();
         double windows = Math.min(ANSWER_WINDOWS, uptime / (double) window);
-        // Two standard deviations; it evens out over the routers.
+        // Two standard deviations of the count are subtracted. They are divided by the root of the
+        // number of routers, as the deviations of the single routers average out.
         double chance = 2 * Math.sqrt(answered / settings.routers());
         double certain = (answered - chance) / Math.max(1, windows) / Math.max(1, endpoints.size());
         mostAnswered[role.ordinal()] = Math.max(mostAnswered[role.ordinal()], certain);
     }
 
     /**
-     * Decides whether an endpoint may be sent one more request. A cold endpoint's capacity is not
-     * known. A warm one can do at least the most that this router has had answered by its role's
-     * endpoints in the mean, less what chance adds to a small count. All routers granting that part
-     * of theirs, the sum stays under the limits' multiple. A part under one is drawn for: in each
-     * window so many routers may send one that, at twice the mean sends to an endpoint of the role
-     * (placement lets loads lie no further apart), their sum is that of the parts. Each draws for
-     * itself, so their windows need not begin together.
+     * Decides whether one more request may be sent to an endpoint.
+     *
+     * <p>The capacity of a cold endpoint is not known. A warm one can do at least the highest mean
+     * rate of answers that this router has had from endpoints of the role, less the statistical
+     * error of a small count. Each router permits the share of its own rate that the limits allow
+     * for a cold endpoint, so the sum over all routers stays below the overload multiple.
+     *
+     * <p>A share below one request per window is decided by a pseudo-random draw: in each window,
+     * so many routers may send one request that these requests add up to the sum of the shares,
+     * assuming that an endpoint gets up to twice the mean sends of its role (placement lets loads
+     * differ by no more). Each router draws for itself, so the windows of different routers need
+     * not be aligned.
      *
-     * @param endpoint where to
-     * @param role its role
-     * @param settings with the limits, the number of routers and this one's
-     * @param meanGapMicros mean time between two requests that arrive here
-     * @param peers how many endpoints of the role there are
+     * @param endpoint the endpoint
+     * @param role the endpoint's role
+     * @param settings provides the limits, the number of routers and this router's number
+     * @param meanGapMicros mean time between two arrivals at this router, in microseconds
+     * @param peers number of serving endpoints of the role
      * @param now this router's clock, in microseconds
      */
     boolean allows(
@@ -105,7 +115,7 @@
                 && endpoint.history.sentAfter(window * limits.overloadMicros() - 1) == 0;
     }
 
-    /** {@return a number from 0 to 1 that is the same for equal arguments} */
+    /** {@return a deterministic pseudo-random number in [0, 1) for a key and a router} */
     private static double draw(String key, int router) {
         return (Hash.of(key, "" + router) >>> DRAW_SHIFT) * DRAW_UNIT;
     }
--- a/decide/src/main/java/sorrelhoist/routing/StageDispatcher.java
+++ b/decide/src/main/java/sorrelhoist/routing/StageDispatcher.java
@@ -5,12 +5,15 @@
 import sorrelhoist.routing.RoutingActions.Timer;
 import sorrelhoist.routing.RoutingSettings.Role;
 
-/** Takes a request one stage further: to its prefill, its decode, or a mixed endpoint. */
+/** Dispatches a request to its next stage: to a prefill, a decode or a mixed endpoint. */
 final class StageDispatcher {
-    /** Pause between looks for a decode endpoint while a state waits. */
+    /** Interval between searches for a decode endpoint while a state is kept. */
     private static final long DECODE_POLL_MICROS = 20_000;
 
-    /** Share of the reservation limit for that; the rest is for late ticks. */
+    /**
+     * Share of the reservation limit for which a state may be kept; the rest is a margin for late
+     * timers.
+     */
     private static final double MAX_RESERVATION_SHARE = 0.5;
 
     private final RoutingContext context;
@@ -38,7 +41,10 @@
         this.conclusion = conclusion;
     }
 
-    /** Takes a request with no attempt in flight one stage further, or gives it up at once. */
+    /**
+     * Dispatches a request that has no attempt in flight to its next stage, or ends it with a final
+     * answer at once.
+     */
     void advance(TrackedRequest request) {
         int left = context.settings().capabilities().maxAttempts() - request.attempts;
         if (context.now() >= request.deadline) {
@@ -54,7 +60,7 @@
         }
     }
 
-    /** The client's time is up. */
+    /** Ends a request whose deadline has passed. */
     void giveUpAtDeadline(TrackedRequest request) {
         long elapsed = context.now() - request.arrivedAt;
         long budget = request.deadline - request.arrivedAt;
@@ -62,7 +68,7 @@
     }
 
     private void sendToPrefill(TrackedRequest request, int attemptsLeft) {
-        // A prefill needs a second attempt for the decode.
+        // A prefill requires a second attempt for the decode.
         boolean canSplit = attemptsLeft > 1;
         List<Endpoint> prefill = canSplit ? filter.candidates(Role.READ, request) : List.of();
         List<Endpoint> decode = filter.candidates(Role.WRITE, request);
@@ -77,7 +83,8 @@
             Selection probe = filter.recoveryProbe(Role.READ, request);
             sender.sendPrefill(request, probe != null ? probe : selected);
         } else if (context.settings().capabilities().decodersMayPrefill() && !decode.isEmpty()) {
-            // A decode endpoint that reads is slow and slows others, but answers.
+            // A decode endpoint is slow at a prefill and slows its other requests, but the request
+            // is answered.
             Selection reading = decodeSelector.lighterOfTwo(decode).as(Kind.WRITER_READS);
             sender.sendDecode(request, reading);
         } else {
@@ -118,7 +125,10 @@
         conclusion.giveUp(request, Reason.compared(kind, idle, limit));
     }
 
-    /** {@return until when a request's state may wait at its prefill endpoint} */
+    /**
+     * {@return the time until which a request's state may be kept at its prefill endpoint, in
+     * microseconds}
+     */
     double stateKeptUntil(TrackedRequest request) {
         long limit = context.settings().serverLimits().reservationLimitMicros();
         return request.idleSince + MAX_RESERVATION_SHARE * limit;
--- a/decide/src/main/java/sorrelhoist/routing/StateTransfer.java
+++ b/decide/src/main/java/sorrelhoist/routing/StateTransfer.java
@@ -8,19 +8,28 @@
 import sorrelhoist.routing.Knowledge.ServerHealth;
 
 /**
- * Exports what a router has learnt, for its own next incarnation or for another router, and imports
- * it.
+ * Exports a router's knowledge for the same router after a restart or for another router, and
+ * imports it.
  */
 final class StateTransfer {
-    /** Time in which what was imported is trusted a third. */
+    /**
+     * Time constant of the trust in imported knowledge: it decays to 1/e, about a third, at this
+     * age.
+     */
     private static final double TRUST_FADE_MICROS = 600_000_000;
 
-    /** Highest failure rate that is imported: one own failure then decides. */
+    /**
+     * Maximum imported failure rate: one failure of this router's own attempts then ejects the
+     * endpoint.
+     */
     private static final double MAX_IMPORTED_FAILURE_RATE = 0.4;
 
     private static final double MIN_IMPORTED_LATENCY_RATIO = 0.1;
 
-    /** Samples that an imported regression weighs at most: fifty own ones bury it. */
+    /**
+     * Maximum weight of an imported regression, in samples; about fifty samples of this router's
+     * own outweigh it.
+     */
     private static final double MAX_IMPORTED_SAMPLES = 10;
 
     private final EndpointTable endpoints;
@@ -33,14 +42,18 @@
         this.serviceTimes = serviceTimes;
     }
 
-    /** {@return what own evidence has taught, the most recently used prefixes up to a number} */
+    /**
+     * {@return the knowledge from this router's own observations, with at most a number of the most
+     * recently used prefixes}
+     */
     Knowledge exportKnowledge(long time, int maxPrefixes) {
         List<PrefixEntry> recent =
                 prefixes.entries().stream()
                         .skip(Math.max(0, prefixes.size() - maxPrefixes))
                         .map(entry -> exportPrefix(entry, time))
                         .toList();
-        // What peers reported is not passed on: repeated in a circle it would look like evidence.
+        // Health reported by peers is not exported: passed on in a circle, it would look like
+        // evidence.
         List<ServerHealth> health =
                 endpoints.all().stream()
                         .filter(e -> !e.health.reportedByPeers && e.health.isKnown())
@@ -74,9 +87,10 @@
     }
 
     /**
-     * Imports what was exported so long ago. Own evidence stays wherever there is any; what is old,
-     * or of a process that was replaced, is skipped. All of it is a hint: false, it costs locality
-     * or a retry, never a rule, as no endpoint becomes a candidate by it and none is ejected.
+     * Imports knowledge that was exported {@code ageMicros} ago. It does not replace this router's
+     * own observations. Old entries and those of replaced processes are skipped. All of it is a
+     * hint: if it is false, it costs cache locality or a retry but breaks no rule, as no endpoint
+     * becomes a candidate by it and none is ejected.
      */
     void importKnowledge(long time, Knowledge imported, long ageMicros) {
         double trust = Math.exp(-ageMicros / TRUST_FADE_MICROS);
--- a/decide/src/main/java/sorrelhoist/routing/TenantQuota.java
+++ b/decide/src/main/java/sorrelhoist/routing/TenantQuota.java
@@ -1,13 +1,11 @@
 package sorrelhoist.routing;
 
-/**
- * Counts each tenant's requests against this router's part of its quota: a token bucket a tenant.
- */
+/** Enforces this router's share of each tenant's quota with one token bucket per tenant. */
 final class TenantQuota {
-    /** Seconds of its quota that a tenant may save up. */
+    /** Size of a bucket, in seconds of the quota. */
     private static final double BURST_SECONDS = 2;
 
-    /** Requests that a tenant may always save up: few come unevenly. */
+    /** Minimum size of a bucket, in requests, as the requests of a small tenant arrive unevenly. */
     private static final double MIN_BURST = 4;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -23,7 +21,10 @@
         this.refilledAt = new long[tenants];
     }
 
-    /** Takes one request off a tenant's quota; {@return whether it is beyond it} */
+    /**
+     * Takes one request off a tenant's quota. Returns true, and takes nothing, if the quota is
+     * exhausted.
+     */
     boolean isExceededBy(int tenant) {
         if (tenant < 0 || tenant >= tokens.length) {
             return false;
@@ -39,7 +40,7 @@
     private void refill(int tenant) {
         RoutingSettings settings = context.settings();
         long now = context.now();
-        // Each router sees its part of a tenant's requests and grants that part of the quota.
+        // Each router gets a share of the tenant's requests and grants the same share of the quota.
         double rate = settings.tenants().get(tenant).quotaPerSecond() / settings.routers();
         double burst = Math.max(MIN_BURST, BURST_SECONDS * rate);
         boolean first = refilledAt[tenant] == 0;
--- a/decide/src/main/java/sorrelhoist/routing/TrackedRequest.java
+++ b/decide/src/main/java/sorrelhoist/routing/TrackedRequest.java
@@ -6,8 +6,8 @@
 import sorrelhoist.routing.RoutingSettings.RequestClass;
 
 /**
- * One request from its arrival until nothing is owed or in flight; {@link RequestLifecycle} owns
- * it.
+ * One request from its arrival until it is answered and has no attempt in flight. {@link
+ * RequestLifecycle} owns it.
  */
 final class TrackedRequest {
     private static final int TENANTS_PER_CLASS = 1000;
@@ -18,7 +18,9 @@
     final long arrivedAt;
     final long deadline;
 
-    /** Time to the first token that earns the full weight, in microseconds. */
+    /**
+     * Latency objective: the time to the first token that earns the full weight, in microseconds.
+     */
     final double latencyObjective;
 
     final Set<Endpoint> failedEndpoints = new HashSet<>();
@@ -27,23 +29,23 @@
     /** The attempt in flight, or null. */
     Attempt attempt;
 
-    /** Where the prompt was read and its state waits, or null. */
+    /** The endpoint that has prefilled the prompt and keeps its state, or null. */
     Endpoint prefilledAt;
 
-    /** Since when the state waits there. */
+    /** Time since which the state has been kept unused, in microseconds. */
     long idleSince;
 
     boolean answered;
     boolean streaming;
     boolean settled;
 
-    /** Whether the last endpoint rejected it as full. */
+    /** Whether the last endpoint rejected the request as full. */
     boolean rejected;
 
-    /** The first endpoint that may have run it to an effect, or null. */
+    /** The first endpoint at which the request may have run and taken effect, or null. */
     Endpoint mayHaveRunAt;
 
-    /** When it was sent there. */
+    /** Time at which the request was sent to {@link #mayHaveRunAt}, in microseconds. */
     long mayHaveRunFrom;
 
     TrackedRequest(Arrived arrival, RequestClass requestClass, long now) {
@@ -60,12 +62,12 @@
                                 / 1000.0;
     }
 
-    /** {@return one number for each pair of class and tenant} */
+    /** {@return a number that identifies a pair of class and tenant} */
     static int classTenantKey(int requestClass, int tenant) {
         return requestClass * TENANTS_PER_CLASS + tenant;
     }
 
-    /** {@return the number for which an endpoint may be full} */
+    /** {@return the key of the request's class and tenant, for the backoffs of endpoints} */
     int classTenantKey() {
         return classTenantKey(arrival.cls(), arrival.tenant());
     }
@@ -78,7 +80,10 @@
         return arrival.prefix();
     }
 
-    /** {@return the key by which all routers and attempts of one conversation break ties alike} */
+    /**
+     * {@return the tie-break key, which is equal for all requests and attempts of a session at all
+     * routers}
+     */
     String tieBreakKey() {
         return arrival.session() != null ? arrival.session() : "" + arrival.id();
     }
@@ -91,7 +96,7 @@
         return attempt != null && attempt.number == attemptNumber;
     }
 
-    /** {@return whether it waits for its next attempt} */
+    /** {@return whether the request waits for its next attempt} */
     boolean isWaiting() {
         return attempt == null && !answered;
     }
