--- a/decide/src/test/java/sorrelhoist/routing/AdmissionControllerTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/AdmissionControllerTest.java
@@ -38,12 +38,12 @@
     void whatWouldComeLateIsRejectedOnceEnoughWait() {
         TrackedRequest request = parts.request(1, "a", null, 1000, 0);
         jamAll();
-        assertNull(rejection(request), "few wait: admitted to learn from");
+        assertNull(rejection(request), "few requests wait: admitted to learn service times");
         for (int i = 0; i < 10; i++) {
             parts.requests.add(parts.request(100 + i, "b", null, 10, 0));
         }
         Reason reason = rejection(request);
-        // Another class of the fixture weighs more.
+        // The second class of the fixture has a higher weight.
         assertEquals(Reason.Kind.DOOR_LESS_WORTH, reason.kind());
         assertTrue(reason.expected() > reason.limit());
         assertEquals(0.85 * 800_000, reason.limit(), 1e-6);
--- a/decide/src/test/java/sorrelhoist/routing/ArrivalRateTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/ArrivalRateTest.java
@@ -20,6 +20,6 @@
         assertEquals(50, arrivals.arrivals());
         arrivals.recordArrival(3600 * SECOND);
         assertFalse(arrivals.isDense());
-        assertTrue(arrivals.meanGapMicros() < SECOND, "one gap counts for ten seconds at most");
+        assertTrue(arrivals.meanGapMicros() < SECOND, "a gap counts as at most ten seconds");
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/AttemptSenderTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/AttemptSenderTest.java
@@ -21,7 +21,10 @@
         TrackedRequest request = parts.request(1, "talk", null, 1000, 0);
         sender.sendPrefill(request, selected("r1"));
         Send send = parts.actions(Send.class).get(0);
-        assertEquals(PolicyParts.START + 2_400_000, send.cutAt(), "0.6 of the four seconds");
+        assertEquals(
+                PolicyParts.START + 2_400_000,
+                send.cutAt(),
+                "the timeout is 0.6 of the remaining four seconds");
         assertEquals(90_000, send.why().expected(), 1e-6);
         assertEquals(90_000, parts.endpoint("r1").history.load(), 1e-6);
         assertEquals(0, parts.prefixes.missedTokens(parts.endpoint("r1"), request));
--- a/decide/src/test/java/sorrelhoist/routing/DecodeSelectorTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/DecodeSelectorTest.java
@@ -29,7 +29,9 @@
             assertEquals(0, selected.cell);
             heavier += selected.id.equals("w1") ? 1 : 0;
         }
-        assertTrue(heavier > 5 && heavier < 45, "only where both draws fall on it: " + heavier);
+        assertTrue(
+                heavier > 5 && heavier < 45,
+                "the heavier endpoint is selected only if both draws return it: " + heavier);
         assertNull(selector.select(r1, List.of()));
     }
 
--- a/decide/src/test/java/sorrelhoist/routing/DeliveryFailoverTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/DeliveryFailoverTest.java
@@ -15,7 +15,7 @@
 import sorrelhoist.routing.RoutingSettings.RequestClass;
 import sorrelhoist.routing.RoutingSettings.Role;
 
-/** What follows where nothing shows that an attempt has reached its endpoint. */
+/** Tests the handling of attempts that are not confirmed to have reached their endpoint. */
 class DeliveryFailoverTest {
     private static final long AVOIDED_MICROS = 1_000_000;
 
@@ -51,7 +51,9 @@
         return request(Idempotency.SAFE, IdempotencyScope.ALL, 0);
     }
 
-    /** {@return the attempts that are given up because of it} */
+    /**
+     * {@return the cancellations that follow when the request's attempt is reported as unconfirmed}
+     */
     private List<Cancel> unconfirmed(TrackedRequest request) {
         Attempt attempt = request.attempt;
         failover.onDeliveryUnconfirmed(
--- a/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
@@ -21,11 +21,11 @@
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 /**
- * A router of one's own in a few lines, as the README describes it: a loop that feeds events and
- * acts.
+ * An example of embedding the policy in a custom router, as described in the README: a loop that
+ * passes events to the policy and performs its actions.
  */
 class EmbeddingExampleTest {
-    /** A stand-in for the router's network: each send is answered after a fixed time. */
+    /** A scheduled event of the simulated network, which answers each send after a fixed time. */
     private record Due(long at, Event event) implements Comparable<Due> {
         @Override
         public int compareTo(Due other) {
--- a/decide/src/test/java/sorrelhoist/routing/EndpointTableTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EndpointTableTest.java
@@ -41,7 +41,10 @@
         endpoints.update(new Members(ListUpdateKind.COMPLETE, one));
         assertEquals(List.of(parts.endpoint("r1")), endpoints.serving(Role.READ));
         assertNull(parts.endpoint("r3"));
-        assertEquals(ServerState.GONE, parts.endpoint("r2").state, "kept while in flight there");
+        assertEquals(
+                ServerState.GONE,
+                parts.endpoint("r2").state,
+                "a departed endpoint is kept while it has attempts in flight");
     }
 
     @Test
--- a/decide/src/test/java/sorrelhoist/routing/FaultHandlingTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FaultHandlingTest.java
@@ -33,7 +33,8 @@
 import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
 
 /**
- * What one router does when attempts fail; each test is named after the failure it guards against.
+ * Tests how one router handles failed attempts. Each test is named after the failure that it guards
+ * against.
  */
 class FaultHandlingTest extends SingleRouterTest {
     @Test
@@ -44,8 +45,9 @@
     }
 
     /**
-     * While connections to writers do not come up, what was read waits on; a second wait would pin
-     * it.
+     * Guards against a state that is kept for too long: while connections to decode servers time
+     * out, a prefilled state stays at its prefill server, and a second timeout would exceed the
+     * time for which it may be kept.
      */
     @Test
     void aPromptIsPrefilledAgainRatherThanReservedWhileDecodersAreUnreachable() {
@@ -56,19 +58,19 @@
         Send quick = send(policy.onEvent(now, ended(w, 1, Outcome.CONNECT_FAILED, 20_000, 0)));
         assertTrue(
                 quick.server().startsWith("w"),
-                "a refused connection costs the state next to no time");
+                "a connection that fails quickly hardly delays the state");
         now += 240_000;
         Send anew = send(policy.onEvent(now, ended(quick, 2, Outcome.CONNECT_FAILED, 240_000, 0)));
         assertTrue(
                 anew.server().startsWith("r"),
-                anew + ": the same wait again would hold the state for too long");
+                anew + ": another wait of this length would keep the state for too long");
         Send last = send(policy.onEvent(now + 50_000, ended(anew, 3, Outcome.READ, 50_000, 900)));
         assertTrue(last.server().startsWith("w"));
     }
 
     /**
-     * The deadline is for the first token; a stream that has begun is neither refused nor cut by
-     * it.
+     * The deadline applies to the first token: a stream that has started is neither rejected nor
+     * cancelled at the deadline.
      */
     @Test
     void theDeadlineStopsWithTheFirstToken() {
@@ -80,7 +82,7 @@
     @Test
     void aTimeoutLeavesTimeForAnotherAttempt() {
         Send s = arrive(1, "a", null, 1000, 0);
-        assertTrue(s.cutAt() - now < 3 * SECOND, "cut after " + (s.cutAt() - now));
+        assertTrue(s.cutAt() - now < 3 * SECOND, "timeout after " + (s.cutAt() - now));
         now = s.cutAt();
         assertNotEquals(
                 s.server(),
@@ -101,7 +103,7 @@
                 answer(s, 0, 30_000);
             }
         }
-        assertTrue(hits >= 1 && hits <= 6, "hits " + hits);
+        assertTrue(hits >= 1 && hits <= 6, "requests sent to the failing server: " + hits);
     }
 
     @Test
@@ -114,7 +116,7 @@
             slowHits += slow && i >= 30 ? 1 : 0;
             answer(s, 0, slow ? 900_000 : 40_000);
         }
-        assertTrue(slowHits <= 4, "sent " + slowHits);
+        assertTrue(slowHits <= 4, "requests sent to the slow server: " + slowHits);
         int later = 0;
         for (int i = 60; i < 300; i++) {
             now += 50_000;
@@ -122,7 +124,7 @@
             later += s.server().equals("r1") ? 1 : 0;
             answer(s, 0, 40_000);
         }
-        assertTrue(later > 8, "came back with " + later);
+        assertTrue(later > 8, "requests sent to the server after its recovery: " + later);
     }
 
     @Test
@@ -136,7 +138,7 @@
                 actions = policy.onEvent(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
             }
         }
-        assertTrue(sends >= 80, "sends " + sends);
+        assertTrue(sends >= 80, "attempts sent for 80 requests: " + sends);
     }
 
     @Test
@@ -150,7 +152,7 @@
                 actions = policy.onEvent(now, ended(send(actions), n, Outcome.ERROR, 500, 0));
             }
         }
-        assertTrue(sends < 270, "sends " + sends);
+        assertTrue(sends < 270, "attempts sent for 200 requests: " + sends);
     }
 
     @Test
@@ -215,8 +217,8 @@
     }
 
     /**
-     * Spoilt answers: the writer had fetched the state, and another had to read the whole prompt by
-     * itself.
+     * Guards against late answers: the first decode server had already fetched the state, so
+     * another one would have to do the whole prefill itself, which also slows its other requests.
      */
     @Test
     void afterAStreamResetThePromptIsPrefilledAgain() {
@@ -228,7 +230,10 @@
             Send read = send(d.onEvent(now, request(1, "s", null, 3000, 0)));
             Send write = send(d.onEvent(now, ended(read, 0, Outcome.READ, 10_000, 0)));
             Send again = send(d.onEvent(now, ended(write, 1, broke, 10_000, 0)));
-            assertEquals(read.server(), again.server(), "the one that has kept the text");
+            assertEquals(
+                    read.server(),
+                    again.server(),
+                    "the retry goes to the prefill server that has the prompt cached");
             Send other = send(d.onEvent(now, ended(again, 2, Outcome.READ, 10_000, 3000)));
             assertTrue(other.server().startsWith("w") && !other.server().equals(write.server()));
         }
--- a/decide/src/test/java/sorrelhoist/routing/Fixtures.java
+++ b/decide/src/test/java/sorrelhoist/routing/Fixtures.java
@@ -14,7 +14,7 @@
 import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
 import sorrelhoist.routing.RoutingSettings.Tenant;
 
-/** Small settings, servers and events for the module's tests. */
+/** Small settings, servers and events for the tests of this module. */
 final class Fixtures {
     static final long SECOND = 1_000_000;
     static final long RELEASE = 500_000;
@@ -34,7 +34,7 @@
         return builder.build();
     }
 
-    /** Settings whose routers may send each other messages. */
+    /** Returns settings that permit gossip between routers. */
     static RoutingSettings gossiping() {
         SettingsBuilder builder = new SettingsBuilder();
         builder.connected = true;
@@ -94,7 +94,7 @@
     static Send send(List<Action> actions) {
         List<Send> sends = all(actions, Send.class);
         if (sends.size() != 1) {
-            throw new AssertionError("one send expected in " + actions);
+            throw new AssertionError("expected exactly one send in " + actions);
         }
         return sends.get(0);
     }
--- a/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
@@ -27,9 +27,12 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.PeerMessage;
 
-/** What many routers over one fleet learn from what others tell. */
+/** Tests what many routers that share one fleet learn through gossip. */
 class FleetGossipTest {
-    /** {@return how many reads a reader got in the six seconds after it fell silent} */
+    /**
+     * {@return the number of prefills sent to a prefill server in the six seconds after it stopped
+     * answering}
+     */
     private static long sentToSilent(int n, boolean told) {
         FleetWorld world = new FleetWorld(n, fleet(10, 10));
         world.told = told;
@@ -47,7 +50,8 @@
     }
 
     /**
-     * Each alone finds out by a request of its own that is lost, and sees too few to find out soon.
+     * Guards against late detection of a hanging server. Without gossip, each router detects it
+     * only by its own lost requests, and sends too few to detect it soon.
      */
     @Test
     void aHangingServerIsGossipedBeforeItsAttemptsTimeOut() {
@@ -55,11 +59,15 @@
         long told = sentToSilent(100, true);
         assertTrue(
                 told < 0.6 * alone,
-                told + " reads sent to a silent reader, " + alone + " where none tells");
+                told
+                        + " prefills sent to a silent prefill server with gossip, "
+                        + alone
+                        + " without gossip");
     }
 
     /**
-     * {@return how many attempts failed in 20 s at these, at 75 requests a second by 100 routers}
+     * {@return the number of attempts that failed within 20 s at the given servers, with 75
+     * requests per second over 100 routers}
      */
     private static int failures(boolean told, Set<String> failing) {
         FleetWorld world = new FleetWorld(100, fleet(10, 10));
@@ -77,19 +85,21 @@
     }
 
     /**
-     * A failure costs a request that may not be repeated; each router alone would need two at each
-     * such server.
+     * Guards against repeated failures at one server: each failure costs a request that may not be
+     * repeated, and without gossip each router would need two failures per failing server to eject
+     * it.
      */
     @Test
     void aFastFailingServerIsEjectedByGossip() {
         int alone = failures(false, Set.of("w13"));
         int told = failures(true, Set.of("w13"));
-        assertTrue(told < 0.5 * alone, told + " failures, " + alone + " where none tells");
+        assertTrue(
+                told < 0.5 * alone, told + " failures with gossip, " + alone + " without gossip");
     }
 
     /**
-     * Whoever finds it well tells: the others, who wait much longer for their own trial, send there
-     * again.
+     * Guards against a recovered server that stays idle: the router that detects the recovery
+     * gossips it, and the others, whose own recovery probes are due much later, send there again.
      */
     @Test
     void aRecoveredServerSoonHasItsShare() {
@@ -112,19 +122,19 @@
                 world.sends.get("w13").stream()
                         .filter(t -> t > 21 * SECOND && t < 31 * SECOND)
                         .count();
-        assertTrue(sick <= 20, sick + " sent in six seconds to a server that fails, of about 45");
-        assertTrue(well >= 35, well + " sent in ten seconds once it was well, of about 75");
+        assertTrue(sick <= 20, sick + " sent in six seconds to a failing server, of about 45");
+        assertTrue(well >= 35, well + " sent in ten seconds after its recovery, of about 75");
     }
 
     /**
-     * Half of the writers fail: the others must not be set aside for what is told of them by
-     * mistake or chance.
+     * Half of the decode servers fail. Guards against the ejection of the healthy ones by false or
+     * random reports.
      */
     @Test
     void gossipAboutManyServersLeavesTheHealthyOnesInUse() {
         int alone = failures(false, Set.of("w10", "w12", "w14", "w16", "w18"));
         int told = failures(true, Set.of("w10", "w12", "w14", "w16", "w18"));
-        assertTrue(told <= alone, told + " failures, " + alone + " where none tells");
+        assertTrue(told <= alone, told + " failures with gossip, " + alone + " without gossip");
     }
 
     @Test
@@ -180,7 +190,7 @@
             Arrived a = new Arrived(10 + i, 1, 0, "x" + i, null, 3000, 0, 200, 4 * SECOND);
             all(d.onEvent(now, a), Send.class).forEach(sent -> forOther.add(sent.server()));
         }
-        assertTrue(forOther.contains(s.server()), "" + forOther);
+        assertTrue(forOther.contains(s.server()), "the other class was sent to " + forOther);
         assertFalse(all(d.onEvent(now, other), Send.class).isEmpty());
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/FleetTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetTest.java
@@ -30,7 +30,7 @@
 import sorrelhoist.routing.RoutingEvents.StreamStarted;
 import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
-/** Many routers over one fleet, each of which sees only its part. */
+/** Tests many routers that share one fleet, each of which sees only its share of the requests. */
 class FleetTest {
     @ParameterizedTest
     @ValueSource(ints = {2, 50, 150})
@@ -60,8 +60,8 @@
         world.play(44 * SECOND);
         ServerLimits rules = part(n, 0).serverLimits();
         for (String id : List.of("r3", "w13")) {
-            // 150 a second over ten servers of a role: each can do 45 in a window at least, cold
-            // 0.26 of it.
+            // 150 requests per second over ten servers of a role: each can do at least 45 in a
+            // window, and 0.26 of that while cold.
             double bearable = rules.overloadMultiple() * rules.coldCapacityShare() * 45;
             long most =
                     world.mostWithin(
@@ -70,13 +70,13 @@
                     most <= bearable, n + " routers sent " + id + " " + most + " of " + bearable);
             assertTrue(
                     world.mostWithin(id, start, start + 13 * SECOND, 13 * SECOND) > 0,
-                    id + " never tried");
+                    id + " was sent no request");
         }
     }
 
     /**
-     * A restarted reader is worth a quarter of a warm one from the start: it must not stand idle
-     * until it is warm.
+     * A restarted prefill server has a quarter of a warm one's capacity from the start. Guards
+     * against leaving it idle until it is warm.
      */
     @Test
     void aWarmingUpServerGetsItsShareThoughEachRouterSeesItSeldom() {
@@ -101,7 +101,7 @@
         world.play(start + 12 * SECOND);
         long all = 0;
         for (Server s : cold) {
-            // 75 a second over 25 of a role: 36 in 12 s to a warm one.
+            // 75 requests per second over 25 servers of a role: 36 to a warm one in 12 s.
             long sent = world.mostWithin(s.id(), start, start + 12 * SECOND, 12 * SECOND);
             long most = world.mostWithin(s.id(), start, start + 12 * SECOND, 3 * SECOND);
             all += sent;
@@ -109,7 +109,7 @@
                     sent >= 1 && most <= 9 * 3 * 0.26,
                     s.id() + " was sent " + sent + ", " + most + " in 3 s");
         }
-        assertTrue(all >= 4 * 36 * 0.1, all + " sent to the four");
+        assertTrue(all >= 4 * 36 * 0.1, all + " sent to the four cold servers");
     }
 
     @ParameterizedTest
@@ -152,7 +152,9 @@
         hits.remove(
                 send(routers(1, fleet(10, 10)).get(0).onEvent(0, request(1, "x", "p", 4000, 300)))
                         .server());
-        assertTrue(hits.size() > 6 && hits.values().stream().allMatch(h -> h < 40), "" + hits);
+        assertTrue(
+                hits.size() > 6 && hits.values().stream().allMatch(h -> h < 40),
+                "requests by prefill server: " + hits);
     }
 
     @Test
@@ -177,7 +179,7 @@
                         .mapToLong(e -> e.getValue().stream().filter(t -> t > 16 * SECOND).count())
                         .max()
                         .orElseThrow();
-        assertTrue(most < 450, "the busiest of ten readers got " + most + " of 1500");
+        assertTrue(most < 450, "the busiest of ten prefill servers got " + most + " of 1500");
     }
 
     @Test
@@ -207,7 +209,7 @@
                         .sum();
         for (String w : List.of("w0", "w1", "w2", "w3")) {
             double share = world.sends.get(w).size() / (double) all;
-            assertTrue(share > 0.15 && share < 0.35, w + " took " + share);
+            assertTrue(share > 0.15 && share < 0.35, w + " decoded a share of " + share);
         }
     }
 
@@ -229,8 +231,8 @@
                         Integer::sum);
             }
         }
-        assertTrue(letIn.get(3) >= 6 && letIn.get(3) <= 18, "" + letIn);
-        assertTrue(letIn.get(150) >= 6 && letIn.get(150) <= 60, "" + letIn);
+        assertTrue(letIn.get(3) >= 6 && letIn.get(3) <= 18, "admitted: " + letIn);
+        assertTrue(letIn.get(150) >= 6 && letIn.get(150) <= 60, "admitted: " + letIn);
     }
 
     @Test
@@ -249,6 +251,6 @@
                 served += id >= 25 ? 1 : 0;
             }
         }
-        assertTrue(served >= 12, "served " + served);
+        assertTrue(served >= 12, "requests served after the congestion: " + served);
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/FleetWorld.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetWorld.java
@@ -32,7 +32,10 @@
 import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
 import sorrelhoist.routing.RoutingSettings.LoadReportMode;
 
-/** A world with one clock: each read takes 60 ms, a first token 40 ms, an answer a second. */
+/**
+ * A simulation of many routers and one fleet with one clock: each prefill takes 60 ms, a first
+ * token 40 ms, an answer a second.
+ */
 final class FleetWorld {
     static RoutingSettings part(int routers, int self) {
         RoutingSettings s = settings(Idempotency.SAFE, IdempotencyScope.ALL, false, List.of());
@@ -81,20 +84,20 @@
     final Map<Long, Integer> attempts = new TreeMap<>();
     final List<RoutingPolicy> routers;
 
-    /** Sends to these fail at once. */
+    /** Servers at which sends fail quickly, until {@link #failingUntil}. */
     Set<String> failing = Set.of();
 
     long failingUntil = Long.MAX_VALUE;
     int failures;
 
-    /** Reads sent there from this time on are never answered. */
+    /** Server whose attempts sent from {@link #silentFrom} on are never answered and time out. */
     String silent = "";
 
     boolean told = true;
     long silentFrom = Long.MAX_VALUE;
     long order;
 
-    /** Starts the routers in it, so that their own timers run, too. */
+    /** Starts the routers as part of the simulation, so that their timers run as well. */
     FleetWorld(int n, List<Server> fleet) {
         routers = new ArrayList<>();
         for (int i = 0; i < n; i++) {
--- a/decide/src/test/java/sorrelhoist/routing/GossipReceiverTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/GossipReceiverTest.java
@@ -31,7 +31,9 @@
     @Test
     void anUnreachableEndpointIsEjectedInItsZoneAndReinstatedOnRecovery() {
         receive(GossipCodec.UNREACHABLE, 0, 1);
-        assertFalse(r1.health.ejected, "another zone may not reach it");
+        assertFalse(
+                r1.health.ejected,
+                "a failure in another zone does not eject: r1 may be reachable from here");
         receive(GossipCodec.UNREACHABLE, 0, 0);
         assertTrue(r1.health.ejected);
         receive(GossipCodec.RECOVERED, 0, 0);
--- a/decide/src/test/java/sorrelhoist/routing/IdempotencyGuardTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/IdempotencyGuardTest.java
@@ -32,8 +32,10 @@
         assertTrue(mayRun(safe, ranAt(safe, "w1"), "w3", 9 * SECOND));
         PolicyParts keyed = parts(Idempotency.KEYED, IdempotencyScope.CELL);
         assertTrue(mayRun(keyed, ranAt(keyed, "w1"), "w2", SECOND));
-        assertFalse(mayRun(keyed, ranAt(keyed, "w1"), "w3", SECOND), "another cell");
-        assertFalse(mayRun(keyed, ranAt(keyed, "w1"), "w2", 2 * SECOND), "the window is over");
+        assertFalse(
+                mayRun(keyed, ranAt(keyed, "w1"), "w3", SECOND),
+                "the key is not known in another cell");
+        assertFalse(mayRun(keyed, ranAt(keyed, "w1"), "w2", 2 * SECOND), "the window has ended");
         PolicyParts unsafe = parts(Idempotency.UNSAFE, IdempotencyScope.ALL);
         assertTrue(mayRun(unsafe, unsafe.request(1, "a", null, 10, 0), "w1", 0));
         assertFalse(mayRun(unsafe, ranAt(unsafe, "w1"), "w1", 0));
@@ -46,7 +48,7 @@
         TrackedRequest request = zone.request(1, "a", null, 10, 0);
         assertTrue(IdempotencyGuard.mayReject(request));
         zone.start(request, "w1", false, 1);
-        assertFalse(IdempotencyGuard.mayReject(request), "it may run now");
+        assertFalse(IdempotencyGuard.mayReject(request), "its decode is in flight and may run");
         PolicyParts all = parts(Idempotency.KEYED, IdempotencyScope.ALL);
         assertTrue(IdempotencyGuard.mayReject(ranAt(all, "w1")));
     }
--- a/decide/src/test/java/sorrelhoist/routing/InFlightAttemptsTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/InFlightAttemptsTest.java
@@ -20,7 +20,10 @@
         inFlight.provenBy(second);
         inFlight.answered(2);
         assertFalse(inFlight.isCurrent(first));
-        assertEquals(0, inFlight.overdueMicros(first.sentAt + 5000), "lost, not late");
+        assertEquals(
+                0,
+                inFlight.overdueMicros(first.sentAt + 5000),
+                "the earlier attempt is lost, not overdue");
         inFlight.ended(2, second);
         assertEquals(1, inFlight.count());
         assertEquals(1000, inFlight.tokens());
--- a/decide/src/test/java/sorrelhoist/routing/KeyedDecodeFailoverTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/KeyedDecodeFailoverTest.java
@@ -9,9 +9,15 @@
 import sorrelhoist.routing.RoutingSettings.Idempotency;
 import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
 
-/** A keyed decode that may arrive after its window, when its stopped endpoint runs again. */
+/**
+ * Tests a decode with an idempotency key that may arrive after the key's window, once its stopped
+ * endpoint runs again.
+ */
 class KeyedDecodeFailoverTest {
-    /** It would not find the state gone: such an endpoint reads the prompt by itself. */
+    /**
+     * The endpoint would not reject the late decode for a missing state, as it may do the prefill
+     * itself.
+     */
     @Test
     void whereDecodersMayPrefillAKeyedDecodeWaitsOnThoughItsStateWasRead() {
         PolicyParts parts =
@@ -33,6 +39,9 @@
         request.prefilledAt = parts.endpoint("r1");
         parts.start(request, "w1", false, 1000);
         failover.onDeliveryUnconfirmed(request, new DeliveryUnconfirmed(1, 0, "w1"));
-        assertEquals(List.of(), parts.actions(Cancel.class), "it may arrive after its window");
+        assertEquals(
+                List.of(),
+                parts.actions(Cancel.class),
+                "the attempt may still arrive after the window");
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
@@ -21,7 +21,10 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
-/** What one router has learnt serves another; what is stale, replaced or false costs no rule. */
+/**
+ * Tests that a router's knowledge is useful to another one, and that outdated, replaced or false
+ * knowledge breaks no rule.
+ */
 class KnowledgeTest {
     private static RoutingPolicy fresh() {
         RoutingPolicy d = new RoutingPolicy(plain(), 3);
@@ -29,7 +32,7 @@
         return d;
     }
 
-    /** A router that knows: one session's text is kept at r3, of all readers. */
+    /** Returns a router that has learned from the prefills of 30 sessions. */
     private static RoutingPolicy teacher() {
         RoutingPolicy d = fresh();
         for (int i = 0; i < 30; i++) {
@@ -174,7 +177,7 @@
         assertNotEquals("r1", first.server());
         d.onEvent(SECOND + 50_000, ended(first, 0, Outcome.READ, 50_000, 0));
         d.onEvent(SECOND + 60_000, new ClientGone(77));
-        // Nobody is set aside by hearsay alone: all three that serve are still used.
+        // No server is avoided because of imported reports alone: all three serving ones are used.
         java.util.Set<String> used = new java.util.TreeSet<>();
         for (long i = 100; i < 160; i++) {
             Send s =
--- a/decide/src/test/java/sorrelhoist/routing/OutlierDetectorTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/OutlierDetectorTest.java
@@ -24,7 +24,7 @@
         outliers.recordRecoveryProbe(r1);
         assertFalse(outliers.isRecoveryProbeDue(r1));
         outliers.recordSuccess(r1, 1);
-        assertTrue(r1.health.ejected, "one may be luck");
+        assertTrue(r1.health.ejected, "a single probe may succeed by chance");
         outliers.recordSuccess(r1, 1);
         assertFalse(r1.health.ejected);
         assertEquals(0, r1.health.failureRate);
@@ -33,7 +33,7 @@
     @Test
     void theWaitDoublesWithEachFailedProbeUpToABound() {
         outliers.recordUnreachable(r1);
-        assertTrue(r1.health.ejected, "one refused connection is enough");
+        assertTrue(r1.health.ejected, "a single refused connection ejects");
         assertEquals(400_000, r1.health.recoveryBackoffMicros);
         outliers.recordFailure(r1);
         assertEquals(800_000, r1.health.recoveryBackoffMicros);
@@ -50,7 +50,7 @@
                 outliers.recordSuccess(endpoint, 9);
             }
         }
-        assertFalse(r1.health.ejected, "all are as slow");
+        assertFalse(r1.health.ejected, "all peers are equally slow");
         for (int i = 0; i < 9; i++) {
             outliers.recordSuccess(r1, 90);
         }
--- a/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
@@ -33,7 +33,8 @@
 import sorrelhoist.routing.RoutingSettings.IdempotencyScope;
 
 /**
- * Where one router sends reads and answers; each test is named after the failure it guards against.
+ * Tests to which servers one router sends prefills and decodes. Each test is named after the
+ * failure that it guards against.
  */
 class PlacementTest extends SingleRouterTest {
     @Test
@@ -59,7 +60,9 @@
             assertEquals(here, send(other.onEvent(0, request(1, "y", prefix, 900, 800))).server());
             readers.add(here);
         }
-        assertTrue(readers.size() > 2, "the hash should spread keys: " + readers);
+        assertTrue(
+                readers.size() > 2,
+                "the hash should distribute keys over the prefill servers: " + readers);
     }
 
     @Test
@@ -75,7 +78,9 @@
         for (int i = 2; i < 60; i++) {
             readers.add(serve(i, "s" + i, "p", 1400, 900, 900));
         }
-        assertTrue(readers.contains(home) && readers.size() > 1, "only " + readers);
+        assertTrue(
+                readers.contains(home) && readers.size() > 1,
+                "prefills were sent only to " + readers);
     }
 
     @Test
@@ -126,7 +131,7 @@
             sent += s.server().equals("r1") ? 1 : 0;
             answer(s, 0, 40_000);
         }
-        assertTrue(sent <= 4, "sent " + sent);
+        assertTrue(sent <= 4, "requests sent to the cold server: " + sent);
     }
 
     @Test
@@ -166,7 +171,7 @@
                 d.onEvent(now, ended(w, 1, Outcome.DONE, 10_000, 0));
             }
         }
-        assertTrue(mixed > 25 && mixed < 75, "mixed " + mixed);
+        assertTrue(mixed > 25 && mixed < 75, "sent to the mixed server, of 100: " + mixed);
     }
 
     @Test
--- a/decide/src/test/java/sorrelhoist/routing/PolicyParts.java
+++ b/decide/src/test/java/sorrelhoist/routing/PolicyParts.java
@@ -7,7 +7,8 @@
 import sorrelhoist.routing.RoutingEvents.Server;
 
 /**
- * The parts of a policy wired by hand, for tests of single parts; its clock starts at ten seconds.
+ * The components of a policy, wired individually for tests of single components. The clock starts
+ * at ten seconds.
  */
 final class PolicyParts {
     static final long START = 10 * Fixtures.SECOND;
@@ -47,12 +48,12 @@
         return endpoints.byId(id);
     }
 
-    /** Lets time pass; the actions so far are dropped. */
+    /** Advances the clock and drops the actions so far. */
     void pass(long micros) {
         context.beginEvent(context.now() + micros);
     }
 
-    /** Has requests arrive so fast that they count as dense. */
+    /** Makes so many requests arrive at once that they count as dense. */
     void makeDense() {
         for (int i = 0; i < 100; i++) {
             arrivals.recordArrival(context.now());
@@ -67,7 +68,7 @@
                 context.now());
     }
 
-    /** Puts an attempt of a request in flight that should take so long. */
+    /** Starts an attempt of a request with a given expected service time. */
     Attempt start(TrackedRequest request, String id, boolean prefill, double serviceMicros) {
         Attempt.Estimate estimate = new Attempt.Estimate(serviceMicros, serviceMicros);
         Attempt attempt =
--- a/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
+++ b/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
@@ -36,13 +36,18 @@
 import sorrelhoist.routing.RoutingSettings.RequestClass;
 import sorrelhoist.routing.RoutingSettings.Role;
 
-/** A world that draws legal events and checks every action against the rules. */
+/**
+ * A simulation that generates random legal events and checks every action against the five rules:
+ * one final answer by the deadline; no second effect and no two attempts in flight; no sends to a
+ * server that is draining or gone; no overload of a cold server; no state reserved for longer than
+ * the limit. All times are in microseconds.
+ */
 final class RandomHistory {
     private static final long STEP = 4_000;
     private static final long SLACK = 16_000;
     private static final long LENGTH = 60 * SECOND;
 
-    /** One request as the world sees it. */
+    /** The simulation's view of one request. */
     private static final class Open {
         final Arrived arrived;
         final long deadline;
@@ -101,7 +106,9 @@
                 changeList();
             }
             check();
-            assertTrue(now < end + 60 * SECOND, "requests never end");
+            assertTrue(
+                    now < end + 60 * SECOND,
+                    "requests are still open a minute after the last arrival");
         }
     }
 
@@ -241,7 +248,7 @@
             sent(a);
         } else if (action instanceof Refuse a) {
             Open r = answered(a.id());
-            assertTrue(mayRefuse(r), "refused though it may have run");
+            assertTrue(mayRefuse(r), "rejected although it may have run");
             refused++;
         } else if (action instanceof Fail a) {
             answered(a.id());
@@ -262,10 +269,10 @@
     void sent(Send a) {
         Open r = requests.get(a.id());
         Server s = servers.get(a.server());
-        assertTrue(r != null && !r.over, "sent after the end");
-        assertTrue(r.out.isEmpty(), "two attempts at once");
+        assertTrue(r != null && !r.over, "sent after the final answer");
+        assertTrue(r.out.isEmpty(), "two attempts in flight");
         assertTrue(r.sends < settings.capabilities().maxAttempts(), "too many attempts");
-        assertEquals(ServerState.SERVING, s.state(), "sent to a server that drains or is gone");
+        assertEquals(ServerState.SERVING, s.state(), "sent to a server that is draining or gone");
         if (r.mayHaveRun != null && settings.classes().get(0).idempotency() != Idempotency.SAFE) {
             assertEquals(Idempotency.KEYED, settings.classes().get(0).idempotency());
             assertTrue(
@@ -275,7 +282,7 @@
                     scope == IdempotencyScope.ALL
                             || scope == IdempotencyScope.ZONE && s.zone() == r.mayHaveRun.zone()
                             || scope == IdempotencyScope.CELL && s.cell() == r.mayHaveRun.cell(),
-                    "sent outside its group");
+                    "sent outside the idempotency scope");
         }
         if (r.mayHaveRun == null) {
             r.mayHaveRunSentAt = now;
@@ -289,8 +296,8 @@
     }
 
     /**
-     * A cold server gets single requests, or the rule's multiple of its share of what a warm one
-     * has had.
+     * Checks that a cold server is sent single requests, or at most the overload multiple of its
+     * share of what a warm server has been sent.
      */
     void checkCold(Server s) {
         ArrayDeque<Long> sends = recentSends.computeIfAbsent(s.id(), id -> new ArrayDeque<>());
@@ -305,13 +312,15 @@
                 settings.serverLimits().overloadMultiple()
                         * settings.serverLimits().coldCapacityShare()
                         * mostSent.getOrDefault(s.kind(), 0);
-        assertTrue(sinceStart <= Math.max(1, bearable), s.id() + " cold got " + sinceStart);
+        assertTrue(
+                sinceStart <= Math.max(1, bearable),
+                s.id() + " is cold and was sent " + sinceStart);
     }
 
     Open answered(long id) {
         Open r = requests.get(id);
-        assertTrue(r != null && !r.over, "a second final answer");
-        assertTrue(now <= r.deadline + SLACK, "answered too late");
+        assertTrue(r != null && !r.over, "second final answer");
+        assertTrue(now <= r.deadline + SLACK, "answered after the deadline");
         r.over = true;
         return r;
     }
@@ -334,10 +343,12 @@
 
     void check() {
         for (Open r : List.copyOf(requests.values())) {
-            assertTrue(r.over || r.streaming || now <= r.deadline + SLACK, "no answer in time");
+            assertTrue(
+                    r.over || r.streaming || now <= r.deadline + SLACK,
+                    "no answer by the deadline");
             assertTrue(
                     !r.state || !r.out.isEmpty() || now - r.freeSince <= RELEASE,
-                    "a state left pinned");
+                    "a state is reserved for longer than the limit");
             if (r.over && r.out.isEmpty() && !r.state) {
                 requests.remove(r.arrived.id());
             }
--- a/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
@@ -29,7 +29,7 @@
 import sorrelhoist.routing.RoutingSettings.Role;
 import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
-/** Each final answer and each send says what settled it, with the figures that were compared. */
+/** Tests that each final answer and each send contains its reason with the compared values. */
 class ReasonTest {
     private static final long SECOND = 1_000_000;
     private long now = 1000 * SECOND;
@@ -99,7 +99,9 @@
                                         ServerLoad.NONE)),
                         Send.class);
         assertEquals(Kind.TWO_DRAWS, write.why().kind());
-        assertTrue(write.why().expected() >= 50_000, "counts from the client's asking: " + write);
+        assertTrue(
+                write.why().expected() >= 50_000,
+                "the expected time counts from the arrival: " + write);
         policy.onEvent(now, new StreamStarted(1, 1, "w1", 1000));
         policy.onEvent(
                 now, new AttemptEnded(1, 1, "w1", Outcome.DONE, 2000, true, 0, ServerLoad.NONE));
@@ -136,7 +138,7 @@
         assertEquals(
                 Kind.DRAINING,
                 only(policy.onEvent(now, ask(1, SECOND)), Refuse.class).why().kind());
-        // Just started, and this router's turn at it is used up.
+        // The server has just started, and this router has used its only send to it in the window.
         start(Idempotency.SAFE, List.of(server("r1", 0, ServerState.SERVING, now), W1));
         Kind last = null;
         for (long id = 1; id < 4; id++) {
--- a/decide/src/test/java/sorrelhoist/routing/RequestConclusionTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RequestConclusionTest.java
@@ -29,7 +29,8 @@
         conclusion.giveUp(request, reason);
         Refuse refuse = parts.actions(Refuse.class).get(0);
         assertTrue(refuse.backoffMicros() >= 300_000 && refuse.backoffMicros() < 600_000);
-        assertEquals(1, parts.context.actions().size(), "nothing was reserved");
+        assertEquals(
+                1, parts.context.actions().size(), "no reservation exists, so none is released");
         assertFalse(parts.requests.contains(1));
         assertEquals(0, parts.requests.waiting());
     }
@@ -41,7 +42,7 @@
         conclusion.giveUp(request, reason);
         assertEquals(
                 List.of(new Fail(1, reason), new Cancel(1, 0, reason)), parts.context.actions());
-        assertTrue(parts.requests.contains(1), "until its attempt ends");
+        assertTrue(parts.requests.contains(1), "the request is kept until its attempt ends");
         conclusion.finish(request);
         assertEquals(List.of(new Release(1)), parts.actions(Release.class));
     }
--- a/decide/src/test/java/sorrelhoist/routing/RequestLifecycleTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RequestLifecycleTest.java
@@ -38,7 +38,7 @@
         Send prefill = Fixtures.send(arrive(1));
         Send decode = Fixtures.send(end(prefill, 0, Outcome.READ, 0));
         assertTrue(prefill.server().startsWith("r") && decode.server().startsWith("w"));
-        assertEquals(List.of(), end(prefill, 0, Outcome.READ, 0), "an outcome told twice");
+        assertEquals(List.of(), end(prefill, 0, Outcome.READ, 0), "a repeated outcome is ignored");
         assertEquals(List.of(new Release(1)), end(decode, 1, Outcome.DONE, 0));
     }
 
@@ -46,9 +46,9 @@
     void aLostStateIsPrefilledAnewAndAWaitingOneIsNot() {
         Send decode = Fixtures.send(end(Fixtures.send(arrive(1)), 0, Outcome.READ, 0));
         Send other = Fixtures.send(end(decode, 1, Outcome.FULL, 0));
-        assertTrue(other.server().startsWith("w"), "full: its state waits on");
+        assertTrue(other.server().startsWith("w"), "rejected as full: the state is still kept");
         Send anew = Fixtures.send(end(other, 2, Outcome.FULL, 1));
-        assertTrue(anew.server().startsWith("r"), "no state was there to fetch");
+        assertTrue(anew.server().startsWith("r"), "there was no state to fetch");
     }
 
     @Test
@@ -58,7 +58,9 @@
             id++;
             Send decode = Fixtures.send(end(Fixtures.send(arrive(id)), 0, Outcome.READ, 0));
             Send anew = Fixtures.send(end(decode, 1, outcome, OutcomeRecorder.STATE_RELEASED));
-            assertTrue(anew.server().startsWith("r"), outcome + " sent it to a decoder");
+            assertTrue(
+                    anew.server().startsWith("r"),
+                    outcome + " should send the request to a prefill server");
         }
     }
 
@@ -68,6 +70,6 @@
         Reason gone = Reason.of(Reason.Kind.CLIENT_GONE);
         assertEquals(List.of(new Cancel(1, 0, gone)), policy.onEvent(now, new ClientGone(1)));
         assertEquals(List.of(new Release(1)), end(prefill, 0, Outcome.CANCELLED, 0));
-        assertFalse(arrive(1).isEmpty(), "its id is free again");
+        assertFalse(arrive(1).isEmpty(), "its id may be used again");
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/RetryBudgetTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RetryBudgetTest.java
@@ -13,7 +13,7 @@
         for (int i = 0; i < 100; i++) {
             budget.recordArrival();
         }
-        assertEquals(12.5, budget.available(), "two routers share twenty-five");
+        assertEquals(12.5, budget.available(), "two routers share 25 saved retries");
         for (int i = 0; i < 12; i++) {
             assertFalse(budget.isExhausted());
             budget.spend();
--- a/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
@@ -43,8 +43,8 @@
 import sorrelhoist.routing.RoutingSettings.Tenant;
 
 /**
- * Admission, membership and misuse at one router; each test is named after the failure it guards
- * against.
+ * Tests admission, membership and invalid input at one router. Each test is named after the failure
+ * that it guards against.
  */
 class RoutingPolicyTest extends SingleRouterTest {
     @Test
@@ -89,7 +89,9 @@
             Arrived a = new Arrived(i, 0, i % 2, "s" + i, null, 3000, 0, 200, 4 * SECOND);
             refused[i % 2] += all(d.onEvent(now, a), Refuse.class).size();
         }
-        assertTrue(refused[0] > refused[1], refused[0] + " against " + refused[1]);
+        assertTrue(
+                refused[0] > refused[1],
+                refused[0] + " rejected over the quota, within the quota " + refused[1]);
     }
 
     @Test
@@ -133,12 +135,12 @@
                     all(policy.onEvent(now, request(i, "s" + i, null, 3000, 0)), Refuse.class)
                             .size();
         }
-        assertTrue(refused > 50 && refused < 96, "refused " + refused);
+        assertTrue(refused > 50 && refused < 96, "requests rejected, of 100: " + refused);
     }
 
     /**
-     * A crash of servers breaks many answers at once: by the first aim alone their clients were
-     * turned away.
+     * Guards against the rejection of clients with broken answers: a crash of servers breaks many
+     * answers at once, and the latency objective alone would reject the clients that resume them.
      */
     @Test
     void resumedRequestsAreAdmittedBeyondTheObjectiveButNotWithoutBound() {
@@ -153,11 +155,12 @@
         }
         assertTrue(
                 refused[1] > 0 && refused[1] < refused[0] - 10,
-                refused[1] + " against " + refused[0]);
+                refused[1] + " resumed requests rejected, new ones " + refused[0]);
     }
 
     /**
-     * Workers come and go under new ids all day: what is known of those that left must not add up.
+     * Guards against unbounded growth: servers join and leave under new ids all day, and the data
+     * of departed ones must not accumulate.
      */
     @Test
     void departedServersLeaveNothingBehind() {
@@ -176,8 +179,7 @@
             serve(i, "s" + i, null, 1000, 0, 0);
         }
         int known = policy.exportKnowledge(now, 100).servers().size();
-        assertTrue(
-                known <= fleet().size() + 2 * 60 / 5, known + " servers known of 8 that are there");
+        assertTrue(known <= fleet().size() + 2 * 60 / 5, known + " servers known, 8 are listed");
     }
 
     @Test
--- a/decide/src/test/java/sorrelhoist/routing/RulesTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RulesTest.java
@@ -13,7 +13,10 @@
 import sorrelhoist.routing.RoutingSettings.LoadReportMode;
 import sorrelhoist.routing.RoutingSettings.Tenant;
 
-/** The five rules over long, seeded, legal histories under varied settings. */
+/**
+ * Tests the five rules of {@link RandomHistory} over long random legal histories with fixed seeds
+ * and varied settings.
+ */
 class RulesTest {
 
     @Test
@@ -29,7 +32,7 @@
             h.play();
             assertTrue(
                     h.served > 100 && h.refused + h.failed > 0,
-                    "a history that shows nothing: " + seed);
+                    "too few served or no unserved requests in the history: seed " + seed);
         }
     }
 
--- a/decide/src/test/java/sorrelhoist/routing/SettingsBuilder.java
+++ b/decide/src/test/java/sorrelhoist/routing/SettingsBuilder.java
@@ -11,7 +11,7 @@
 import sorrelhoist.routing.RoutingSettings.ServerLimits;
 import sorrelhoist.routing.RoutingSettings.Tenant;
 
-/** Small settings for the module's tests: two routers, two classes, three kinds of server. */
+/** Small settings for the tests of this module: two routers, two classes, three kinds of server. */
 final class SettingsBuilder {
     Idempotency idempotency = Idempotency.SAFE;
     IdempotencyScope idempotencyScope = IdempotencyScope.ALL;
@@ -22,7 +22,7 @@
     boolean cancel = true;
     int maxAttempts = 5;
 
-    /** Whether the router subscribes to discovery and may gossip. */
+    /** Whether the router subscribes to discovery and is permitted to gossip. */
     boolean connected;
 
     RoutingSettings build() {
--- a/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
@@ -16,7 +16,9 @@
 import sorrelhoist.routing.RoutingEvents.Server;
 import sorrelhoist.routing.RoutingEvents.StreamStarted;
 
-/** One router over the small fleet of {@link Fixtures}, and the steps that its tests share. */
+/**
+ * Base class with one router over the small fleet of {@link Fixtures} and steps that tests share.
+ */
 abstract class SingleRouterTest {
     final RoutingPolicy policy = start(plain(), fleet());
     long now = 10 * SECOND;
@@ -36,7 +38,7 @@
         return send(policy.onEvent(now, ended(s, 0, Outcome.READ, 50_000, kept)));
     }
 
-    /** Ends a read and then its answer; returns where it was written. */
+    /** Ends a prefill and then its answer; returns the decode server. */
     String answer(Send s, int attempt, long took) {
         Send w = send(policy.onEvent(now, ended(s, attempt, Outcome.READ, took, 0)));
         policy.onEvent(now, new StreamStarted(w.id(), attempt + 1, w.server(), 20_000));
@@ -44,7 +46,7 @@
         return w.server();
     }
 
-    /** Reads and answers one request to its end; returns the reader. */
+    /** Runs one request through prefill and answer; returns the prefill server. */
     String serve(
             long id, String session, String prefix, long prompt, long prefixTokens, long kept) {
         Send s = arrive(id, session, prefix, prompt, prefixTokens);
--- a/decide/src/test/java/sorrelhoist/routing/SlowStartTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/SlowStartTest.java
@@ -20,13 +20,13 @@
 import sorrelhoist.routing.RoutingEvents.Server;
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
-/** A server that starts anew gets little, and no longer than the rules say. */
+/** Tests that a restarted server is sent few requests, and for no longer than the limits say. */
 class SlowStartTest {
     private static final long HOUR = 3600 * SECOND;
     private static final long COLD = 12 * SECOND;
     private static final long WINDOW = 3 * SECOND;
     private static final int MOST_COLD =
-            4; // as aWarmingUpServerIsNotOverloaded in PlacementTest has it
+            4; // same bound as in PlacementTest#aWarmingUpServerIsNotOverloaded
     private static final int ASKED = 30;
     private final RoutingPolicy policy = new RoutingPolicy(plain(), 1);
     private long now = 100 * HOUR;
@@ -42,7 +42,9 @@
                 new Members(form, form == ListUpdateKind.UPDATE ? servers.subList(0, 1) : servers));
     }
 
-    /** {@return how many of some requests over one window go to r1} */
+    /**
+     * {@return the number of requests that are sent to r1, out of {@link #ASKED} within one window}
+     */
     private int sentInAWindow() {
         int sent = 0;
         for (int i = 0; i < ASKED; i++) {
@@ -63,7 +65,10 @@
         return sent;
     }
 
-    /** Whichever way its start was translated, another start is another process. */
+    /**
+     * Another start time means another process, even if the translation between clocks puts it
+     * before the former one.
+     */
     @ParameterizedTest
     @ValueSource(longs = {-7300, 0})
     void anotherStartIsAnotherProcessAlsoWhereItLiesBeforeTheFormerOne(long stepSeconds) {
@@ -77,16 +82,17 @@
                         .filter(k -> k.name().equals("kept"))
                         .flatMap(k -> k.holders().stream())
                         .noneMatch(h -> h.server().equals("r1")),
-                "what it kept went with it");
+                "the former process's cache is lost");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {3600, 1_000_000_000, Long.MAX_VALUE / 2_000_000})
     void noServerWarmsUpForLongerThanTheLimitsSay(long stepSeconds) {
         told(ListUpdateKind.COMPLETE, now + stepSeconds * SECOND);
-        assertTrue(sentInAWindow() <= MOST_COLD, "cold where its start is told to come");
+        assertTrue(
+                sentInAWindow() <= MOST_COLD, "a server with a start time in the future is cold");
         now += COLD;
-        assertTrue(sentInAWindow() > MOST_COLD, "warm after the time of the rules");
+        assertTrue(sentInAWindow() > MOST_COLD, "the server is warm after the warm-up time");
     }
 
     @Test
@@ -99,7 +105,7 @@
         told(ListUpdateKind.COMPLETE, since);
         assertTrue(
                 before > MOST_COLD && sentInAWindow() > MOST_COLD,
-                "the same process, seen again, is warm");
+                "the same process is still warm when it is listed again");
     }
 
     @Test
--- a/decide/src/test/java/sorrelhoist/routing/StateTransferTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/StateTransferTest.java
@@ -29,7 +29,7 @@
         assertEquals(0.3 / Math.E, late.endpoint("r1").health.failureRate, 1e-9);
         assertFalse(fresh.endpoint("r1").health.ejected);
         assertEquals(100, fresh.prefixes.find("pre").holders.get("r2").tokens);
-        assertNull(late.prefixes.find("pre"), "too old");
+        assertNull(late.prefixes.find("pre"), "the entry is too old to be imported");
         assertEquals(List.of(), of(fresh).exportKnowledge(now, 10).servers());
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/TenantQuotaTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/TenantQuotaTest.java
@@ -23,10 +23,11 @@
             assertFalse(quota.isExceededBy(0));
         }
         assertTrue(quota.isExceededBy(0));
-        assertFalse(quota.isExceededBy(1), "tenants do not share");
-        assertFalse(quota.isExceededBy(2), "one that is not listed has no quota");
+        assertFalse(quota.isExceededBy(1), "each tenant has its own quota");
+        assertFalse(quota.isExceededBy(2), "a tenant that is not listed has no quota");
         parts.pass(2 * SECOND);
-        assertFalse(quota.isExceededBy(0), "half of one a second, as two routers share the fleet");
+        assertFalse(
+                quota.isExceededBy(0), "half a request per second, as two routers share the fleet");
         assertTrue(quota.isExceededBy(0));
     }
 }
