--- a/protocol/src/main/java/sorrelhoist/protocol/engine/DecodeEvent.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/DecodeEvent.java
@@ -5,16 +5,16 @@
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
 /**
- * One message of an answer: a token, or the finish.
+ * One message of a decode stream: either a token or the end of the answer.
  *
  * @param token the token, or null
- * @param finish the finish, or null
+ * @param finish the end of the answer, or null
  */
 public record DecodeEvent(Token token, Finish finish) {
     private static final int TOKEN = 1;
     private static final int FINISH = 2;
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static DecodeEvent parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         Token token = null;
@@ -32,7 +32,7 @@
         return new DecodeEvent(token, finish);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         ProtoWriter out = new ProtoWriter();
         if (token != null) {
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/DecodeRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/DecodeRequest.java
@@ -7,18 +7,19 @@
 /**
  * Asks a decode engine to fetch a prefill state and generate the answer.
  *
- * @param requestId the router's name for the request, unique over all routers and attempts
- * @param clientId the client's name for its request; may be empty
- * @param edge name of the router that sends
- * @param attempt number of the attempt, from 0
- * @param stateId the prefill state to fetch; empty where the engine reads the prompt itself
+ * @param requestId the router's ID of the request, unique across all routers and attempts
+ * @param clientId the client's ID of its request; empty if it sent none
+ * @param edge name of the sending router
+ * @param attempt number of the attempt, starting at 0
+ * @param stateId ID of the prefill state to fetch; empty if the decode engine reads the prompt
+ *     itself
  * @param stateAddress address of the engine that holds the state
- * @param prompt the text, only where there is no state
- * @param promptTokens tokens in the prompt
- * @param maxTokens the most tokens that the answer may have
+ * @param prompt the prompt's text; set only if {@code stateId} is empty
+ * @param promptTokens number of tokens in the prompt
+ * @param maxTokens maximum number of tokens in the answer
  * @param firstTokenIndex index of the first token to send
- * @param reservationId a reservation made ahead; may be empty
- * @param requestClass index of the request's class
+ * @param reservationId ID of a reservation made in advance; empty if there is none
+ * @param requestClass index of the request class
  */
 public record DecodeRequest(
         @ProtoField(1) String requestId,
@@ -35,12 +36,12 @@
         @ProtoField(12) int requestClass) {
     static final MessageSchema<DecodeRequest> SCHEMA = MessageSchema.of(DecodeRequest.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static DecodeRequest parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/Finish.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/Finish.java
@@ -5,20 +5,20 @@
 import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * The answer is complete.
+ * Marks the end of a complete answer.
  *
- * @param tokens how many tokens the answer has: one more than the last index
- * @param cachedTokens prompt tokens found in the engine's cache, so not read again
+ * @param tokens number of tokens in the answer: one more than the last token's index
+ * @param cachedTokens prompt tokens that were found in the engine's cache and not read again
  */
 public record Finish(@ProtoField(1) int tokens, @ProtoField(2) int cachedTokens) {
     static final MessageSchema<Finish> SCHEMA = MessageSchema.of(Finish.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static Finish parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/LoadReport.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/LoadReport.java
@@ -5,12 +5,12 @@
 import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * An engine's load.
+ * An engine's load at the time of the report.
  *
- * @param memoryUtilization share of memory in use, 0 to 1
- * @param queuedTokens tokens that wait to be read or fetched
- * @param inFlightRequests requests at the engine, queued ones too
- * @param queuedRequests requests that wait
+ * @param memoryUtilization fraction of memory in use, 0 to 1
+ * @param queuedTokens prompt tokens waiting to be read or fetched
+ * @param inFlightRequests requests at the engine, including queued ones
+ * @param queuedRequests requests waiting to be processed
  */
 public record LoadReport(
         @ProtoField(1) double memoryUtilization,
@@ -19,12 +19,12 @@
         @ProtoField(4) double queuedRequests) {
     static final MessageSchema<LoadReport> SCHEMA = MessageSchema.of(LoadReport.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static LoadReport parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/PrefillRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/PrefillRequest.java
@@ -7,14 +7,14 @@
 /**
  * Asks a prefill engine to read a prompt.
  *
- * @param requestId the router's name for the request, unique over all routers and attempts
- * @param clientId the client's name for its request; may be empty
- * @param edge name of the router that sends
- * @param attempt number of the attempt, from 0
- * @param prompt the text
- * @param promptTokens tokens in the prompt
- * @param maxTokens the most tokens that the answer may have
- * @param requestClass index of the request's class
+ * @param requestId the router's ID of the request, unique across all routers and attempts
+ * @param clientId the client's ID of its request; empty if it sent none
+ * @param edge name of the sending router
+ * @param attempt number of the attempt, starting at 0
+ * @param prompt the prompt's text
+ * @param promptTokens number of tokens in the prompt
+ * @param maxTokens maximum number of tokens in the answer
+ * @param requestClass index of the request class
  */
 public record PrefillRequest(
         @ProtoField(1) String requestId,
@@ -27,12 +27,12 @@
         @ProtoField(8) int requestClass) {
     static final MessageSchema<PrefillRequest> SCHEMA = MessageSchema.of(PrefillRequest.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static PrefillRequest parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/ReleaseReply.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/ReleaseReply.java
@@ -5,19 +5,19 @@
 import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * The answer to a release.
+ * The reply to a release request.
  *
- * @param released whether there was anything to release
+ * @param released whether the engine held anything that the request named
  */
 public record ReleaseReply(@ProtoField(1) boolean released) {
     static final MessageSchema<ReleaseReply> SCHEMA = MessageSchema.of(ReleaseReply.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static ReleaseReply parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/ReleaseRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/ReleaseRequest.java
@@ -7,10 +7,11 @@
 /**
  * Releases a prefill state or a reservation.
  *
- * @param requestId the router's name for the request, unique over all routers and attempts
- * @param stateId the state's name at the engine that holds it
- * @param reservationId the reservation's name
- * @param lastAttempt where neither is named: states of all attempts up to this one are meant
+ * @param requestId the router's ID of the request, unique across all routers and attempts
+ * @param stateId ID of the state at the engine that holds it; may be empty
+ * @param reservationId ID of the reservation; may be empty
+ * @param lastAttempt if both IDs are empty, the states of all attempts up to and including this one
+ *     are released
  */
 public record ReleaseRequest(
         @ProtoField(1) String requestId,
@@ -19,12 +20,12 @@
         @ProtoField(4) int lastAttempt) {
     static final MessageSchema<ReleaseRequest> SCHEMA = MessageSchema.of(ReleaseRequest.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static ReleaseRequest parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/ReserveRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/ReserveRequest.java
@@ -5,11 +5,11 @@
 import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * Asks a decode engine to reserve a slot and memory ahead.
+ * Asks a decode engine to reserve a slot and memory for a later decode.
  *
- * @param requestId the router's name for the request, unique over all routers and attempts
- * @param promptTokens tokens in the prompt
- * @param maxTokens the most tokens that the answer may have
+ * @param requestId the router's ID of the request, unique across all routers and attempts
+ * @param promptTokens number of tokens in the prompt
+ * @param maxTokens maximum number of tokens in the answer
  */
 public record ReserveRequest(
         @ProtoField(1) String requestId,
@@ -17,12 +17,12 @@
         @ProtoField(3) int maxTokens) {
     static final MessageSchema<ReserveRequest> SCHEMA = MessageSchema.of(ReserveRequest.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static ReserveRequest parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/engine/package-info.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/engine/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Messages between routers and engines, and between engines: engine.proto as records.
+ * Messages between routers and engines, and between engines: the messages of engine.proto as
+ * records.
  *
- * <p>The records are immutable and hold no state of a call; {@link
- * sorrelhoist.protocol.engine.EngineApi} names the methods.
+ * <p>The records are immutable and hold no call state. {@link
+ * sorrelhoist.protocol.engine.EngineApi} lists the service's methods.
  */
 package sorrelhoist.protocol.engine;
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/ClientCall.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/ClientCall.java
@@ -9,51 +9,55 @@
 import sorrelhoist.protocol.http2.Http2Stream;
 import sorrelhoist.protocol.http2.Http2StreamListener;
 
-/** One call at its calling side. Every method is to be called on its channel's event loop. */
+/**
+ * The client side of one call. All methods must be called on the event loop of the call's channel.
+ */
 public final class ClientCall implements Http2StreamListener {
-    /** How a call came to its end. */
+    /** How a call ended. */
     public enum Termination {
-        /** The server closed it with a status. */
+        /** The server closed the call with a status. */
         STATUS,
-        /** The stream or its connection broke; the server may have worked on it. */
+        /** The stream or its connection broke; the server may have processed the call. */
         BROKEN,
         /**
-         * The server said that it never looked at it (REFUSED_STREAM, or beyond GOAWAY's last
-         * stream).
+         * The server reported that it did not process the call: it sent REFUSED_STREAM, or a GOAWAY
+         * whose last stream ID is below the call's stream.
          */
         UNPROCESSED,
-        /** No connection could be had; nothing was sent. */
+        /** No connection could be established; nothing was sent. */
         NOT_SENT,
-        /** It was cancelled here. */
+        /** The client cancelled the call. */
         CANCELLED
     }
 
-    /** Events of the call, on the channel's event loop. */
+    /** Receives the events of a call, on the channel's event loop. */
     public interface Listener {
         /**
-         * The server's first header list came.
+         * Called when the server's first header list arrives.
          *
          * @param call the call
-         * @param headers the fields
+         * @param headers the header fields
          */
         default void onHeaders(ClientCall call, Headers headers) {}
 
         /**
-         * A message came. {@link ClientCall#consumeBytes} lets the server send as much again.
+         * Called when a message arrives. The listener returns its flow-control credit to the server
+         * with {@link ClientCall#consumeBytes}.
          *
          * @param call the call
          * @param message the message
-         * @param wireBytes what it took on the wire and is not yet credited
+         * @param wireBytes the message's size on the wire, in bytes, minus what was credited
+         *     already
          */
         void onMessage(ClientCall call, byte[] message, int wireBytes);
 
         /**
-         * The call is over; called once, and nothing after it.
+         * Called once, when the call ends; no other event follows.
          *
          * @param call the call
-         * @param status the server's, or what stands for it
-         * @param trailers the server's; empty where none came
-         * @param termination how it came about
+         * @param status the server's status, or a locally created one if the server sent none
+         * @param trailers the server's trailers; empty if none arrived
+         * @param termination how the call ended
          */
         void onClose(ClientCall call, Status status, Headers trailers, Termination termination);
     }
@@ -68,16 +72,16 @@
     private boolean closed;
     private boolean headersReceived;
 
-    /** Bytes of the message that is not complete yet for which credit was given. */
+    /** Bytes of the incomplete message whose credit was already returned to the server. */
     private int creditedBytes;
 
     /**
-     * Makes a call; {@link GrpcChannel#start} starts it.
+     * Creates a call that {@link GrpcChannel#start} starts.
      *
-     * @param path /package.Service/Method
-     * @param metadata further fields, grpc-timeout among them, or null
-     * @param maxMessageBytes bytes that one message of the server's may have
-     * @param listener notified of its events
+     * @param path the method's path, /package.Service/Method
+     * @param metadata additional header fields, such as grpc-timeout, or null
+     * @param maxMessageBytes maximum size of one message from the server, in bytes
+     * @param listener receives the call's events
      */
     public ClientCall(String path, Headers metadata, int maxMessageBytes, Listener listener) {
         this.path = path;
@@ -86,7 +90,7 @@
         this.deframer = new MessageDeframer(maxMessageBytes);
     }
 
-    /** Sends a message, at once or when the call has a stream. */
+    /** Sends a message, or queues it until the call has a stream. */
     public void send(byte[] message) {
         if (closed) {
             return;
@@ -98,7 +102,7 @@
         }
     }
 
-    /** Sends a message and says that no more follow. */
+    /** Sends the last message and closes the sending side of the call. */
     public void sendLast(byte[] message) {
         if (stream == null) {
             pendingMessages.add(message);
@@ -109,7 +113,7 @@
         }
     }
 
-    /** Says that no more messages follow. */
+    /** Closes the sending side of the call: no more messages follow. */
     public void halfClose() {
         if (!halfClosed && stream != null) {
             stream.writeData(Unpooled.EMPTY_BUFFER, true);
@@ -117,7 +121,7 @@
         halfClosed = true;
     }
 
-    /** Cancels the call; the server and the listener are notified. */
+    /** Cancels the call and notifies the server and the listener. */
     public void cancel() {
         if (!closed) {
             if (stream != null) {
@@ -130,17 +134,17 @@
         }
     }
 
-    /** {@return whether the listener was notified of the end} */
+    /** {@return whether the listener was notified of the call's end} */
     public boolean isClosed() {
         return closed;
     }
 
-    /** {@return whether the call has a stream, so that the server may know of it} */
+    /** {@return whether the call has a stream, so that the server may have received it} */
     public boolean isSent() {
         return stream != null;
     }
 
-    /** Gives the server credit for bytes that were taken. */
+    /** Returns flow-control credit for processed bytes to the server. */
     public void consumeBytes(int wireBytes) {
         if (stream != null) {
             stream.consumeBytes(wireBytes);
@@ -214,8 +218,9 @@
             String message = Status.decodeMessage(trailers.get("grpc-message"));
             close(new Status(StatusCode.parse(code), message), trailers, Termination.STATUS);
             if (!stream.isHalfClosed()) {
-                // The answer came before all was sent: what is left has no reader. A stream that
-                // has ended on both sides needs no reset, and servers count resets.
+                // The server answered before the client had sent everything and reads no more. A
+                // stream that
+                // has ended on both sides is not reset, because servers count resets.
                 stream.reset(ErrorCode.CANCEL);
             }
         }
@@ -244,7 +249,10 @@
         }
     }
 
-    /** A message may be longer than the window: its beginning is credited before its end comes. */
+    /**
+     * Returns credit for the received part of an incomplete message: a message may be longer than
+     * the flow-control window.
+     */
     private void creditPartialMessage() {
         int partialBytes = deframer.partialBytes();
         if (partialBytes > creditedBytes) {
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcChannel.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcChannel.java
@@ -13,19 +13,22 @@
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
- * Connections to one address, opened as calls need them. All of it runs on one event loop; {@link
- * #loop} tells which. A connection counts as open when the peer's HTTP/2 settings have come: a
- * socket that a hanging process still accepts is no connection.
+ * Manages the connections to one address and opens them as calls need them. All methods must be
+ * called on one event loop, {@link #loop}. A connection counts as open only after the peer's HTTP/2
+ * SETTINGS have arrived, because the operating system still accepts sockets for a process that
+ * hangs.
  */
 public final class GrpcChannel implements Http2Connection.Listener {
     /**
      * Limits and timeouts of connections.
      *
-     * @param maxConnections open at once
-     * @param connectTimeoutMicros until an attempt to connect fails
-     * @param idleTimeoutMicros after which a connection without calls is closed
-     * @param maxMessageBytes bytes that one message of the server's may have
-     * @param limits what the server may cost
+     * @param maxConnections maximum number of connections open at once
+     * @param connectTimeoutMicros time after which a connection attempt fails, in microseconds; it
+     *     applies to the TCP connection and to the arrival of the peer's SETTINGS
+     * @param idleTimeoutMicros time without calls after which connections are closed, in
+     *     microseconds; 0 keeps them open
+     * @param maxMessageBytes maximum size of one message from the server, in bytes
+     * @param limits HTTP/2 limits that the server's side of a connection has to keep
      */
     public record Options(
             int maxConnections,
@@ -33,7 +36,7 @@
             long idleTimeoutMicros,
             int maxMessageBytes,
             Http2Limits limits) {
-        /** One connection, for background traffic. */
+        /** Options for background traffic: one connection. */
         public static final Options BACKGROUND =
                 new Options(1, 1_000_000, 60_000_000, 4 << 20, Http2Limits.CLIENT);
     }
@@ -49,10 +52,10 @@
     private long lastCallNanos;
 
     /**
-     * Makes a channel without connections.
+     * Creates a channel without connections.
      *
-     * @param loop where everything runs
-     * @param address 127.0.0.1:PORT
+     * @param loop event loop that runs the channel, its connections and its calls
+     * @param address the server's address, 127.0.0.1:PORT
      * @param options limits and timeouts of connections
      */
     public GrpcChannel(EventLoop loop, String address, Options options) {
@@ -62,22 +65,22 @@
         LoopbackTransport.parseAddress(address);
     }
 
-    /** {@return the event loop on which everything here is to be called} */
+    /** {@return the event loop on which all methods must be called} */
     public EventLoop loop() {
         return loop;
     }
 
-    /** {@return the address} */
+    /** {@return the server's address} */
     public String address() {
         return address;
     }
 
-    /** {@return connections now open} */
+    /** {@return the number of open connections} */
     public int openConnections() {
         return open.size();
     }
 
-    /** Starts a call: at once, or when a connection is there. */
+    /** Starts a call, or queues it until a connection has a free stream. */
     public void start(ClientCall call) {
         lastCallNanos = System.nanoTime();
         if (shutdown) {
@@ -90,12 +93,15 @@
         }
     }
 
-    /** {@return a new call with this channel's limit on messages} */
+    /** {@return a new call with this channel's message size limit} */
     public ClientCall newCall(String path, Headers metadata, ClientCall.Listener listener) {
         return new ClientCall(path, metadata, options.maxMessageBytes(), listener);
     }
 
-    /** Starts a call on the connection with the fewest streams. {@return whether there was one} */
+    /**
+     * Starts a call on the open connection with the fewest streams. {@return whether a connection
+     * had a free stream}
+     */
     private boolean open(ClientCall call) {
         Http2Connection leastLoaded = null;
         for (Http2Connection connection : open) {
@@ -108,7 +114,9 @@
         return leastLoaded != null && call.open(leastLoaded, address);
     }
 
-    /** One connection is opened at a time, and only while calls wait for it. */
+    /**
+     * Opens a connection if calls are queued. Only one connection is being established at a time.
+     */
     private void connectIfNeeded() {
         boolean needed = !shutdown && !pendingCalls.isEmpty() && connecting.isEmpty();
         if (!needed || open.size() >= options.maxConnections()) {
@@ -130,7 +138,10 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    /** A socket may be accepted by a process that hangs: settings have to come in time too. */
+    /**
+     * Fails a connection whose SETTINGS have not arrived in time: the operating system may accept a
+     * socket for a process that hangs.
+     */
     private void checkReady(Http2Connection connection, ConnectionAttempt attempt) {
         if (connecting.contains(connection)) {
             connectionFailed(connection, address + " accepted no HTTP/2 connection in time");
@@ -142,7 +153,7 @@
         if (!connecting.remove(connection)) {
             return;
         }
-        // Calls may still wait for room on another connection that is open.
+        // While another connection is open, queued calls can still get a stream on it.
         if (open.isEmpty()) {
             failPendingCalls(reason);
         }
@@ -213,7 +224,7 @@
         }
     }
 
-    /** Closes connections that carry no call. */
+    /** Closes the connections without calls. */
     public void closeIdle() {
         for (Http2Connection connection : new ArrayList<>(open)) {
             if (connection.openStreamCount() == 0) {
@@ -223,7 +234,7 @@
         }
     }
 
-    /** Ends all connections and calls. */
+    /** Closes all connections and ends all calls; calls that are started later fail. */
     public void shutdown() {
         shutdown = true;
         failPendingCalls("the channel is shut");
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcServer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcServer.java
@@ -9,22 +9,25 @@
 import sorrelhoist.protocol.http2.Http2Stream;
 import sorrelhoist.protocol.http2.Http2StreamListener;
 
-/** gRPC over HTTP/2 at the serving side: finds a call's method, and rejects what is no gRPC. */
+/**
+ * Serves gRPC over HTTP/2: dispatches calls to their methods and rejects requests that are not
+ * valid gRPC.
+ */
 public final class GrpcServer implements Http2Connection.StreamAcceptor {
-    /** One method. */
+    /** The implementation of a method. */
     public interface MethodHandler {
         /**
-         * A call began.
+         * Called when a client starts a call.
          *
-         * @param call the call; may be closed at once
+         * @param call the call; the handler may close it immediately
          * @return the listener for the rest of the call
          */
         ServerCall.Listener open(ServerCall call);
     }
 
-    /** A method that takes one message and is done with it when the message is complete. */
+    /** The implementation of a method whose request is a single message. */
     public interface UnaryHandler {
-        /** Takes the request; the call is closed now or later. */
+        /** Handles the complete request. The handler closes the call, immediately or later. */
         void call(ServerCall call, byte[] request);
     }
 
@@ -32,20 +35,20 @@
     private final int maxMessageBytes;
 
     /**
-     * Makes a server without methods.
+     * Creates a server without methods.
      *
-     * @param maxMessageBytes bytes that one message may have
+     * @param maxMessageBytes maximum size of one message, in bytes
      */
     public GrpcServer(int maxMessageBytes) {
         this.maxMessageBytes = maxMessageBytes;
     }
 
     /**
-     * Adds a method; to be done before the first connection.
+     * Adds a method. Must be called before the first connection is accepted.
      *
-     * @param path /package.Service/Method
+     * @param path the method's path, /package.Service/Method
      * @param method its implementation
-     * @return this
+     * @return this object
      */
     public GrpcServer addMethod(String path, MethodHandler method) {
         methods.put(path, method);
@@ -53,11 +56,11 @@
     }
 
     /**
-     * Adds a method that takes one message.
+     * Adds a method whose request is a single message.
      *
-     * @param path /package.Service/Method
+     * @param path the method's path, /package.Service/Method
      * @param method its implementation
-     * @return this
+     * @return this object
      */
     public GrpcServer addUnaryMethod(String path, UnaryHandler method) {
         return addMethod(path, call -> new UnaryCallListener(call, method));
@@ -89,7 +92,10 @@
         return call;
     }
 
-    /** {@return why a call with these headers is rejected, or null} */
+    /**
+     * {@return the status with which a call with these headers is rejected, or null if it is
+     * accepted}
+     */
     private Status rejection(Headers headers) {
         if (!"POST".equals(headers.get(":method"))) {
             return new Status(StatusCode.INTERNAL, "gRPC calls are POST requests");
@@ -106,7 +112,7 @@
                 : new Status(StatusCode.UNIMPLEMENTED, "no method " + path);
     }
 
-    /** For streams that were answered before they were read. */
+    /** Ignores what the client sends on a stream that was already rejected. */
     private static final class RejectedStreamListener implements Http2StreamListener {
         @Override
         public void onHeaders(Headers headers, boolean endStream) {
@@ -120,7 +126,7 @@
 
         @Override
         public void onReset(ErrorCode code, boolean unprocessed, String reason) {
-            // It was answered.
+            // The stream was already answered.
         }
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcTimeout.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/GrpcTimeout.java
@@ -2,9 +2,9 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The grpc-timeout header: at most eight digits and a unit. */
+/** Parses and formats the grpc-timeout header: one to eight digits and a unit. */
 public final class GrpcTimeout {
-    /** No time-out was given. */
+    /** Value for a call without a timeout. */
     public static final long NONE = -1;
 
     private static final int MAX_DIGITS = 8;
@@ -13,11 +13,11 @@
     private GrpcTimeout() {}
 
     /**
-     * Reads the header.
+     * Parses the header.
      *
-     * @param value the header, or null
-     * @return microseconds, rounded up, or {@link #NONE} without a header
-     * @throws IllegalArgumentException where it has another form
+     * @param value the header's value, or null if the header is missing
+     * @return the timeout in microseconds, rounded up, or {@link #NONE} without a header
+     * @throws IllegalArgumentException if the value is malformed
      */
     public static long parse(String value) {
         if (value == null) {
@@ -51,7 +51,10 @@
                 "grpc-timeout \"" + value + "\": give one to eight digits and H, M, S, m, u or n");
     }
 
-    /** {@return the header's value for so many microseconds; never longer than they are} */
+    /**
+     * {@return the header's value for a timeout in microseconds, at least 1; rounded down if the
+     * unit has to be larger than a microsecond}
+     */
     public static String format(long micros) {
         if (micros <= MAX_NUMBER) {
             return Math.max(1, micros) + "u";
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/MessageDeframer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/MessageDeframer.java
@@ -2,15 +2,15 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Cuts gRPC's length-prefixed messages out of data frames. */
+/** Extracts gRPC's length-prefixed messages from DATA frames. */
 final class MessageDeframer {
-    /** Receives messages in their order. */
+    /** Receives messages in the order of their arrival. */
     interface Listener {
         /**
-         * A message is complete.
+         * Called when a message is complete.
          *
          * @param message the message
-         * @param wireBytes what it took on the wire, its prefix too
+         * @param wireBytes size on the wire in bytes, including the prefix
          */
         void onMessage(byte[] message, int wireBytes);
     }
@@ -25,7 +25,9 @@
         this.maxMessageBytes = maxMessageBytes;
     }
 
-    /** Reads all of a data frame. {@return what is wrong with it, or null} */
+    /**
+     * Reads the whole payload of a DATA frame. {@return the error if the data is invalid, or null}
+     */
     Status read(ByteBuf in, Listener listener) {
         while (in.isReadable() || isMessageComplete()) {
             if (message == null) {
@@ -87,12 +89,12 @@
         listener.onMessage(complete, prefix.length + complete.length);
     }
 
-    /** {@return bytes of a message that is not complete yet, its prefix too} */
+    /** {@return the received bytes of an incomplete message, including its prefix} */
     int partialBytes() {
         return prefixBytes + (message == null ? 0 : messageBytes);
     }
 
-    /** {@return whether a message was begun and is not complete} */
+    /** {@return whether part of an incomplete message has been received} */
     boolean isPartial() {
         return prefixBytes > 0;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/ServerCall.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/ServerCall.java
@@ -7,20 +7,25 @@
 import sorrelhoist.protocol.http2.Http2Stream;
 import sorrelhoist.protocol.http2.Http2StreamListener;
 
-/** One call at its serving side. Every method is to be called on {@link #executor}. */
+/** The server side of one call. All methods must be called on {@link #executor}. */
 public final class ServerCall implements Http2StreamListener {
-    /** Events for the method's implementation, on the call's executor. */
+    /** Receives the events of a call, on the call's executor. Implemented by the method. */
     public interface Listener {
-        /** A message of the client's. */
+        /** Called when a message from the client is complete. */
         void onMessage(byte[] message);
 
-        /** The client sends no more. */
+        /** Called when the client has closed its sending side. */
         default void onHalfClose() {}
 
-        /** The call is over before it was closed here: the client left, or its connection broke. */
+        /**
+         * Called when the call ends before the server closed it: the client cancelled it, its
+         * connection broke, or its data was invalid.
+         */
         default void onCancel(String reason) {}
 
-        /** So few bytes wait for the client that more can be sent. */
+        /**
+         * Called when the send queue has drained to its low-water mark, so that more can be sent.
+         */
         default void onReady() {}
     }
 
@@ -48,7 +53,7 @@
         return headers.get(":path");
     }
 
-    /** {@return what the client sent ahead of its messages} */
+    /** {@return the client's header fields} */
     public Headers headers() {
         return headers;
     }
@@ -58,22 +63,22 @@
         return timeoutMicros;
     }
 
-    /** {@return the event loop of this call} */
+    /** {@return the event loop of the call's connection} */
     public EventExecutor executor() {
         return stream.connection().executor();
     }
 
-    /** {@return bytes that wait for the client} */
+    /** {@return the number of bytes queued for the client} */
     public int pendingBytes() {
         return stream.pendingBytes();
     }
 
-    /** {@return whether nothing more can be sent} */
+    /** {@return whether the call is closed, so that nothing more can be sent} */
     public boolean isClosed() {
         return closed || stream.isClosed();
     }
 
-    /** Sends a message. */
+    /** Sends a message, preceded by the response headers if it is the first. */
     public void send(byte[] message) {
         if (isClosed()) {
             return;
@@ -86,10 +91,10 @@
     }
 
     /**
-     * Ends the call; nothing is sent after it.
+     * Closes the call with a status; nothing can be sent afterwards.
      *
-     * @param status how
-     * @param trailers further fields, or null
+     * @param status the call's status
+     * @param trailers additional trailer fields, or null
      */
     public void close(Status status, Headers trailers) {
         if (isClosed()) {
@@ -112,8 +117,8 @@
     }
 
     /**
-     * Ends the call without a status: for a client that takes nothing, so that no status could
-     * reach it.
+     * Resets the stream without sending a status. Used for a client that does not read, which a
+     * status could not reach.
      */
     public void abort() {
         closed = true;
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/Status.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/Status.java
@@ -3,21 +3,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * How a call ended.
+ * The result of a call.
  *
- * @param code the code
- * @param message for people; may be empty
+ * @param code the status code
+ * @param message a human-readable description; may be empty
  */
 public record Status(StatusCode code, String message) {
-    /** All went well. */
+    /** The status of a successful call. */
     public static final Status OK = new Status(StatusCode.OK, "");
 
-    /** {@return whether all went well} */
+    /** {@return whether the call succeeded} */
     public boolean isOk() {
         return code == StatusCode.OK;
     }
 
-    /** {@return the message as the grpc-message trailer carries it: percent-encoded UTF-8} */
+    /** {@return the message encoded for the grpc-message trailer, as percent-encoded UTF-8} */
     public String encodedMessage() {
         StringBuilder encoded = new StringBuilder();
         for (byte b : message.getBytes(StandardCharsets.UTF_8)) {
@@ -34,7 +34,10 @@
         return Character.toUpperCase(Character.forDigit(value & 0xF, 16));
     }
 
-    /** {@return the text of a grpc-message trailer; what is wrongly encoded stays as it is} */
+    /**
+     * {@return the decoded text of a grpc-message trailer; empty for null; invalid escapes are kept
+     * unchanged}
+     */
     public static String decodeMessage(String encoded) {
         if (encoded == null || encoded.indexOf('%') < 0) {
             return encoded == null ? "" : encoded;
@@ -49,7 +52,7 @@
         return new String(decoded, 0, size, StandardCharsets.UTF_8);
     }
 
-    /** {@return the octet that is escaped at this place, or -1 where none is} */
+    /** {@return the octet of the percent escape at an index, or -1 if there is no valid escape} */
     private static int escapedOctet(String encoded, int index) {
         if (encoded.charAt(index) != '%' || index + 2 >= encoded.length()) {
             return -1;
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/StatusCode.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/StatusCode.java
@@ -1,6 +1,6 @@
 package sorrelhoist.protocol.grpc;
 
-/** The status codes of gRPC, in their numbers' order. */
+/** The status codes of gRPC. A constant's ordinal is its number on the wire. */
 public enum StatusCode {
     OK,
     CANCELLED,
@@ -22,7 +22,9 @@
 
     private static final StatusCode[] ALL = values();
 
-    /** {@return the code of a trailer's value; UNKNOWN for what is none} */
+    /**
+     * {@return the code for the value of a grpc-status trailer; UNKNOWN if the value is invalid}
+     */
     public static StatusCode parse(String value) {
         try {
             int number = Integer.parseInt(value);
--- a/protocol/src/main/java/sorrelhoist/protocol/grpc/UnaryCallListener.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/grpc/UnaryCallListener.java
@@ -1,6 +1,9 @@
 package sorrelhoist.protocol.grpc;
 
-/** Gathers the one message of a unary call, and hands it over when the client has sent it. */
+/**
+ * Collects the single request message of a call and passes it to the handler when the client has
+ * closed its sending side.
+ */
 final class UnaryCallListener implements ServerCall.Listener {
     private final ServerCall call;
     private final GrpcServer.UnaryHandler handler;
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/DynamicTable.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/DynamicTable.java
@@ -1,13 +1,13 @@
 package sorrelhoist.protocol.hpack;
 
 /**
- * The dynamic table of RFC 7541 section 2.3.2: first in, first out, bounded by octets. Index 0 is
- * the newest.
+ * The dynamic table of RFC 7541 section 2.3.2: a first-in, first-out list of fields with a size
+ * limit in octets. Index 0 is the newest field.
  */
 final class DynamicTable {
     private static final int INITIAL_CAPACITY = 16;
 
-    /** A power of two long, so that a mask wraps indices. */
+    /** A ring buffer whose length is a power of two, so that indices wrap with a bit mask. */
     private HeaderField[] ring = new HeaderField[INITIAL_CAPACITY];
 
     private int newest;
@@ -19,17 +19,17 @@
         this.limit = limit;
     }
 
-    /** {@return how many fields it holds} */
+    /** {@return the number of fields} */
     int count() {
         return count;
     }
 
-    /** {@return octets that its fields count} */
+    /** {@return the total size of the fields, in octets as section 4.1 counts them} */
     int size() {
         return size;
     }
 
-    /** {@return octets that it may hold} */
+    /** {@return the maximum size, in octets} */
     int limit() {
         return limit;
     }
@@ -38,13 +38,16 @@
         return ring[newest - index & ring.length - 1];
     }
 
-    /** Sets how many octets it may hold; the oldest fields give way. */
+    /** Sets the maximum size and evicts the oldest fields that exceed it. */
     void limit(int octets) {
         limit = octets;
         evictTo(limit);
     }
 
-    /** A field larger than the table empties it and is not kept (section 4.4). */
+    /**
+     * Adds a field and evicts the oldest ones as needed. A field larger than the table empties it
+     * and is not added (section 4.4).
+     */
     void add(HeaderField field) {
         evictTo(limit - field.size());
         if (field.size() <= limit) {
@@ -76,7 +79,7 @@
         newest = count - 1;
     }
 
-    /** {@return the index of an equal field, or -1} */
+    /** {@return the index of the newest equal field, or -1} */
     int find(HeaderField field) {
         for (int i = 0; i < count; i++) {
             if (get(i).equals(field)) {
@@ -86,7 +89,7 @@
         return -1;
     }
 
-    /** {@return the index of the newest field of this name, or -1} */
+    /** {@return the index of the newest field with the name, or -1} */
     int findName(String name) {
         for (int i = 0; i < count; i++) {
             if (get(i).name().equals(name)) {
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HeaderField.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HeaderField.java
@@ -3,14 +3,14 @@
 /**
  * One header field.
  *
- * @param name lower-case, as RFC 9113 section 8.2 has it
- * @param value characters 0 to 255, one byte each
+ * @param name the name, in lower case as RFC 9113 section 8.2 requires
+ * @param value the value, of characters 0 to 255 that are encoded as one byte each
  */
 public record HeaderField(String name, String value) {
-    /** Octets that a table counts for a field besides its name and value (RFC 7541 section 4.1). */
+    /** Octets added to a field's name and value to get its size (RFC 7541 section 4.1). */
     static final int OVERHEAD = 32;
 
-    /** {@return the field's size as tables and header lists count it} */
+    /** {@return the field's size in octets, as dynamic tables and header list limits count it} */
     public int size() {
         return size(name, value);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/Headers.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/Headers.java
@@ -4,19 +4,19 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Header fields in their order on the wire; names may repeat. */
+/** A list of header fields in wire order. Names may repeat. */
 public final class Headers implements Iterable<HeaderField> {
     private final List<HeaderField> fields = new ArrayList<>();
 
-    /** Makes an empty list. */
+    /** Creates an empty list. */
     public Headers() {}
 
     /**
      * Adds a field at the end.
      *
-     * @param name lower-case
-     * @param value its value
-     * @return this
+     * @param name the name, in lower case
+     * @param value the value
+     * @return this object
      */
     public Headers add(String name, String value) {
         return add(new HeaderField(name, value));
@@ -26,7 +26,7 @@
      * Adds a field at the end.
      *
      * @param field the field
-     * @return this
+     * @return this object
      */
     public Headers add(HeaderField field) {
         fields.add(field);
@@ -34,17 +34,17 @@
     }
 
     /**
-     * Adds all of another list.
+     * Adds all fields of another list at the end.
      *
      * @param others the fields
-     * @return this
+     * @return this object
      */
     public Headers addAll(Headers others) {
         fields.addAll(others.fields);
         return this;
     }
 
-    /** {@return the first value of this name, or null} */
+    /** {@return the value of the first field with the name, or null} */
     public String get(String name) {
         for (HeaderField field : fields) {
             if (field.name().equals(name)) {
@@ -54,18 +54,18 @@
         return null;
     }
 
-    /** {@return the first value of this name, or {@code defaultValue}} */
+    /** {@return the value of the first field with the name, or {@code defaultValue}} */
     public String get(String name, String defaultValue) {
         String value = get(name);
         return value == null ? defaultValue : value;
     }
 
-    /** {@return how many fields there are} */
+    /** {@return the number of fields} */
     public int size() {
         return fields.size();
     }
 
-    /** {@return the fields, in order; not to be changed} */
+    /** {@return the fields in order; callers must not modify the list} */
     public List<HeaderField> fields() {
         return fields;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackDecoder.java
@@ -4,11 +4,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Decodes header blocks (RFC 7541); one instance for one direction of one connection, one thread at
- * a time.
+ * Decodes header blocks (RFC 7541). An instance serves one direction of one connection and is not
+ * thread-safe.
  */
 public final class HpackDecoder {
-    /** The table's limit before any setting is exchanged, in octets. */
+    /** The dynamic table's size limit before any SETTINGS are exchanged, in octets. */
     public static final int DEFAULT_TABLE = 4096;
 
     private static final int INDEXED = 0x80;
@@ -24,10 +24,11 @@
     private boolean resizeRequired;
 
     /**
-     * Makes a decoder with an empty table.
+     * Creates a decoder with an empty dynamic table.
      *
      * @param tableOctets the SETTINGS_HEADER_TABLE_SIZE that this side sent
-     * @param maxListOctets the most that one block may decode to, as section 4.1 counts
+     * @param maxListOctets maximum size of a decoded header list, in octets as section 4.1 counts
+     *     them
      */
     public HpackDecoder(int tableOctets, int maxListOctets) {
         this.table = new DynamicTable(Math.min(DEFAULT_TABLE, tableOctets));
@@ -39,9 +40,9 @@
     /**
      * Decodes one complete block.
      *
-     * @param block read to its end
-     * @return its fields
-     * @throws HpackException where the block is malformed, or decodes to more than the limit
+     * @param block the block, which is read to its end
+     * @return the decoded fields
+     * @throws HpackException if the block is malformed or decodes to more than the limit
      */
     public Headers decode(ByteBuf block) throws HpackException {
         Headers headers = new Headers();
@@ -74,7 +75,7 @@
         return headers;
     }
 
-    /** {@return octets now held in the dynamic table} */
+    /** {@return the current size of the dynamic table, in octets} */
     public int tableOctets() {
         return table.size();
     }
@@ -125,7 +126,10 @@
         return in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
     }
 
-    /** Section 5.1; what exceeds 28 bits is refused, as no table or string here is that large. */
+    /**
+     * Reads an integer (section 5.1). Integers above 28 bits are rejected, because no table or
+     * string is that large.
+     */
     private static int readInteger(ByteBuf in, int first, int prefixBits) throws HpackException {
         int prefixMask = (1 << prefixBits) - 1;
         int value = first & prefixMask;
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackEncoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackEncoder.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * Encodes header blocks (RFC 7541); one instance for one direction of one connection, one thread at
- * a time.
+ * Encodes header blocks (RFC 7541). An instance serves one direction of one connection and is not
+ * thread-safe.
  */
 public final class HpackEncoder {
     /**
-     * Fields that differ with every request: kept in the table they would push out those that
-     * recur.
+     * Fields whose values differ with every request. In the dynamic table they would evict fields
+     * that recur.
      */
     private static final Set<String> NOT_INDEXED =
             Set.of(
@@ -24,14 +24,17 @@
                     "sorrelhoist-load-bin",
                     "sorrelhoist-request");
 
-    /** Never put in any table, here or by an intermediary (section 7.1.3). */
+    /**
+     * Sensitive fields that neither this side nor an intermediary may add to a table (section
+     * 7.1.3).
+     */
     private static final Set<String> NEVER_INDEXED =
             Set.of("authorization", "cookie", "proxy-authorization", "set-cookie");
 
-    /** Larger tables than this are not used, whatever the peer allows, in octets. */
+    /** Maximum size of the dynamic table in octets, even if the peer allows a larger one. */
     private static final int MAX_TABLE_OCTETS = 4096;
 
-    /** A field above this share of the table is not put into it. */
+    /** A field larger than the table's limit divided by this number is not added to the table. */
     private static final int MAX_FIELD_SHARE = 4;
 
     private static final int NO_UPDATE = -1;
@@ -46,13 +49,13 @@
     private final DynamicTable table = new DynamicTable(HpackDecoder.DEFAULT_TABLE);
     private int pendingTableSizeUpdate = NO_UPDATE;
 
-    /** Makes an encoder with an empty table. */
+    /** Creates an encoder with an empty dynamic table. */
     public HpackEncoder() {}
 
     /**
-     * Takes the peer's SETTINGS_HEADER_TABLE_SIZE; the next block announces the new size.
+     * Applies the peer's SETTINGS_HEADER_TABLE_SIZE. The next block announces the new size.
      *
-     * @param octets as the peer sent it
+     * @param octets the value of the setting
      */
     public void peerTableLimit(long octets) {
         int limit = (int) Math.min(MAX_TABLE_OCTETS, octets);
@@ -63,10 +66,10 @@
     }
 
     /**
-     * Appends one block.
+     * Encodes a header list as one block and appends it to a buffer.
      *
      * @param headers the fields; pseudo-headers first
-     * @param out written to
+     * @param out the buffer
      */
     public void encode(Headers headers, ByteBuf out) {
         if (pendingTableSizeUpdate != NO_UPDATE) {
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackException.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackException.java
@@ -1,7 +1,8 @@
 package sorrelhoist.protocol.hpack;
 
 /**
- * A header block that RFC 7541 does not allow; the connection's compression state is lost with it.
+ * Signals a header block that cannot be decoded. The connection's compression state is invalid
+ * afterwards, so the connection has to be closed.
  */
 public final class HpackException extends Exception {
     private static final long serialVersionUID = 1;
@@ -16,7 +17,7 @@
         this.tooLarge = tooLarge;
     }
 
-    /** {@return whether the block was well formed so far but decodes to more than the limit} */
+    /** {@return whether the block exceeds the size limit but is well-formed up to that point} */
     public boolean tooLarge() {
         return tooLarge;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/Huffman.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/Huffman.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 
 /**
- * The Huffman code of RFC 7541, Appendix B. It is canonical (codes of one length ascend with their
- * symbols), so the lengths alone define it.
+ * The Huffman code of RFC 7541, Appendix B. The code is canonical (codes of equal length ascend
+ * with their symbols), so the code lengths define it.
  */
 final class Huffman {
     private static final int SYMBOLS = 257;
@@ -34,20 +34,18 @@
     };
     private static final int[] CODES = codes();
 
-    /**
-     * Per node and next four bits: the node after them. -1 where EOS or no code lies on the way.
-     */
+    /** The next node for each node and next four bits; -1 if the bits complete EOS. */
     private static final short[] NEXT = new short[SYMBOLS * NIBBLE];
 
     /**
-     * Per node and next four bits: the symbol that ends within them, or -1; codes have five bits or
-     * more.
+     * The symbol completed by each node and next four bits, or -1. At most one symbol can end
+     * there, because codes have at least five bits.
      */
     private static final short[] SYMBOL = new short[SYMBOLS * NIBBLE];
 
     /**
-     * Per node: whether the bits since the last symbol are all ones and fewer than eight, so may be
-     * padding.
+     * Whether each node may end a string: the bits since the last symbol are fewer than eight and
+     * all ones, which is valid padding.
      */
     private static final boolean[] MAY_END = new boolean[SYMBOLS];
 
@@ -81,7 +79,10 @@
         return codes;
     }
 
-    /** Inner nodes with two children each: a node's number, or -2 less the symbol. */
+    /**
+     * Builds the code tree. Each inner node has two children: the index of an inner node, or -2 -
+     * symbol for a leaf.
+     */
     private static int[][] tree() {
         int[][] tree = new int[SYMBOLS - 1][2];
         for (int[] node : tree) {
@@ -121,7 +122,7 @@
         NEXT[at] = (short) node;
     }
 
-    /** {@return how many bytes the text takes in this code} */
+    /** {@return the length of the encoded text in bytes} */
     static int length(String text) {
         long bits = 0;
         for (int i = 0; i < text.length(); i++) {
@@ -150,8 +151,8 @@
     /**
      * Decodes {@code length} bytes.
      *
-     * @throws HpackException where EOS stands in the text, or the padding is longer than seven bits
-     *     or not all ones
+     * @throws HpackException if the text contains EOS, or its padding is longer than seven bits or
+     *     not all ones
      */
     static String decode(ByteBuf in, int length) throws HpackException {
         byte[] text = new byte[length * 8 / 5 + 1];
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/StaticTable.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/StaticTable.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The static table of RFC 7541, Appendix A; indices from 1. */
+/** The static table of RFC 7541, Appendix A. Indices start at 1. */
 final class StaticTable {
     private static final String[][] ENTRIES = {
         {":authority", ""},
@@ -88,12 +88,12 @@
         return FIELDS[index];
     }
 
-    /** {@return the lowest index of this name, or 0} */
+    /** {@return the lowest index of a field with the name, or 0 if there is none} */
     static int indexOfName(String name) {
         return INDEX_OF_NAME.getOrDefault(name, 0);
     }
 
-    /** {@return the index of an equal field, or 0} */
+    /** {@return the index of an equal field, or 0 if there is none} */
     static int indexOf(HeaderField field) {
         return INDEX_OF_FIELD.getOrDefault(field, 0);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpBodyDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpBodyDecoder.java
@@ -3,8 +3,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Decodes one message's content part by part as its bytes arrive (RFC 9112, sections 6 and 7);
- * keeps none of it.
+ * Decodes the content of one message incrementally (RFC 9112, sections 6 and 7), without buffering
+ * it.
  */
 public final class HttpBodyDecoder {
     private enum State {
@@ -17,16 +17,19 @@
         COMPLETE
     }
 
-    /** The declared length of a message that does not declare one. */
+    /** Value of the declared length if the head does not declare one. */
     private static final long UNDECLARED = -1;
 
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
 
-    /** Limit of all lines between the data of two chunks, and of the trailers. */
+    /** Maximum total size of the lines between the data of two chunks, and of the trailers. */
     private static final int MAX_LINE_BYTES = 16 << 10;
 
-    /** Digits of a chunk's size: less than 256 MiB. */
+    /**
+     * Maximum number of hexadecimal digits in a chunk size, which limits a chunk to less than 256
+     * MiB.
+     */
     private static final int MAX_SIZE_DIGITS = 7;
 
     private final long declaredLength;
@@ -37,7 +40,7 @@
                     this::checkPartialLine);
     private State state;
 
-    /** Bytes still to come of the content, or of its present chunk. */
+    /** Remaining bytes of the content, or of the current chunk. */
     private long remainingBytes;
 
     private HttpBodyDecoder(State state, long declaredLength) {
@@ -47,11 +50,11 @@
     }
 
     /**
-     * Creates the decoder of a message's content from how its head says it is framed.
+     * Creates the decoder for the framing that a message's head declares.
      *
      * @param head the message's head
-     * @return the decoder, at the start of the content
-     * @throws HttpDecodeException where its framing could be read in two ways, or not at all
+     * @return a decoder at the start of the content
+     * @throws HttpDecodeException if the framing is ambiguous or invalid
      */
     public static HttpBodyDecoder forHead(HttpHead head) throws HttpDecodeException {
         String length = head.header("content-length");
@@ -79,12 +82,15 @@
         return new HttpBodyDecoder(length == 0 ? State.COMPLETE : State.FIXED_LENGTH, length);
     }
 
-    /** {@return whether a message that declares no content has none; a request's status is 0} */
+    /**
+     * {@return whether a message without a declared length has no content; the status of requests
+     * is 0}
+     */
     private static boolean hasNoContent(int status) {
         return status < 200 || status == NO_CONTENT || status == NOT_MODIFIED;
     }
 
-    /** {@return the content's length in bytes as declared, or -1 where the head does not say} */
+    /** {@return the declared length of the content in bytes, or -1 if the head declares none} */
     public long declaredLength() {
         return declaredLength;
     }
@@ -94,18 +100,18 @@
         return state == State.COMPLETE;
     }
 
-    /** {@return whether the end of the connection is the end of the content} */
+    /** {@return whether the content ends when the connection is closed} */
     public boolean endsWithConnection() {
         return state == State.UNTIL_CLOSE;
     }
 
     /**
-     * Decodes on.
+     * Decodes the next part of the content.
      *
-     * @param in bytes as they arrived
-     * @return the next part, as a slice that lives as long as {@code in}; null where more bytes are
+     * @param in the received bytes
+     * @return the next part, as a slice that is valid as long as {@code in}; null if more bytes are
      *     needed or the content is complete
-     * @throws HttpDecodeException where the framing is invalid
+     * @throws HttpDecodeException if the framing is invalid
      */
     public ByteBuf next(ByteBuf in) throws HttpDecodeException {
         while (state != State.COMPLETE && in.isReadable()) {
@@ -148,8 +154,8 @@
     }
 
     /**
-     * {@return whether the part of a size that has arrived can become one: digits, then white space
-     * or an extension}
+     * {@return whether a partial line can still become a valid chunk size: hexadecimal digits,
+     * optionally followed by white space or an extension}
      */
     private static boolean mayBecomeSize(StringBuilder line) {
         int digits = 0;
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpClient.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpClient.java
@@ -12,8 +12,8 @@
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
- * Sends requests to an HTTP/1.1 server, each on a connection of its own, which is enough for a
- * registry that is polled once a second.
+ * Sends requests to an HTTP/1.1 server, each on its own connection. Connections are not reused,
+ * because the client only polls a registry about once a second.
  */
 public final class HttpClient {
     private static final int MAX_BODY_BYTES = 16 << 20;
@@ -23,8 +23,8 @@
     /**
      * Creates a client.
      *
-     * @param loop where it runs, and completes what it returns
-     * @param address 127.0.0.1:PORT
+     * @param loop event loop that runs the requests and completes their futures
+     * @param address the server's address, 127.0.0.1:PORT
      */
     public HttpClient(EventLoop loop, String address) {
         this.loop = loop;
@@ -36,9 +36,9 @@
      * Sends a request.
      *
      * @param request the request
-     * @param timeoutMicros until it has failed, in microseconds
-     * @return the response, or the failure: an {@link IOException}, {@link TimeoutException} or
-     *     {@link HttpDecodeException}
+     * @param timeoutMicros time until the request fails, in microseconds
+     * @return a future of the response, which fails with an {@link IOException}, {@link
+     *     TimeoutException} or {@link HttpDecodeException}
      */
     public CompletableFuture<HttpMessage> send(HttpMessage request, long timeoutMicros) {
         CompletableFuture<HttpMessage> result = new CompletableFuture<>();
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpDecodeException.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpDecodeException.java
@@ -1,6 +1,6 @@
 package sorrelhoist.protocol.http1;
 
-/** A message that is no valid HTTP/1.1, or exceeds a limit of its decoder. */
+/** Signals a message that is not valid HTTP/1.1 or that exceeds a limit of its decoder. */
 public final class HttpDecodeException extends Exception {
     static final int BAD_REQUEST = 400;
     static final int CONTENT_TOO_LARGE = 413;
@@ -9,10 +9,10 @@
     private final int status;
 
     /**
-     * Creates the exception without a stack trace: peers can cause it as often as they like.
+     * Creates the exception without a stack trace, because a peer can cause it at any rate.
      *
      * @param status the status of the response that reports the error
-     * @param message what is wrong, for the peer
+     * @param message description of the error, which is sent to the peer
      */
     HttpDecodeException(int status, String message) {
         super(message, null, false, false);
@@ -22,7 +22,7 @@
     /**
      * Creates the exception for a malformed message.
      *
-     * @param message what is wrong, for the peer
+     * @param message description of the error, which is sent to the peer
      */
     HttpDecodeException(String message) {
         this(BAD_REQUEST, message);
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadDecoder.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * Decodes heads of HTTP/1.1 messages (RFC 9112, sections 2 to 5) however their bytes are cut. What
- * two decoders could take for two different things is an error: bare line feeds, white space before
- * a colon, two values of content-length.
+ * Decodes the heads of HTTP/1.1 messages (RFC 9112, sections 2 to 5) incrementally. Rejects input
+ * that two decoders could interpret differently: bare line feeds, white space before a colon,
+ * conflicting values of content-length.
  */
 public final class HttpHeadDecoder {
     private static final String HTTP_1 = "HTTP/1.";
     private static final String CONTENT_LENGTH = "content-length";
 
-    /** Empty lines before a message (RFC 9112, section 2.2). */
+    /** Maximum number of empty lines before a message (RFC 9112, section 2.2). */
     private static final int MAX_EMPTY_LINES = 4;
 
     private final boolean decodesRequests;
@@ -29,8 +29,8 @@
     /**
      * Creates a decoder at the start of a message.
      *
-     * @param requests whether requests are expected, or responses
-     * @param maxHeadBytes limit of one head, in bytes
+     * @param requests true to decode requests, false to decode responses
+     * @param maxHeadBytes maximum size of one head, in bytes
      */
     public HttpHeadDecoder(boolean requests, int maxHeadBytes) {
         this.decodesRequests = requests;
@@ -41,17 +41,17 @@
                         this::checkPartialLine);
     }
 
-    /** {@return whether bytes of a head have arrived that is not complete} */
+    /** {@return whether part of an incomplete head has been received} */
     public boolean hasPartialHead() {
         return lines.hasReceivedBytes();
     }
 
     /**
-     * Decodes on.
+     * Decodes the next head.
      *
-     * @param in bytes as they arrived; read as far as the end of a head
-     * @return the next complete head, or null where more bytes are needed
-     * @throws HttpDecodeException where the bytes are no head, or it exceeds the limit
+     * @param in the received bytes, which are read up to the end of a head
+     * @return the next complete head, or null if more bytes are needed
+     * @throws HttpDecodeException if the head is invalid or exceeds the limit
      */
     public HttpHead next(ByteBuf in) throws HttpDecodeException {
         for (String line = lines.next(in); line != null; line = lines.next(in)) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /** {@return whether it is a token (RFC 9110, section 5.6.2)} */
+    /** {@return whether a name is a token (RFC 9110, section 5.6.2)} */
     static boolean isToken(String name) {
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessage.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessage.java
@@ -6,22 +6,23 @@
 import java.util.Map;
 
 /**
- * A complete request or response of HTTP/1.1 (RFC 9112).
+ * A complete HTTP/1.1 request or response (RFC 9112).
  *
  * @param method the request's method; empty for responses
  * @param target the request's target; empty for responses
  * @param status the response's status; 0 for requests
- * @param headers fields by lower-case name; the values of repeated ones are joined with commas
+ * @param headers the fields by lower-case name; the values of repeated fields are joined with
+ *     commas
  * @param body the content
  */
 public record HttpMessage(
         String method, String target, int status, Map<String, String> headers, byte[] body) {
     /**
-     * Makes a request.
+     * Creates a request.
      *
-     * @param method its method
-     * @param target its target, with the query
-     * @param headers fields by lower-case name
+     * @param method the method
+     * @param target the target, including the query
+     * @param headers the fields by lower-case name
      * @param body the content
      * @return the request
      */
@@ -31,10 +32,10 @@
     }
 
     /**
-     * Makes a response.
+     * Creates a response.
      *
-     * @param status its status
-     * @param contentType the type of its content; empty for no such field
+     * @param status the status
+     * @param contentType the value of content-type; empty to omit the field
      * @param body the content
      * @return the response
      */
@@ -44,17 +45,17 @@
         return new HttpMessage("", "", status, headers, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** {@return a field's value, or null} */
+    /** {@return the value of the field with a name in any case, or null} */
     public String header(String name) {
         return headers.get(name.toLowerCase(Locale.ROOT));
     }
 
-    /** {@return the target's path, without its query} */
+    /** {@return the path of the target, without the query} */
     public String path() {
         return HttpHead.pathOf(target);
     }
 
-    /** {@return a value of the target's query, or null} */
+    /** {@return the decoded value of a query parameter, or null} */
     public String queryParameter(String name) {
         int query = target.indexOf('?');
         if (query < 0) {
@@ -69,7 +70,7 @@
         return null;
     }
 
-    /** {@return the content as text} */
+    /** {@return the content decoded as UTF-8} */
     public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessageDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessageDecoder.java
@@ -4,9 +4,9 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Decodes complete HTTP/1.1 messages (RFC 9112) however their bytes are cut. What two decoders
- * could take for two different things is an error: bare line feeds in the head, white space before
- * a colon, content-length beside chunked.
+ * Decodes complete HTTP/1.1 messages (RFC 9112) incrementally. Rejects input that two decoders
+ * could interpret differently: bare line feeds in the head, white space before a colon,
+ * content-length together with chunked transfer coding.
  */
 public final class HttpMessageDecoder {
     private static final int MAX_HEAD_BYTES = 16 << 10;
@@ -14,7 +14,7 @@
     private final HttpHeadDecoder headDecoder;
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
 
-    /** The head of the message that is being decoded; null between messages. */
+    /** The head of the current message; null between messages. */
     private HttpHead head;
 
     private HttpBodyDecoder bodyDecoder;
@@ -22,8 +22,8 @@
     /**
      * Creates a decoder at the start of a message.
      *
-     * @param requests whether requests are expected, or responses
-     * @param maxBodyBytes limit of a message's content, in bytes
+     * @param requests true to decode requests, false to decode responses
+     * @param maxBodyBytes maximum size of a message's content, in bytes
      */
     public HttpMessageDecoder(boolean requests, int maxBodyBytes) {
         this.headDecoder = new HttpHeadDecoder(requests, MAX_HEAD_BYTES);
@@ -31,11 +31,11 @@
     }
 
     /**
-     * Decodes on.
+     * Decodes the next message.
      *
-     * @param in bytes as they arrived; read as far as the end of a message
-     * @return the next complete message, or null where more bytes are needed
-     * @throws HttpDecodeException where the bytes are no message, or it exceeds a limit
+     * @param in the received bytes, which are read up to the end of a message
+     * @return the next complete message, or null if more bytes are needed
+     * @throws HttpDecodeException if the message is invalid or exceeds a limit
      */
     public HttpMessage next(ByteBuf in) throws HttpDecodeException {
         if (head == null) {
@@ -55,7 +55,10 @@
         return bodyDecoder.isComplete() ? takeMessage() : null;
     }
 
-    /** {@return the message that ends with its connection, or null where there is none} */
+    /**
+     * {@return the message whose content ends when the connection is closed, or null if there is
+     * none}
+     */
     public HttpMessage completeAtClose() {
         return head != null && bodyDecoder.endsWithConnection() ? takeMessage() : null;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessageEncoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessageEncoder.java
@@ -4,14 +4,14 @@
 import io.netty.buffer.ByteBufAllocator;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes HTTP/1.1 messages whose content's length is known. */
+/** Encodes HTTP/1.1 messages whose content length is known. */
 final class HttpMessageEncoder {
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
 
     private HttpMessageEncoder() {}
 
-    /** {@return a request that its client sends to a host, as the last one on its connection} */
+    /** {@return the encoded request to a host, with connection: close} */
     static ByteBuf encodeRequest(ByteBufAllocator allocator, HttpMessage request, String host) {
         StringBuilder head =
                 new StringBuilder(256)
@@ -27,10 +27,10 @@
     /**
      * Encodes a response.
      *
-     * @param allocator of the buffer
+     * @param allocator allocator of the returned buffer
      * @param response the response
-     * @param close whether it says that it is the last one on its connection
-     * @return its bytes
+     * @param close whether to add connection: close
+     * @return the encoded response, owned by the caller
      */
     static ByteBuf encodeResponse(ByteBufAllocator allocator, HttpMessage response, boolean close) {
         StringBuilder head =
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpServerHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpServerHandler.java
@@ -6,7 +6,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.util.function.Consumer;
 
-/** Serves HTTP/1.1 on one connection, one request after the other. */
+/** Serves HTTP/1.1 requests on one connection, in the order of their arrival. */
 public final class HttpServerHandler extends ChannelInboundHandlerAdapter {
     private static final int MAX_BODY_BYTES = 1 << 20;
 
@@ -15,8 +15,9 @@
         /**
          * Handles a request.
          *
-         * @param request complete
-         * @param respond takes the response, now or later, on any thread; once
+         * @param request the complete request
+         * @param respond sends the response; must be called once, immediately or later, on any
+         *     thread
          */
         void handle(HttpMessage request, Consumer<HttpMessage> respond);
     }
@@ -24,7 +25,7 @@
     private final HttpMessageDecoder decoder = new HttpMessageDecoder(true, MAX_BODY_BYTES);
     private final RequestHandler requestHandler;
 
-    /** Whether the last request that is served here has been read. */
+    /** Whether the last request to be served on this connection has been read. */
     private boolean lastRequestRead;
 
     /** Creates the handler of one connection. */
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/LineDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/LineDecoder.java
@@ -3,8 +3,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Decodes lines that end with CR LF however their bytes are cut, within a limit that several lines
- * may share.
+ * Decodes lines that end with CR LF incrementally. A size limit applies to all lines since its last
+ * reset.
  */
 final class LineDecoder {
     private final int maxBytes;
@@ -12,19 +12,19 @@
     private final PartialLineCheck check;
     private final StringBuilder line = new StringBuilder();
 
-    /** Since the limit was last reset. */
+    /** Bytes received since the limit was last reset. */
     private int receivedBytes;
 
     /**
-     * Checks the part of a line that has arrived: noise need not hold a line feed, and nothing may
-     * follow it.
+     * Checks a line before it is complete. Invalid input may never contain a line feed, so that
+     * without this check a caller waits for its timeout.
      */
     interface PartialLineCheck {
         /**
-         * Looks at a line that grew by a character.
+         * Checks a partial line. Called after each character.
          *
-         * @param line what has arrived of it, at least one character
-         * @throws HttpDecodeException where it cannot become a line that is expected here
+         * @param line the received part of the line, at least one character
+         * @throws HttpDecodeException if it cannot become a valid line
          */
         void check(StringBuilder line) throws HttpDecodeException;
     }
@@ -32,9 +32,9 @@
     /**
      * Creates a decoder at the start of a line.
      *
-     * @param maxBytes the limit, ends of lines included
-     * @param limitMessage the error where it is exceeded
-     * @param check is given each part of a line as it grows
+     * @param maxBytes maximum number of bytes between resets, including line ends
+     * @param limitMessage error message if the limit is exceeded
+     * @param check checks partial lines
      */
     LineDecoder(int maxBytes, String limitMessage, PartialLineCheck check) {
         this.maxBytes = maxBytes;
@@ -47,12 +47,12 @@
         return receivedBytes > 0;
     }
 
-    /** Lets the limit count from here. */
+    /** Resets the number of bytes that count towards the limit. */
     void resetLimit() {
         receivedBytes = 0;
     }
 
-    /** {@return the next line without its end, or null where more bytes are needed} */
+    /** {@return the next line without its line end, or null if more bytes are needed} */
     String next(ByteBuf in) throws HttpDecodeException {
         while (in.isReadable()) {
             char c = (char) in.readUnsignedByte();
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/ConnectionChannel.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/ConnectionChannel.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The channel under one connection: gathers what is written into one flush for each turn of the
- * event loop, bounds what waits in the socket's queue, and closes the channel once, with a reason.
+ * Wraps the Netty channel of one connection: batches writes into one flush per event-loop
+ * iteration, limits the outbound buffer, and records the reason for which the channel is closed.
  */
 final class ConnectionChannel {
-    /** Time for a peer that reads nothing to take the last frame. */
+    /** Time allowed for sending the last frame to a peer that does not read. */
     private static final long CLOSE_TIMEOUT_SECONDS = 1;
 
     private final long maxOutboundBytes;
@@ -25,10 +25,10 @@
     private String closeReason = "the peer closed the connection";
 
     /**
-     * Creates the channel before it is attached.
+     * Creates a channel that is not attached yet.
      *
-     * @param maxOutboundBytes bytes that may wait for the socket
-     * @param onOutboundOverflow run after a flush that leaves more than that
+     * @param maxOutboundBytes maximum number of bytes in the outbound buffer
+     * @param onOutboundOverflow run after a flush that leaves more bytes than the maximum
      */
     ConnectionChannel(long maxOutboundBytes, Runnable onOutboundOverflow) {
         this.maxOutboundBytes = maxOutboundBytes;
@@ -64,7 +64,10 @@
         ctx.executor().schedule(task, delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    /** Writes a frame, which is flushed with others at the end of the event loop's turn. */
+    /**
+     * Writes a frame and takes ownership of it. Frames are flushed together by a task that runs
+     * later on the event loop.
+     */
     void write(ByteBuf frame) {
         if (!isActive()) {
             frame.release();
@@ -80,25 +83,31 @@
     private void flush() {
         flushScheduled = false;
         ctx.flush();
-        // Answers to PING and SETTINGS need no window: a peer that reads none of them must not
-        // fill memory.
+        // Replies to PING and SETTINGS are not flow-controlled: a peer that does not read them must
+        // not
+        // exhaust memory.
         ChannelOutboundBuffer queue = ctx.channel().unsafe().outboundBuffer();
         if (!closing && queue != null && queue.totalPendingWriteBytes() > maxOutboundBytes) {
             onOutboundOverflow.run();
         }
     }
 
-    /** {@return whether the connection has ended or is about to: nothing new may begin on it} */
+    /**
+     * {@return whether the connection is closing or closed, so that no new streams may be opened}
+     */
     boolean isClosing() {
         return closing;
     }
 
-    /** {@return why the connection ended, for logs} */
+    /** {@return the reason for which the connection was closed, for logs} */
     String closeReason() {
         return closeReason;
     }
 
-    /** Ends the connection at once, with a last frame if the peer takes it in time. */
+    /**
+     * Closes the connection after a last frame, or after {@link #CLOSE_TIMEOUT_SECONDS} if the peer
+     * does not read it.
+     */
     void closeWith(ByteBuf lastFrame, String reason) {
         closing = true;
         closeReason = reason;
@@ -106,7 +115,7 @@
         ctx.executor().schedule(() -> ctx.close(), CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Ends the connection behind all that was written. */
+    /** Closes the connection after all pending writes. */
     void closeAfterFlush(String reason) {
         closing = true;
         closeReason = reason;
@@ -118,18 +127,18 @@
                                         .addListener(ChannelFutureListener.CLOSE));
     }
 
-    /** Closes the channel without waiting for what was written. */
+    /** Closes the channel without waiting for pending writes. */
     void closeNow() {
         ctx.close();
     }
 
-    /** Closes the channel because of an error of its transport. */
+    /** Closes the channel after a transport error. */
     void closeOnError(Throwable cause) {
         closeReason = String.valueOf(cause.getMessage());
         ctx.close();
     }
 
-    /** The channel is closed. */
+    /** Called when the channel has been closed. */
     void becameInactive() {
         closing = true;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/ErrorCode.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/ErrorCode.java
@@ -1,6 +1,6 @@
 package sorrelhoist.protocol.http2;
 
-/** The error codes of RFC 9113 section 7, in their numbers' order. */
+/** The error codes of RFC 9113 section 7. A constant's ordinal is its number on the wire. */
 public enum ErrorCode {
     NO_ERROR,
     PROTOCOL_ERROR,
@@ -19,7 +19,10 @@
 
     private static final ErrorCode[] ALL = values();
 
-    /** {@return the code of this number; unknown ones count as INTERNAL_ERROR (section 7)} */
+    /**
+     * {@return the error code with a number; unknown numbers are treated as INTERNAL_ERROR (section
+     * 7)}
+     */
     public static ErrorCode of(long number) {
         return number >= 0 && number < ALL.length ? ALL[(int) number] : INTERNAL_ERROR;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/EventLoopTimer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/EventLoopTimer.java
@@ -1,6 +1,6 @@
 package sorrelhoist.protocol.http2;
 
-/** Runs one task some time after it was armed; arming it again before that changes nothing. */
+/** Runs a task after a delay. Arming a timer that is already armed has no effect. */
 final class EventLoopTimer {
     private final ConnectionChannel channel;
     private final long delayMicros;
@@ -10,9 +10,9 @@
     /**
      * Creates a timer that is not armed.
      *
-     * @param channel whose event loop runs the task
-     * @param delayMicros from arming to the run
-     * @param task may arm the timer again
+     * @param channel the channel whose event loop runs the task
+     * @param delayMicros delay between arming the timer and running the task, in microseconds
+     * @param task the task, which may arm the timer again
      */
     EventLoopTimer(ConnectionChannel channel, long delayMicros, Runnable task) {
         this.channel = channel;
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameDecoder.java
@@ -5,8 +5,8 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * Cuts a byte stream into frames: keeps what is not complete until more comes, and checks the
- * client's preface ahead of the first frame.
+ * Splits a byte stream into frames. Buffers incomplete input, and checks the client's preface
+ * before the first frame.
  */
 final class FrameDecoder {
     private final FrameReader reader = new FrameReader(Frames.DEFAULT_FRAME_SIZE);
@@ -16,15 +16,16 @@
     /**
      * Creates a decoder.
      *
-     * @param prefaceExpected whether the peer is a client, whose preface comes first
+     * @param prefaceExpected whether the peer is a client, which sends a preface before its first
+     *     frame
      */
     FrameDecoder(boolean prefaceExpected) {
         this.prefaceExpected = prefaceExpected;
     }
 
     /**
-     * {@return the bytes kept from before and those received, in one buffer; takes ownership of
-     * both}
+     * {@return the buffered and the received bytes in one buffer, owned by the caller; takes
+     * ownership of {@code received}}
      */
     ByteBuf join(ByteBufAllocator allocator, ByteBuf received) {
         if (!remainder.isReadable()) {
@@ -38,12 +39,12 @@
     }
 
     /**
-     * Reads the preface if it is still due, then one frame.
+     * Reads the preface if it is still expected, then one frame.
      *
-     * @param in read as far as it is complete
+     * @param in the input; only a complete preface and a complete frame are consumed
      * @param listener receives the frame
-     * @return whether there was a complete frame
-     * @throws Http2Exception where the bytes or the listener's state don't allow it
+     * @return whether a complete frame was read
+     * @throws Http2Exception if the input is invalid or the listener rejects the frame
      */
     boolean decodeNext(ByteBuf in, FrameListener listener) throws Http2Exception {
         if (prefaceExpected && !readPreface(in)) {
@@ -69,7 +70,7 @@
         return true;
     }
 
-    /** Keeps what is left of a buffer until more bytes come. */
+    /** Buffers the unread bytes until more input arrives; takes ownership of the buffer. */
     void keep(ByteBuf rest) {
         if (rest.isReadable()) {
             remainder = rest;
@@ -78,18 +79,18 @@
         }
     }
 
-    /** Releases the bytes that were kept. */
+    /** Releases the buffered bytes. */
     void release() {
         remainder.release();
         remainder = Unpooled.EMPTY_BUFFER;
     }
 
-    /** {@return bytes of an incomplete preface or frame} */
+    /** {@return the number of buffered bytes of an incomplete preface or frame} */
     int bufferedBytes() {
         return remainder.readableBytes();
     }
 
-    /** {@return whether no preface, frame or header block has been begun and not ended} */
+    /** {@return whether the preface has been read and no frame or header block is incomplete} */
     boolean isComplete() {
         return !remainder.isReadable() && reader.openHeaderBlock() == 0 && !prefaceExpected;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameDispatcher.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameDispatcher.java
@@ -3,8 +3,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Hands each frame to the part of the connection that it concerns, once the peer's SETTINGS have
- * come, and charges those that carry nothing.
+ * Dispatches each frame to its handler. Rejects other frames before the peer's first SETTINGS, and
+ * charges frames without content to the rate limiter.
  */
 final class FrameDispatcher implements FrameListener {
     private final RemoteSettings remote;
@@ -18,13 +18,13 @@
     /**
      * Creates the dispatcher.
      *
-     * @param remote tells whether the peer's settings have come
-     * @param rateLimiter pays for frames without content
-     * @param writer answers PING
-     * @param headersHandler takes HEADERS and CONTINUATION
-     * @param streamFrameHandler takes DATA, RST_STREAM and WINDOW_UPDATE
-     * @param settingsHandler takes SETTINGS
-     * @param shutdown takes GOAWAY and answers to PING
+     * @param remote the peer's settings, which show whether its first SETTINGS frame has arrived
+     * @param rateLimiter limits frames without content
+     * @param writer writes the replies to PING
+     * @param headersHandler handles HEADERS and CONTINUATION
+     * @param streamFrameHandler handles DATA, RST_STREAM and WINDOW_UPDATE
+     * @param settingsHandler handles SETTINGS
+     * @param shutdown handles GOAWAY and acknowledgements of PING
      */
     FrameDispatcher(
             RemoteSettings remote,
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameListener.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameListener.java
@@ -2,64 +2,64 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Receives frames in their order on the wire. Payloads are valid during the call only. */
+/** Receives frames in wire order. Payloads are valid only during the call. */
 interface FrameListener {
     /**
-     * DATA.
+     * Called for DATA.
      *
-     * @param streamId the stream
-     * @param payload without padding
-     * @param flowControlledBytes with padding
-     * @param endStream whether the peer's side of the stream ends with it
+     * @param streamId ID of the stream
+     * @param payload the data, without padding
+     * @param flowControlledBytes size of the frame's payload, including padding
+     * @param endStream whether the frame ends the peer's side of the stream
      */
     void onData(int streamId, ByteBuf payload, int flowControlledBytes, boolean endStream)
             throws Http2Exception;
 
     /**
-     * HEADERS.
+     * Called for HEADERS.
      *
-     * @param streamId the stream
-     * @param fragment the header block, or its beginning
-     * @param endStream whether the peer's side of the stream ends with it
-     * @param endHeaders whether the block is complete
+     * @param streamId ID of the stream
+     * @param fragment the header block, or its first fragment
+     * @param endStream whether the frame ends the peer's side of the stream
+     * @param endHeaders whether the fragment completes the block
      */
     void onHeaders(int streamId, ByteBuf fragment, boolean endStream, boolean endHeaders)
             throws Http2Exception;
 
     /**
-     * CONTINUATION of the header block that is open.
+     * Called for CONTINUATION, which continues the incomplete header block.
      *
-     * @param streamId the stream
-     * @param fragment a further part of the block
-     * @param endHeaders whether the block is complete with it
+     * @param streamId ID of the stream
+     * @param fragment the next fragment of the block
+     * @param endHeaders whether the fragment completes the block
      */
     void onContinuation(int streamId, ByteBuf fragment, boolean endHeaders) throws Http2Exception;
 
-    /** PRIORITY. */
+    /** Called for PRIORITY. */
     void onPriority(int streamId) throws Http2Exception;
 
-    /** RST_STREAM. */
+    /** Called for RST_STREAM. */
     void onReset(int streamId, ErrorCode code) throws Http2Exception;
 
     /**
-     * SETTINGS.
+     * Called for SETTINGS without ACK.
      *
      * @param settings pairs of a 16-bit identifier and a 32-bit value
      */
     void onSettings(ByteBuf settings) throws Http2Exception;
 
-    /** SETTINGS with ACK. */
+    /** Called for SETTINGS with ACK. */
     void onSettingsAck() throws Http2Exception;
 
-    /** PING, or its answer. */
+    /** Called for PING, or for its acknowledgement if {@code ack} is set. */
     void onPing(boolean ack, long content) throws Http2Exception;
 
-    /** GOAWAY. */
+    /** Called for GOAWAY. */
     void onGoAway(int lastStreamId, ErrorCode code) throws Http2Exception;
 
-    /** WINDOW_UPDATE; stream 0 is the connection. */
+    /** Called for WINDOW_UPDATE; stream ID 0 stands for the connection. */
     void onWindowUpdate(int streamId, int increment) throws Http2Exception;
 
-    /** A frame of a type that RFC 9113 does not define. */
+    /** Called for a frame whose type RFC 9113 does not define. */
     void onUnknown(int type) throws Http2Exception;
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameRateLimiter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameRateLimiter.java
@@ -3,9 +3,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * A token bucket whose points pay for frames without content. Floods (rapid reset, SETTINGS, PING,
- * CONTINUATION, empty or tiny DATA) differ in their frames but not in this: many frames, little
- * content. One bucket bounds them all, those not yet known too.
+ * Limits frames without content with a token bucket of points. All flood attacks (rapid reset,
+ * SETTINGS, PING, CONTINUATION, empty or tiny DATA) send many frames with little content. One
+ * bucket for all frame types limits known and unknown variants.
  */
 final class FrameRateLimiter {
     static final int RESET_COST = 10;
@@ -21,13 +21,13 @@
     static final int CLOSED_STREAM_COST = 2;
     static final int UNKNOWN_COST = 5;
 
-    /** Of a frame for a closed stream that costs nothing to handle. */
+    /** Cost of a RST_STREAM or WINDOW_UPDATE for a closed stream, which takes no work to handle. */
     static final int LATE_FRAME_COST = 1;
 
-    /** What each DATA frame sent to the peer gives back. */
+    /** Points returned for each DATA frame sent to the peer. */
     static final int DATA_SENT_CREDIT = 1;
 
-    /** Data frames of fewer bytes than this count as tiny; the smallest gRPC answer is longer. */
+    /** DATA frames with fewer bytes than this count as tiny. The smallest gRPC answer is longer. */
     static final int TINY_DATA_BYTES = 8;
 
     private final double pointsPerNano;
@@ -39,9 +39,9 @@
     /**
      * Creates a full bucket.
      *
-     * @param pointsPerSecond by which it refills
-     * @param capacity the most that it holds
-     * @param nanoClock nanoseconds that never go back
+     * @param pointsPerSecond refill rate
+     * @param capacity maximum number of points
+     * @param nanoClock monotonic clock, in nanoseconds
      */
     FrameRateLimiter(int pointsPerSecond, int capacity, LongSupplier nanoClock) {
         this.pointsPerNano = pointsPerSecond / 1e9;
@@ -51,28 +51,28 @@
         this.refilledAt = nanoClock.getAsLong();
     }
 
-    /** {@return a full bucket as the limits have it} */
+    /** {@return a rate limiter with a full bucket for the connection's limits} */
     static FrameRateLimiter of(Http2Limits limits) {
         return new FrameRateLimiter(
                 limits.floodPointsPerSecond(), limits.floodPointsBurst(), System::nanoTime);
     }
 
     /**
-     * A DATA frame was sent, which the peer may well answer with a frame: a WINDOW_UPDATE for each
-     * may come after the stream has ended (RFC 9113 section 5.1). Without this a client that is
-     * served fast enough pays for its own success: at 9,000 requests a second on one connection the
-     * refill was spent, and the connection ended.
+     * Returns points for a DATA frame sent to the peer, which may send a WINDOW_UPDATE for each
+     * one, even after the stream has ended (RFC 9113 section 5.1). Without this credit a busy but
+     * correct client would exceed the limit: at 9,000 requests per second on one connection the
+     * bucket ran empty and the connection was closed.
      */
     void dataSent() {
         points = Math.min(capacity, points + DATA_SENT_CREDIT);
     }
 
     /**
-     * Pays for a frame.
+     * Charges a frame to the bucket.
      *
      * @param cost one of the costs above
-     * @param frame what came, for the error's text
-     * @throws Http2Exception a connection error where the bucket is empty
+     * @param frame the frame type, for the error message
+     * @throws Http2Exception a connection error if the bucket has too few points
      */
     void charge(int cost, String frame) throws Http2Exception {
         long now = nanoClock.getAsLong();
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameReader.java
@@ -4,7 +4,10 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Cuts frames out of bytes, and checks all that a frame shows by itself (RFC 9113 section 6). */
+/**
+ * Parses frames, and checks the rules of RFC 9113 section 6 that do not depend on the state of
+ * streams or settings.
+ */
 final class FrameReader {
     private final int maxFrameSize;
     private int openHeaderBlock;
@@ -13,12 +16,12 @@
         this.maxFrameSize = maxFrameSize;
     }
 
-    /** {@return the stream whose header block is open, or 0} */
+    /** {@return the ID of the stream whose header block is incomplete, or 0} */
     int openHeaderBlock() {
         return openHeaderBlock;
     }
 
-    /** Reads one frame if it is complete. {@return whether it was} */
+    /** Reads one frame if it is complete. {@return whether a frame was read} */
     boolean next(ByteBuf in, FrameListener listener) throws Http2Exception {
         if (in.readableBytes() < Frames.HEADER_SIZE) {
             return false;
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameWriter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameWriter.java
@@ -5,10 +5,11 @@
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.hpack.HpackEncoder;
 
-/** Writes frames to one connection; owns the state of its header compression. */
+/** Writes frames to one connection. Owns the compression state for sent header blocks. */
 final class FrameWriter {
     /**
-     * DATA payloads up to this size are copied behind their frame's header: one buffer, not two.
+     * DATA payloads up to this size are copied into the buffer of the frame header, so that one
+     * buffer is written instead of two.
      */
     private static final int MAX_COPIED_BYTES = 1 << 10;
 
@@ -28,7 +29,7 @@
         channel.write(channel.allocator().buffer().writeBytes(preface));
     }
 
-    /** Writes SETTINGS: pairs of an identifier and a value. */
+    /** Writes SETTINGS from alternating identifiers and values. */
     void settings(int... pairs) {
         channel.write(Frames.settings(channel.allocator(), pairs));
     }
@@ -53,7 +54,7 @@
         channel.write(Frames.goAway(channel.allocator(), lastStreamId, code, debugData));
     }
 
-    /** Writes a header list as HEADERS and as many CONTINUATION frames as it takes. */
+    /** Writes a header list as HEADERS and, if needed, CONTINUATION frames. */
     void headers(int streamId, Headers headers, boolean endStream) {
         ByteBuf block = channel.allocator().buffer(HEADER_BLOCK_CAPACITY);
         encoder.encode(headers, block);
@@ -74,7 +75,7 @@
                         .writeBytes(block, size));
     }
 
-    /** Writes DATA; the payload is handed over. */
+    /** Writes DATA and takes ownership of the payload. */
     void data(int streamId, ByteBuf payload, boolean endStream) {
         int size = payload.readableBytes();
         int flags = endStream ? Frames.END_STREAM : 0;
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Frames.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Frames.java
@@ -4,7 +4,7 @@
 import io.netty.buffer.ByteBufAllocator;
 import java.nio.charset.StandardCharsets;
 
-/** Frame layouts of RFC 9113 sections 4 and 6: their numbers, and frames as bytes. */
+/** Constants of the frame formats of RFC 9113 sections 4 and 6, and encoders for frames. */
 final class Frames {
     static final int HEADER_SIZE = 9;
 
@@ -49,7 +49,7 @@
 
     private Frames() {}
 
-    /** {@return a frame's header, with room for so many bytes behind it} */
+    /** {@return a buffer with a frame header and capacity for {@code room} more bytes} */
     static ByteBuf header(
             ByteBufAllocator alloc, int length, int type, int flags, int streamId, int room) {
         return alloc.buffer(HEADER_SIZE + room)
@@ -80,7 +80,7 @@
         return header(alloc, 0, SETTINGS, ACK, 0);
     }
 
-    /** {@return SETTINGS of pairs of an identifier and a value} */
+    /** {@return a SETTINGS frame of alternating identifiers and values} */
     static ByteBuf settings(ByteBufAllocator alloc, int... pairs) {
         ByteBuf frame = header(alloc, pairs.length / 2 * SETTING_SIZE, SETTINGS, 0, 0);
         for (int i = 0; i < pairs.length; i += 2) {
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/GracefulShutdown.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/GracefulShutdown.java
@@ -1,11 +1,12 @@
 package sorrelhoist.protocol.http2;
 
 /**
- * Ends a connection in good order, from either side (RFC 9113 section 6.8): no new streams are
- * opened, those that are open go on, and the connection closes with the last.
+ * Shuts a connection down gracefully, from either side (RFC 9113 section 6.8): no new streams are
+ * opened, open streams continue, and the connection is closed after the last one.
  *
- * <p>A server announces it in two steps. The first GOAWAY names no last stream, as streams may be
- * on their way; the second, once the answer to a PING shows that the first was read, does.
+ * <p>A server announces the shutdown with two GOAWAY frames. The first has the maximum stream ID,
+ * because new streams may be in transit. The acknowledgement of a PING shows that the client has
+ * read it; then the second announces the actual last stream.
  */
 final class GracefulShutdown {
     private static final long PING_CONTENT = 0x736f7272656c01L;
@@ -22,14 +23,14 @@
     private boolean startedByPeer;
 
     /**
-     * Creates the shutdown of a connection that is not ending.
+     * Creates the shutdown handling of a connection; the shutdown is not started.
      *
-     * @param server whether this side serves
-     * @param channel closed at the end
+     * @param server whether this side is the server
+     * @param channel the channel, which is closed after the last stream
      * @param writer writes GOAWAY and PING
      * @param streams the connection's streams
-     * @param lifecycle ends streams that the peer does not process
-     * @param onPeerShutdown run when the peer's first GOAWAY came
+     * @param lifecycle closes streams that the peer does not process
+     * @param onPeerShutdown run when the peer's first GOAWAY arrives
      */
     GracefulShutdown(
             boolean server,
@@ -46,17 +47,20 @@
         this.onPeerShutdown = onPeerShutdown;
     }
 
-    /** {@return whether either side has begun it, so that this side opens no streams} */
+    /**
+     * {@return whether either side has started the shutdown, so that this side opens no new
+     * streams}
+     */
     boolean isStarted() {
         return startedHere || startedByPeer;
     }
 
-    /** {@return whether streams that the peer opens now are refused} */
+    /** {@return whether new streams from the peer are refused} */
     boolean refusesStreams() {
         return lastStreamAnnounced;
     }
 
-    /** Begins it on this side. */
+    /** Starts the shutdown on this side. */
     void start() {
         if (startedHere) {
             return;
@@ -69,7 +73,7 @@
         closeIfComplete();
     }
 
-    /** The peer answered a PING. */
+    /** Called when the peer acknowledges a PING. */
     void onPingAck(long content) {
         if (content == PING_CONTENT && startedHere && !lastStreamAnnounced) {
             lastStreamAnnounced = true;
@@ -78,7 +82,7 @@
         }
     }
 
-    /** The peer sent GOAWAY. */
+    /** Called when the peer sends GOAWAY. */
     void onGoAway(int lastStreamId, ErrorCode code) {
         boolean first = !startedByPeer;
         startedByPeer = true;
@@ -91,7 +95,7 @@
         closeIfComplete();
     }
 
-    /** Closes the connection where the shutdown is under way and no stream is open any more. */
+    /** Closes the connection if the shutdown has started and no stream is open. */
     void closeIfComplete() {
         boolean announced = !server || lastStreamAnnounced;
         boolean due = startedHere && announced || startedByPeer;
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/HeaderBlockReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/HeaderBlockReader.java
@@ -6,8 +6,8 @@
 import sorrelhoist.protocol.hpack.HpackException;
 
 /**
- * Joins the fragments of header blocks and decodes them. Every block is decoded, whatever becomes
- * of its stream: later blocks depend on the same table.
+ * Joins the fragments of header blocks and decodes them. Every block has to be decoded, even if its
+ * stream is rejected, because later blocks depend on the same dynamic table.
  */
 final class HeaderBlockReader {
     private final HpackDecoder decoder;
@@ -18,20 +18,20 @@
     /**
      * Creates a reader.
      *
-     * @param maxHeaderBytes bytes that a header block may have, coded or decoded
+     * @param maxHeaderBytes maximum size of a header block, encoded and decoded, in bytes
      */
     HeaderBlockReader(int maxHeaderBytes) {
         this.decoder = new HpackDecoder(HpackDecoder.DEFAULT_TABLE, maxHeaderBytes);
         this.maxBlockBytes = maxHeaderBytes;
     }
 
-    /** Begins a block whose further fragments are to come. */
+    /** Starts a block whose remaining fragments follow. */
     void open(ByteBuf fragment, boolean endStream) {
         openBlockEndsStream = endStream;
         openBlock = fragment.alloc().buffer(fragment.readableBytes()).writeBytes(fragment);
     }
 
-    /** Adds a fragment to the block that is open. */
+    /** Appends a fragment to the incomplete block. */
     void append(ByteBuf fragment) throws Http2Exception {
         if (openBlock.readableBytes() + fragment.readableBytes() > maxBlockBytes) {
             throw Http2Exception.connection(
@@ -41,12 +41,12 @@
         openBlock.writeBytes(fragment);
     }
 
-    /** {@return whether the peer's side of the stream ends with the block that is open} */
+    /** {@return whether the incomplete block ends the peer's side of the stream} */
     boolean openBlockEndsStream() {
         return openBlockEndsStream;
     }
 
-    /** Ends the block that is open. {@return its fields} */
+    /** Completes and decodes the block. {@return its fields} */
     Headers close() throws Http2Exception {
         ByteBuf complete = openBlock;
         openBlock = null;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** {@return the fields of a block that came in one piece} */
+    /** {@return the fields of a complete block} */
     Headers decode(ByteBuf block) throws Http2Exception {
         try {
             return decoder.decode(block);
@@ -68,12 +68,12 @@
         }
     }
 
-    /** {@return bytes of the block that is open} */
+    /** {@return the number of buffered bytes of the incomplete block} */
     int bufferedBytes() {
         return openBlock == null ? 0 : openBlock.readableBytes();
     }
 
-    /** Drops a block that is open. */
+    /** Releases the incomplete block, if there is one. */
     void release() {
         if (openBlock != null) {
             openBlock.release();
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/HeaderValidator.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/HeaderValidator.java
@@ -4,14 +4,14 @@
 import sorrelhoist.protocol.hpack.HeaderField;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** Finds what makes a header list malformed (RFC 9113 sections 8.1.1, 8.2 and 8.3). */
+/** Validates header lists (RFC 9113 sections 8.1.1, 8.2 and 8.3). */
 final class HeaderValidator {
     private static final Set<String> CONNECTION_SPECIFIC =
             Set.of("connection", "transfer-encoding", "upgrade", "keep-alive", "proxy-connection");
 
     private HeaderValidator() {}
 
-    /** {@return what is wrong with a request's list, or null} */
+    /** {@return a description of what is malformed in a request's header list, or null} */
     static String validateRequest(Headers headers) {
         int methods = 0;
         int schemes = 0;
@@ -28,10 +28,10 @@
             switch (field.name()) {
                 case ":method" -> methods++;
                 case ":scheme" -> schemes++;
-                // An empty path is as bad as two.
+                // An empty path is rejected in the same way as a repeated one.
                 case ":path" -> paths += field.value().isEmpty() ? 2 : 1;
                 case ":authority" -> {
-                    // May be missing.
+                    // :authority is optional.
                 }
                 default -> {
                     return "unknown pseudo-header";
@@ -43,14 +43,14 @@
                 : validateRegular(headers);
     }
 
-    /** {@return what is wrong with a response's list, or null} */
+    /** {@return a description of what is malformed in a response's header list, or null} */
     static String validateResponse(Headers headers) {
         return headers.size() == 0 || !headers.fields().get(0).name().equals(":status")
                 ? "needs :status first"
                 : validateRegular(headers);
     }
 
-    /** {@return what is wrong with trailers, or null} */
+    /** {@return a description of what is malformed in trailers, or null} */
     static String validateTrailers(Headers headers) {
         for (HeaderField field : headers) {
             if (isPseudoHeader(field)) {
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/HeadersHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/HeadersHandler.java
@@ -5,7 +5,10 @@
 import io.netty.buffer.ByteBuf;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** Decides what a header list is to its stream: a request, a response or trailers. */
+/**
+ * Handles received header lists: a list is a request, a response or trailers, depending on the
+ * state of its stream.
+ */
 final class HeadersHandler {
     private final boolean server;
     private final HeaderBlockReader blocks;
@@ -17,12 +20,12 @@
     /**
      * Creates the handler.
      *
-     * @param server whether this side serves
+     * @param server whether this side is the server
      * @param blocks joins and decodes header blocks
-     * @param streams tells which numbers open a stream
+     * @param streams determines whether a stream ID opens a new stream
      * @param lookup finds open streams
-     * @param lifecycle ends streams
-     * @param opener opens streams
+     * @param lifecycle closes streams
+     * @param opener opens the streams that the client requests
      */
     HeadersHandler(
             boolean server,
@@ -39,17 +42,17 @@
         this.opener = opener;
     }
 
-    /** HEADERS whose block is complete. */
+    /** Handles HEADERS whose block is complete. */
     void onHeaders(int streamId, ByteBuf block, boolean endStream) throws Http2Exception {
         onHeaderList(streamId, blocks.decode(block), endStream);
     }
 
-    /** HEADERS whose block is continued. */
+    /** Handles HEADERS whose block is continued by CONTINUATION. */
     void onFirstFragment(ByteBuf fragment, boolean endStream) {
         blocks.open(fragment, endStream);
     }
 
-    /** CONTINUATION. */
+    /** Handles CONTINUATION. */
     void onContinuation(int streamId, ByteBuf fragment, boolean endHeaders) throws Http2Exception {
         blocks.append(fragment);
         if (endHeaders) {
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
@@ -8,41 +8,51 @@
 import sorrelhoist.protocol.hpack.HpackEncoder;
 
 /**
- * One HTTP/2 connection (RFC 9113) in cleartext with prior knowledge, either side. All of it runs
- * on the channel's event loop; what other threads want goes through {@link #executor}.
+ * The client or server side of one HTTP/2 connection (RFC 9113), in cleartext with prior knowledge.
+ * All methods must be called on the channel's event loop; other threads submit tasks to {@link
+ * #executor}.
  *
- * <p>This class is the connection's interface to its channel and to its user, and puts together the
- * parts that do the work: {@link FrameDecoder} and {@link FrameDispatcher} for what comes, {@link
- * FrameWriter} for what is sent, {@link InboundFlowController} and {@link OutboundFlowController}
- * for windows, {@link StreamLifecycle} for streams, {@link SettingsHandler} and {@link
- * GracefulShutdown}. Each owns its own state.
+ * <p>This class is the interface to the Netty channel and to the user of the connection. It
+ * composes the following parts, each of which owns its state: {@link FrameDecoder} and {@link
+ * FrameDispatcher} for received frames, {@link FrameWriter} for sent frames, {@link
+ * InboundFlowController} and {@link OutboundFlowController} for flow control, {@link
+ * StreamLifecycle} for streams, {@link SettingsHandler} and {@link GracefulShutdown}.
  */
 public final class Http2Connection extends ChannelInboundHandlerAdapter {
-    /** Makes listeners for the streams that a client opens. */
+    /** Accepts the streams that a client opens. */
     public interface StreamAcceptor {
         /**
-         * A client opened a stream.
+         * Called when a client opens a stream.
          *
          * @param stream the stream
-         * @param headers its request's list, checked
-         * @param endStream whether the client's side has ended with it
+         * @param headers the request's validated header list
+         * @param endStream whether the header list ends the client's side of the stream
          * @return the listener for the rest of the stream
          */
         Http2StreamListener accept(Http2Stream stream, Headers headers, boolean endStream);
     }
 
-    /** Follows a connection's life, on its event loop. */
+    /** Receives the events of a connection, on its event loop. */
     public interface Listener {
-        /** The peer's settings came: it speaks HTTP/2. */
+        /**
+         * Called when the peer's first SETTINGS frame has been applied, which shows that the peer
+         * uses HTTP/2.
+         */
         default void onReady(Http2Connection connection) {}
 
-        /** The peer takes no new streams; those open go on. */
+        /**
+         * Called when the peer announces its shutdown: it accepts no new streams, but open streams
+         * continue.
+         */
         default void onGoAway(Http2Connection connection) {}
 
-        /** A stream ended: there is room for another. */
+        /** Called when a stream is closed, so that another one may be opened. */
         default void onStreamClosed(Http2Connection connection) {}
 
-        /** The connection is closed, and all its listeners were notified. */
+        /**
+         * Called when the connection is closed, after the listeners of all its streams were
+         * notified.
+         */
         default void onClosed(Http2Connection connection, String reason) {}
     }
 
@@ -134,11 +144,11 @@
     }
 
     /**
-     * Makes the serving side.
+     * Creates the server side of a connection.
      *
-     * @param limits what the client may cost
-     * @param acceptor takes its streams
-     * @param listener follows the connection
+     * @param limits limits that the client has to keep
+     * @param acceptor accepts the client's streams
+     * @param listener receives the connection's events
      * @return a handler for one channel
      */
     public static Http2Connection server(
@@ -147,42 +157,42 @@
     }
 
     /**
-     * Makes the calling side.
+     * Creates the client side of a connection.
      *
-     * @param limits what the server may cost
-     * @param listener follows the connection
+     * @param limits limits that the server has to keep
+     * @param listener receives the connection's events
      * @return a handler for one channel
      */
     public static Http2Connection client(Http2Limits limits, Listener listener) {
         return new Http2Connection(false, limits, null, listener);
     }
 
-    /** {@return the event loop on which everything here is to be called} */
+    /** {@return the event loop on which all methods must be called} */
     public EventExecutor executor() {
         return channel.executor();
     }
 
-    /** {@return open streams} */
+    /** {@return the number of open streams} */
     public int openStreamCount() {
         return streams.size();
     }
 
-    /** {@return bytes of frames and header blocks that are not complete yet} */
+    /** {@return the number of buffered bytes of incomplete frames and header blocks} */
     int bufferedBytes() {
         return decoder.bufferedBytes() + headerBlocks.bufferedBytes();
     }
 
-    /** {@return what ended the connection where that was this program's own fault, or null} */
+    /** {@return the unexpected exception that closed the connection, or null} */
     RuntimeException internalError() {
         return internalError;
     }
 
-    /** {@return whether the peer's settings have come} */
+    /** {@return whether the peer's first SETTINGS frame has arrived} */
     public boolean isReady() {
         return remote.isReceived();
     }
 
-    /** {@return whether {@link #openStream} would give a stream now} */
+    /** {@return whether {@link #openStream} can open a stream now} */
     public boolean canOpenStream() {
         return channel.isAttached()
                 && !channel.isClosing()
@@ -194,12 +204,12 @@
     }
 
     /**
-     * Opens a stream on the calling side.
+     * Opens a stream from the client side.
      *
-     * @param headers the request's list, pseudo-headers first
-     * @param endStream whether nothing follows it
-     * @param streamListener notified of the answer
-     * @return the stream, or null where {@link #canOpenStream} is false
+     * @param headers the request's header list, pseudo-headers first
+     * @param endStream whether the request has no body
+     * @param streamListener receives the events of the stream
+     * @return the stream, or null if {@link #canOpenStream} is false
      */
     public Http2Stream openStream(
             Headers headers, boolean endStream, Http2StreamListener streamListener) {
@@ -218,9 +228,9 @@
     }
 
     /**
-     * Ends the connection in good order: the peer is asked to open no more streams, those open go
-     * on, and the connection closes with the last. Streams already on their way are still taken
-     * (RFC 9113 section 6.8).
+     * Shuts the connection down gracefully (RFC 9113 section 6.8): the peer is asked to open no
+     * more streams, open streams continue, and the connection is closed after the last one. Streams
+     * that the peer opened before it received the request are still accepted.
      */
     public void shutdownGracefully() {
         if (channel.isAttached() && !channel.isClosing()) {
@@ -229,10 +239,10 @@
     }
 
     /**
-     * Ends the connection at once; the listeners of all its streams are notified.
+     * Closes the connection immediately and notifies the listeners of all its streams.
      *
-     * @param code sent to the peer
-     * @param reason for the peer and for logs
+     * @param code the error code sent to the peer
+     * @param reason description for the peer and for logs
      */
     public void close(ErrorCode code, String reason) {
         if (!channel.isAttached() || channel.isClosing()) {
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Exception.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Exception.java
@@ -1,6 +1,9 @@
 package sorrelhoist.protocol.http2;
 
-/** What a peer did against RFC 9113: an error of one stream, or of the connection (stream 0). */
+/**
+ * Signals that a peer violated RFC 9113: a stream error, or a connection error if the stream ID is
+ * 0.
+ */
 public final class Http2Exception extends Exception {
     private static final long serialVersionUID = 1;
     private final ErrorCode code;
@@ -20,12 +23,12 @@
         return new Http2Exception(code, stream, message);
     }
 
-    /** {@return the code to send} */
+    /** {@return the error code to send} */
     public ErrorCode code() {
         return code;
     }
 
-    /** {@return the stream to reset; 0 where the connection has to end} */
+    /** {@return the ID of the stream to reset, or 0 if the connection has to be closed} */
     public int stream() {
         return stream;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
@@ -5,8 +5,8 @@
 import sorrelhoist.protocol.hpack.Headers;
 
 /**
- * One stream of a connection: its state, its two windows and what waits to be sent. Every method is
- * to be called on the connection's event loop.
+ * One stream of a connection: its state, its flow-control windows and its send queue. All methods
+ * must be called on the connection's event loop.
  */
 public final class Http2Stream {
     private final Http2Connection connection;
@@ -35,36 +35,37 @@
         this.receiveWindow = receiveWindow;
     }
 
-    /** {@return the stream's number on the wire} */
+    /** {@return the stream's ID} */
     public int id() {
         return id;
     }
 
-    /** {@return the connection that carries it} */
+    /** {@return the stream's connection} */
     public Http2Connection connection() {
         return connection;
     }
 
-    /** {@return whether nothing more can be sent or received} */
+    /** {@return whether the stream is closed, so that nothing can be sent or received} */
     public boolean isClosed() {
         return closed;
     }
 
-    /** {@return bytes that wait for windows or for the socket} */
+    /** {@return the number of bytes that wait for flow control or for the socket} */
     public int pendingBytes() {
         return sendQueue.bytes();
     }
 
-    /** {@return whether this side's END_STREAM was sent} */
+    /** {@return whether this side has sent END_STREAM} */
     public boolean isHalfClosed() {
         return localEnded;
     }
 
     /**
-     * Sends a header list: the first one at once, a later one as trailers, behind all data.
+     * Sends a header list. Trailers (a list with {@code endStream}) are sent after all queued data,
+     * any other list immediately.
      *
-     * @param headers the fields
-     * @param endStream whether this side ends with it; trailers always do
+     * @param headers the header fields
+     * @param endStream whether the list ends this side of the stream; required for trailers
      */
     public void writeHeaders(Headers headers, boolean endStream) {
         if (closed || endRequested) {
@@ -80,10 +81,10 @@
     }
 
     /**
-     * Sends data as windows allow.
+     * Queues data and sends it as the flow-control windows allow.
      *
-     * @param data released in any case
-     * @param endStream whether this side ends with it
+     * @param data the data, whose ownership is transferred
+     * @param endStream whether the data ends this side of the stream
      */
     public void writeData(ByteBuf data, boolean endStream) {
         if (closed || endRequested) {
@@ -100,9 +101,10 @@
     }
 
     /**
-     * Gives the peer credit for bytes that were taken out of {@link Http2StreamListener#onData}.
+     * Returns flow-control credit to the peer for processed bytes from {@link
+     * Http2StreamListener#onData}.
      *
-     * @param bytes how many
+     * @param bytes number of processed bytes
      */
     public void consumeBytes(int bytes) {
         if (!closed && !remoteEnded) {
@@ -112,9 +114,9 @@
     }
 
     /**
-     * Ends the stream at once; the listener is not notified any more.
+     * Resets the stream. The listener receives no more events.
      *
-     * @param code sent to the peer
+     * @param code the error code sent to the peer
      */
     public void reset(ErrorCode code) {
         if (!closed) {
@@ -152,7 +154,7 @@
         headersReceived = true;
     }
 
-    /** The stream is over: releases all that it holds. */
+    /** Marks the stream as closed and releases its queued data. */
     void close() {
         closed = true;
         sendQueue.release();
@@ -161,13 +163,13 @@
 
     // ---- Receive window
 
-    /** Takes bytes off the receive window. {@return whether they fit into it} */
+    /** Deducts received bytes from the receive window. {@return whether they fit into it} */
     boolean reduceReceiveWindow(int bytes) {
         receiveWindow -= bytes;
         return receiveWindow >= 0;
     }
 
-    /** Counts bytes that need no user to take them: padding. */
+    /** Adds received bytes that no user will consume (padding) to the bytes to be credited. */
     void addUncreditedBytes(int bytes) {
         uncreditedBytes += bytes;
     }
@@ -176,7 +178,9 @@
         return uncreditedBytes;
     }
 
-    /** Puts all uncredited bytes back into the receive window. {@return how many} */
+    /**
+     * Restores all uncredited bytes to the receive window. {@return the number of bytes to credit}
+     */
     int creditBytes() {
         int credited = uncreditedBytes;
         receiveWindow += credited;
@@ -190,7 +194,10 @@
         return sendWindow;
     }
 
-    /** Changes the send window. {@return whether it is still one that RFC 9113 allows} */
+    /**
+     * Changes the send window by a number of bytes. {@return whether it is within the maximum of
+     * RFC 9113}
+     */
     boolean changeSendWindow(long change) {
         sendWindow += change;
         return sendWindow <= Frames.MAX_WINDOW_SIZE;
@@ -212,7 +219,7 @@
         lastProgressNanos = nanos;
     }
 
-    /** {@return whether all that this side sends has been written by the stream's user} */
+    /** {@return whether the user has written everything that this side will send} */
     boolean isEndRequested() {
         return endRequested;
     }
@@ -229,12 +236,12 @@
         return sendQueue.fellBelowLowWaterMark();
     }
 
-    /** {@return whether the frame of the data that was polled last ends this side} */
+    /** {@return whether the frame with the last polled data has to carry END_STREAM} */
     boolean endsWithLastData() {
         return endRequested && sendQueue.isEmpty() && pendingTrailers == null;
     }
 
-    /** {@return trailers that are due now that all data was sent, or null} */
+    /** {@return the pending trailers if all data has been sent, otherwise null; removes them} */
     Headers pollTrailers() {
         if (!sendQueue.isEmpty()) {
             return null;
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2StreamListener.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2StreamListener.java
@@ -3,36 +3,36 @@
 import io.netty.buffer.ByteBuf;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** Events of one stream, on the connection's event loop and in the order of the wire. */
+/** Receives the events of one stream, on the connection's event loop and in wire order. */
 public interface Http2StreamListener {
     /**
-     * A header list came: the response's, or trailers.
+     * Called when a header list arrives: the response's, or trailers.
      *
-     * @param headers the fields
-     * @param endStream whether the peer's side of the stream ends with it
+     * @param headers the header fields
+     * @param endStream whether the event ends the peer's side of the stream
      */
     void onHeaders(Headers headers, boolean endStream);
 
     /**
-     * Data came. The user gives credit for it with {@link Http2Stream#consumeBytes}, at once or
-     * later.
+     * Called when data arrives. The listener returns its flow-control credit with {@link
+     * Http2Stream#consumeBytes}, immediately or later.
      *
-     * @param data valid during the call only
-     * @param endStream whether the peer's side of the stream ends with it
+     * @param data the data, valid only during the call
+     * @param endStream whether the event ends the peer's side of the stream
      */
     void onData(ByteBuf data, boolean endStream);
 
     /**
-     * The stream ended before both sides had finished; nothing follows. Not called for what this
-     * side reset.
+     * Called when the stream ends before both sides have finished; no other event follows. Not
+     * called if the user reset the stream.
      *
-     * @param code the peer's code, or why the connection ended
-     * @param unprocessed whether the peer says that it never looked at this stream (RFC 9113
+     * @param code the peer's error code, or the error code with which the connection was closed
+     * @param unprocessed whether the peer reported that it did not process the stream (RFC 9113
      *     section 8.7)
-     * @param reason for logs
+     * @param reason description for logs
      */
     void onReset(ErrorCode code, boolean unprocessed, String reason);
 
-    /** What waited to be sent has fallen to the stream's low-water mark. */
+    /** Called when the stream's send queue has drained to its low-water mark. */
     default void onWritable() {}
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/InboundFlowController.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/InboundFlowController.java
@@ -1,9 +1,9 @@
 package sorrelhoist.protocol.http2;
 
 /**
- * The windows for data that the peer sends (RFC 9113 sections 5.2 and 6.9). Credit of the
- * connection's window is given back as bytes arrive, that of a stream's window as its user takes
- * them: a slow user holds back its own stream and no other.
+ * Manages the flow-control windows for received data (RFC 9113 sections 5.2 and 6.9). Credit for
+ * the connection's window is returned as bytes arrive, credit for a stream's window as its user
+ * consumes them. A slow user therefore blocks only its own stream.
  */
 final class InboundFlowController {
     private final FrameWriter writer;
@@ -13,10 +13,10 @@
     private int uncreditedBytes;
 
     /**
-     * Creates the windows.
+     * Creates the flow control of a connection.
      *
-     * @param connectionWindow bytes that the peer may send before it is given credit
-     * @param streamWindow likewise for each stream
+     * @param connectionWindow bytes that the peer may send on all streams before it needs credit
+     * @param streamWindow bytes that the peer may send on one stream before it needs credit
      * @param writer writes WINDOW_UPDATE
      */
     InboundFlowController(int connectionWindow, int streamWindow, FrameWriter writer) {
@@ -26,7 +26,7 @@
         this.connectionWindow = Math.max(Frames.DEFAULT_WINDOW_SIZE, connectionWindow);
     }
 
-    /** Grants the peer what the connection's window has beyond the RFC's default. */
+    /** Grants the peer the part of the connection's window that exceeds the default of RFC 9113. */
     void growConnectionWindow() {
         int increment = (int) (connectionWindow - Frames.DEFAULT_WINDOW_SIZE);
         if (increment > 0) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Data came on any stream, padding included. */
+    /** Called when data arrives on any stream; the size includes padding. */
     void onConnectionData(int bytes) throws Http2Exception {
         connectionWindow -= bytes;
         if (connectionWindow < 0) {
@@ -56,11 +56,11 @@
     }
 
     /**
-     * Data came on an open stream.
+     * Called when data arrives on an open stream.
      *
      * @param stream the stream
-     * @param bytes with padding
-     * @param padding bytes that no user is given
+     * @param bytes number of received bytes, including padding
+     * @param padding number of padding bytes, which are not passed to the user
      */
     void onStreamData(Http2Stream stream, int bytes, int padding) throws Http2Exception {
         if (!stream.reduceReceiveWindow(bytes)) {
@@ -72,7 +72,10 @@
         stream.addUncreditedBytes(padding);
     }
 
-    /** Grants the peer what the stream's user has taken, once it is worth a frame. */
+    /**
+     * Returns credit for the bytes that the stream's user has consumed, once they are at least half
+     * of the window.
+     */
     void returnCredit(Http2Stream stream) {
         if (stream.uncreditedBytes() >= streamCreditThreshold) {
             writer.windowUpdate(stream.id(), stream.creditBytes());
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/IncompleteInputTimeout.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/IncompleteInputTimeout.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times how long a preface, header block or frame has been incomplete. There is one timer for each
- * period of waiting, and none while all input is complete.
+ * Detects a preface, header block or frame that stays incomplete for too long. A timer is armed
+ * when input becomes incomplete; it is not armed again while all input is complete.
  */
 final class IncompleteInputTimeout {
     private final ConnectionChannel channel;
@@ -15,11 +15,11 @@
     private long incompleteSince;
 
     /**
-     * Creates a timeout that is not running.
+     * Creates a timeout that has not started.
      *
-     * @param channel whose input is timed
-     * @param timeoutMicros for which input may stay incomplete
-     * @param onTimeout run when it stayed so for longer
+     * @param channel the channel whose input is monitored
+     * @param timeoutMicros time for which input may stay incomplete, in microseconds
+     * @param onTimeout run when input stays incomplete for longer
      */
     IncompleteInputTimeout(ConnectionChannel channel, long timeoutMicros, Runnable onTimeout) {
         this.channel = channel;
@@ -28,7 +28,7 @@
         this.timer = new EventLoopTimer(channel, timeoutMicros, this::check);
     }
 
-    /** The peer owes the rest of something; a wait that runs already goes on. */
+    /** Marks the input as incomplete. A period that has already started continues. */
     void inputIncomplete() {
         if (!incomplete) {
             incomplete = true;
@@ -37,7 +37,7 @@
         }
     }
 
-    /** All that was begun is complete. */
+    /** Marks the input as complete. */
     void inputComplete() {
         incomplete = false;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/OutboundFlowController.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/OutboundFlowController.java
@@ -7,8 +7,9 @@
 import sorrelhoist.protocol.hpack.Headers;
 
 /**
- * Sends the data of all streams as the peer's windows and the socket take it. Streams take turns by
- * bytes, so that none starves another.
+ * Sends the data of all streams within the peer's flow-control windows, while the socket is
+ * writable. Streams are scheduled round-robin with a limited number of bytes per turn, so that none
+ * starves another.
  */
 final class OutboundFlowController {
     private static final int MAX_TURN_BYTES = 4 << 10;
@@ -26,12 +27,13 @@
     /**
      * Creates the controller.
      *
-     * @param channel tells when the socket takes no more
+     * @param channel the channel, which shows whether the socket is writable
      * @param writer writes DATA
-     * @param remote bounds frames
-     * @param lifecycle ends streams whose data was sent
-     * @param rateLimiter credited for each frame that is sent
-     * @param stallTimeoutMicros for which a peer may leave the end of an answer untaken
+     * @param remote the peer's settings, which limit the frame size
+     * @param lifecycle closes streams whose data has been sent
+     * @param rateLimiter credited for each frame sent
+     * @param stallTimeoutMicros time for which a peer may leave the rest of a complete answer
+     *     unread, in microseconds
      */
     OutboundFlowController(
             ConnectionChannel channel,
@@ -49,7 +51,7 @@
         this.stallTimer = new EventLoopTimer(channel, stallTimeoutMicros, this::resetStalled);
     }
 
-    /** Puts a stream that has data into the queue of turns, and sends what can be sent. */
+    /** Queues a stream that has data to send, and sends as much as possible. */
     void schedule(Http2Stream stream) {
         if (!stream.isScheduled()) {
             stream.scheduled(true);
@@ -60,7 +62,7 @@
         writePending();
     }
 
-    /** The peer widened the connection's window. */
+    /** Increases the connection's window after a WINDOW_UPDATE from the peer. */
     void growConnectionWindow(int increment) throws Http2Exception {
         connectionWindow += increment;
         if (connectionWindow > Frames.MAX_WINDOW_SIZE) {
@@ -69,7 +71,10 @@
         }
     }
 
-    /** Lets each stream in turn send one frame, until windows or the socket take no more. */
+    /**
+     * Sends one frame per stream in round-robin order, until all streams are blocked by flow
+     * control or the socket is not writable.
+     */
     void writePending() {
         int blockedInARow = 0;
         while (!turns.isEmpty() && blockedInARow < turns.size() && channel.isWritable()) {
@@ -125,7 +130,7 @@
         }
     }
 
-    /** The connection ends: nothing more is sent. */
+    /** Discards all scheduled streams when the connection is closed. */
     void clear() {
         turns.clear();
     }
@@ -137,9 +142,9 @@
     }
 
     /**
-     * An answer that is complete here and that its peer does not take, for zero windows or a socket
-     * that it does not read, would be buffered for as long as the peer likes. A stream whose user
-     * still writes is that user's to judge.
+     * Resets streams whose complete answer the peer does not read, because its window is zero or it
+     * does not read the socket; otherwise the answer would stay buffered for as long as the peer
+     * chooses. Streams whose user is still writing are left to that user.
      */
     private void resetStalled() {
         long before = System.nanoTime() - stallTimeoutNanos;
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/RemoteSettings.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/RemoteSettings.java
@@ -2,7 +2,7 @@
 
 import sorrelhoist.protocol.hpack.HpackEncoder;
 
-/** What the peer's SETTINGS say, checked (RFC 9113 section 6.5.2). */
+/** The validated settings of the peer (RFC 9113 section 6.5.2). */
 final class RemoteSettings {
     private static final int MAX_ALLOWED_FRAME_SIZE = 0xFFFFFF;
     private final boolean server;
@@ -13,44 +13,47 @@
     private long maxConcurrentStreams = Long.MAX_VALUE;
 
     /**
-     * Creates the settings as they are before the first frame.
+     * Creates the default settings that apply before the first SETTINGS frame.
      *
-     * @param server whether this side serves
-     * @param encoder follows the peer's limit on header tables
+     * @param server whether this side is the server
+     * @param encoder the encoder, to which the peer's header table size is applied
      */
     RemoteSettings(boolean server, HpackEncoder encoder) {
         this.server = server;
         this.encoder = encoder;
     }
 
-    /** {@return whether the peer's first SETTINGS frame has come} */
+    /** {@return whether the peer's first SETTINGS frame has arrived} */
     boolean isReceived() {
         return received;
     }
 
-    /** A SETTINGS frame came. {@return whether it is the first} */
+    /** Records that a SETTINGS frame arrived. {@return whether it is the first} */
     boolean markReceived() {
         boolean first = !received;
         received = true;
         return first;
     }
 
-    /** {@return bytes that a new stream may send} */
+    /** {@return the initial send window of new streams, in bytes} */
     long initialWindowSize() {
         return initialWindowSize;
     }
 
-    /** {@return bytes that the payload of a frame may have} */
+    /** {@return the maximum payload size of sent frames, in bytes} */
     int maxFrameSize() {
         return maxFrameSize;
     }
 
-    /** {@return streams that this side may have open at once} */
+    /** {@return the maximum number of streams that this side may have open at once} */
     long maxConcurrentStreams() {
         return maxConcurrentStreams;
     }
 
-    /** Applies one setting. {@return by how much the send windows of open streams change} */
+    /**
+     * Applies one setting. {@return the number of bytes by which the send windows of open streams
+     * change}
+     */
     long apply(int identifier, long value) throws Http2Exception {
         switch (identifier) {
             case Frames.HEADER_TABLE_SIZE -> encoder.peerTableLimit(value);
@@ -61,7 +64,7 @@
             }
             case Frames.MAX_FRAME_SIZE -> changeMaxFrameSize(value);
             default -> {
-                // Unknown settings are to be ignored (section 6.5.2).
+                // Unknown settings must be ignored (section 6.5.2).
             }
         }
         return 0;
@@ -87,7 +90,7 @@
         if (value < Frames.DEFAULT_FRAME_SIZE || value > MAX_ALLOWED_FRAME_SIZE) {
             throw Http2Exception.connection(ErrorCode.PROTOCOL_ERROR, "MAX_FRAME_SIZE of " + value);
         }
-        // Larger frames would only make streams wait longer for their turn.
+        // Larger frames would only delay other streams.
         maxFrameSize = (int) Math.min(value, Frames.DEFAULT_FRAME_SIZE);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/RemoteStreamOpener.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/RemoteStreamOpener.java
@@ -3,7 +3,7 @@
 import java.util.function.IntFunction;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** Opens the streams that a client asks for, or refuses them. */
+/** Opens or refuses the streams that a client requests. */
 final class RemoteStreamOpener {
     private final int maxStreams;
     private final Http2Connection.StreamAcceptor acceptor;
@@ -16,13 +16,13 @@
     /**
      * Creates the opener.
      *
-     * @param maxStreams that a client may have open at once
-     * @param acceptor takes the streams
-     * @param streamFactory makes a stream of its number
+     * @param maxStreams maximum number of streams that a client may have open at once
+     * @param acceptor accepts the streams
+     * @param streamFactory creates a stream from its ID
      * @param streams the connection's streams
-     * @param lifecycle ends streams that their acceptor has answered at once
-     * @param shutdown after which streams are refused
-     * @param rateLimiter pays for streams that are refused
+     * @param lifecycle closes streams that the acceptor answers immediately
+     * @param shutdown determines whether new streams are refused
+     * @param rateLimiter limits refused streams
      */
     RemoteStreamOpener(
             int maxStreams,
@@ -41,7 +41,7 @@
         this.rateLimiter = rateLimiter;
     }
 
-    /** A client's HEADERS came with the number of a new stream. */
+    /** Handles a client's header list with a new stream ID. */
     void open(int streamId, Headers headers, boolean endStream) throws Http2Exception {
         streams.peerOpened(streamId);
         if (shutdown.refusesStreams() || streams.size() >= maxStreams) {
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/SendQueue.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/SendQueue.java
@@ -4,26 +4,29 @@
 import io.netty.buffer.ByteBufAllocator;
 import java.util.ArrayDeque;
 
-/** Data of one stream that waits for windows or for the socket. */
+/** The data of one stream that waits for flow control or for the socket. */
 final class SendQueue {
-    /** A stream's user may write again when no more bytes than this wait. */
+    /** Queue size in bytes at or below which the stream's user may write again. */
     static final int LOW_WATER_MARK = 8 << 10;
 
     private final ArrayDeque<ByteBuf> buffers = new ArrayDeque<>(2);
     private int bytes;
     private boolean aboveLowWaterMark;
 
-    /** {@return bytes that wait} */
+    /** {@return the number of queued bytes} */
     int bytes() {
         return bytes;
     }
 
-    /** {@return whether nothing waits, not even an empty buffer that ends the stream} */
+    /**
+     * {@return whether the queue is empty; an empty buffer that ends the stream counts as an
+     * element}
+     */
     boolean isEmpty() {
         return buffers.isEmpty();
     }
 
-    /** Counts bytes that are to be sent. */
+    /** Appends data to the queue and takes ownership of it. */
     void add(ByteBuf data) {
         bytes += data.readableBytes();
         aboveLowWaterMark |= bytes > LOW_WATER_MARK;
@@ -31,11 +34,12 @@
     }
 
     /**
-     * Takes the payload of the next frame.
+     * Removes the payload of the next frame from the queue, which must not be empty.
      *
-     * @param allocator for a payload that is gathered from several buffers
-     * @param maxBytes the most that it may have
-     * @return the payload; shorter only where no more bytes wait
+     * @param allocator allocates payloads that are copied from several buffers
+     * @param maxBytes maximum size of the payload
+     * @return the payload, owned by the caller; shorter than {@code maxBytes} only if the queue has
+     *     fewer bytes
      */
     ByteBuf poll(ByteBufAllocator allocator, int maxBytes) {
         int size = Math.min(maxBytes, bytes);
@@ -68,14 +72,17 @@
         return payload;
     }
 
-    /** {@return whether the queue fell to its low-water mark since it was last asked} */
+    /**
+     * {@return whether the queue has fallen to its low-water mark since this method last returned
+     * true; resets the state}
+     */
     boolean fellBelowLowWaterMark() {
         boolean fell = aboveLowWaterMark && bytes <= LOW_WATER_MARK;
         aboveLowWaterMark &= !fell;
         return fell;
     }
 
-    /** Drops all that waits. */
+    /** Releases all queued data. */
     void release() {
         buffers.forEach(ByteBuf::release);
         buffers.clear();
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/SettingsHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/SettingsHandler.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Sends this side's SETTINGS, and applies and acknowledges the peer's. */
+/** Sends this side's SETTINGS, and applies and acknowledges those of the peer. */
 final class SettingsHandler {
     private final boolean server;
     private final Http2Limits limits;
@@ -15,13 +15,13 @@
     /**
      * Creates the handler.
      *
-     * @param server whether this side serves
-     * @param limits what this side's settings say
+     * @param server whether this side is the server
+     * @param limits the limits that this side's settings announce
      * @param remote the peer's settings
      * @param writer writes SETTINGS
-     * @param streams whose windows change with the peer's initial window size
+     * @param streams the streams whose windows change with the peer's initial window size
      * @param outboundFlow sends what the new settings allow
-     * @param onReady run when the peer's first SETTINGS were applied
+     * @param onReady run when the peer's first SETTINGS frame has been applied
      */
     SettingsHandler(
             boolean server,
@@ -51,7 +51,7 @@
                 limits.maxHeaderOctets());
     }
 
-    /** The peer's settings came. */
+    /** Applies and acknowledges a SETTINGS frame of the peer. */
     void onSettings(ByteBuf settings) throws Http2Exception {
         boolean first = remote.markReceived();
         while (settings.isReadable()) {
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamFrameHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamFrameHandler.java
@@ -5,7 +5,7 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Handles the frames of streams other than their header lists: data, credit and resets. */
+/** Handles DATA, RST_STREAM and WINDOW_UPDATE. */
 final class StreamFrameHandler {
     private final boolean server;
     private final StreamLookup lookup;
@@ -17,12 +17,12 @@
     /**
      * Creates the handler.
      *
-     * @param server whether this side serves
+     * @param server whether this side is the server
      * @param lookup finds open streams
-     * @param lifecycle ends streams
-     * @param inboundFlow windows of what the peer sends
-     * @param outboundFlow windows of what this side sends
-     * @param rateLimiter pays for frames without content
+     * @param lifecycle closes streams
+     * @param inboundFlow flow control of received data
+     * @param outboundFlow flow control of sent data
+     * @param rateLimiter limits frames without content
      */
     StreamFrameHandler(
             boolean server,
@@ -39,7 +39,7 @@
         this.rateLimiter = rateLimiter;
     }
 
-    /** DATA; for the parameters see {@link FrameListener#onData}. */
+    /** Handles DATA; see {@link FrameListener#onData} for the parameters. */
     void onData(int streamId, ByteBuf payload, int flowControlledBytes, boolean endStream)
             throws Http2Exception {
         inboundFlow.onConnectionData(flowControlledBytes);
@@ -74,9 +74,9 @@
         }
     }
 
-    /** RST_STREAM. */
+    /** Handles RST_STREAM. */
     void onReset(int streamId, ErrorCode code) throws Http2Exception {
-        // A stream that has ended costs nothing to end again (section 5.1).
+        // RST_STREAM on a closed stream is allowed and needs no work (section 5.1).
         Http2Stream stream = lookup.findOrEnded(streamId, "RST_STREAM");
         if (stream == null) {
             return;
@@ -89,7 +89,7 @@
         stream.listener().onReset(code, unprocessed, "the peer reset the stream: " + code);
     }
 
-    /** WINDOW_UPDATE. */
+    /** Handles WINDOW_UPDATE. */
     void onWindowUpdate(int streamId, int increment) throws Http2Exception {
         if (increment == 0) {
             String violation = "WINDOW_UPDATE of 0";
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLifecycle.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLifecycle.java
@@ -2,7 +2,10 @@
 
 import sorrelhoist.protocol.hpack.Headers;
 
-/** Takes streams from open over half-closed to closed (RFC 9113 section 5.1). */
+/**
+ * Manages the transitions of streams from open through half-closed to closed (RFC 9113 section
+ * 5.1).
+ */
 final class StreamLifecycle {
     private final boolean server;
     private final StreamTable streams;
@@ -10,12 +13,12 @@
     private final Runnable onStreamClosed;
 
     /**
-     * Creates the life cycle of one connection's streams.
+     * Creates the lifecycle management for the streams of one connection.
      *
-     * @param server whether this side serves
+     * @param server whether this side is the server
      * @param streams the connection's streams
-     * @param writer writes header lists and resets
-     * @param onStreamClosed run after each stream that is closed
+     * @param writer writes HEADERS and RST_STREAM
+     * @param onStreamClosed run after a stream is closed
      */
     StreamLifecycle(
             boolean server, StreamTable streams, FrameWriter writer, Runnable onStreamClosed) {
@@ -25,7 +28,7 @@
         this.onStreamClosed = onStreamClosed;
     }
 
-    /** Writes a header list, and ends this side of the stream with it where it is the last. */
+    /** Writes a header list, and ends this side of the stream if {@code endStream} is set. */
     void writeHeaders(Http2Stream stream, Headers headers, boolean endStream) {
         writer.headers(stream.id(), headers, endStream);
         if (endStream) {
@@ -33,25 +36,25 @@
         }
     }
 
-    /** This side's END_STREAM was sent. */
+    /** Ends this side of the stream after END_STREAM was sent. */
     void endLocal(Http2Stream stream) {
         stream.endLocal();
         if (stream.isRemoteEnded()) {
             close(stream);
         } else if (server) {
-            // The answer is complete; what the client still sends has no reader (section 8.1).
+            // The answer is complete; the rest of the request is not needed (section 8.1).
             reset(stream, ErrorCode.NO_ERROR);
         }
     }
 
-    /** Closes a stream that both sides have ended. */
+    /** Closes the stream if both sides have ended it. */
     void closeIfBothEnded(Http2Stream stream) {
         if (stream.isRemoteEnded() && stream.isHalfClosed()) {
             close(stream);
         }
     }
 
-    /** Ends a stream with RST_STREAM; its listener is not notified. */
+    /** Closes a stream and sends RST_STREAM; its listener is not notified. */
     void reset(Http2Stream stream, ErrorCode code) {
         close(stream);
         rejectFrames(stream.id(), code);
@@ -62,7 +65,7 @@
         writer.rstStream(streamId, code);
     }
 
-    /** Drops a stream that is over; nothing is sent. */
+    /** Closes a stream without sending a frame. */
     void close(Http2Stream stream) {
         if (streams.remove(stream)) {
             stream.close();
@@ -70,7 +73,7 @@
         }
     }
 
-    /** The peer broke the rules on one stream: the stream ends, the connection goes on. */
+    /** Resets the stream of a stream error and notifies its listener. The connection stays open. */
     void onStreamError(Http2Exception error) {
         Http2Stream stream = streams.get(error.stream());
         if (stream == null) {
@@ -84,7 +87,10 @@
         }
     }
 
-    /** The peer will not process streams above this one (section 6.8). */
+    /**
+     * Closes the streams above the last one that the peer processes (section 6.8), and notifies
+     * their listeners.
+     */
     void closeUnprocessed(int lastStreamId, ErrorCode code) {
         for (Http2Stream stream : streams.snapshot()) {
             if (stream.id() > lastStreamId) {
@@ -98,7 +104,7 @@
         }
     }
 
-    /** The connection ends, and all streams with it. */
+    /** Closes all streams when the connection is closed, and notifies their listeners. */
     void closeAll(ErrorCode code, String reason) {
         for (Http2Stream stream : streams.snapshot()) {
             close(stream);
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLookup.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLookup.java
@@ -1,6 +1,8 @@
 package sorrelhoist.protocol.http2;
 
-/** Finds the stream that a frame is for, and judges frames whose stream is not open. */
+/**
+ * Finds the stream of a frame, and decides how frames for streams that are not open are handled.
+ */
 final class StreamLookup {
     private final StreamTable streams;
     private final FrameRateLimiter rateLimiter;
@@ -11,12 +13,11 @@
     }
 
     /**
-     * Finds the stream of a frame that needs an open one.
+     * Finds the stream of a frame that requires an open stream.
      *
-     * @param streamId the frame's stream
-     * @param frame the frame's type, for the error's text
-     * @return the stream, or null where the frame is to be ignored: the stream was reset here a
-     *     moment ago
+     * @param streamId ID of the frame's stream
+     * @param frame the frame type, for error messages
+     * @return the stream, or null if the frame is ignored because this side has reset the stream
      */
     Http2Stream find(int streamId, String frame) throws Http2Exception {
         Http2Stream stream = streams.get(streamId);
@@ -33,11 +34,11 @@
     }
 
     /**
-     * Finds the stream of a frame that costs nothing where the stream has ended.
+     * Finds the stream of a frame that is allowed on a closed stream.
      *
-     * @param streamId the frame's stream
-     * @param frame the frame's type, for the error's text
-     * @return the stream, or null where it has ended
+     * @param streamId ID of the frame's stream
+     * @param frame the frame type, for error messages
+     * @return the stream, or null if it is closed
      */
     Http2Stream findOrEnded(int streamId, String frame) throws Http2Exception {
         requireNotIdle(streamId, frame);
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamTable.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamTable.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * A connection's open streams, and what is remembered of the others: the last of each side, below
- * which none is idle, and the last ones that were reset here, whose frames may still be on their
- * way (RFC 9113 section 5.1).
+ * The open streams of a connection. For streams that are not open, it keeps the last stream ID of
+ * each side, up to which no stream is idle, and the last streams that this side reset, for which
+ * frames may still be in transit (RFC 9113 section 5.1).
  */
 final class StreamTable {
     private static final int MAX_REMEMBERED_RESETS = 1024;
@@ -35,34 +35,34 @@
         open.put(stream.id(), stream);
     }
 
-    /** {@return whether it was open} */
+    /** Removes a stream. {@return whether it was open} */
     boolean remove(Http2Stream stream) {
         return open.remove(stream.id()) != null;
     }
 
-    /** {@return the open streams, as they are now} */
+    /** {@return a copy of the list of open streams} */
     List<Http2Stream> snapshot() {
         return new ArrayList<>(open.values());
     }
 
-    /** {@return whether this side has a number left for one more stream} */
+    /** {@return whether this side has an unused stream ID left} */
     boolean hasNextLocalId() {
         return nextLocalStreamId > 0 && nextLocalStreamId < Frames.MAX_STREAM_ID - 1;
     }
 
-    /** {@return the number of the next stream that this side opens} */
+    /** {@return the ID for a new stream of this side; each call returns another one} */
     int nextLocalId() {
         int id = nextLocalStreamId;
         nextLocalStreamId += 2;
         return id;
     }
 
-    /** {@return whether a client's HEADERS with this number open a stream} */
+    /** {@return whether HEADERS with this stream ID open a new stream; false on the client side} */
     boolean isOpenedBy(int id) {
         return server && id > lastPeerStreamId && (id & 1) == 1;
     }
 
-    /** The peer used this number to open a stream. */
+    /** Records that the peer opened a stream with this ID. */
     void peerOpened(int id) {
         lastPeerStreamId = id;
     }
@@ -71,13 +71,13 @@
         return lastPeerStreamId;
     }
 
-    /** {@return whether no stream with this number was ever opened} */
+    /** {@return whether no stream with this ID has been opened yet} */
     boolean isIdle(int id) {
         boolean openedByPeer = server == ((id & 1) == 1);
         return openedByPeer ? id > lastPeerStreamId : id >= nextLocalStreamId;
     }
 
-    /** Remembers that a stream was reset here. */
+    /** Records that this side reset a stream; the oldest record is dropped beyond the maximum. */
     void rememberReset(int id) {
         resetHere.add(id);
         if (resetHere.size() > MAX_REMEMBERED_RESETS) {
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/InferRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/InferRequest.java
@@ -9,14 +9,14 @@
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
 /**
- * ModelInferRequest of the Open Inference Protocol.
+ * The ModelInferRequest message of the Open Inference Protocol.
  *
- * @param modelName which model
- * @param modelVersion which version; empty for any
- * @param id the client's name for it; may be empty
- * @param parameters further options
- * @param inputs input tensors
- * @param rawContents raw contents, one for each input, or none at all
+ * @param modelName name of the model
+ * @param modelVersion version of the model; empty for any
+ * @param id the client's ID of the request; may be empty
+ * @param parameters additional options by name
+ * @param inputs the input tensors
+ * @param rawContents raw contents, either one for each input or none at all
  */
 public record InferRequest(
         String modelName,
@@ -35,7 +35,7 @@
     private static final int INPUTS = 5;
     private static final int RAW_CONTENTS = 7;
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static InferRequest parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         String model = "";
@@ -58,7 +58,7 @@
         return new InferRequest(model, version, id, parameters, inputs, rawContents);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         ProtoWriter out =
                 new ProtoWriter()
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/InferResponse.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/InferResponse.java
@@ -10,22 +10,22 @@
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
 /**
- * ModelInferResponse of the Open Inference Protocol.
+ * The ModelInferResponse message of the Open Inference Protocol.
  *
- * @param modelName which model answered
- * @param id the request's
- * @param parameters further facts
- * @param outputs output tensors
+ * @param modelName name of the model that answered
+ * @param id ID of the request
+ * @param parameters additional values by name
+ * @param outputs the output tensors
  */
 public record InferResponse(
         String modelName, String id, Map<String, Parameter> parameters, List<Tensor> outputs) {
-    /** Name of the output tensor that holds the answer. */
+    /** Name of the output tensor that contains the answer's text. */
     public static final String TEXT_OUTPUT = "text_output";
 
-    /** Name of the parameter that marks a stream's last response, as Triton has it. */
+    /** Name of the parameter with which Triton marks the last response of a stream. */
     public static final String FINAL_RESPONSE = "triton_final_response";
 
-    /** Name of the parameter that holds how many tokens the answer has. */
+    /** Name of the parameter with the number of tokens in the answer. */
     public static final String OUTPUT_TOKENS = "output_tokens";
 
     private static final int MODEL_NAME = 1;
@@ -33,15 +33,15 @@
     private static final int PARAMETERS = 4;
     private static final int OUTPUTS = 5;
 
-    /** Field of ModelStreamInferResponse that holds a response. */
+    /** Number of the field infer_response in ModelStreamInferResponse. */
     private static final int STREAMED_RESPONSE = 2;
 
-    /** {@return one piece of an answer} */
+    /** {@return a response with one part of the answer's text} */
     public static InferResponse textChunk(String model, String id, String text) {
         return new InferResponse(model, id, Map.of(), List.of(Tensor.text(TEXT_OUTPUT, text)));
     }
 
-    /** {@return the text of the first text output; empty where there is none} */
+    /** {@return the text of the first text output; empty if there is none} */
     public String text() {
         for (Tensor output : outputs) {
             if (output.name().equals(TEXT_OUTPUT) && !output.contents().isEmpty()) {
@@ -51,18 +51,18 @@
         return "";
     }
 
-    /** {@return whether it is marked as the last} */
+    /** {@return whether the response is marked as the last of its stream} */
     public boolean isFinal() {
         Parameter parameter = parameters.get(FINAL_RESPONSE);
         return parameter != null && Boolean.TRUE.equals(parameter.value());
     }
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static InferResponse parse(byte[] bytes) throws ProtoException {
         return read(new ProtoReader(bytes));
     }
 
-    /** {@return the response inside a ModelStreamInferResponse} */
+    /** {@return the response in an encoded ModelStreamInferResponse; empty if it has none} */
     public static InferResponse parseStreamResponse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         InferResponse response = new InferResponse("", "", Map.of(), List.of());
@@ -100,12 +100,12 @@
         return out;
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return write().toByteArray();
     }
 
-    /** {@return the bytes of a ModelStreamInferResponse that holds it} */
+    /** {@return an encoded ModelStreamInferResponse with this response} */
     public byte[] toStreamResponseBytes() {
         return new ProtoWriter().writeMessage(STREAMED_RESPONSE, write()).toByteArray();
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/ModelMessages.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/ModelMessages.java
@@ -5,35 +5,38 @@
 import sorrelhoist.protocol.protobuf.ProtoReader;
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
-/** The small messages of the Open Inference Protocol and of gRPC's health protocol. */
+/**
+ * Encoders and decoders for the small messages of the Open Inference Protocol and of gRPC's health
+ * checking protocol.
+ */
 public final class ModelMessages {
-    /** The inference service's path, to which a method's name is added. */
+    /** Path prefix of the inference service's methods. */
     public static final String SERVICE = "/inference.GRPCInferenceService/";
 
-    /** The health service's path, to which a method's name is added. */
+    /** Path prefix of the health service's methods. */
     public static final String HEALTH = "/grpc.health.v1.Health/";
 
-    /** HealthCheckResponse.ServingStatus. */
+    /** The value SERVING of HealthCheckResponse.ServingStatus. */
     public static final int SERVING = 1;
 
-    /** HealthCheckResponse.ServingStatus. */
+    /** The value NOT_SERVING of HealthCheckResponse.ServingStatus. */
     public static final int NOT_SERVING = 2;
 
     private ModelMessages() {}
 
-    /** {@return the bytes of ServerLiveResponse, ServerReadyResponse or ModelReadyResponse} */
+    /** {@return an encoded ServerLiveResponse, ServerReadyResponse or ModelReadyResponse} */
     public static byte[] booleanResponse(boolean value) {
         return new ProtoWriter().writeBool(1, value).toByteArray();
     }
 
-    /** {@return the bytes of a HealthCheckResponse} */
+    /** {@return an encoded HealthCheckResponse} */
     public static byte[] healthCheckResponse(int status) {
         return new ProtoWriter().writeVarint(1, status).toByteArray();
     }
 
     /**
-     * {@return field 1: the name in ModelReadyRequest and ModelMetadataRequest, the service in a
-     * health check}
+     * {@return field 1 of a message: the model's name in ModelReadyRequest and
+     * ModelMetadataRequest, the service in HealthCheckRequest}
      */
     public static String parseName(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
@@ -48,12 +51,14 @@
         return name;
     }
 
-    /** {@return the bytes of a ServerMetadataResponse} */
+    /** {@return an encoded ServerMetadataResponse} */
     public static byte[] serverMetadata(String name, String version) {
         return new ProtoWriter().writeString(1, name).writeString(2, version).toByteArray();
     }
 
-    /** {@return the bytes of a ModelMetadataResponse: text in, text out} */
+    /**
+     * {@return an encoded ModelMetadataResponse of a model with one text input and one text output}
+     */
     public static byte[] modelMetadata(String name) {
         return new ProtoWriter()
                 .writeString(1, name)
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/Parameter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/Parameter.java
@@ -7,9 +7,9 @@
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
 /**
- * InferParameter: a Boolean, Long, String or Double.
+ * The InferParameter message.
  *
- * @param value one of these, or null where the message named none
+ * @param value a Boolean, Long, String or Double, or null if the message has no value
  */
 public record Parameter(Object value) {
     private static final int ENTRY_KEY = 1;
@@ -21,7 +21,7 @@
     private static final int DOUBLE = 4;
     private static final int UINT64 = 5;
 
-    /** Reads one entry of a map of parameters. */
+    /** Reads one entry of a parameter map and adds it to the map. */
     static void readEntry(ProtoReader entry, Map<String, Parameter> parameters)
             throws ProtoException {
         String key = "";
@@ -50,7 +50,7 @@
         return new Parameter(value);
     }
 
-    /** Writes a map of parameters as the entries of a field. */
+    /** Writes a parameter map as the repeated entries of a field. */
     static void writeEntries(Map<String, Parameter> parameters, int field, ProtoWriter out) {
         parameters.forEach(
                 (key, parameter) -> {
@@ -61,7 +61,10 @@
                 });
     }
 
-    /** A oneof's member is written also where it holds its default: it tells which was chosen. */
+    /**
+     * Encodes the parameter. A default value is written too, because the presence of a oneof member
+     * shows which one is set.
+     */
     private ProtoWriter write() {
         ProtoWriter out = new ProtoWriter();
         if (value instanceof Boolean flag) {
--- a/protocol/src/main/java/sorrelhoist/protocol/inference/Tensor.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/inference/Tensor.java
@@ -11,19 +11,19 @@
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
 /**
- * InferInputTensor or InferOutputTensor, which have the same fields; of the contents those of
- * datatype BYTES.
+ * The InferInputTensor and InferOutputTensor messages, which have the same fields. Of the contents,
+ * only elements of datatype BYTES are supported.
  *
- * @param name its name
- * @param datatype BYTES for text
- * @param shape its dimensions
- * @param contents its elements, where they are not given raw
+ * @param name name of the tensor
+ * @param datatype type of the elements; BYTES for text
+ * @param shape the dimensions
+ * @param contents the elements, unless they are transferred as raw contents
  */
 public record Tensor(String name, String datatype, List<Long> shape, List<byte[]> contents) {
-    /** The datatype of text. */
+    /** The datatype of text elements. */
     public static final String BYTES = "BYTES";
 
-    /** {@return one element of text} */
+    /** {@return a tensor with one text element} */
     public static Tensor text(String name, String text) {
         return new Tensor(name, BYTES, List.of(1L), List.of(text.getBytes(StandardCharsets.UTF_8)));
     }
@@ -33,7 +33,7 @@
     private static final int SHAPE = 3;
     private static final int CONTENTS = 5;
 
-    /** Field of InferTensorContents that holds the elements of datatype BYTES. */
+    /** Number of the field bytes_contents in InferTensorContents. */
     private static final int BYTES_CONTENTS = 8;
 
     static Tensor read(ProtoReader in) throws ProtoException {
@@ -90,11 +90,11 @@
     }
 
     /**
-     * The elements, wherever they were given.
+     * Returns the elements, from the raw contents if there are any.
      *
      * @param raw the raw contents of this tensor, or null
-     * @return its elements
-     * @throws ProtoException where the raw contents' lengths don't fit
+     * @return the elements
+     * @throws ProtoException if an element's length exceeds the raw contents
      */
     public List<byte[]> elements(byte[] raw) throws ProtoException {
         if (raw == null) {
@@ -118,7 +118,7 @@
         return elements;
     }
 
-    /** Whether two tensors say the same; arrays are compared by content. */
+    /** Compares the encoded tensors, so that arrays are compared by content. */
     @Override
     public boolean equals(Object other) {
         return other instanceof Tensor t
--- a/protocol/src/main/java/sorrelhoist/protocol/net/AcceptErrorHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/AcceptErrorHandler.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps a listener accepting after a failed accept. Netty's own handler stops for a second after
- * any error, in which clients' deadlines run. The system reports the same error again and again
- * while descriptors are used up, so a pause is needed, but a short one. Connections that are
- * accepted afterwards may have waited since the first failure.
+ * Resumes accepting connections shortly after a failed accept. Netty's default handler pauses for a
+ * second after any error, while the clients' deadlines run. A short pause is still needed, because
+ * accept fails repeatedly while file descriptors are exhausted. Connections that are accepted
+ * afterwards may have waited since the first failure.
  */
 final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
     private static final AttributeKey<Long> WAITING_SINCE_NANOS =
@@ -19,11 +19,14 @@
     private static final long PAUSE_MILLIS = 20;
     private static final long NOT_FAILING = Long.MIN_VALUE;
 
-    /** When accepting began to fail, or {@link #NOT_FAILING}. */
+    /**
+     * Time of the first failed accept in {@link System#nanoTime} units, or {@link #NOT_FAILING}.
+     */
     private long failingSinceNanos = NOT_FAILING;
 
     /**
-     * What it was before the read that is under way: Netty reports a failure behind the read's end.
+     * Value of {@link #failingSinceNanos} before the last read completed. It is needed because
+     * Netty reports a failure after the end of the read.
      */
     private long previouslyFailingSinceNanos = NOT_FAILING;
 
@@ -57,8 +60,8 @@
     }
 
     /**
-     * {@return for how many nanoseconds a connection may have waited because accepting failed; 0
-     * for not at all}
+     * {@return the longest time for which a connection may have waited because accepts failed, in
+     * nanoseconds; 0 if none failed}
      */
     static long waitedNanos(Channel accepted) {
         Long waitingSince = accepted.attr(WAITING_SINCE_NANOS).get();
--- a/protocol/src/main/java/sorrelhoist/protocol/net/BlockingIoHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/BlockingIoHandler.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An I/O handler that sleeps until the next timer is due instead of polling for the last part of a
- * millisecond.
+ * An I/O handler that blocks until the next timer is due, without busy polling in the last part of
+ * a millisecond.
  *
  * <p>Netty's NIO handler waits in whole milliseconds, rounded to the nearest one. With less than
- * half a millisecond left it polls without waiting, again and again, until the timer is due. On a
- * machine with part of a processor that loop spends the time that the router needs for its work.
- * Here the time that is left is rounded up before the handler sees it, so a timer fires up to one
- * millisecond late and nothing polls.
+ * half a millisecond left, it polls without blocking in a loop until the timer is due. On a machine
+ * with less than one processor available, that loop uses processor time that the router needs. This
+ * class rounds the remaining time up before it passes it to the NIO handler: a timer fires up to
+ * one millisecond late, and no busy polling occurs.
  */
 final class BlockingIoHandler implements IoHandler {
     private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -32,16 +32,16 @@
         this.readDelay = readDelay;
     }
 
-    /** {@return a factory whose handlers are those of the given factory, without busy polling} */
+    /** {@return a factory that wraps the handlers of another factory to avoid busy polling} */
     static IoHandlerFactory wrap(IoHandlerFactory factory) {
         return wrap(factory, null);
     }
 
     /**
-     * Makes a factory whose handlers are those of another one, without busy polling.
+     * Creates a factory that wraps the handlers of another factory to avoid busy polling.
      *
-     * @param factory the other one
-     * @param readDelay is told of each poll of the loop, where there is only one; or null
+     * @param factory creates the wrapped handlers
+     * @param readDelay notified of each poll, or null; requires a group with a single event loop
      */
     static IoHandlerFactory wrap(IoHandlerFactory factory, ReadDelayEstimator readDelay) {
         return new IoHandlerFactory() {
@@ -60,8 +60,8 @@
     /**
      * Rounds a delay up to whole milliseconds.
      *
-     * @param nanos the delay; a delay that is over stays as it is
-     * @return the delay to wait for
+     * @param nanos the delay in nanoseconds; zero and negative delays are returned unchanged
+     * @return the rounded delay, in nanoseconds
      */
     static long roundUpToMillis(long nanos) {
         if (nanos <= 0 || nanos > Long.MAX_VALUE - NANOS_PER_MILLI) {
@@ -71,8 +71,8 @@
     }
 
     /**
-     * An error that a handler lets through, such as memory that is used up, would end the thread of
-     * the loop.
+     * Runs the wrapped handler. Catches errors that it throws, such as {@link OutOfMemoryError},
+     * because they would end the event loop's thread.
      */
     @Override
     public int run(IoHandlerContext context) {
@@ -82,7 +82,7 @@
         try {
             return handler.run(new RoundedContext(context, readDelay));
         } catch (Error e) {
-            LOGGER.error("an event of a socket could not be handled", e);
+            LOGGER.error("failed to handle a socket event; the event loop continues", e);
             return 0;
         }
     }
@@ -117,7 +117,7 @@
         return handler.isCompatible(handleType);
     }
 
-    /** The event loop's view of its next timer, rounded up. */
+    /** A context that rounds the delay until the next timer up. */
     private record RoundedContext(IoHandlerContext context, ReadDelayEstimator readDelay)
             implements IoHandlerContext {
         @Override
@@ -141,7 +141,8 @@
         }
 
         /**
-         * A handler asks this when it has found which sockets are ready, before it handles them.
+         * Called by the NIO handler after it has selected the ready sockets and before it handles
+         * them.
          */
         @Override
         public boolean shouldReportActiveIoTime() {
--- a/protocol/src/main/java/sorrelhoist/protocol/net/ConnectionAttempt.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/ConnectionAttempt.java
@@ -6,14 +6,15 @@
 import java.util.function.Consumer;
 
 /**
- * An attempt to connect. Its failure is reported once, on the event loop and never within the call
- * that made the attempt, also where the system had no socket for it. (Netty's own future reports
- * that on another thread, and its channel throws when it is closed.)
+ * An attempt to connect. A failure is reported once, on the event loop and never within the call
+ * that made the attempt, even if the operating system could not create a socket. (Netty's future
+ * reports a missing socket on another thread, and its channel throws an exception when it is
+ * closed.)
  */
 public final class ConnectionAttempt {
     private final EventLoop loop;
 
-    /** Netty's attempt; null where there was no socket. */
+    /** Netty's future of the connection; null if no socket could be created. */
     private final ChannelFuture connectFuture;
 
     private final Throwable socketFailure;
@@ -34,10 +35,10 @@
     }
 
     /**
-     * Adds a listener for the failure of the attempt.
+     * Adds a listener for a failure of the attempt.
      *
-     * @param listener is given the cause, on the event loop, in a later task
-     * @return this
+     * @param listener receives the cause, in a later task on the event loop
+     * @return this object
      */
     public ConnectionAttempt onFailure(Consumer<Throwable> listener) {
         if (connectFuture == null) {
@@ -53,14 +54,12 @@
         return this;
     }
 
-    /**
-     * {@return the connection, which may not be established yet; null where there was no socket}
-     */
+    /** {@return the channel, which may not be connected yet; null if no socket could be created} */
     public Channel channel() {
         return connectFuture == null ? null : connectFuture.channel();
     }
 
-    /** Gives the attempt up, or closes the connection if it is established. */
+    /** Cancels the attempt, or closes the connection if it is established. */
     public void close() {
         if (connectFuture != null) {
             connectFuture.channel().close();
--- a/protocol/src/main/java/sorrelhoist/protocol/net/LoopbackTransport.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/LoopbackTransport.java
@@ -19,9 +19,12 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** Makes listeners and connections on loopback addresses alone (127.0.0.0/8). */
+/**
+ * Creates event loops, listeners and connections. Addresses are limited to the loopback network
+ * (127.0.0.0/8).
+ */
 public final class LoopbackTransport {
-    /** The address of a listener where none is given. */
+    /** The default address of listeners. */
     public static final String LOOPBACK = "127.0.0.1";
 
     private static final int ACCEPT_BACKLOG = 1024;
@@ -29,7 +32,7 @@
 
     private LoopbackTransport() {}
 
-    /** {@return a group of event loops with a daemon thread each} */
+    /** {@return a group of event loops, each with its own daemon thread} */
     public static EventLoopGroup newEventLoops(int threads, String name) {
         return new MultiThreadIoEventLoopGroup(
                 threads,
@@ -38,11 +41,11 @@
     }
 
     /**
-     * Makes one event loop, with a daemon thread, that can tell how late it reads.
+     * Creates one event loop with a daemon thread, and measures how late it reads.
      *
-     * @param name of its thread
-     * @param readDelay is told of each of its polls
-     * @return a group of that loop alone
+     * @param name prefix of the thread's name
+     * @param readDelay notified of each poll of the event loop
+     * @return a group with only this event loop
      */
     public static EventLoopGroup newEventLoop(String name, ReadDelayEstimator readDelay) {
         return new MultiThreadIoEventLoopGroup(
@@ -54,11 +57,11 @@
     /**
      * Listens on the loopback address.
      *
-     * @param loops for the listener and its connections
-     * @param port the port; 0 for one that the system picks
-     * @param handler makes the handler of each connection
+     * @param loops event loops for the listener and its connections
+     * @param port the port; 0 for a free port chosen by the operating system
+     * @param handler creates the handler of each connection
      * @return the listener
-     * @throws IOException where the port cannot be had
+     * @throws IOException if the port cannot be bound
      */
     public static Channel listen(EventLoopGroup loops, int port, Supplier<ChannelHandler> handler)
             throws IOException {
@@ -66,13 +69,13 @@
     }
 
     /**
-     * Listens on one loopback address.
+     * Listens on a given loopback address.
      *
-     * @param loops for the listener and its connections
-     * @param address from {@link #parseAddress}
-     * @param handler makes the handler of each connection
+     * @param loops event loops for the listener and its connections
+     * @param address an address from {@link #parseAddress}
+     * @param handler creates the handler of each connection
      * @return the listener
-     * @throws IOException where the address cannot be had
+     * @throws IOException if the address cannot be bound
      */
     public static Channel listen(
             EventLoopGroup loops, InetSocketAddress address, Supplier<ChannelHandler> handler)
@@ -107,24 +110,24 @@
     }
 
     /**
-     * {@return for how many nanoseconds a connection may have waited because accepting failed; 0
-     * for not at all}
+     * {@return the longest time for which a connection may have waited because accepts failed, in
+     * nanoseconds; 0 if none failed}
      */
     public static long acceptDelayNanos(Channel accepted) {
         return AcceptErrorHandler.waitedNanos(accepted);
     }
 
-    /** {@return the port of a listener} */
+    /** {@return the local port of a listener} */
     public static int localPort(Channel listener) {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     /**
-     * Connects to a loopback port.
+     * Connects to a loopback address.
      *
      * @param loop the connection's event loop
-     * @param address host:port; the host has to be a loopback address
-     * @param timeoutMicros until the attempt fails, in microseconds
+     * @param address host:port, where the host is a loopback address
+     * @param timeoutMicros time until the attempt fails, in microseconds
      * @param handler the connection's handler
      * @return the attempt
      */
@@ -153,9 +156,9 @@
     /**
      * Parses an address.
      *
-     * @param address 127.X.X.X:PORT
-     * @return the address
-     * @throws IllegalArgumentException where it is none, or no loopback address
+     * @param address the address, 127.X.X.X:PORT or localhost:PORT
+     * @return the parsed address
+     * @throws IllegalArgumentException if the address is malformed or not a loopback address
      */
     public static InetSocketAddress parseAddress(String address) {
         int colon = address == null ? -1 : address.lastIndexOf(':');
--- a/protocol/src/main/java/sorrelhoist/protocol/net/ReadDelayEstimator.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/ReadDelayEstimator.java
@@ -1,33 +1,39 @@
 package sorrelhoist.protocol.net;
 
 /**
- * Estimates how long bytes that an event loop reads now may have lain in their socket.
+ * Estimates how long the bytes that an event loop reads may have been waiting in the socket buffer.
  *
- * <p>A loop polls for ready sockets, handles them, runs tasks, and polls again. Bytes that it finds
- * arrived after its poll before, or that would have found them. Where it had to wait for them, they
- * have just arrived. Time in which the whole process was not run is not seen. Used on the loop's
- * thread alone.
+ * <p>An event loop polls for ready sockets, handles them, runs tasks, and polls again. Bytes found
+ * by a poll arrived after the previous poll, which would have found them otherwise. If the poll had
+ * to block, they have just arrived. Time in which the whole process was not scheduled is not
+ * detected. Must only be used on the event loop's thread.
  */
 public final class ReadDelayEstimator {
-    /** A poll that took so long has waited: sockets that were ready before end it at once. */
+    /**
+     * A poll that takes at least this long has blocked: if a socket is already ready, the poll
+     * returns immediately.
+     */
     private static final long WAITED_NANOS = 500_000;
 
     private long pollStartedNanos = System.nanoTime();
     private long pollFinishedNanos = pollStartedNanos;
     private long previousPollFinishedNanos = pollStartedNanos;
 
-    /** The loop begins to poll for ready sockets. */
+    /** Called when the event loop starts to poll for ready sockets. */
     void pollStarted() {
         pollStartedNanos = System.nanoTime();
     }
 
-    /** The loop has found which sockets are ready, and begins to handle them. */
+    /** Called when the event loop has selected the ready sockets, before it handles them. */
     void pollFinished() {
         previousPollFinishedNanos = pollFinishedNanos;
         pollFinishedNanos = System.nanoTime();
     }
 
-    /** {@return the most nanoseconds that bytes which are read now can have lain there} */
+    /**
+     * {@return the longest time for which bytes that are read now may have been waiting, in
+     * nanoseconds}
+     */
     public long maxDelayNanos() {
         boolean waited = pollFinishedNanos - pollStartedNanos >= WAITED_NANOS;
         return System.nanoTime() - (waited ? pollFinishedNanos : previousPollFinishedNanos);
--- a/protocol/src/main/java/sorrelhoist/protocol/net/package-info.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Netty's sockets as this project uses them: event loops that do not poll, listeners that survive
+ * Adapters for Netty's transport: event loops without busy polling, listeners that continue after
  * failed accepts, connection attempts that report their failure on the event loop, and an estimate
- * of how late an event loop reads. Loopback addresses alone.
+ * of how late an event loop reads. Only loopback addresses are supported.
  *
- * <p>State belongs to one event loop, one listener or one attempt; nothing is shared.
+ * <p>All state belongs to one event loop, one listener or one connection attempt; none is shared.
  */
 package sorrelhoist.protocol.net;
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/EdgeMessage.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/EdgeMessage.java
@@ -6,12 +6,12 @@
 import sorrelhoist.protocol.protobuf.ProtoReader;
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
-/** A router's message to its planner: one of several kinds. */
+/** A message from a router to its planner. */
 public sealed interface EdgeMessage {
     /**
-     * The first message of a stream.
+     * The first message of a stream between a router and its planner.
      *
-     * @param hello who the router is
+     * @param hello the router's identity
      */
     record Handshake(Hello hello) implements EdgeMessage {
         private static final int FIELD = 1;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * A message to be relayed to other routers.
+     * Asks the planner to relay a message to other routers.
      *
-     * @param recipient a router's replica number; -1 for all
+     * @param recipient replica index of the receiving router; -1 for all routers
      * @param body the message
      */
     record RelayRequest(
@@ -47,7 +47,7 @@
         private static final int FIELD = 4;
     }
 
-    /** {@return the message in these bytes, or null where it is of a kind not known yet} */
+    /** {@return the message decoded from {@code bytes}, or null if its kind is unknown} */
     static EdgeMessage parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
         EdgeMessage message = null;
@@ -67,7 +67,7 @@
         return message;
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     default byte[] toByteArray() {
         ProtoWriter out = new ProtoWriter();
         if (this instanceof Handshake handshake) {
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/Hello.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/Hello.java
@@ -5,12 +5,12 @@
 import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * A router's first message to its planner.
+ * The identity that a router sends to its planner in its first message.
  *
  * @param edge the router's name
- * @param zone its zone
- * @param incarnation grows with every start
- * @param address where its peers reach it
+ * @param zone the router's zone
+ * @param incarnation a number that increases with every start of the router
+ * @param address address at which its peers connect to the router
  */
 public record Hello(
         @ProtoField(1) String edge,
@@ -19,12 +19,12 @@
         @ProtoField(4) String address) {
     static final MessageSchema<Hello> SCHEMA = MessageSchema.of(Hello.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static Hello parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/Peer.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/Peer.java
@@ -5,22 +5,22 @@
 import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * Another router.
+ * Another router that is attached to the planner.
  *
- * @param edge its name
- * @param zone its zone
- * @param address where it is reached
+ * @param edge the router's name
+ * @param zone the router's zone
+ * @param address address at which peers connect to the router
  */
 public record Peer(
         @ProtoField(1) String edge, @ProtoField(2) String zone, @ProtoField(3) String address) {
     static final MessageSchema<Peer> SCHEMA = MessageSchema.of(Peer.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static Peer parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/PeerList.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/PeerList.java
@@ -8,17 +8,17 @@
 /**
  * The other routers that are attached to the planner.
  *
- * @param peers all of them
+ * @param peers the complete list
  */
 public record PeerList(@ProtoField(1) List<Peer> peers) {
     static final MessageSchema<PeerList> SCHEMA = MessageSchema.of(PeerList.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static PeerList parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/PlanEvent.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/PlanEvent.java
@@ -5,11 +5,11 @@
 import sorrelhoist.protocol.protobuf.ProtoWriter;
 
 /**
- * A planner's message to a router: one of its parts is not null.
+ * A message from the planner to a router. One of its components is set; the others are null.
  *
- * @param slot the router's place among its replicas
- * @param roster engines
- * @param probe how a health check ended
+ * @param slot the router's index among the replicas
+ * @param roster the roster of engines
+ * @param probe the result of a health check
  * @param peerMessage another router's message
  * @param peers the other routers
  */
@@ -28,33 +28,34 @@
     private static final int PEER_MESSAGE = 4;
     private static final int PEERS = 5;
 
-    /** {@return an event that tells a router its place} */
+    /** {@return an event with a router's replica slot} */
     public static PlanEvent of(ReplicaSlot slot) {
         return new PlanEvent(slot, null, null, null, null);
     }
 
-    /** {@return an event that carries a roster} */
+    /** {@return an event with a roster} */
     public static PlanEvent of(Roster roster) {
         return new PlanEvent(null, roster, null, null, null);
     }
 
-    /** {@return an event that tells how a health check ended} */
+    /** {@return an event with the result of a health check} */
     public static PlanEvent of(ProbeResult probe) {
         return new PlanEvent(null, null, probe, null, null);
     }
 
-    /** {@return an event that carries another router's message} */
+    /** {@return an event with another router's message} */
     public static PlanEvent of(PeerMessage peerMessage) {
         return new PlanEvent(null, null, null, peerMessage, null);
     }
 
-    /** {@return an event that lists the other routers} */
+    /** {@return an event with the list of the other routers} */
     public static PlanEvent of(PeerList peers) {
         return new PlanEvent(null, null, null, null, peers);
     }
 
     /**
-     * {@return the message in these bytes; all parts are null where it is of a kind not known yet}
+     * {@return the message decoded from {@code bytes}; all components are null if its kind is
+     * unknown}
      */
     public static PlanEvent parse(byte[] bytes) throws ProtoException {
         ProtoReader in = new ProtoReader(bytes);
@@ -72,7 +73,7 @@
         return event;
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         ProtoWriter out = new ProtoWriter();
         if (slot != null) {
