--- a/protocol/src/main/java/sorrelhoist/protocol/plan/ProbeResult.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/ProbeResult.java
@@ -5,15 +5,15 @@
 import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * How a health check of an engine ended.
+ * The result of a health check of an engine.
  *
  * @param engine the engine's name
- * @param answered whether an answer came
- * @param latencyMicros microseconds until it came
- * @param memoryUtilization share of memory in use, 0 to 1
- * @param queuedTokens tokens that wait to be read or fetched
- * @param inFlightRequests requests at the engine, queued ones too
- * @param queuedRequests requests that wait
+ * @param answered whether the engine answered
+ * @param latencyMicros time until the answer arrived, in microseconds
+ * @param memoryUtilization fraction of memory in use, 0 to 1
+ * @param queuedTokens prompt tokens waiting to be read or fetched
+ * @param inFlightRequests requests at the engine, including queued ones
+ * @param queuedRequests requests waiting to be processed
  */
 public record ProbeResult(
         @ProtoField(1) String engine,
@@ -25,12 +25,12 @@
         @ProtoField(7) double queuedRequests) {
     static final MessageSchema<ProbeResult> SCHEMA = MessageSchema.of(ProbeResult.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static ProbeResult parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/RosterEntry.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/RosterEntry.java
@@ -8,13 +8,13 @@
  * One engine of the roster.
  *
  * @param id the engine's name
- * @param zone its zone
- * @param rack its rack
- * @param kind its role
+ * @param zone the engine's zone
+ * @param rack the engine's rack
+ * @param kind the engine's role
  * @param state 0 serving, 1 draining, 2 gone
- * @param size capacity relative to engines of the same role
- * @param incarnation of its process
- * @param uptimeMicros microseconds since its process started
+ * @param size capacity relative to other engines of the same role
+ * @param incarnation incarnation number of the engine's process
+ * @param uptimeMicros time since the engine's process started, in microseconds
  * @param address host:port
  */
 public record RosterEntry(
@@ -29,12 +29,12 @@
         @ProtoField(9) String address) {
     static final MessageSchema<RosterEntry> SCHEMA = MessageSchema.of(RosterEntry.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static RosterEntry parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/plan/package-info.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/plan/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Messages between a planner and its routers: plan.proto as records.
+ * Messages between a planner and its routers: the messages of plan.proto as records.
  *
- * <p>One stream joins each router to its planner: the router sends {@link
+ * <p>Each router has one stream to its planner. The router sends {@link
  * sorrelhoist.protocol.plan.EdgeMessage}, the planner {@link sorrelhoist.protocol.plan.PlanEvent}.
- * The records are immutable and hold no state of the stream.
+ * The records are immutable and hold no stream state.
  */
 package sorrelhoist.protocol.plan;
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/FieldType.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/FieldType.java
@@ -3,27 +3,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How the values of one field are read and written. */
+/** Reads and writes the values of one field. */
 interface FieldType {
-    /** {@return the value of a field that does not occur in the message} */
+    /** {@return the value of a field that is missing in the message} */
     Object defaultValue();
 
     /**
      * Reads one occurrence of the field.
      *
-     * @param in at the field
-     * @param previous the value so far
-     * @return the value from now on
-     * @throws ProtoException where the field's bytes are not of this type
+     * @param in a reader positioned at the field
+     * @param previous the value from earlier occurrences, or the default value
+     * @return the value including this occurrence
+     * @throws ProtoException if the field's encoding does not match this type
      */
     Object read(ProtoReader in, Object previous) throws ProtoException;
 
-    /** Writes the field, unless it holds its default value. */
+    /** Writes the field, unless it has its default value. */
     void write(ProtoWriter out, int number, Object value);
 
-    /** Fields with one value: the last occurrence counts. */
+    /** Types of fields with a single value: the last occurrence counts. */
     enum Scalar implements FieldType {
-        /** int32 or enum, not negative. */
+        /** A non-negative int32, uint32 or enum. */
         COUNT(0) {
             @Override
             Object read(ProtoReader in) throws ProtoException {
@@ -108,7 +108,7 @@
             }
         };
 
-        @SuppressWarnings("ImmutableEnumChecker") // boxed numbers, strings, and an empty array
+        @SuppressWarnings("ImmutableEnumChecker") // boxed numbers, strings and an empty array
         private final Object defaultValue;
 
         Scalar(Object defaultValue) {
@@ -129,9 +129,9 @@
     }
 
     /**
-     * A repeated field of messages: each occurrence adds one.
+     * A repeated message field: each occurrence adds an element.
      *
-     * @param <E> the messages' type
+     * @param <E> the type of the elements
      */
     final class RepeatedMessage<E extends Record> implements FieldType {
         private final MessageSchema<E> element;
@@ -146,14 +146,14 @@
         }
 
         @Override
-        @SuppressWarnings("unchecked") // the list that defaultValue() made
+        @SuppressWarnings("unchecked") // the list was created by defaultValue()
         public Object read(ProtoReader in, Object previous) throws ProtoException {
             ((List<E>) previous).add(element.read(in.readMessage()));
             return previous;
         }
 
         @Override
-        @SuppressWarnings("unchecked") // the component's type, from which this field was made
+        @SuppressWarnings("unchecked") // the type of the record component
         public void write(ProtoWriter out, int number, Object value) {
             ((List<E>) value).forEach(e -> out.writeMessage(number, element.write(e)));
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/MessageSchema.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/MessageSchema.java
@@ -8,18 +8,17 @@
 import java.util.List;
 
 /**
- * Reads and writes messages whose fields are the components of a record, each of them marked with
- * {@link ProtoField}. Fields are written in the order of the components; fields that the record
- * does not have are passed over.
+ * Reads and writes messages whose fields are the components of a record, each annotated with {@link
+ * ProtoField}. Fields are written in component order; unknown fields are skipped.
  *
- * <p>Types of components and their fields: {@code int} (int32 or enum, not negative, or sint32),
- * {@code long} (uint64), {@code boolean}, {@code double}, {@code String}, {@code byte[]}, and a
- * {@code List} of such records (repeated message).
+ * <p>Supported component types and their field types: {@code int} (non-negative int32, uint32 or
+ * enum; or sint32), {@code long} (uint64), {@code boolean}, {@code double}, {@code String}, {@code
+ * byte[]}, and a {@code List} of records (repeated message).
  *
- * @param <T> the record
+ * @param <T> the type of the record
  */
 public final class MessageSchema<T extends Record> {
-    /** A component and its place on the wire. */
+    /** A record component with its field number and type. */
     private record Field(int number, FieldType type, Method accessor) {}
 
     private final Constructor<T> constructor;
@@ -31,13 +30,13 @@
     }
 
     /**
-     * Makes the schema of a record.
+     * Creates the schema of a record.
      *
      * @param type a public record
-     * @param <T> its type
-     * @return its schema
-     * @throws IllegalArgumentException where a component is not marked or has a type that no field
-     *     has
+     * @param <T> the type of the record
+     * @return the schema
+     * @throws IllegalArgumentException if a component is not annotated or has an unsupported type,
+     *     or the canonical constructor is not public
      */
     public static <T extends Record> MessageSchema<T> of(Class<T> type) {
         RecordComponent[] components = type.getRecordComponents();
@@ -54,7 +53,7 @@
     private static Field field(RecordComponent component) {
         ProtoField mark = component.getAnnotation(ProtoField.class);
         if (mark == null) {
-            throw new IllegalArgumentException(component + " is no field");
+            throw new IllegalArgumentException(component + " has no @ProtoField annotation");
         }
         return new Field(mark.value(), type(component, mark), component.getAccessor());
     }
@@ -76,7 +75,7 @@
         } else if (type == List.class) {
             return repeated((ParameterizedType) component.getGenericType());
         }
-        throw new IllegalArgumentException(component + " has a type that no field has");
+        throw new IllegalArgumentException(component + " has an unsupported type");
     }
 
     private static FieldType repeated(ParameterizedType list) {
@@ -84,12 +83,12 @@
         return new FieldType.RepeatedMessage<>(of(element.asSubclass(Record.class)));
     }
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public T parse(byte[] bytes) throws ProtoException {
         return read(new ProtoReader(bytes));
     }
 
-    /** {@return the message that a reader holds} */
+    /** {@return the message decoded from the rest of a reader's input} */
     public T read(ProtoReader in) throws ProtoException {
         Object[] values = new Object[fields.length];
         for (int i = 0; i < fields.length; i++) {
@@ -106,7 +105,7 @@
         try {
             return constructor.newInstance(values);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("cannot make a " + constructor.getName(), e);
+            throw new IllegalStateException("cannot create a " + constructor.getName(), e);
         }
     }
 
@@ -119,7 +118,7 @@
         return -1;
     }
 
-    /** {@return a writer that holds the message} */
+    /** {@return a writer that contains the encoded message} */
     public ProtoWriter write(T message) {
         ProtoWriter out = new ProtoWriter();
         for (Field field : fields) {
@@ -136,7 +135,7 @@
         }
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray(T message) {
         return write(message).toByteArray();
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoException.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoException.java
@@ -1,10 +1,13 @@
 package sorrelhoist.protocol.protobuf;
 
-/** Bytes that are no message of the protobuf wire format, or one that exceeds what is taken. */
+/**
+ * Signals bytes that are not a valid message of the protobuf wire format, or a message that exceeds
+ * a limit.
+ */
 public final class ProtoException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** Makes one with what is wrong. */
+    /** Creates the exception with a description of the error. */
     public ProtoException(String message) {
         super(message, null, false, false);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoField.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoField.java
@@ -6,15 +6,15 @@
 import java.lang.annotation.Target;
 
 /**
- * Marks a record's component as a field of a message. Its type on the wire follows from that of the
- * component; see {@link MessageSchema}.
+ * Marks a record component as a field of a message. The component's type determines the field's
+ * type; see {@link MessageSchema}.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface ProtoField {
-    /** The field's number on the wire. */
+    /** The field's number. */
     int value();
 
-    /** Whether an int is of type sint32, which may be negative. */
+    /** Whether an {@code int} component is encoded as sint32, which may be negative. */
     boolean zigZag() default false;
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoReader.java
@@ -7,12 +7,12 @@
 import java.util.Arrays;
 
 /**
- * Reads one message of the protobuf wire format, field by field: call {@link #nextField}, then the
- * reading method of the field's type, or {@link #skipField}. Nested messages are read by a reader
- * of their own over the same bytes.
+ * Reads one message of the protobuf wire format field by field: call {@link #nextField}, then the
+ * read method for the field's type, or {@link #skipField}. Nested messages are read by separate
+ * readers on the same array.
  */
 public final class ProtoReader {
-    /** Messages within messages, at most. */
+    /** Maximum nesting depth of messages. */
     private static final int MAX_DEPTH = 32;
 
     private static final int WIRE_TYPE_BITS = 3;
@@ -28,7 +28,7 @@
     private int field;
     private int wireType;
 
-    /** Reads the message in an array. */
+    /** Creates a reader for the message in an array, which is not copied. */
     public ProtoReader(byte[] data) {
         this(data, 0, data.length, 0);
     }
@@ -40,7 +40,7 @@
         this.depth = depth;
     }
 
-    /** {@return the next field's number, or 0 at the end} */
+    /** {@return the number of the next field, or 0 at the end of the message} */
     public int nextField() throws ProtoException {
         if (position == end) {
             field = 0;
@@ -55,19 +55,19 @@
         return field;
     }
 
-    /** {@return a field of type int32, int64, uint32, uint64 or enum} */
+    /** {@return the value of a field of type int32, int64, uint32, uint64 or enum} */
     public long readVarint() throws ProtoException {
         requireWireType(VARINT);
         return varint();
     }
 
-    /** {@return a field of type sint32 or sint64} */
+    /** {@return the value of a field of type sint32 or sint64} */
     public long readZigZag() throws ProtoException {
         long raw = readVarint();
         return raw >>> 1 ^ -(raw & 1);
     }
 
-    /** {@return a field that must lie from 0 to 2^31 - 1} */
+    /** {@return the value of a varint field, which must be from 0 to 2^31 - 1} */
     public int readNonNegativeInt() throws ProtoException {
         long value = readVarint();
         if (value < 0 || value > Integer.MAX_VALUE) {
@@ -76,18 +76,18 @@
         return (int) value;
     }
 
-    /** {@return a field of type bool} */
+    /** {@return the value of a field of type bool} */
     public boolean readBool() throws ProtoException {
         return readVarint() != 0;
     }
 
-    /** {@return a field of type double} */
+    /** {@return the value of a field of type double} */
     public double readDouble() throws ProtoException {
         requireWireType(FIXED64);
         return Double.longBitsToDouble(fixed(Long.BYTES));
     }
 
-    /** {@return a field of type string; it has to be UTF-8} */
+    /** {@return the value of a field of type string, which must be valid UTF-8} */
     public String readString() throws ProtoException {
         requireWireType(BYTES);
         int length = length();
@@ -116,7 +116,7 @@
         return true;
     }
 
-    /** {@return a field of type bytes, copied} */
+    /** {@return a copy of the value of a field of type bytes} */
     public byte[] readBytes() throws ProtoException {
         requireWireType(BYTES);
         int length = length();
@@ -124,7 +124,7 @@
         return Arrays.copyOfRange(data, position - length, position);
     }
 
-    /** {@return a reader of a nested message, or of a packed field} */
+    /** {@return a reader for a nested message or a packed field} */
     public ProtoReader readMessage() throws ProtoException {
         requireWireType(BYTES);
         if (depth >= MAX_DEPTH) {
@@ -135,22 +135,22 @@
         return new ProtoReader(data, position - length, position, depth + 1);
     }
 
-    /** {@return whether the field holds several values in one, as repeated numbers may come} */
+    /** {@return whether the field is length-delimited, as packed repeated numbers are} */
     public boolean isPacked() {
         return wireType == BYTES;
     }
 
-    /** {@return whether nothing is left; for packed fields} */
+    /** {@return whether all values of a packed field have been read} */
     public boolean atEnd() {
         return position == end;
     }
 
-    /** {@return the next value of a packed field of varints} */
+    /** {@return the next value of a packed varint field} */
     public long readPackedVarint() throws ProtoException {
         return varint();
     }
 
-    /** Skips the field, whatever its type. */
+    /** Skips a field of any supported wire type. */
     public void skipField() throws ProtoException {
         switch (wireType) {
             case VARINT -> varint();
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Writes one message of the protobuf wire format. Default values (0, false, empty) are left out, as
- * proto3 has it.
+ * Writes one message of the protobuf wire format. Default values (0, false, empty) are omitted as
+ * in proto3, unless a method states otherwise.
  */
 public final class ProtoWriter {
     private static final int INITIAL_CAPACITY = 64;
@@ -17,7 +17,7 @@
     private byte[] data = new byte[INITIAL_CAPACITY];
     private int size;
 
-    /** Makes an empty message. */
+    /** Creates a writer for an empty message. */
     public ProtoWriter() {}
 
     /** Writes a field of type int32, int64, uint32, uint64 or enum. */
@@ -29,7 +29,7 @@
         return this;
     }
 
-    /** Writes a varint field also where it is 0: for members of a oneof. */
+    /** Writes a varint field even if it is 0, as needed for oneof members. */
     public ProtoWriter writeVarintAlways(int field, long value) {
         writeTag(field, VARINT);
         writeRawVarint(value);
@@ -59,7 +59,7 @@
         return this;
     }
 
-    /** Writes a field of type string. */
+    /** Writes a field of type string; null is treated as empty. */
     public ProtoWriter writeString(int field, String value) {
         return value == null || value.isEmpty()
                 ? this
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Writes a field of type bytes or string, or a nested message, also where it is empty: in lists
-     * and oneofs.
+     * Writes a field of type bytes or string, or an encoded message, even if it is empty, as needed
+     * for repeated fields and oneof members.
      */
     public ProtoWriter writeBytesAlways(int field, byte[] value) {
         writeTag(field, BYTES);
@@ -84,7 +84,7 @@
         return this;
     }
 
-    /** Writes a nested message. */
+    /** Writes a nested message, even if it is empty. */
     public ProtoWriter writeMessage(int field, ProtoWriter value) {
         writeTag(field, BYTES);
         writeRawVarint(value.size);
@@ -94,13 +94,13 @@
         return this;
     }
 
-    /** Writes a bare varint, as packed fields hold them. */
+    /** Writes a value of a packed field: a varint without a tag. */
     public ProtoWriter writePackedVarint(long value) {
         writeRawVarint(value);
         return this;
     }
 
-    /** {@return the bytes so far} */
+    /** {@return a copy of the bytes written so far} */
     public byte[] toByteArray() {
         return Arrays.copyOf(data, size);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/package-info.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/package-info.java
@@ -1,11 +1,11 @@
 /**
- * The wire format of protocol buffers (proto3), written by hand: no code is generated and no
- * library is needed.
+ * A hand-written implementation of the protocol buffers wire format (proto3), which needs neither
+ * generated code nor a library.
  *
  * <p>{@link sorrelhoist.protocol.protobuf.ProtoReader} and {@link
  * sorrelhoist.protocol.protobuf.ProtoWriter} read and write one message field by field; {@link
- * sorrelhoist.protocol.protobuf.MessageSchema} does so for a record whose components are marked
- * with {@link sorrelhoist.protocol.protobuf.ProtoField}. Readers and writers belong to one message;
- * schemas hold no state and may be shared.
+ * sorrelhoist.protocol.protobuf.MessageSchema} does so for a record whose components are annotated
+ * with {@link sorrelhoist.protocol.protobuf.ProtoField}. A reader or writer is used for one
+ * message; schemas are immutable and may be shared.
  */
 package sorrelhoist.protocol.protobuf;
--- a/protocol/src/main/java/sorrelhoist/protocol/statetransfer/SnapshotChunk.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/statetransfer/SnapshotChunk.java
@@ -5,13 +5,13 @@
 import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * A part of a snapshot.
+ * One chunk of a snapshot.
  *
- * @param index its place in the snapshot, from 0
- * @param payload part of the snapshot
- * @param last whether nothing follows
- * @param keyId name of the key that signed
- * @param mac HMAC-SHA256
+ * @param index position in the snapshot, starting at 0
+ * @param payload the chunk's bytes of the snapshot
+ * @param last whether this is the last chunk
+ * @param keyId name of the key that the MAC was computed with
+ * @param mac the HMAC-SHA256 of the chunk; see know.proto for its input
  */
 public record SnapshotChunk(
         @ProtoField(1) int index,
@@ -21,12 +21,12 @@
         @ProtoField(5) byte[] mac) {
     static final MessageSchema<SnapshotChunk> SCHEMA = MessageSchema.of(SnapshotChunk.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static SnapshotChunk parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/statetransfer/SnapshotRequest.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/statetransfer/SnapshotRequest.java
@@ -5,14 +5,15 @@
 import sorrelhoist.protocol.protobuf.ProtoField;
 
 /**
- * A router that has started asks a running one for what it knows.
+ * A request from a router that has just started to a running router for a snapshot of its
+ * knowledge.
  *
- * @param recipient name of the router that asks
- * @param donor name of the router that is asked
- * @param exchangeId the exchange's number, never used again
- * @param digest of the keys that the recipient has
- * @param keyId name of the key that signed
- * @param mac HMAC-SHA256
+ * @param recipient name of the requesting router
+ * @param donor name of the router that sends the snapshot
+ * @param exchangeId number of the exchange, which the recipient never reuses
+ * @param digest digest of the keys that the recipient already has
+ * @param keyId name of the key that the MAC was computed with
+ * @param mac the HMAC-SHA256 of the request; see know.proto for its input
  */
 public record SnapshotRequest(
         @ProtoField(1) String recipient,
@@ -23,12 +24,12 @@
         @ProtoField(6) byte[] mac) {
     static final MessageSchema<SnapshotRequest> SCHEMA = MessageSchema.of(SnapshotRequest.class);
 
-    /** {@return the message in these bytes} */
+    /** {@return the message decoded from {@code bytes}} */
     public static SnapshotRequest parse(byte[] bytes) throws ProtoException {
         return SCHEMA.parse(bytes);
     }
 
-    /** {@return the message's bytes} */
+    /** {@return the encoded message} */
     public byte[] toByteArray() {
         return SCHEMA.toByteArray(this);
     }
