--- a/protocol/src/test/java/sorrelhoist/protocol/bench/CodecBench.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/bench/CodecBench.java
@@ -28,7 +28,9 @@
 import sorrelhoist.protocol.inference.Tensor;
 import sorrelhoist.protocol.protobuf.ProtoException;
 
-/** What codecs cost: HPACK blocks of a gRPC call, and the messages of a request and of a token. */
+/**
+ * Benchmarks the codecs: HPACK blocks of a gRPC call, and the messages of a request and of a token.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -68,7 +70,7 @@
     private final byte[] token = new DecodeEvent(new Token(17, "willow17 "), null).toByteArray();
     private ByteBuf block;
 
-    /** Fills the tables, as they are on a connection in use. */
+    /** Fills the dynamic tables, as on a connection in use. */
     @Setup
     public void fill() throws HpackException {
         for (int i = 0; i < 3; i++) {
@@ -89,7 +91,7 @@
                         + " bytes");
     }
 
-    /** A call's header list into its block. */
+    /** Encodes the header list of a call. */
     @Benchmark
     public int hpackEncode() {
         out.clear();
@@ -97,31 +99,31 @@
         return out.readableBytes();
     }
 
-    /** A call's block into its header list. */
+    /** Decodes the header block of a call. */
     @Benchmark
     public Headers hpackDecode() throws HpackException {
         return decoder.decode(block.duplicate());
     }
 
-    /** A request of 1,440 bytes of prompt. */
+    /** Decodes a request with a prompt of 1,440 bytes. */
     @Benchmark
     public InferRequest requestDecode() throws ProtoException {
         return InferRequest.parse(request);
     }
 
-    /** An engine's token. */
+    /** Decodes a token from an engine. */
     @Benchmark
     public DecodeEvent tokenDecode() throws ProtoException {
         return DecodeEvent.parse(token);
     }
 
-    /** A client's token. */
+    /** Encodes a token for a client. */
     @Benchmark
     public byte[] tokenEncode() {
         return InferResponse.textChunk("sorrel", "request-1", "willow17 ").toStreamResponseBytes();
     }
 
-    /** Runs them. */
+    /** Runs the benchmarks. */
     public static void main(String[] args) throws RunnerException, java.io.IOException {
         org.openjdk.jmh.Main.main(
                 args.length > 0 ? args : new String[] {"CodecBench|FrameBench", "-prof", "gc"});
--- a/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
@@ -22,18 +22,18 @@
 import sorrelhoist.protocol.protobuf.ProtoException;
 
 /**
- * Generative fuzz of every decoder: inputs follow from their seeds, and a seed that fails is all
- * that is needed to see it again. Anything but the decoder's own refusal is a failure, as is an
- * input that takes a second.
+ * Generative fuzzing of every decoder. Each input is derived from its seed, so that a failure can
+ * be reproduced from the seed alone. Any exception other than the decoder's own checked exception
+ * is a failure, and so is an input that takes more than a second of CPU time.
  */
 public final class DecoderFuzz {
     private static final long SLOW_NANOS = 1_000_000_000L;
 
     private DecoderFuzz() {}
 
-    /** One input. {@return its bytes} */
+    /** Runs one input. {@return its size in bytes} */
     static int input(long seed) {
-        // The thread's own time: another load on the machine makes no input slow.
+        // CPU time of this thread, so that other load on the machine does not count.
         long start = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
         int size;
         try {
@@ -54,7 +54,7 @@
         byte[] bytes = new byte[random.nextInt(400)];
         random.nextBytes(bytes);
         if (random.nextBoolean()) {
-            // Small numbers are tags, lengths and indices: they get further in.
+            // Small numbers are likely to be valid tags, lengths and indices, and reach more code.
             for (int i = 0; i < bytes.length; i++) {
                 bytes[i] = (byte) (random.nextInt(3) > 0 ? random.nextInt(48) : bytes[i]);
             }
@@ -103,9 +103,9 @@
     }
 
     /**
-     * Runs for a while.
+     * Runs inputs for a given time.
      *
-     * @param args seconds, threads and the first seed
+     * @param args duration in seconds, number of threads and first seed
      */
     public static void main(String[] args) throws InterruptedException {
         for (long seed = 0; seed < 1000; seed++) {
--- a/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzzTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzzTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A fixed part of the fuzz, the same in every run. */
+/** Runs a fixed range of fuzzing seeds, the same in every run. */
 class DecoderFuzzTest {
     @Test
     void aFixedCorpusIsTakenOrRefused() {
--- a/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcChannelTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcChannelTest.java
@@ -22,8 +22,8 @@
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /**
- * Connections of a channel over real sockets: opened as needed, capped, closed when idle, and what
- * their ends prove.
+ * Tests the connections of a channel over real sockets: they are opened as needed up to a maximum
+ * and closed when idle, and the way in which they end determines the termination of their calls.
  */
 class GrpcChannelTest {
     private static final String PATH = "/s/m";
--- a/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcPartsTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcPartsTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Time-outs, messages of statuses, and framing. */
+/** Tests timeouts, status messages and message framing. */
 class GrpcPartsTest {
     @Test
     void timeoutsAreReadAndWrittenInEveryUnit() {
--- a/protocol/src/test/java/sorrelhoist/protocol/hpack/HpackTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/hpack/HpackTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The examples of RFC 7541, Appendix C, and what must be refused. */
+/** Tests the examples of RFC 7541, Appendix C, and blocks that must be rejected. */
 class HpackTest {
     private static final String AUTHORITY = "www.example.com";
     private static final String RESIZE_TO_256 = "3fe101";
@@ -94,7 +94,10 @@
                 .addAll(of(more));
     }
 
-    /** The three responses of appendices C.5 and C.6, which evict from a table of 256 octets. */
+    /**
+     * Checks the three responses of appendices C.5 and C.6, which evict fields from a dynamic table
+     * of 256 octets.
+     */
     private static void assertResponses(String first, String second, String third)
             throws HpackException {
         String date = "Mon, 21 Oct 2013 20:13:2";
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyDecoderTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyDecoderTest.java
@@ -82,7 +82,10 @@
         }
     }
 
-    /** Behind noise nothing may follow: whoever waits for a line feed waits for its time-out. */
+    /**
+     * Invalid input has to be rejected before a line feed arrives. A peer may send nothing after
+     * it, and a decoder that waits for the line feed would block its caller until the timeout.
+     */
     @Test
     void noiseIsAnErrorBeforeAnyLineFeed() throws Exception {
         for (String noise : new String[] {"\u0007", "ICY", "HTTP/2", "http/1.1", " HTTP/1.1"}) {
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpMessageDecoderTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpMessageDecoderTest.java
@@ -13,7 +13,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** HTTP/1.1 messages however they are cut, and what two readers could take for two things. */
+/**
+ * Tests HTTP/1.1 messages that arrive in pieces of any size, and messages that two decoders could
+ * interpret differently.
+ */
 class HttpMessageDecoderTest {
     private static final String TWO =
             "POST /a?x=1%202 HTTP/1.1\r\n"
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/ChannelFixture.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/ChannelFixture.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import sorrelhoist.protocol.hpack.HpackEncoder;
 
-/** A channel in memory for one part of a connection, and the frames that the part has sent. */
+/**
+ * An in-memory channel for testing one part of a connection, with a log of the frames that the part
+ * has sent.
+ */
 final class ChannelFixture {
     final EmbeddedChannel embedded = new EmbeddedChannel(new ChannelInboundHandlerAdapter());
     final ConnectionChannel channel = new ConnectionChannel(1 << 20, () -> {});
@@ -19,7 +22,10 @@
         channel.attach(embedded.pipeline().firstContext());
     }
 
-    /** {@return frames sent since the last call: type, stream, and payload where it is a number} */
+    /**
+     * {@return the frames sent since the last call as text: type, stream ID and the fields listed
+     * in {@link FrameLog}}
+     */
     List<String> sent() {
         embedded.runPendingTasks();
         ByteBuf sent = Unpooled.buffer();
@@ -31,7 +37,7 @@
         FrameLog log = new FrameLog();
         try {
             while (reader.next(sent, log)) {
-                // The log takes it.
+                // The log records the frame.
             }
         } catch (Http2Exception e) {
             throw new AssertionError(e);
@@ -39,7 +45,7 @@
         return log.frames;
     }
 
-    /** Frames as text, in their order. */
+    /** Records frames as text, in wire order. */
     static final class FrameLog implements FrameListener {
         final List<String> frames = new ArrayList<>();
 
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/FrameBench.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/FrameBench.java
@@ -15,8 +15,8 @@
 import sorrelhoist.protocol.hpack.Headers;
 
 /**
- * What it costs to carry a token's frame between two connections in memory, windows and turns
- * included.
+ * Benchmarks the transfer of a token's frame between two in-memory connections, including flow
+ * control and stream scheduling.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -89,7 +89,7 @@
                 }
             };
 
-    /** Opens the stream that the tokens use. */
+    /** Opens the stream that carries the tokens. */
     public FrameBench() {
         pair.pump();
         pair.opened.get(0).writeHeaders(new Headers().add(":status", "200"), false);
@@ -99,7 +99,7 @@
         }
     }
 
-    /** A hundred DATA frames of 64 bytes cut out of 7,300 bytes. */
+    /** Parses a hundred DATA frames of 64 bytes from a buffer of 7,300 bytes. */
     @Benchmark
     public long cutFrames() throws Http2Exception {
         ByteBuf in = frames.duplicate();
@@ -109,7 +109,10 @@
         return seen;
     }
 
-    /** A hundred tokens from one connection to another, through buffers, windows and listeners. */
+    /**
+     * Transfers a hundred tokens from one connection to another, through buffers, flow control and
+     * listeners.
+     */
     @Benchmark
     public int carryTokens() {
         Http2Stream server = pair.opened.get(0);
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/FrameDecoderTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/FrameDecoderTest.java
@@ -19,7 +19,7 @@
     private void receive(ByteBuf bytes) throws Http2Exception {
         ByteBuf in = decoder.join(UnpooledByteBufAllocator.DEFAULT, bytes);
         while (decoder.decodeNext(in, log)) {
-            // The log takes it.
+            // The log records the frame.
         }
         decoder.keep(in);
     }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
@@ -19,12 +19,15 @@
 import sorrelhoist.protocol.inference.InferRequest;
 import sorrelhoist.protocol.protobuf.ProtoException;
 
-/** Feeds a serving connection, gRPC and all, with conversations that were damaged by a seed. */
+/**
+ * Feeds a server connection and its gRPC server with a conversation that is randomly damaged,
+ * depending on a seed.
+ */
 public final class Fuzzed {
     private static final int MAX_BUFFERED_BYTES = 64 << 10;
     private final SplittableRandom random;
 
-    /** Makes one input's worth of damage. */
+    /** Creates the generator of one input from its seed. */
     public Fuzzed(long seed) {
         random = new SplittableRandom(seed);
     }
@@ -126,7 +129,7 @@
         return bytes;
     }
 
-    /** Removes, repeats or moves a frame behind the preface. */
+    /** Removes, duplicates or moves one of the frames after the preface. */
     private void damageOrder(List<ByteBuf> frames) {
         int index = 1 + random.nextInt(frames.size() - 1);
         switch (random.nextInt(3)) {
@@ -136,14 +139,14 @@
         }
     }
 
-    /** Feeds one damaged conversation. {@return bytes fed} */
+    /** Feeds one damaged conversation to a connection. {@return its size in bytes} */
     public int feed() {
         return feed(new CRC32());
     }
 
     /**
-     * Feeds one damaged conversation, adding what is sent in answer to a checksum. {@return bytes
-     * fed}
+     * Feeds one damaged conversation to a connection and adds the bytes that the connection sends
+     * to a checksum. {@return the size of the conversation in bytes}
      */
     int feed(Checksum sent) {
         GrpcServer server = new GrpcServer(10_000).addMethod("/s/m", EchoListener::new);
@@ -157,7 +160,9 @@
         channel.close();
         channel.runPendingTasks();
         if (connection.openStreamCount() != 0) {
-            throw new AssertionError(connection.openStreamCount() + " streams left");
+            throw new AssertionError(
+                    connection.openStreamCount()
+                            + " streams are still open after the channel was closed");
         }
         channel.releaseInbound();
         Pair.drain(channel, sent);
@@ -176,12 +181,13 @@
             channel.runPendingTasks();
             written += piece;
             if (connection.bufferedBytes() > MAX_BUFFERED_BYTES) {
-                throw new AssertionError("holds " + connection.bufferedBytes() + " bytes");
+                throw new AssertionError(
+                        "the connection buffers " + connection.bufferedBytes() + " bytes");
             }
         }
     }
 
-    /** Sends each message back that can be read. */
+    /** Echoes each valid message. */
     private static final class EchoListener implements ServerCall.Listener {
         private final ServerCall call;
 
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/GracefulShutdownTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/GracefulShutdownTest.java
@@ -38,7 +38,9 @@
                 fixture.sent());
         assertFalse(shutdown.refusesStreams());
         shutdown.onPingAck(1);
-        assertFalse(shutdown.refusesStreams(), "the answer to another PING");
+        assertFalse(
+                shutdown.refusesStreams(),
+                "a PING acknowledgement with other content must be ignored");
         shutdown.onPingAck(PING_CONTENT);
         assertTrue(shutdown.refusesStreams());
         assertEquals(List.of("GOAWAY 5 NO_ERROR"), fixture.sent());
@@ -73,10 +75,10 @@
         shutdown.onGoAway(1, ErrorCode.NO_ERROR);
         assertEquals(
                 List.of("closed", "3 REFUSED_STREAM unprocessed true", "peer shuts down"), events);
-        assertFalse(fixture.channel.isClosing(), "stream 1 goes on");
+        assertFalse(fixture.channel.isClosing(), "stream 1 must stay open");
     }
 
-    /** Writes down how a stream was reset. */
+    /** Records the reset of a stream. */
     private final class ResetLog implements Http2StreamListener {
         private final int streamId;
 
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/HostilePeerTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/HostilePeerTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** What a peer gets that breaks the rules, floods, or does not take what it asked for. */
+/**
+ * Tests the reaction to peers that violate the protocol, flood the connection, or do not read what
+ * they requested.
+ */
 class HostilePeerTest {
     private static final Headers OK = new Headers().add(":status", "200");
 
@@ -155,20 +158,22 @@
                 stream.writeData(Unpooled.wrappedBuffer(new byte[20]), k == 7);
             }
             pair.pump();
-            // Some clients end a stream once more instead of crediting the last frame.
+            // Some clients reset the stream instead of returning credit for the last frame.
             for (int k = 0; k < 7; k++) {
                 pair.serverChannel.writeInbound(
                         Frames.windowUpdate(pair.serverChannel.alloc(), stream.id(), 20));
             }
             pair.serverChannel.writeInbound(
                     Frames.rstStream(pair.serverChannel.alloc(), stream.id(), ErrorCode.CANCEL));
-            assertTrue(pair.serverChannel.isOpen(), "after " + i + " requests");
+            assertTrue(pair.serverChannel.isOpen(), "connection closed after " + i + " requests");
         }
         for (int k = 0; k < 100 && pair.serverChannel.isOpen(); k++) {
             pair.serverChannel.writeInbound(
                     Frames.windowUpdate(pair.serverChannel.alloc(), pair.opened.get(0).id(), 20));
         }
-        assertFalse(pair.serverChannel.isOpen(), "credit for nothing is still a flood");
+        assertFalse(
+                pair.serverChannel.isOpen(),
+                "WINDOW_UPDATE frames without DATA must count as a flood");
     }
 
     @Test
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Http2ConnectionTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Http2ConnectionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** Streams, windows, turns and ends between two connections. */
+/** Tests streams, flow control, stream scheduling and shutdown between two connections. */
 class Http2ConnectionTest {
     private static final Headers OK = new Headers().add(":status", "200");
 
@@ -99,7 +99,7 @@
         assertEquals(2900, sum(pair.events, "client data"));
         other.consumeBytes(900);
         pair.pump();
-        assertTrue(other.isClosed(), "the stream beside the slow one is served to its end");
+        assertTrue(other.isClosed(), "a stream must complete while another one is blocked");
         assertFalse(slow.isClosed());
     }
 
@@ -140,8 +140,8 @@
             smallBytes += piece[0] == small.id() ? piece[1] : 0;
         }
         assertEquals(20_000, smallBytes);
-        // The first window went to the only stream that had work then; from there on they took
-        // turns.
+        // The bulk stream used the whole first window while it was the only scheduled stream.
+        // Afterwards both streams were scheduled in turn.
         assertTrue(
                 bulkBytes <= Frames.DEFAULT_WINDOW_SIZE + 20_000 + 2 * 4096,
                 "bulk sent " + bulkBytes);
@@ -161,7 +161,7 @@
         pair.pump();
         assertTrue(
                 pair.events.contains("client reset REFUSED_STREAM true"), pair.events.toString());
-        // Two streams were open: the server had seen the first only, which may have run.
+        // Two streams were open. The server received only the first one, which may have run.
         assertEquals(
                 1,
                 pair.events.stream()
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/OutboundFlowControllerTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/OutboundFlowControllerTest.java
@@ -27,8 +27,9 @@
                     new Http2Connection.Listener() {});
 
     OutboundFlowControllerTest() {
-        // Streams hand their data to their connection, whose own controller is not under test: its
-        // channel is never writable.
+        // Streams schedule their data on their connection as well. Its controller is not under
+        // test,
+        // so its channel is never writable.
         EmbeddedChannel unwritable = new EmbeddedChannel(connection);
         unwritable.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
     }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
@@ -10,7 +10,9 @@
 import java.util.zip.Checksum;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** Two connections that hand each other their bytes in memory, in pieces of a chosen size. */
+/**
+ * A client and a server connection that exchange their bytes in memory, in pieces of a given size.
+ */
 final class Pair {
     static final Headers REQUEST =
             new Headers()
@@ -21,10 +23,10 @@
     final List<String> events = new ArrayList<>();
     final List<Http2Stream> opened = new ArrayList<>();
 
-    /** Stream and bytes of each piece of data that the client got. */
+    /** Stream ID and size of each piece of data that the client received. */
     final List<int[]> order = new ArrayList<>();
 
-    /** Checksum of all bytes that either side has sent. */
+    /** Checksum of all bytes that both sides have sent. */
     final CRC32 wireBytes = new CRC32();
 
     boolean autoCredit = true;
@@ -71,7 +73,7 @@
         }
     }
 
-    /** Reads all that a channel has sent into a checksum. */
+    /** Adds all bytes that a channel has sent to a checksum. */
     static void drain(EmbeddedChannel channel, Checksum sent) {
         for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
             sent.update(ByteBufUtil.getBytes(out));
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/RawClient.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/RawClient.java
@@ -7,7 +7,10 @@
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.hpack.HpackEncoder;
 
-/** Writes frames by hand to a serving side, and keeps the last reset and GOAWAY that came back. */
+/**
+ * Sends raw frames to a server connection, and records the last RST_STREAM and GOAWAY that it
+ * returns.
+ */
 final class RawClient {
     final EmbeddedChannel channel;
     private final HpackEncoder encoder = new HpackEncoder();
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/RemoteSettingsTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/RemoteSettingsTest.java
@@ -46,6 +46,6 @@
         assertRejected(ErrorCode.PROTOCOL_ERROR, server, Frames.ENABLE_PUSH, 2);
         assertRejected(ErrorCode.PROTOCOL_ERROR, client, Frames.ENABLE_PUSH, 1);
         assertEquals(0, server.apply(Frames.ENABLE_PUSH, 1));
-        assertEquals(0, server.apply(0xff, 7), "unknown settings are ignored");
+        assertEquals(0, server.apply(0xff, 7), "unknown settings must be ignored");
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/StreamAccountingTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/StreamAccountingTest.java
@@ -11,12 +11,17 @@
 import net.jqwik.api.Property;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** Whatever is sent, credited, ended and reset in whatever order: bytes and streams add up. */
+/**
+ * Tests that the counts of bytes and streams stay consistent for random sequences of sending,
+ * returning credit, ending and resetting.
+ */
 class StreamAccountingTest {
     private static final int WINDOW = 3000;
     private static final int MAX_STREAMS = 20;
 
-    /** One conversation, and what each side knows of it. */
+    /**
+     * A random conversation between two connections, with the bytes sent and credited per stream.
+     */
     private static final class Conversation {
         private final SplittableRandom random;
         private final Pair pair;
@@ -96,10 +101,12 @@
             received()
                     .forEach(
                             (id, bytes) -> {
-                                assertTrue(bytes <= sent.get(id), "more came than was sent");
+                                assertTrue(
+                                        bytes <= sent.get(id),
+                                        "the client received more bytes than were sent");
                                 assertTrue(
                                         bytes - credited.getOrDefault(id, 0) <= WINDOW,
-                                        "more came than the window");
+                                        "the client received more bytes than its window allows");
                             });
         }
 
@@ -115,7 +122,7 @@
             for (Http2Stream stream : pair.opened) {
                 if (!stream.isClosed()) {
                     int id = stream.id();
-                    assertEquals(0, stream.pendingBytes(), "bytes left behind");
+                    assertEquals(0, stream.pendingBytes(), "bytes are still queued");
                     assertEquals(sent.getOrDefault(id, 0), received.getOrDefault(id, 0));
                 }
             }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/WireCompatibilityTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/WireCompatibilityTest.java
@@ -10,8 +10,8 @@
 import sorrelhoist.protocol.hpack.Headers;
 
 /**
- * What a connection sends is the same byte for byte as before it was taken apart: checksums were
- * taken from the connection as one class.
+ * Guards against changes of the bytes that a connection sends. The checksums were computed with the
+ * original implementation of the connection as a single class, before it was split into parts.
  */
 class WireCompatibilityTest {
     private static final int FUZZED_CONVERSATIONS = 1000;
--- a/protocol/src/test/java/sorrelhoist/protocol/net/BlockingIoHandlerTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/net/BlockingIoHandlerTest.java
@@ -19,9 +19,9 @@
 class BlockingIoHandlerTest {
     private static final int TIMERS = 200;
     private static final long DELAY_MICROS =
-            1_300; // 0.3 ms beyond a whole millisecond: rounding to the nearest is too early
+            1_300; // 0.3 ms above a whole millisecond, which rounding to the nearest rounds down
     private static final long MOST_POLLS =
-            4; // a timer: one wait, and those that its task and the next timer take
+            4; // per timer: one blocking poll, and the polls for its task and the next timer
 
     @Test
     void aDelayIsRoundedUpToTheNextMillisecond() {
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageBytesTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageBytesTest.java
@@ -43,10 +43,10 @@
 import sorrelhoist.protocol.statetransfer.SnapshotRequest;
 
 /**
- * Every message's bytes, and what becomes of damaged bytes, are the same as when each class read
- * and wrote its fields by hand: checksums come from those.
+ * Guards against changes of the encoding of messages and of the result of decoding damaged ones.
+ * The checksums were computed when each class still had handwritten code for its fields.
  */
-@SuppressWarnings("ArrayAsKeyOfSetOrMap") // each array is its own key, in the order added
+@SuppressWarnings("ArrayAsKeyOfSetOrMap") // arrays are identity keys, in insertion order
 class MessageBytesTest {
     private static final int SEEDS = 200;
 
@@ -54,7 +54,7 @@
         Object parse(byte[] bytes) throws ProtoException;
     }
 
-    /** One message of each kind, filled at random; defaults are frequent. */
+    /** Creates one message of each type with random values, of which many are default values. */
     private static final class RandomMessages {
         private final SplittableRandom random;
 
@@ -246,7 +246,7 @@
     }
 
     private static String show(Object parsed) {
-        // Arrays have no text of their own.
+        // The text of an array contains its identity hash code, which differs between runs.
         return parsed.toString().replaceAll("\\[B@[0-9a-f]+", "bytes");
     }
 
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageSchemaTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageSchemaTest.java
@@ -18,13 +18,13 @@
             @ProtoField(7) String text,
             @ProtoField(8) List<Part> parts) {}
 
-    /** A message within it. */
+    /** A nested message. */
     public record Part(@ProtoField(1) String name) {}
 
-    /** A record that is no message. */
+    /** A record whose component is not annotated. */
     public record Unmarked(int count) {}
 
-    /** A record with a type that no field has. */
+    /** A record whose component has an unsupported type. */
     public record Unsupported(@ProtoField(1) float value) {}
 
     private static final MessageSchema<All> SCHEMA = MessageSchema.of(All.class);
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/ProtoTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/ProtoTest.java
@@ -21,7 +21,10 @@
 import sorrelhoist.protocol.plan.Roster;
 import sorrelhoist.protocol.plan.RosterEntry;
 
-/** Messages come back as they went; what is no message is refused and nothing worse. */
+/**
+ * Tests that messages are decoded as they were encoded, and that invalid bytes are rejected with a
+ * {@link ProtoException} only.
+ */
 class ProtoTest {
     private static final InferRequest REQUEST =
             new InferRequest(
@@ -93,7 +96,7 @@
         for (int cut = 1; cut < whole.length; cut++) {
             byte[] part = java.util.Arrays.copyOf(whole, cut);
             try {
-                // A cut between two fields leaves a message, but never the same one.
+                // A message that is cut between two fields is valid, but differs from the original.
                 assertNotEquals(REQUEST, InferRequest.parse(part), "cut at " + cut);
             } catch (ProtoException expected) {
                 refused++;
@@ -101,7 +104,7 @@
         }
         assertTrue(
                 refused > whole.length * 3 / 4,
-                refused + " of " + whole.length + " cuts were refused");
+                refused + " of " + whole.length + " truncated messages were rejected");
         assertThrows(ProtoException.class, () -> InferRequest.parse(new byte[] {10, 127, 1}));
         assertThrows(ProtoException.class, () -> InferRequest.parse(new byte[] {10, 1, -1}));
         assertThrows(ProtoException.class, () -> InferRequest.parse(new byte[] {0}));
