--- a/core/src/main/java/sorrelhoist/core/delivery/AttemptDelivery.java
+++ b/core/src/main/java/sorrelhoist/core/delivery/AttemptDelivery.java
@@ -1,20 +1,20 @@
 package sorrelhoist.core.delivery;
 
-/** What is known of the way of one attempt to its engine. */
+/** The delivery state of one attempt to its engine. */
 public final class AttemptDelivery {
-    /** How far an attempt has come, as far as anything shows it. */
+    /** The delivery progress of an attempt, as far as it is known. */
     public enum State {
-        /** Its connection has to come up first, so nothing of it is written. */
+        /** The attempt waits for a connection, so none of it is written. */
         CONNECTING,
-        /** Its last byte was written; nothing shows yet that its engine has it. */
+        /** The last byte was written; the delivery is not confirmed yet. */
         WRITTEN,
-        /** Its engine has it. */
+        /** The delivery was confirmed, or is assumed. */
         DELIVERED
     }
 
-    /** What shows that an engine has an attempt. */
+    /** The evidence for a delivery. */
     public enum Evidence {
-        /** The transport cannot tell what is written, so delivery is taken for granted. */
+        /** The transport does not report writes, so the delivery is assumed. */
         ASSUMED,
         /** The engine answered a call on another connection that was written after the attempt. */
         ENGINE_RESPONSIVE,
@@ -29,63 +29,66 @@
     private boolean reportedUnconfirmed;
 
     /**
-     * Makes the delivery of an attempt whose transport may not be able to tell what is written:
-     * until it says otherwise, the attempt counts as delivered.
+     * Creates the delivery state of an attempt whose transport may not report writes: until {@link
+     * #connecting()} is called, the attempt counts as delivered.
      *
-     * @param engine where the attempt goes
+     * @param engine the engine that the attempt is sent to
      */
     public AttemptDelivery(String engine) {
         this.engine = engine;
     }
 
-    /** {@return the engine that the attempt goes to} */
+    /** {@return the engine that the attempt is sent to} */
     public String engine() {
         return engine;
     }
 
-    /** {@return how far it has come} */
+    /** {@return the delivery progress} */
     public State state() {
         return state;
     }
 
-    /** {@return what shows that it was delivered; null while nothing does} */
+    /** {@return the evidence for the delivery; null while there is none} */
     public Evidence evidence() {
         return evidence;
     }
 
-    /** {@return when its last byte was written, in microseconds} */
+    /** {@return when the last byte was written, in microseconds} */
     public long writtenAt() {
         return writtenAt;
     }
 
-    /** {@return whether its last byte was written, as far as its transport can tell} */
+    /**
+     * {@return whether the last byte was written; also true if the transport does not report
+     * writes}
+     */
     public boolean isWritten() {
         return state != State.CONNECTING;
     }
 
-    /** {@return whether its engine has it} */
+    /** {@return whether the delivery was confirmed or is assumed} */
     public boolean isDelivered() {
         return state == State.DELIVERED;
     }
 
-    /** {@return whether it was reported as unconfirmed} */
+    /** {@return whether the attempt was reported as unconfirmed} */
     public boolean wasReportedUnconfirmed() {
         return reportedUnconfirmed;
     }
 
-    /** Its connection has to come up first. */
+    /** Marks the attempt as waiting for a connection. */
     public void connecting() {
         state = State.CONNECTING;
         evidence = null;
     }
 
-    /** Its last byte was written. */
+    /** Marks the last byte as written. */
     void written(long now) {
         state = State.WRITTEN;
         writtenAt = now;
     }
 
-    /** Something shows that its engine has it. */
+    /** Marks the delivery as confirmed. */
     void delivered(Evidence shownBy) {
         state = State.DELIVERED;
         evidence = shownBy;
--- a/core/src/main/java/sorrelhoist/core/delivery/DeliveryMonitor.java
+++ b/core/src/main/java/sorrelhoist/core/delivery/DeliveryMonitor.java
@@ -9,30 +9,35 @@
 import sorrelhoist.core.time.TimerQueue;
 
 /**
- * Watches attempts whose last byte was written until something shows that their engines have them.
+ * Watches written attempts until there is evidence that they were delivered to their engines.
  *
- * <p>Evidence is an answer to the attempt, or to any call that was written to the engine later: the
- * engine runs after the attempt was written. Other bytes show nothing, as nothing tells when they
- * were sent. Where there is no evidence for a while, the engine is asked for a sign of life by a
- * call that changes nothing; where that is not answered either, the attempt is reported as
- * unconfirmed. It stays watched until it ends, as its engine may have been stopped for a moment.
+ * <p>Evidence is an answer to the attempt, or to any call that was written to the engine later:
+ * either shows that the engine was running after the attempt was written. Other bytes are no
+ * evidence, as their send time is unknown. If there is no evidence for some time, the engine is
+ * sent a liveness check, a call without side effects. If the engine does not answer this either,
+ * the attempt is reported as unconfirmed. It stays watched until it ends, as its engine may have
+ * been suspended only briefly.
  *
- * <p>The attempt's own connection may be silent though another one is not. So evidence decides
- * whether a request is sent elsewhere, and puts the release of what is held for it off by a bounded
- * time alone.
+ * <p>The connection of the attempt may be silent while another one is not. Evidence therefore
+ * decides whether a request is sent to another engine, but postpones the release of its holds only
+ * by a bounded time.
  *
- * <p>One thread at a time.
+ * <p>Not thread-safe.
  *
- * @param <A> names an attempt to the listener
+ * @param <A> identifies an attempt to the listener
  */
 public final class DeliveryMonitor<A> {
     /**
-     * A check that is so late was held up together with the router: what engines have sent
-     * meanwhile still lies in its sockets, so the check is put off once until they were read.
+     * Minimum lateness at which a delivery check is postponed once, in microseconds. A check this
+     * late was delayed together with the whole router: data that engines sent meanwhile is still in
+     * its socket buffers and has to be read first.
      */
     static final long LATE_MICROS = 5000;
 
-    /** What a question takes in turns of the router, each of which may be as late. */
+    /**
+     * Number of event loop iterations that a liveness check takes; each may be as late as the
+     * delivery check that is postponed.
+     */
     private static final int TURNS_OF_A_QUESTION = 4;
 
     private static final int MAX_BACKOFF_SHIFT = 3;
@@ -45,29 +50,29 @@
     private long unconfirmedCount;
 
     /**
-     * Told of what the monitor finds, during its own methods.
+     * Receives the findings of the monitor, called from within its methods.
      *
-     * @param <A> names an attempt
+     * @param <A> identifies an attempt
      */
     public interface Listener<A> {
         /**
-         * Asks an engine for a sign of life. Ended by {@link DeliveryMonitor#questionEnded}, in a
-         * later turn.
+         * Sends a liveness check to an engine. Its end is reported with {@link
+         * DeliveryMonitor#questionEnded}, in a later iteration of the event loop.
          */
         void ask(String engine);
 
-        /** Something shows that an attempt's engine has it. */
+        /** The delivery of an attempt was inferred from an answer to another call. */
         void delivered(A attempt);
 
-        /** Something should have shown by now that an attempt's engine has it, and nothing does. */
+        /** The delivery of an attempt was not confirmed in time. */
         void unconfirmed(A attempt);
     }
 
     /**
-     * Creates a monitor that watches nothing.
+     * Creates a monitor without attempts.
      *
      * @param policy how long attempts may go unconfirmed
-     * @param listener told of what is found
+     * @param listener receives the findings
      */
     public DeliveryMonitor(DeliveryPolicy policy, Listener<A> listener) {
         this.policy = policy;
@@ -77,12 +82,12 @@
     // Attempts
 
     /**
-     * An attempt's last byte was written.
+     * Records that the last byte of an attempt was written, and starts to watch it.
      *
-     * @param attempt names it
-     * @param delivery its state
-     * @param heldSince since when something is held for its request; now where nothing is
-     * @param now the time
+     * @param attempt identifies the attempt
+     * @param delivery the delivery state of the attempt
+     * @param heldSince when the holds of its request began to wait; {@code now} if there are none
+     * @param now the time, in microseconds
      */
     public void written(A attempt, AttemptDelivery delivery, long heldSince, long now) {
         delivery.written(now);
@@ -93,13 +98,13 @@
         timers.schedule(askAt, time -> askFor(attempt, delivery, confirmBy, time - askAt, time));
     }
 
-    /** An attempt's engine answered it. */
+    /** Records that an engine answered the attempt, which ends the watch. */
     public void answered(A attempt, AttemptDelivery delivery) {
         delivery.delivered(Evidence.ANSWERED);
         ended(attempt, delivery);
     }
 
-    /** An attempt ended, so nothing waits for its delivery any more. */
+    /** Stops watching an attempt that ended. */
     public void ended(A attempt, AttemptDelivery delivery) {
         EngineWatch<A> watch = engines.get(delivery.engine());
         if (watch != null) {
@@ -130,13 +135,16 @@
             delivery.reportUnconfirmed();
             listener.unconfirmed(attempt);
         } else {
-            // It could not be asked, or only a moment ago.
+            // The liveness check could not be sent, or was sent only a moment ago.
             timers.schedule(
                     now + policy.attemptMicros(), time -> check(attempt, delivery, 0, time));
         }
     }
 
-    /** {@return whether an engine owes an answer, or has said nothing for a very long time} */
+    /**
+     * {@return whether an engine has not answered a liveness check in time, or the attempt has been
+     * unconfirmed for the whole limit}
+     */
     private boolean isSilent(AttemptDelivery delivery, long now) {
         return engines.get(delivery.engine()).isSilentSince(now - policy.answerMicros())
                 || now - delivery.writtenAt() >= policy.limitMicros();
@@ -150,9 +158,9 @@
     // Engines
 
     /**
-     * Waits for an engine's next sign of life, as an attempt that was given up may reach it, or end
-     * there, just before. Asks for it where none comes by itself; at once where nothing ever showed
-     * that the attempt had arrived.
+     * Starts to wait for the next response of an engine. An abandoned attempt may arrive or end
+     * there shortly before that response. Sends a liveness check at once if the attempt does not
+     * count as delivered; otherwise only if the engine does not respond by itself for a while.
      */
     public void awaitEngine(String engine, AttemptDelivery givenUp, long now) {
         EngineWatch<A> watch = watch(engine);
@@ -171,7 +179,10 @@
         }
     }
 
-    /** An engine left the endpoint list: what was on its way there will not arrive. */
+    /**
+     * Stops waiting for an engine that left the endpoint list: what was in transit to it will not
+     * arrive.
+     */
     public void engineRemoved(String engine) {
         EngineWatch<A> watch = engines.get(engine);
         if (watch != null) {
@@ -181,11 +192,12 @@
     }
 
     /**
-     * An engine began to answer a call.
+     * Records that an engine began to answer a call, which confirms the attempts that were written
+     * before the call.
      *
-     * @param engine which
-     * @param writtenAt when the call was written to it
-     * @return whether that is the sign of life that is waited for whatever becomes of attempts
+     * @param engine the engine's id
+     * @param writtenAt when the call was written, in microseconds
+     * @return whether this is the response that {@link #awaitEngine} waits for
      */
     public boolean callAnswered(String engine, long writtenAt) {
         EngineWatch<A> watch = engines.get(engine);
@@ -210,7 +222,10 @@
         }
     }
 
-    /** {@return a copy of the names of engines of which a sign of life is waited for} */
+    /**
+     * {@return a copy of the ids of engines with an unconfirmed attempt, an awaited response or an
+     * open liveness check}
+     */
     public Set<String> watchedEngines() {
         return Set.copyOf(engines.keySet());
     }
@@ -225,7 +240,7 @@
         }
     }
 
-    // Questions
+    // Liveness checks
 
     private void ask(String engine, EngineWatch<A> watch, long now) {
         if (watch.openQuestion(now)) {
@@ -234,7 +249,9 @@
         }
     }
 
-    /** A question could not be asked at all, so an engine's silence says nothing. */
+    /**
+     * Records that a liveness check could not be sent, so the silence of the engine is no evidence.
+     */
     public void questionNotAsked(String engine, long now) {
         EngineWatch<A> watch = engines.get(engine);
         if (watch != null && watch.isQuestionOpen()) {
@@ -244,7 +261,10 @@
         }
     }
 
-    /** A question ended, answered or not; it is asked again where that still matters. */
+    /**
+     * Records the end of a liveness check, answered or not. Schedules the next one if it is still
+     * needed.
+     */
     public void questionEnded(String engine, long now) {
         EngineWatch<A> watch = engines.get(engine);
         if (watch == null) {
@@ -253,8 +273,8 @@
         watch.closeQuestion();
         if (watch.isNeeded()) {
             int shift = Math.min(watch.questionsUnanswered(), MAX_BACKOFF_SHIFT);
-            // From when it was asked: where the answer was waited for in vain, there is no gap in
-            // which the engine could come back unnoticed.
+            // The interval counts from the send time: after a check that timed out, the next one
+            // follows at once, so that an engine that returns is noticed.
             long pace = policy.askAfterMicros() << shift;
             long again = Math.max(now, watch.questionAskedAt() + pace);
             timers.schedule(again, time -> askAgain(engine, time));
@@ -269,33 +289,33 @@
         }
     }
 
-    // Time
+    // Timers
 
-    /** Asks and reports what is due. */
+    /** Sends the liveness checks and makes the reports that are due. */
     public void advance(long now) {
         for (LongConsumer due = timers.pollDue(now); due != null; due = timers.pollDue(now)) {
             due.accept(now);
         }
     }
 
-    /** {@return when {@link #advance} is next needed; Long.MAX_VALUE for never} */
+    /** {@return when {@link #advance} is next needed, in microseconds; Long.MAX_VALUE for never} */
     public long nextDueMicros() {
         return timers.nextDueMicros();
     }
 
-    // For the metrics line
+    // Counters for the metrics line
 
-    /** {@return questions asked since the start} */
+    /** {@return the number of liveness checks sent since the start} */
     public long questionsAsked() {
         return questionsAsked;
     }
 
-    /** {@return attempts reported as unconfirmed since the start} */
+    /** {@return the number of attempts reported as unconfirmed since the start} */
     public long unconfirmedCount() {
         return unconfirmedCount;
     }
 
-    /** {@return attempts that nothing confirms yet} */
+    /** {@return the number of attempts that are not confirmed yet} */
     public int watchedCount() {
         return engines.values().stream().mapToInt(watch -> watch.attempts.size()).sum();
     }
--- a/core/src/main/java/sorrelhoist/core/delivery/DeliveryPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/delivery/DeliveryPolicy.java
@@ -1,31 +1,34 @@
 package sorrelhoist.core.delivery;
 
 /**
- * How long attempts may go unconfirmed. All times are shares of the limit within which what is held
- * for a request has to be taken or released: an attempt that did not arrive does not stop that
- * clock, so another engine has to be sent the request, or the release begun, well within it.
+ * Times within which the delivery of attempts has to be confirmed. All are fractions of the limit
+ * within which the holds of a request have to be consumed or released. An attempt that did not
+ * arrive does not extend the limit, so the request has to be sent to another engine, or the release
+ * begun, well within it.
  *
- * <p>Counted from the moment in which the hold began to wait: a quarter for the ordinary answer,
- * then the engine is asked for a sign of life, and two fifths in all until the attempt is taken for
- * undelivered. A second attempt then has until three fifths; the rest is for the release, which up
- * to three engines may be asked for.
+ * <p>Counted from the moment at which the hold began to wait: a quarter of the limit for the
+ * ordinary answer, after which the engine is sent a liveness check; two fifths until the attempt
+ * counts as undelivered. A second attempt then has until three fifths; the rest is left for the
+ * release, for which up to three engines may be called.
  *
  * @param limitMicros the limit, in microseconds
  */
 public record DeliveryPolicy(long limitMicros) {
+    /** The number of equal shares of the limit in which the other constants count. */
     private static final int SHARES = 20;
+
     private static final int ASK_SHARES = 5;
     private static final int CONFIRM_SHARES = 8;
     private static final int ANSWER_SHARES = 3;
     private static final int ATTEMPT_SHARES = 4;
     private static final int QUESTION_FACTOR = 2;
 
-    /** The shares of a shorter limit would be within what a turn of the router takes. */
+    /** The fractions of a shorter limit would be shorter than an iteration of the event loop. */
     private static final long MIN_LIMIT_MICROS = 20_000;
 
     private static final long MAX_LIMIT_MICROS = 3_600_000_000L;
 
-    /** Takes a limit that is not sensible for the nearest that is. */
+    /** Clamps the limit to the supported range. */
     public DeliveryPolicy {
         limitMicros = Math.min(MAX_LIMIT_MICROS, Math.max(MIN_LIMIT_MICROS, limitMicros));
     }
@@ -34,27 +37,33 @@
         return limitMicros * number / SHARES;
     }
 
-    /** {@return after which an engine is asked for a sign of life} */
+    /** {@return the time after which an engine is sent a liveness check, in microseconds} */
     public long askAfterMicros() {
         return shares(ASK_SHARES);
     }
 
-    /** {@return after which an attempt is taken for undelivered} */
+    /** {@return the time after which an attempt counts as undelivered, in microseconds} */
     public long confirmAfterMicros() {
         return shares(CONFIRM_SHARES);
     }
 
-    /** {@return how long an engine has to answer a question before its silence says anything} */
+    /**
+     * {@return how long an engine has to answer a liveness check before it counts as silent, in
+     * microseconds}
+     */
     public long answerMicros() {
         return shares(ANSWER_SHARES);
     }
 
-    /** {@return how long each attempt has, however late it was sent} */
+    /**
+     * {@return the minimum time each attempt has to be confirmed, however late it was sent, in
+     * microseconds}
+     */
     public long attemptMicros() {
         return shares(ATTEMPT_SHARES);
     }
 
-    /** {@return how long the answer to a question is waited for} */
+    /** {@return the timeout of a liveness check, in microseconds} */
     public long questionTimeoutMicros() {
         return QUESTION_FACTOR * limitMicros;
     }
--- a/core/src/main/java/sorrelhoist/core/delivery/EngineWatch.java
+++ b/core/src/main/java/sorrelhoist/core/delivery/EngineWatch.java
@@ -4,27 +4,26 @@
 import java.util.Map;
 
 /**
- * One engine of which a sign of life is waited for, and the question that it was asked because of
- * it.
+ * Watches one engine whose response is needed, and tracks its liveness checks.
  *
- * @param <A> names an attempt
+ * @param <A> identifies an attempt
  */
 final class EngineWatch<A> {
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** Attempts that nothing confirms yet. */
+    /** Attempts whose delivery is not confirmed yet. */
     final Map<A, AttemptDelivery> attempts = new LinkedHashMap<>();
 
     private long awaitedSince = NEVER;
     private boolean questionOpen;
     private long questionAskedAt;
 
-    /** When the first question was asked that is not answered. */
+    /** Send time of the earliest unanswered liveness check. */
     private long unansweredSince = NEVER;
 
     private int questionsUnanswered;
 
-    /** Its next sign of life matters, whatever becomes of attempts. */
+    /** Waits for the next response of the engine, even if no attempt is left. */
     void await(long now) {
         awaitedSince = now;
     }
@@ -37,7 +36,7 @@
         return awaitedSince != NEVER;
     }
 
-    /** {@return whether anything waits for a sign of life} */
+    /** {@return whether a response of the engine is needed} */
     boolean isNeeded() {
         return isAwaited() || !attempts.isEmpty();
     }
@@ -46,7 +45,11 @@
         return !isNeeded() && !questionOpen;
     }
 
-    /** {@return whether a question may be asked now, which is then open} */
+    /**
+     * Opens a liveness check.
+     *
+     * @return whether it may be sent; false if another one is still open
+     */
     boolean openQuestion(long now) {
         if (questionOpen) {
             return false;
@@ -58,12 +61,18 @@
         return true;
     }
 
-    /** {@return whether it was asked by then for a sign of life and has given none since} */
+    /**
+     * {@return whether a liveness check was sent at or before {@code askedBy} and the engine has
+     * not responded since}
+     */
     boolean isSilentSince(long askedBy) {
         return unansweredSince <= askedBy;
     }
 
-    /** There is no question that could be asked, so its silence says nothing. */
+    /**
+     * Undoes the start of the silence if the open liveness check, which could not be sent, was the
+     * first unanswered one.
+     */
     void questionNotAsked() {
         if (unansweredSince == questionAskedAt) {
             unansweredSince = NEVER;
@@ -87,9 +96,10 @@
     }
 
     /**
-     * It gave a sign of life. {@return whether that was the awaited one}
+     * Records a response of the engine.
      *
-     * @param ranAfter it ran after this time
+     * @param ranAfter a time after which the engine was running, in microseconds
+     * @return whether it is the awaited response
      */
     boolean heard(long ranAfter) {
         if (ranAfter >= questionAskedAt) {
--- a/core/src/main/java/sorrelhoist/core/guard/Invariant.java
+++ b/core/src/main/java/sorrelhoist/core/guard/Invariant.java
@@ -1,17 +1,29 @@
 package sorrelhoist.core.guard;
 
-/** What must hold whenever bytes leave for an engine, or a client's connection is ended. */
+/**
+ * The invariants that are checked whenever an attempt is written to an engine or a client's
+ * connection is closed.
+ */
 public enum Invariant {
-    /** An attempt is written only for a client that is still there and has no answer yet. */
+    /** An attempt is written only for a client that is still connected and has no answer yet. */
     SEND_FOR_OPEN_REQUEST,
-    /** An attempt is written only while its client's time runs. */
+    /** An attempt is written only before the client's deadline. */
     SEND_WITHIN_DEADLINE,
-    /** An attempt is written only to an engine that is listed and takes new work. */
+    /** An attempt is written only to an engine that is listed and accepts new requests. */
     SEND_TO_SERVING_ENGINE,
-    /** What may have had an effect is repeated only where and while that is harmless. */
+    /**
+     * An attempt that may have had an effect is repeated only if, and as long as, the repetition is
+     * harmless.
+     */
     REPEAT_WITHOUT_SECOND_EFFECT,
-    /** An engine that has just started gets no more than its multiple of what like engines get. */
+    /**
+     * An engine in slow start gets at most its configured multiple of the sends that other engines
+     * of its kind get.
+     */
     SLOW_START_BUDGET,
-    /** A client's connection is ended only when its request is answered, or its client has left. */
+    /**
+     * The connection of a client is closed only when its request is answered or the client has
+     * disconnected.
+     */
     CLOSE_AFTER_ANSWER
 }
--- a/core/src/main/java/sorrelhoist/core/guard/InvariantMonitor.java
+++ b/core/src/main/java/sorrelhoist/core/guard/InvariantMonitor.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 /**
- * Counts violations by name, and logs them: each name at most once a second. One thread at a time.
+ * Counts violations by invariant, and logs each invariant at most once a second. Not thread-safe.
  */
 public final class InvariantMonitor {
     private static final long LOG_INTERVAL_MICROS = 1_000_000;
@@ -17,7 +17,7 @@
     /**
      * Creates a monitor without violations.
      *
-     * @param log takes lines
+     * @param log receives the log lines
      */
     public InvariantMonitor(Consumer<String> log) {
         this.log = log;
@@ -26,10 +26,11 @@
     /**
      * Checks an invariant.
      *
-     * @param holds whether it does
-     * @param invariant which
-     * @param now the caller's clock, in microseconds
-     * @param subject whom it concerns: request, attempt, engine, and how they came to it
+     * @param holds whether the invariant holds
+     * @param invariant the invariant
+     * @param now the time of the caller's clock, in microseconds
+     * @param subject the request, attempt and engine concerned, with their history; logged on
+     *     violation
      * @return {@code holds}
      */
     public boolean check(boolean holds, Invariant invariant, long now, Object subject) {
@@ -48,7 +49,10 @@
         }
     }
 
-    /** {@return how often each was violated; those that never were are left out} */
+    /**
+     * {@return the number of violations by invariant, without invariants that were never violated;
+     * a copy}
+     */
     public Map<Invariant, Long> counts() {
         return new TreeMap<>(counts);
     }
--- a/core/src/main/java/sorrelhoist/core/guard/SendGuard.java
+++ b/core/src/main/java/sorrelhoist/core/guard/SendGuard.java
@@ -9,8 +9,9 @@
 import sorrelhoist.routing.RoutingSettings.Idempotency;
 
 /**
- * The one way of an attempt's bytes to a socket: asked at the last moment, when the connection
- * stands. It keeps its own account of the endpoint list, apart from what the decisions know.
+ * Checks every attempt immediately before it is written to an established connection. All writes of
+ * attempts pass through this guard. It tracks the endpoint list independently of the routing
+ * policy.
  */
 public final class SendGuard {
     private final InvariantMonitor monitor;
@@ -18,9 +19,9 @@
     private final Set<String> serving = new HashSet<>();
 
     /**
-     * Creates a guard that knows no engine.
+     * Creates a guard without engines.
      *
-     * @param settings with the limits of engines
+     * @param settings the routing settings, which contain the limits of engines
      * @param monitor counts violations
      */
     public SendGuard(RoutingSettings settings, InvariantMonitor monitor) {
@@ -34,15 +35,15 @@
     }
 
     /**
-     * What is about to be written.
+     * An attempt that is about to be written.
      *
-     * @param requestName the request's name at engines
-     * @param attempt its number
-     * @param engine where it goes
-     * @param history what happened to the request lately, for the log
-     * @param open whether a client still waits for its result
-     * @param deadline until when it does, in microseconds of the caller's clock
-     * @param repetition what is known of repeating it
+     * @param requestName the name under which engines know the request
+     * @param attempt the number of the attempt
+     * @param engine the engine to which it is sent
+     * @param history the latest events of the request, for the log
+     * @param open whether a client still waits for the result
+     * @param deadline the client's deadline, in microseconds of the caller's clock
+     * @param repetition whether the attempt may repeat an earlier one, and with what effect
      */
     public record Attempt(
             String requestName,
@@ -54,9 +55,9 @@
             Repetition repetition) {}
 
     /**
-     * Whether sending a request may be a repetition, and what that can do.
+     * Whether an attempt may repeat an earlier one, and what effect the repetition may have.
      *
-     * @param idempotency whether the request's class is idempotent
+     * @param idempotency the idempotency of the request's class
      * @param prefill whether the attempt only reads the prompt, which has no effect
      * @param mayHaveRun whether an earlier attempt may have had an effect
      * @param sendByMicros until when a repetition under the idempotency key is harmless, in
@@ -72,7 +73,7 @@
         }
     }
 
-    /** The endpoint list, or an update of it, as discovery gives it. */
+    /** Applies a complete endpoint list, or an update of it, as received from discovery. */
     public void endpointsUpdated(ListUpdateKind updateKind, Iterable<Server> servers, long now) {
         if (updateKind == ListUpdateKind.COMPLETE) {
             serving.clear();
@@ -90,7 +91,7 @@
         }
     }
 
-    /** {@return whether it may be written now; each reason against it is counted} */
+    /** {@return whether the attempt may be written now; every violated invariant is counted} */
     public boolean allows(Attempt attempt, long now) {
         boolean allowed = check(attempt.open(), Invariant.SEND_FOR_OPEN_REQUEST, attempt, now);
         allowed &= check(now < attempt.deadline(), Invariant.SEND_WITHIN_DEADLINE, attempt, now);
@@ -106,8 +107,8 @@
                         Invariant.REPEAT_WITHOUT_SECOND_EFFECT,
                         attempt,
                         now);
-        // The fleet's budget cannot be known here: one router's part is counted, and nothing is
-        // held back for it.
+        // The budget of an engine is shared by all routers and not known here. Only the sends of
+        // this router are counted, and exceeding the budget does not stop an attempt.
         if (allowed) {
             boolean withinBudget = slowStart.recordSend(attempt.engine(), now);
             check(withinBudget, Invariant.SLOW_START_BUDGET, attempt, now);
--- a/core/src/main/java/sorrelhoist/core/guard/SlowStartGuard.java
+++ b/core/src/main/java/sorrelhoist/core/guard/SlowStartGuard.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * Whether one router keeps to its part of the budget of an engine in slow start: over each window
- * an engine that has just started gets no more than a multiple of its share of what the most used
- * engine of its kind gets, and what chance adds. Counts sends alone; how much is sent is decided by
- * the routing policy.
+ * Checks that this router keeps to its part of the budget of an engine in slow start: in each
+ * window, a recently started engine gets at most a multiple of its share of the sends to the most
+ * used engine of its kind, plus an allowance for random variation. It only counts sends; the
+ * routing policy decides how many there are.
  */
 final class SlowStartGuard {
-    /** Standard deviations that chance may add: small counts scatter. */
+    /** Allowance for random variation in standard deviations; small counts vary widely. */
     private static final double CHANCE_DEVIATIONS = 3;
 
     private final double budgetShare;
@@ -19,17 +19,19 @@
     private final long warmUpMicros;
     private final Map<String, Engine> engines = new HashMap<>();
 
-    /** What is known of one engine. */
+    /** The state of one engine. */
     private static final class Engine {
-        /** Times of the sends in the present window. */
+        /** Times of the sends in the current window, in microseconds. */
         private final ArrayDeque<Long> sends = new ArrayDeque<>();
 
         private int kind;
 
-        /** The start time that discovery gives; it tells processes apart. */
+        /** The start time reported by discovery, which identifies the process. */
         private long startTime;
 
-        /** When this router heard of the process's start; Long.MIN_VALUE where it did not. */
+        /**
+         * When this router learned that the process was restarted; Long.MIN_VALUE if it was not.
+         */
         private long restartedAt = Long.MIN_VALUE;
 
         private int maxSendsInWindow;
@@ -41,7 +43,9 @@
         this.warmUpMicros = warmUpMicros;
     }
 
-    /** Hears of an engine's process: another start time than the one known is another process. */
+    /**
+     * Records a listed engine. A start time that differs from the known one means a new process.
+     */
     void engineListed(String id, int kind, long startTime, long now) {
         Engine known = engines.get(id);
         Engine engine = known == null ? new Engine() : known;
@@ -59,7 +63,11 @@
         engines.remove(id);
     }
 
-    /** Counts a send. {@return whether the engine's budget held} */
+    /**
+     * Counts a send.
+     *
+     * @return whether the engine stayed within its budget
+     */
     boolean recordSend(String id, long now) {
         Engine engine = engines.get(id);
         if (engine == null) {
--- a/core/src/main/java/sorrelhoist/core/guard/package-info.java
+++ b/core/src/main/java/sorrelhoist/core/guard/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Checks at run time that what must never happen does not: one guard each for sending, repeating,
- * closing and starting. A guard decides nothing of the ordinary path. Where it is violated it
- * counts that by name, logs it at a limited rate, and the caller does the safe thing.
+ * Checks invariants at run time for sends, repetitions, connection closes and slow start. Guards
+ * take no part in ordinary decisions. On a violation a guard counts it by invariant and logs it at
+ * a limited rate, and the caller takes the safe action.
  *
- * <p>Each guard owns its own account of engines and sends; {@link
+ * <p>Each guard keeps its own record of engines and sends; {@link
  * sorrelhoist.core.guard.InvariantMonitor} owns the counts.
  */
 package sorrelhoist.core.guard;
--- a/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
+++ b/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
@@ -10,21 +10,22 @@
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
- * A planner's list of engines: what the registry lists, read as engines that serve, drain or are
- * gone, with when each state was learned and an epoch that grows with every change.
+ * The list of engines that a planner derives from the registry: which engines serve, drain or are
+ * gone, when each state was learned, and an epoch that increases with every change.
  *
- * <p>UP serves. OUT_OF_SERVICE and DOWN drain: such a process may still finish its answers.
- * STARTING and UNKNOWN are not listed before they were UP, and drain afterwards. What the registry
- * lists no longer is gone.
+ * <p>UP means serving. OUT_OF_SERVICE and DOWN mean draining, as such a process may still finish
+ * its answers. STARTING and UNKNOWN engines are not listed until they have been UP, and are
+ * draining afterwards. An engine that the registry no longer lists is gone.
  */
 public final class EndpointTracker {
     private static final long MICROS_PER_MILLI = 1000;
 
     /**
-     * An engine and when its state was learned.
+     * An engine and the time at which its state was learned.
      *
-     * @param engine the engine; its uptime as of {@code learnedAt}
-     * @param learnedAt on this planner's clock, microseconds since 1970
+     * @param engine the engine, with its uptime at {@code learnedAt}
+     * @param learnedAt when its state was learned, on this planner's clock, in microseconds since
+     *     1970
      */
     public record TrackedEndpoint(ListedEngine engine, long learnedAt) {
         private boolean isGone() {
@@ -41,20 +42,21 @@
     /**
      * Creates a tracker without engines.
      *
-     * @param massRemovalGraceMicros how long the absence of half the engines or more, all at once,
-     *     is not believed: a registry that restarted lists nothing, while the engines run. If they
-     *     are gone indeed, requests sent meanwhile fail to connect and are retried elsewhere
+     * @param massRemovalGraceMicros how long the simultaneous absence of at least half the engines
+     *     (two or more) is ignored, in microseconds. A restarted registry lists nothing although
+     *     the engines are running; if the engines are really gone, requests sent meanwhile fail to
+     *     connect and are retried elsewhere
      */
     public EndpointTracker(long massRemovalGraceMicros) {
         this.massRemovalGraceMicros = massRemovalGraceMicros;
     }
 
     /**
-     * Takes the registry's list.
+     * Applies the registry's list.
      *
-     * @param now this planner's clock, microseconds since 1970
+     * @param now the time on this planner's clock, in microseconds since 1970
      * @param listed all instances
-     * @return engines that changed
+     * @return the engines that changed
      */
     public List<TrackedEndpoint> update(long now, List<RegistryView.Instance> listed) {
         warnings.clear();
@@ -80,7 +82,8 @@
                         .filter(endpoint -> !present.contains(endpoint.engine().id()))
                         .toList();
         if (isDoubtfulRemoval(now, absent.size())) {
-            warnings.add(absent.size() + " engines vanished at once; this is not believed yet");
+            warnings.add(
+                    absent.size() + " engines vanished at once; keeping them for a grace period");
             return;
         }
         for (TrackedEndpoint endpoint : absent) {
@@ -108,7 +111,7 @@
         changed.add(endpoint);
     }
 
-    /** The uptime grows by itself and is no change. */
+    /** Compares two entries without their uptimes, which increase without a change of state. */
     private static boolean isSame(ListedEngine before, ListedEngine now) {
         return withUptime(now, before.uptimeMicros()).equals(before);
     }
@@ -132,13 +135,12 @@
                     Math.max(0, now - startedMicros),
                     instance.address());
         } catch (IllegalArgumentException e) {
-            warnings.add(
-                    "instance " + instance.id() + ": metadata cannot be used: " + e.getMessage());
+            warnings.add("instance " + instance.id() + ": invalid metadata: " + e.getMessage());
             return null;
         }
     }
 
-    /** {@return the state that a status stands for, or null for one that is not listed yet} */
+    /** {@return the state for a registry status, or null if the engine is not listed yet} */
     private static ServerState state(String status, TrackedEndpoint before) {
         return switch (status) {
             case "UP" -> ServerState.SERVING;
@@ -173,23 +175,23 @@
                 engine.address());
     }
 
-    /** {@return all engines, those gone too} */
+    /** {@return all engines, including those that are gone; a copy} */
     public List<TrackedEndpoint> endpoints() {
         return new ArrayList<>(endpoints.values());
     }
 
-    /** {@return the address of an engine that is not gone, or null} */
+    /** {@return the address of an engine, or null if it is unknown or gone} */
     public String address(String id) {
         TrackedEndpoint endpoint = endpoints.get(id);
         return endpoint == null || endpoint.isGone() ? null : endpoint.engine().address();
     }
 
-    /** {@return a number that grows with every change} */
+    /** {@return a number that increases with every change} */
     public long epoch() {
         return epoch;
     }
 
-    /** {@return what was wrong with the list taken last, for operators} */
+    /** {@return operator-facing warnings about the list applied last; a copy} */
     public List<String> warnings() {
         return List.copyOf(warnings);
     }
--- a/core/src/main/java/sorrelhoist/core/members/EngineTable.java
+++ b/core/src/main/java/sorrelhoist/core/members/EngineTable.java
@@ -9,25 +9,25 @@
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
- * A router's own view of the engines: turns names of zones, racks and kinds into the numbers that
- * the routing policy takes, and uptimes into times of this router's clock. An engine whose zone or
- * kind this router's settings lack is left out, with a warning.
+ * The engines as one router sees them. Maps the names of zones, racks and kinds to the numbers that
+ * the routing policy uses, and uptimes to times on this router's clock. Leaves out engines whose
+ * zone or kind is not in this router's settings, with a warning.
  *
- * <p>The policy takes a later start for a restart, so a start must not drift: it is fixed when a
- * process is first heard of, and moves only with the process's incarnation.
+ * <p>The routing policy treats a later start as a restart, so the start time must not drift: it is
+ * computed when a process is first listed, and changes only with the incarnation of the process.
  */
 public final class EngineTable {
     /**
-     * An engine as a planner lists it.
+     * An engine as listed by a planner.
      *
-     * @param id its name
-     * @param zone its zone's name
-     * @param rack its rack's name
-     * @param kind its kind's name
-     * @param state as listed
-     * @param size for comparison within its role
-     * @param incarnation of its process; a restart has a higher one
-     * @param uptimeMicros since its start, in microseconds
+     * @param id the engine's id
+     * @param zone the name of its zone
+     * @param rack the name of its rack
+     * @param kind the name of its kind
+     * @param state its listed state
+     * @param size its relative size, for comparison with engines of the same role
+     * @param incarnation identifies its process; a restarted process has a higher one
+     * @param uptimeMicros the time since its start, in microseconds
      * @param address host:port
      */
     public record ListedEngine(
@@ -41,12 +41,12 @@
             long uptimeMicros,
             String address) {}
 
-    /** Stands for the start and the incarnation of an engine that is not known. */
+    /** Stands for the start time and the incarnation of an unknown engine. */
     private static final long UNKNOWN = Long.MIN_VALUE;
 
     private static final int NOT_CONFIGURED = -1;
 
-    /** An engine's process; its start is on this router's clock. */
+    /** The process of an engine; {@code startedAt} is on this router's clock. */
     private record EngineProcess(long incarnation, long startedAt, String address) {}
 
     private final List<String> zones;
@@ -58,8 +58,8 @@
     /**
      * Creates an empty table.
      *
-     * @param zones names, by index
-     * @param kinds names, by index
+     * @param zones the names of zones, by index
+     * @param kinds the names of kinds, by index
      */
     public EngineTable(List<String> zones, List<String> kinds) {
         this.zones = List.copyOf(zones);
@@ -67,11 +67,12 @@
     }
 
     /**
-     * Takes what a planner lists.
+     * Applies the entries listed by a planner.
      *
-     * @param now this router's clock, in microseconds
-     * @param entries as listed
-     * @return the same for the routing policy, without what it cannot know
+     * @param now the time on this router's clock, in microseconds
+     * @param entries the listed engines
+     * @return the engines for the routing policy, without those of an unconfigured zone or kind and
+     *     those of a replaced process
      */
     public List<Server> update(long now, List<ListedEngine> entries) {
         warnings.clear();
@@ -90,7 +91,7 @@
             return Optional.empty();
         }
         EngineProcess before = processes.get(engine.id());
-        // Late news of a process that was replaced says nothing of the one that runs.
+        // A delayed entry of a replaced process does not apply to the current one.
         if (before != null && engine.incarnation() < before.incarnation()) {
             return Optional.empty();
         }
@@ -116,7 +117,7 @@
                         + engine.id()
                         + ": "
                         + missing
-                        + "\" is not in this edge's settings; it gets no requests");
+                        + "\" is not in this router's settings; the engine gets no requests");
     }
 
     private static long startedAt(long now, ListedEngine engine, EngineProcess before) {
@@ -132,24 +133,27 @@
         return rackNumbers.computeIfAbsent(rack, name -> rackNumbers.size());
     }
 
-    /** {@return what was wrong with the entries taken last, for operators} */
+    /** {@return operator-facing warnings about the entries applied last; a copy} */
     public List<String> warnings() {
         return List.copyOf(warnings);
     }
 
-    /** {@return an engine's address, or null} */
+    /** {@return the address of an engine, or null if it is unknown} */
     public String address(String id) {
         EngineProcess process = processes.get(id);
         return process == null ? null : process.address();
     }
 
-    /** {@return the incarnation of an engine's process, or Long.MIN_VALUE} */
+    /** {@return the incarnation of an engine's process, or Long.MIN_VALUE if it is unknown} */
     public long incarnation(String id) {
         EngineProcess process = processes.get(id);
         return process == null ? UNKNOWN : process.incarnation();
     }
 
-    /** {@return when an engine's process started, on this router's clock, or Long.MIN_VALUE} */
+    /**
+     * {@return when an engine's process started, on this router's clock in microseconds, or
+     * Long.MIN_VALUE if it is unknown}
+     */
     public long startedAt(String id) {
         EngineProcess process = processes.get(id);
         return process == null ? UNKNOWN : process.startedAt();
--- a/core/src/main/java/sorrelhoist/core/members/ProcessStartTimes.java
+++ b/core/src/main/java/sorrelhoist/core/members/ProcessStartTimes.java
@@ -4,27 +4,31 @@
 import java.util.Map;
 
 /**
- * Translates the starts of servers' processes, as a list gives them on other machines' clocks, into
- * times of this router's own clock.
+ * Converts the start times of server processes, which lists give on the clocks of other machines,
+ * to times on this router's clock.
  *
- * <p>A listed start is another machine's wall clock at another moment, and either clock may have
- * been stepped since. Listed starts are therefore only compared for being equal: another one is
- * another process. A process that this router hears of while it runs counts as started when it
- * hears of it, which is never too early. The listed time is used for the first lists alone, where
- * there is nothing else to go by, and one that lies ahead counts as now. So a clock step costs at
- * most one warm-up time of service, and no server is held in slow start for longer.
+ * <p>A listed start is the wall clock of another machine at another moment, and either clock may
+ * have been stepped since. Listed starts are therefore only compared for equality: a different
+ * start means a different process. The listed time is used only for saved lists and for the first
+ * list from discovery, when there is no other information; a time in the future counts as now. A
+ * process that is first listed after that counts as started at that moment, which is never too
+ * early. A clock step therefore costs at most one warm-up time of service, and no server stays in
+ * slow start for longer.
  *
- * <p>Risk: a router that starts with a clock that runs ahead by more than the warm-up time takes
- * servers that started just before it for warm.
+ * <p>Limitation: if a router starts while its clock is ahead by more than the warm-up time, it
+ * treats servers that started just before it as warm.
  */
 public final class ProcessStartTimes {
-    /** The start of a process that has run for long. */
+    /** The start time of a process that has been running for a long time. */
     public static final long LONG_AGO = 0;
 
-    /** Servers that left are remembered too, as they may be listed again. */
+    /**
+     * Maximum number of servers remembered, including servers that left, as they may be listed
+     * again.
+     */
     private static final int MAX_SERVERS = 8192;
 
-    /** A process's start as it was listed, and as a time of this router's clock. */
+    /** The start time of a process, as listed and on this router's clock. */
     private record Start(long listed, long local) {}
 
     private final Map<String, Start> starts = new LeastRecentlyUsedStarts();
@@ -44,13 +48,14 @@
     }
 
     /**
-     * Translates a start.
+     * Converts a listed start time.
      *
-     * @param server whose
-     * @param listed its start as listed, in microseconds of whatever clock; {@link #LONG_AGO} for
-     *     long ago
-     * @param now this router's clock, in microseconds
-     * @return since when it runs, on this router's clock; {@link #LONG_AGO} for long ago
+     * @param server the server's id
+     * @param listed the listed start time, in microseconds of any clock; {@link #LONG_AGO} for a
+     *     process that has been running for a long time
+     * @param now the time on this router's clock, in microseconds
+     * @return the start time on this router's clock, in microseconds; {@link #LONG_AGO} for a
+     *     process that has been running for a long time
      */
     public long localStartTime(String server, long listed, long now) {
         Start known = starts.get(server);
@@ -69,7 +74,11 @@
         return discoveryListReceived ? now : Math.min(listed, now);
     }
 
-    /** A list of discovery's own was taken, not one that was saved before this router's start. */
+    /**
+     * Records that a list from discovery was applied, as opposed to one that was saved before this
+     * router started. Processes that are first listed from now on count as started when they are
+     * listed.
+     */
     public void discoveryListReceived() {
         discoveryListReceived = true;
     }
--- a/core/src/main/java/sorrelhoist/core/members/RegistryView.java
+++ b/core/src/main/java/sorrelhoist/core/members/RegistryView.java
@@ -7,18 +7,18 @@
 import java.util.TreeMap;
 
 /**
- * What a Eureka registry lists, as a client of its API caches it: everything from a full fetch,
- * changes from deltas, and the hash code by which both sides find that they differ.
+ * The instances of a Eureka registry, cached as clients of its API do: a full fetch gives all
+ * instances, deltas give changes, and a hash code lets both sides detect a difference.
  */
 public final class RegistryView {
     /**
-     * One instance as the registry lists it.
+     * An instance as listed by the registry.
      *
-     * @param app its application's name
+     * @param app the name of its application
      * @param id its instance id
-     * @param status UP, DOWN, STARTING, OUT_OF_SERVICE or UNKNOWN; an override is already applied
+     * @param status UP, DOWN, STARTING, OUT_OF_SERVICE or UNKNOWN, after any override
      * @param address host:port
-     * @param metadata as registered
+     * @param metadata its registered metadata
      */
     public record Instance(
             String app, String id, String status, String address, Map<String, String> metadata) {
@@ -28,10 +28,10 @@
     }
 
     /**
-     * One change of a delta.
+     * A change in a delta.
      *
      * @param action ADDED, MODIFIED or DELETED
-     * @param instance the instance
+     * @param instance the changed instance
      */
     public record Change(String action, Instance instance) {}
 
@@ -40,10 +40,10 @@
     private final Map<String, Instance> instances = new LinkedHashMap<>();
     private boolean complete;
 
-    /** Creates a view that has fetched nothing. */
+    /** Creates an empty view that requires a full fetch. */
     public RegistryView() {}
 
-    /** Takes a full fetch. */
+    /** Replaces all instances by the result of a full fetch. */
     public void replaceAll(List<Instance> all) {
         instances.clear();
         all.forEach(instance -> instances.put(instance.key(), instance));
@@ -51,11 +51,11 @@
     }
 
     /**
-     * Takes a delta.
+     * Applies a delta.
      *
-     * @param changes its changes, in order
-     * @param hashCode the hash code that the registry says its whole list has
-     * @return whether this view has the same; otherwise a full fetch is due
+     * @param changes the changes, in order
+     * @param hashCode the hash code of the complete list in the registry
+     * @return whether this view has the same hash code; otherwise a full fetch is needed
      */
     public boolean applyDelta(List<Change> changes, String hashCode) {
         changes.forEach(this::apply);
@@ -72,18 +72,18 @@
         }
     }
 
-    /** {@return whether a delta makes sense; otherwise a full fetch is due} */
+    /** {@return whether deltas can be applied; otherwise a full fetch is needed} */
     public boolean isComplete() {
         return complete;
     }
 
-    /** {@return the list} */
+    /** {@return all instances; a copy} */
     public List<Instance> instances() {
         return new ArrayList<>(instances.values());
     }
 
     /**
-     * {@return the hash code as the registry computes it: STATUS_COUNT_ for each status, in
+     * {@return the hash code as computed by the registry: {@code STATUS_COUNT_} for each status, in
      * alphabetical order}
      */
     public String statusHashCode() {
--- a/core/src/main/java/sorrelhoist/core/members/ReplicaSlots.java
+++ b/core/src/main/java/sorrelhoist/core/members/ReplicaSlots.java
@@ -9,17 +9,18 @@
 import java.util.stream.Collectors;
 
 /**
- * Numbers the routers of a fleet from 0. Their count decides how large a share of every shared
- * limit a router takes, so it errs high: a router that left keeps its slot under a lease, as it may
- * still be sending, and at least as many are counted as the deployment expects, as the others may
- * be about to join.
+ * Assigns consecutive numbers, from 0, to the routers of a fleet. The number of routers determines
+ * the share of each shared limit that a router may use, so it is never underestimated: a router
+ * that left keeps its slot for the duration of a lease, as it may still be sending, and the count
+ * is at least the number of routers that the deployment expects, as the others may be about to
+ * join.
  */
 public final class ReplicaSlots {
     /**
-     * A router's slot.
+     * The slot of a router.
      *
-     * @param replicas how many routers there are
-     * @param index its number, from 0
+     * @param replicas the number of routers
+     * @param index the number of this router, from 0
      */
     public record Slot(int replicas, int index) {}
 
@@ -36,7 +37,7 @@
     /**
      * Creates slots without routers.
      *
-     * @param expectedReplicas routers that the deployment is to have, 1 or more
+     * @param expectedReplicas the number of routers that the deployment expects, at least 1
      * @param leaseMicros how long a router that left keeps its slot, in microseconds
      */
     public ReplicaSlots(int expectedReplicas, long leaseMicros) {
@@ -44,7 +45,7 @@
         this.leaseMicros = leaseMicros;
     }
 
-    /** A router joined, or came back. */
+    /** Records that a router joined or returned. */
     public void join(String edge) {
         Holder holder = holders.get(edge);
         if (holder == null) {
@@ -66,10 +67,10 @@
     }
 
     /**
-     * A router left.
+     * Records that a router left.
      *
-     * @param now microseconds
-     * @param edge its name
+     * @param now the time, in microseconds
+     * @param edge the id of the router
      */
     public void leave(long now, String edge) {
         Holder holder = holders.get(edge);
@@ -80,10 +81,11 @@
     }
 
     /**
-     * Frees the slots of routers that stayed away, and closes the gaps in the order of numbers.
+     * Frees the slots whose leases have expired, and renumbers the remaining routers without gaps
+     * in their previous order.
      *
-     * @param now microseconds
-     * @return whether anything changed
+     * @param now the time, in microseconds
+     * @return whether any slot was freed
      */
     public boolean expireLeases(long now) {
         boolean expired =
@@ -103,7 +105,7 @@
         }
     }
 
-    /** {@return a router's slot, or null for one without} */
+    /** {@return the slot of a router, or null if it has none} */
     public Slot slotOf(String edge) {
         Holder holder = holders.get(edge);
         if (holder == null) {
@@ -112,7 +114,7 @@
         return new Slot(Math.max(expectedReplicas, holders.size()), holder.index);
     }
 
-    /** {@return the router with this number, or null} */
+    /** {@return the id of the router with this number, or null if there is none} */
     public String edgeAt(int index) {
         return holders.entrySet().stream()
                 .filter(entry -> entry.getValue().index == index)
--- a/core/src/main/java/sorrelhoist/core/members/WatchReconnectPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/members/WatchReconnectPolicy.java
@@ -3,35 +3,46 @@
 import sorrelhoist.core.time.Backoff;
 
 /**
- * Decides when a watch of the list of servers counts as silent, and when the next one is opened.
- * All its times come from one budget: what a silent watch misses counts as announced {@link
- * #UPDATE_BUDGET_MICROS} after it fell silent, whether it arrived or not. Within that the silence
- * is noticed, two attempts may hang, and a third still brings the list. A watch that fell silent
- * stays open until another has brought a message: it may recover.
+ * Decides when a watch of the server list counts as silent, and when the next one is opened. All
+ * times are derived from one budget: an update that a silent watch misses counts as announced
+ * {@link #UPDATE_BUDGET_MICROS} after the watch fell silent, whether it arrived or not. Within this
+ * budget the silence is detected, two attempts may hang, and a third one still receives the list. A
+ * silent watch stays open until another one has received a message, as it may recover.
  *
- * <p>Attempts have numbers above 0; 0 stands for none. Times are microseconds.
+ * <p>Attempts are numbered from 1; 0 means no attempt. Times are in microseconds.
  */
 public final class WatchReconnectPolicy {
-    /** Within which a silent watch is replaced, and its updates received; microseconds. */
+    /**
+     * The time within which a silent watch is replaced and its updates are received, in
+     * microseconds.
+     */
     public static final long UPDATE_BUDGET_MICROS = 6_000_000;
 
-    /** Between two heartbeats of a watch. */
+    /** The interval between the heartbeats of a watch. */
     private static final long HEARTBEAT_INTERVAL = 2_000_000;
 
-    /** Without bytes for this long a watch counts as silent: a heartbeat may come late. */
+    /**
+     * The time without received bytes after which a watch counts as silent; leaves room for a late
+     * heartbeat.
+     */
     static final long SILENCE_TIMEOUT = HEARTBEAT_INTERVAL + 600_000;
 
-    /** To connect and receive the first list, and between two parts of that list. */
+    /**
+     * The timeout for connecting and receiving the first list, and between two parts of that list.
+     */
     static final long ATTEMPT_TIMEOUT = 1_000_000;
 
-    /** What is left of the budget after silence, two attempts and the last attempt's own list. */
+    /**
+     * The longest delay before an attempt: a third of the budget that remains after the silence
+     * timeout, two hung attempts and the time for the list of the last attempt.
+     */
     static final long MAX_BACKOFF =
             (UPDATE_BUDGET_MICROS - SILENCE_TIMEOUT - 2 * ATTEMPT_TIMEOUT - ATTEMPT_TIMEOUT / 2)
                     / 3;
 
     /**
-     * After which a start without a list goes on with the one that was saved, in microseconds: two
-     * attempts hung.
+     * The time after which a starting router without a list continues with the saved one, in
+     * microseconds; by then two attempts have hung.
      */
     public static final long FIRST_LIST_TIMEOUT_MICROS = 2 * ATTEMPT_TIMEOUT + MAX_BACKOFF;
 
@@ -49,18 +60,19 @@
     private long nextAttemptAt = NOT_SCHEDULED;
 
     /**
-     * Creates a policy that has not begun.
+     * Creates a policy without a watch; {@link #restart} makes the first attempt due.
      *
-     * @param seed of the backoff's random half: many routers lose their watches at once
+     * @param seed the seed of the random half of the backoff, which spreads the reconnects of
+     *     routers that lose their watches at the same time
      */
     public WatchReconnectPolicy(long seed) {
         backoff = new Backoff(MIN_BACKOFF, MAX_BACKOFF, seed);
     }
 
     /**
-     * Begins, or begins anew at another address: the next attempt is due at once.
+     * Starts, or restarts at another address: the next attempt is due at once.
      *
-     * @param now microseconds
+     * @param now the time, in microseconds
      * @return the number of an attempt to abandon, or 0
      */
     public long restart(long now) {
@@ -73,7 +85,7 @@
     /**
      * {@return the number of an attempt to open now, or 0}
      *
-     * @param now microseconds
+     * @param now the time, in microseconds
      */
     public long attemptToOpen(long now) {
         boolean silent = now - lastHeardAt >= SILENCE_TIMEOUT;
@@ -91,9 +103,9 @@
     }
 
     /**
-     * {@return the number of an attempt that hangs and is abandoned now, or 0}
+     * {@return the number of a hung attempt to abandon now, or 0}
      *
-     * @param now microseconds
+     * @param now the time, in microseconds
      */
     public long attemptToAbandon(long now) {
         if (pendingAttempt == NONE || now < abandonAt()) {
@@ -106,12 +118,12 @@
     }
 
     /**
-     * Bytes came on a watch. They keep an established watch alive; an attempt replaces it only with
-     * a complete message ({@link #messageReceived}), as one that stops in the middle of its first
-     * list has brought nothing yet.
+     * Records that bytes were received on a watch. They keep an established watch alive. An attempt
+     * replaces the established watch only after a complete message ({@link #messageReceived}), as
+     * an attempt that stops in the middle of its first list has delivered nothing.
      *
-     * @param now microseconds
-     * @param number of the attempt that opened the watch
+     * @param now the time, in microseconds
+     * @param number the number of the attempt that opened the watch
      */
     public void bytesReceived(long now, long number) {
         if (number == establishedWatch) {
@@ -123,11 +135,11 @@
     }
 
     /**
-     * A complete message or a heartbeat came.
+     * Records that a complete message or a heartbeat was received.
      *
-     * @param now microseconds
-     * @param number of the attempt that opened the watch
-     * @return the number of a watch that is not needed any more, or 0
+     * @param now the time, in microseconds
+     * @param number the number of the attempt that opened the watch
+     * @return the number of a watch that is no longer needed, or 0
      */
     public long messageReceived(long now, long number) {
         bytesReceived(now, number);
@@ -142,16 +154,16 @@
         return before;
     }
 
-    /** {@return whether this watch is established or being opened; others are ignored} */
+    /** {@return whether this watch is established or being opened; all others are to be ignored} */
     public boolean isCurrent(long number) {
         return number == establishedWatch || number == pendingAttempt;
     }
 
     /**
-     * A watch ended, or could not be opened.
+     * Records that a watch ended or could not be opened.
      *
-     * @param now microseconds
-     * @param number of the attempt that opened the watch
+     * @param now the time, in microseconds
+     * @param number the number of the attempt that opened the watch
      */
     public void watchEnded(long now, long number) {
         if (number == pendingAttempt) {
@@ -166,12 +178,18 @@
         }
     }
 
-    /** An attempt whose list still comes, part by part, has the whole budget. */
+    /**
+     * {@return when the pending attempt is abandoned, in microseconds} An attempt that keeps
+     * receiving parts of its list may use the whole budget.
+     */
     private long abandonAt() {
         return Math.min(lastProgressAt + ATTEMPT_TIMEOUT, attemptStartedAt + UPDATE_BUDGET_MICROS);
     }
 
-    /** {@return when {@link #attemptToOpen} or {@link #attemptToAbandon} is next needed} */
+    /**
+     * {@return when {@link #attemptToOpen} or {@link #attemptToAbandon} is next needed, in
+     * microseconds}
+     */
     public long nextDeadline() {
         if (pendingAttempt != NONE) {
             return abandonAt();
--- a/core/src/main/java/sorrelhoist/core/members/package-info.java
+++ b/core/src/main/java/sorrelhoist/core/members/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Who belongs to the fleet: engines as a registry lists them, as a planner tracks them, and as a
- * router knows them; routers and the slots that divide shared limits among them; and the watch over
- * which a router hears of changes.
+ * The members of a fleet: engines as listed by a registry, as tracked by a planner and as known to
+ * a router; routers and the slots that divide shared limits among them; and the watch through which
+ * a router receives changes.
  *
  * <p>A planner owns a {@link sorrelhoist.core.members.RegistryView}, an {@link
  * sorrelhoist.core.members.EndpointTracker} and {@link sorrelhoist.core.members.ReplicaSlots}. A
--- a/core/src/main/java/sorrelhoist/core/reservation/AttemptPurpose.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/AttemptPurpose.java
@@ -1,11 +1,11 @@
 package sorrelhoist.core.reservation;
 
-/** What an attempt does with the reservations of its request. */
+/** How an attempt uses the reservations of its request. */
 public enum AttemptPurpose {
-    /** Reads the prompt; its end may add a state. */
+    /** Reads the prompt; may create a prefill state. */
     PREFILL,
-    /** Uses what is reserved, and answers. */
+    /** Uses the reserved resources and generates the answer. */
     DECODE_RESERVED,
-    /** Reads the prompt by itself and answers; it uses nothing that is reserved. */
+    /** Reads the prompt itself and generates the answer; uses no reserved resources. */
     PREFILL_AND_DECODE
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/EngineActivity.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/EngineActivity.java
@@ -8,11 +8,15 @@
 import java.util.Set;
 
 /**
- * Chooses engines for releases by when they were last heard: the holder first, unless it is silent
- * while others speak; after it, in rotation, those heard last.
+ * Selects engines for releases by the time at which bytes were last received from them: the holder
+ * first, unless it is silent while other engines are active; then, in rotation, the most recently
+ * active ones.
  */
 public final class EngineActivity implements ReleaseTargetSelector {
-    /** Of the engines heard last: many releases at once must not all go to one. */
+    /**
+     * Number of most recently active engines among which releases rotate, so that many releases at
+     * once do not all go to one engine.
+     */
     private static final int ROTATION_SIZE = 4;
 
     private final long silenceTimeoutMicros;
@@ -20,26 +24,26 @@
     private long rotation;
 
     /**
-     * Creates one that knows no engine.
+     * Creates an instance without engines.
      *
-     * @param silenceTimeoutMicros by how much an engine's last bytes have to lie behind another's
-     *     for it to count as silent, in microseconds
+     * @param silenceTimeoutMicros how far the last bytes of an engine may lie behind those of the
+     *     most recently active engine before it counts as silent, in microseconds
      */
     public EngineActivity(long silenceTimeoutMicros) {
         this.silenceTimeoutMicros = silenceTimeoutMicros;
     }
 
-    /** An engine is on the endpoint list. */
+    /** Adds an engine that is on the endpoint list. */
     public void added(String engine) {
         lastHeardAt.putIfAbsent(engine, 0L);
     }
 
-    /** An engine left the endpoint list. */
+    /** Removes an engine that left the endpoint list. */
     public void removed(String engine) {
         lastHeardAt.remove(engine);
     }
 
-    /** These alone are on the endpoint list. */
+    /** Replaces the known engines by those of a complete endpoint list. */
     public void replaced(Collection<String> engines) {
         lastHeardAt.keySet().retainAll(engines);
         engines.forEach(this::added);
@@ -50,7 +54,7 @@
         return lastHeardAt.containsKey(engine);
     }
 
-    /** Bytes came from an engine. */
+    /** Records that bytes were received from an engine; unlisted engines are ignored. */
     public void bytesReceived(String engine, long now) {
         lastHeardAt.computeIfPresent(engine, (name, before) -> now);
     }
@@ -72,7 +76,7 @@
         return responsive.get((int) (rotation++ % responsive.size()));
     }
 
-    /** {@return the engines heard last that were not asked yet, the latest first} */
+    /** {@return the most recently active engines that were not called yet, the latest first} */
     private List<String> latestHeard(Set<String> asked) {
         return lastHeardAt.entrySet().stream()
                 .filter(entry -> !asked.contains(entry.getKey()))
--- a/core/src/main/java/sorrelhoist/core/reservation/Hold.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/Hold.java
@@ -1,14 +1,16 @@
 package sorrelhoist.core.reservation;
 
 /**
- * What one attempt may have reserved at an engine, or may keep from being released.
+ * A resource that one attempt may have reserved at an engine, or a queued attempt that may prevent
+ * a release.
  *
- * @param engine where
- * @param kind what it is
- * @param prefillState the state's name; empty where it is not known
- * @param decodeSlot the decode slot's name; empty where there is none
- * @param upToAttempt where neither is named: the last attempt whose state is meant
- * @param certainty whether the engine said so
+ * @param engine the engine's id
+ * @param kind the kind of resource
+ * @param prefillState the name of the prefill state; empty if not known
+ * @param decodeSlot the name of the decode slot; empty if there is none
+ * @param upToAttempt if neither name is given: a release of this hold covers the states of the
+ *     attempts up to this number
+ * @param certainty how certain it is that the resource is reserved
  */
 public record Hold(
         String engine,
@@ -17,70 +19,78 @@
         String decodeSlot,
         int upToAttempt,
         Certainty certainty) {
-    /** What is held. */
+    /** The kind of a held resource. */
     public enum Kind {
-        /** A prefill's state, at the engine that read the prompt. */
+        /** A prefill state, at the engine that read the prompt. */
         PREFILL_STATE,
         /** A decode slot. */
         DECODE_SLOT,
         /**
-         * A place in an engine's queue: a decode that is over for the router may stand there until
-         * its engine knows it, and what it waits for is not released meanwhile.
+         * A decode that may still be in an engine's queue although it has ended for the router.
+         * Until its engine learns of the end, the resources that the decode waits for are not
+         * released.
          */
         QUEUED_DECODE
     }
 
-    /** What is known of a hold. */
+    /** How certain it is that a hold exists. */
     public enum Certainty {
-        /** The engine answered that it holds it. */
+        /** The engine confirmed the reservation. */
         CONFIRMED,
-        /** The attempt was lost; it may have ended well, or may do so within the settling time. */
+        /**
+         * The attempt was lost. It may have succeeded, or may succeed within the settling time,
+         * {@link ReleasePolicy#settleMicros()}.
+         */
         POSSIBLE,
         /**
-         * The attempt was given up while its engine had it, or its connection broke. Where the
-         * engine is stopped meanwhile, it may end well after that.
+         * The router abandoned the attempt after it was delivered, or its connection broke. If the
+         * engine is suspended meanwhile, the attempt may still succeed after the engine resumes.
          */
         GIVEN_UP,
         /**
-         * The attempt was given up, and nothing shows that it has reached its engine: it may do so
-         * when the engine, or the way to it, comes back, and may wait there.
+         * The router abandoned the attempt before its delivery was confirmed. The attempt may
+         * arrive when the engine or the network path recovers, and may be queued at the engine.
          */
         UNDELIVERED
     }
 
-    /** {@return a prefill state that its engine has announced} */
+    /** {@return a hold for a prefill state that its engine has announced} */
     public static Hold ofPrefillState(String engine, String state) {
         return new Hold(engine, Kind.PREFILL_STATE, state, "", 0, Certainty.CONFIRMED);
     }
 
-    /** {@return what a lost prefill may leave} */
+    /** {@return a hold for the state that a lost prefill may leave} */
     public static Hold ofLostPrefill(String engine, int attempt) {
         return new Hold(engine, Kind.PREFILL_STATE, "", "", attempt, Certainty.POSSIBLE);
     }
 
-    /** {@return what a prefill may leave that was given up while its engine had it} */
+    /**
+     * {@return a hold for the state that may be left by a prefill that was abandoned after its
+     * delivery}
+     */
     public static Hold ofGivenUpPrefill(String engine, int attempt) {
         return new Hold(engine, Kind.PREFILL_STATE, "", "", attempt, Certainty.GIVEN_UP);
     }
 
     /**
-     * {@return what a prefill may leave that was cancelled before anything showed that it arrived}
+     * {@return a hold for the state that may be left by a prefill that was cancelled before its
+     * delivery was confirmed}
      */
     public static Hold ofUndeliveredPrefill(String engine, int attempt) {
         return new Hold(engine, Kind.PREFILL_STATE, "", "", attempt, Certainty.UNDELIVERED);
     }
 
-    /** {@return the place of a decode that has ended without an answer in its engine's queue} */
+    /** {@return a hold for the queue entry of a decode that ended without an answer} */
     public static Hold ofQueuedDecode(String engine, int attempt, Certainty certainty) {
         return new Hold(engine, Kind.QUEUED_DECODE, "", "", attempt, certainty);
     }
 
-    /** {@return a decode slot that was reserved ahead of its use} */
+    /** {@return a hold for a decode slot that was reserved ahead of its use} */
     public static Hold ofDecodeSlot(String engine, String slot, Certainty certainty) {
         return new Hold(engine, Kind.DECODE_SLOT, "", slot, 0, certainty);
     }
 
-    /** {@return whether it is a prefill's state, or may become one} */
+    /** {@return whether the resource is a prefill state, or may become one} */
     public boolean isState() {
         return kind == Kind.PREFILL_STATE;
     }
--- a/core/src/main/java/sorrelhoist/core/reservation/OpenHold.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/OpenHold.java
@@ -3,17 +3,17 @@
 import sorrelhoist.core.reservation.Hold.Certainty;
 
 /**
- * A hold that is not known to be gone: a lease that releases alone end. Until one is made that
- * proves that it is gone, each release is followed by another one within the limit, so that what
- * comes to be held between two of them is released in time as well.
+ * A hold that is not known to be gone. It ends only when one of the proofs of {@link HoldProof}
+ * shows that it is gone. Until then each release is followed by another one within the limit, so
+ * that whatever is reserved between two releases is released in time as well.
  *
- * @param hold what is held
- * @param needed whether an attempt of the request will take it
- * @param releaseDueAt when the next release is due; an earlier one proves nothing of it
- * @param provableFrom from when on a release that is made proves that it is gone; {@link #NEVER}
- *     while its engine has to be heard first
- * @param renewedUntil until when releases follow each other while its engine is not heard
- * @param released whether a release was answered that was made when it was due
+ * @param hold the held resource
+ * @param needed whether an attempt of the request will consume it
+ * @param releaseDueAt when the next release is due; an earlier one proves nothing about this hold
+ * @param provableFrom the earliest send time of a release that proves that the hold is gone; {@link
+ *     #NEVER} until its engine responds or leaves the endpoint list
+ * @param renewedUntil until when releases are repeated while the engine does not respond
+ * @param released whether a release of this hold was answered that was sent when it was due
  */
 record OpenHold(
         Hold hold,
@@ -22,10 +22,12 @@
         long provableFrom,
         long renewedUntil,
         boolean released) {
-    /** In place of a time: not until its engine was heard, or has left the endpoint list. */
+    /**
+     * Stands for a time that is not known until the engine responds or leaves the endpoint list.
+     */
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** {@return a hold that was opened now} */
+    /** {@return a new hold, opened at {@code now}} */
     static OpenHold opened(Hold hold, ReleasePolicy policy, long now) {
         long settledAt = now + policy.settleMicros();
         long renewedUntil = now + policy.unheardEngineMicros();
@@ -37,44 +39,56 @@
         };
     }
 
-    /** {@return the same where no attempt will take prefill states any more} */
+    /** {@return a copy after the request no longer needs prefill states} */
     OpenHold withoutPrefillStateNeeded() {
         boolean stillNeeded = needed && !hold.isState();
         return new OpenHold(hold, stillNeeded, releaseDueAt, provableFrom, renewedUntil, released);
     }
 
-    /** {@return whether its engine was heard again, so that it may have come by now} */
+    /**
+     * {@return whether the attempt of this hold was undelivered and may have arrived by now, as its
+     * engine has since responded or left the endpoint list}
+     */
     boolean isLateArrival() {
         return hold.certainty() == Certainty.UNDELIVERED && provableFrom != NEVER;
     }
 
-    /** {@return whether it is not settled before an engine was heard} */
+    /** {@return whether the hold waits for this engine to respond or to leave the endpoint list} */
     boolean awaits(String engine) {
         return provableFrom == NEVER && hold.engine().equals(engine);
     }
 
-    /** {@return whether it may be there after a release that was made at a time} */
+    /**
+     * {@return whether the hold may still exist after a release that was sent at {@code
+     * releaseMadeAt}}
+     */
     boolean mayOutlive(long releaseMadeAt) {
         return releaseDueAt > releaseMadeAt || provableFrom > releaseMadeAt;
     }
 
-    /** {@return the same after the engine that it awaits was heard} */
+    /** {@return a copy after the awaited engine responded} */
     OpenHold engineHeard(ReleasePolicy policy, long now) {
         return provableFrom(now + policy.lateArrivalMicros(), policy, now);
     }
 
-    /** {@return the same where the engine that it awaits has left the endpoint list} */
+    /** {@return a copy after the awaited engine left the endpoint list} */
     OpenHold engineRemoved(ReleasePolicy policy, long now) {
         return provableFrom(now + policy.removedEngineMicros(), policy, now);
     }
 
-    /** A release that was due before goes out all the same. */
+    /**
+     * {@return a copy that a release from {@code time} on proves to be gone} Its next release is
+     * due after the settling time, or earlier if it was already due earlier.
+     */
     private OpenHold provableFrom(long time, ReleasePolicy policy, long now) {
         long dueAt = Math.min(releaseDueAt, now + policy.settleMicros());
         return new OpenHold(hold, needed, dueAt, time, NEVER, released);
     }
 
-    /** {@return the same after a release was answered that was made when it was due} */
+    /**
+     * {@return a copy after an answer to a release that was sent at {@code madeAt}, when it was
+     * due}
+     */
     OpenHold released(ReleasePolicy policy, long madeAt) {
         long nextDueAt = madeAt < renewedUntil ? madeAt + policy.renewMicros() : NEVER;
         return new OpenHold(hold, needed, nextDueAt, provableFrom, renewedUntil, true);
--- a/core/src/main/java/sorrelhoist/core/reservation/PendingReleases.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/PendingReleases.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The calls that release one reservation: which are under way, and when the next may be made. */
+/** The release calls of one reservation: the calls in flight, and when the next one may be sent. */
 final class PendingReleases {
-    /** Calls that follow each other at the retry interval; then each wait doubles. */
+    /** Number of calls sent at the retry interval; after them each wait doubles. */
     private static final int CALLS_BEFORE_BACKOFF = 4;
 
-    /** A release that was sent and not answered. */
+    /** A release call that was sent and not answered. */
     static final class Call {
         final long madeAt;
 
-        /** Whether a decode was with an engine since the call was made. */
+        /** Whether a decode was in flight at any time since the call was sent. */
         private boolean decodeWasOut;
 
         private Call(long madeAt, boolean decodeWasOut) {
@@ -42,24 +42,28 @@
         this.policy = policy;
     }
 
-    /** {@return when the next call or the expiry is due, where releases may begin at a time} */
+    /**
+     * {@return when the next call or the expiry is due, in microseconds}
+     *
+     * @param releasableFrom when releases may begin; Long.MAX_VALUE for never
+     */
     long due(long releasableFrom) {
         return releasableFrom == Long.MAX_VALUE
                 ? Long.MAX_VALUE
                 : Math.min(expiresAt, Math.max(callableFrom, releasableFrom));
     }
 
-    /** The next call is made no later than then, as far as calls go. */
+    /** Allows the next call no later than {@code time}. */
     void callBy(long time) {
         callableFrom = Math.min(callableFrom, time);
     }
 
-    /** The next call is made no earlier than then. */
+    /** Allows the next call no earlier than {@code time}. */
     void callFrom(long time) {
         callableFrom = time;
     }
 
-    /** A call was made. */
+    /** Records that a call was sent. */
     void made(long call, String engine, boolean decodeIsOut, long now) {
         calls.put(call, new Call(now, decodeIsOut));
         asked.add(engine);
@@ -69,25 +73,33 @@
         waitForAnswer(now);
     }
 
-    /** No engine can be asked now. */
+    /**
+     * Postpones the next call by the retry interval, which doubles after the first calls, or by the
+     * expiry interval if the release has expired. A release that has not expired does so after the
+     * expiry interval, counted from the first call.
+     */
     void waitForAnswer(long now) {
         if (expired) {
             callableFrom = now + policy.expiryMicros();
             return;
         }
-        // The first few follow each other quickly, as the limit runs; after that it is too late for
-        // haste.
+        // The first calls use the plain retry interval, as one of them has to arrive within the
+        // limit. Later calls are too late for that, so their interval doubles.
         callableFrom =
                 now + (policy.retryMicros() << Math.max(0, callsMade - CALLS_BEFORE_BACKOFF));
         expiresAt = expiresAt == Long.MAX_VALUE ? now + policy.expiryMicros() : expiresAt;
     }
 
-    /** A decode may be with an engine now: calls that are on their way may arrive after it. */
+    /** Marks the calls in flight, which may arrive after a decode that is in flight now. */
     void decodeIsOut() {
         calls.values().forEach(call -> call.decodeWasOut = true);
     }
 
-    /** A call was answered. {@return it, or null where it is not waited for} */
+    /**
+     * Records an answer.
+     *
+     * @return the answered call, or null if it was not in flight
+     */
     Call answered(long call) {
         Call answered = calls.remove(call);
         expired &= answered == null;
@@ -95,9 +107,10 @@
     }
 
     /**
-     * A call ended without an answer: another engine is asked, the first few at once.
+     * Records a failed call. Another engine is called at once for the first few failures.
      *
-     * @return whether it was waited for
+     * @param others whether another engine can be called instead
+     * @return whether the call was in flight
      */
     boolean failed(long call, boolean others, long now) {
         if (calls.remove(call) == null) {
@@ -109,12 +122,16 @@
         return true;
     }
 
-    /** {@return whether no call is waited for} */
+    /** {@return whether no call is in flight} */
     boolean isEmpty() {
         return calls.isEmpty();
     }
 
-    /** Waits for no call any more. {@return those that were waited for} */
+    /**
+     * Abandons all calls in flight.
+     *
+     * @return the ids of these calls
+     */
     List<Long> abandon() {
         List<Long> abandoned = List.copyOf(calls.keySet());
         calls.clear();
@@ -122,7 +139,7 @@
         return abandoned;
     }
 
-    /** An engine has answered: the next calls are the first ones again. */
+    /** Resets the set of called engines, the backoff and the expiry time. */
     void restart() {
         asked.clear();
         expiresAt = Long.MAX_VALUE;
@@ -133,7 +150,10 @@
         return now >= expiresAt;
     }
 
-    /** No engine has answered in time. It is still tried, now and then, as engines return. */
+    /**
+     * Records that no engine answered in time. Calls continue at the expiry interval, as engines
+     * may return.
+     */
     void expire(long now) {
         expired = true;
         expiresAt = Long.MAX_VALUE;
@@ -144,7 +164,7 @@
         return expired;
     }
 
-    /** {@return engines that need not be asked again soon} */
+    /** {@return the engines that were called since the last reset; a live set} */
     Set<String> asked() {
         return asked;
     }
@@ -153,7 +173,7 @@
         asked.clear();
     }
 
-    /** {@return calls since an engine answered last} */
+    /** {@return the number of calls since an engine last answered or the calls were abandoned} */
     int callsMade() {
         return callsMade;
     }
@@ -162,7 +182,7 @@
         return callsMadeInAll;
     }
 
-    /** {@return the engine that was asked last, or empty} */
+    /** {@return the engine that was called last; empty if none} */
     String lastAsked() {
         return lastAsked;
     }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleaseCall.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleaseCall.java
@@ -1,12 +1,12 @@
 package sorrelhoist.core.reservation;
 
 /**
- * One call to an engine to release something.
+ * One call to an engine to release a resource.
  *
- * @param id names the call
- * @param requestName the request's name at engines
- * @param engine which engine to call
- * @param hold what to release; where any engine releases all of a request's reservations, the
+ * @param id identifies the call
+ * @param requestName the name under which engines know the request
+ * @param engine the engine to call
+ * @param hold the resource to release; if any engine can release all reservations of a request, the
  *     latest of them
  */
 public record ReleaseCall(long id, String requestName, String engine, Hold hold) {}
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleaseCause.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleaseCause.java
@@ -1,11 +1,11 @@
 package sorrelhoist.core.reservation;
 
-/** Why a release is sent. */
+/** The reason for a release. */
 public enum ReleaseCause {
-    /** Nothing will take what is held: the ordinary end of a request. */
+    /** No attempt will consume the holds: the ordinary end of a request. */
     UNWANTED,
-    /** Nothing has taken it in time, though an attempt of its request may be out. */
+    /** No attempt consumed the holds in time, though an attempt of the request may be in flight. */
     WAITED_TOO_LONG,
-    /** A prefill that was given up may have arrived late. */
+    /** An abandoned attempt may have arrived late. */
     LATE_ARRIVAL
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleaseClient.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleaseClient.java
@@ -1,25 +1,30 @@
 package sorrelhoist.core.reservation;
 
-/** Carries out what a {@link ReservationTable} decides. Called during the table's own methods. */
+/**
+ * Carries out the decisions of a {@link ReservationTable}. Called from within the methods of the
+ * table.
+ */
 public interface ReleaseClient {
     /**
-     * Calls an engine. Answered by {@link ReservationTable#releaseCompleted}, unless the call is
-     * abandoned.
+     * Sends a release call to an engine. Its end is reported with {@link
+     * ReservationTable#releaseCompleted}, unless the call is abandoned.
      */
     void release(ReleaseCall call);
 
-    /** Stops waiting for a call's answer; nothing of it is reported any more. */
+    /** Abandons a call: its result must not be reported any more. */
     void abandon(long call);
 
     /**
-     * Nothing released a reservation in time; it is not tried any longer.
+     * Reports that no engine released a reservation in time, or that the reservation was evicted
+     * from a full table. It is released no more if it was evicted or its reach is {@link
+     * ReleaseReach#HOLDER}; otherwise its release is retried at a long interval.
      *
-     * @param key whose
-     * @param engine the engine that was asked last, or that holds it
-     * @param calls how many were made
+     * @param key the key of the reservation
+     * @param engine the engine that was called last, or the holder if none was called
+     * @param calls the number of calls since an engine last answered or the calls were abandoned
      */
     void expired(ReservationKey key, String engine, int calls);
 
-    /** A reservation is worth a line in the log. */
+    /** Logs a reservation that was not consumed in the ordinary way. */
     void report(ReservationReport report);
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleasePolicy.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleasePolicy.java
@@ -1,8 +1,8 @@
 package sorrelhoist.core.reservation;
 
 /**
- * When releases are sent. All times follow from the one limit within which a reservation has to be
- * taken or released, counted from the last outcome of its request.
+ * Times at which releases are sent. All times are derived from one limit: a reservation has to be
+ * consumed or released within it, counted from the last outcome of its request.
  *
  * @param reach which engines can release a reservation
  * @param limitMicros the limit, in microseconds
@@ -20,89 +20,97 @@
     private static final int UNHEARD_ENGINE_FACTOR = 60;
 
     /**
-     * {@return how long after a request's last outcome its reservations are released where nothing
-     * has taken them} The other half of the limit is for engines that do not answer.
+     * {@return the time after a request's last outcome until its reservations are released if no
+     * attempt has consumed them, in microseconds} The other half of the limit is left for engines
+     * that do not answer.
      */
     public long idleMicros() {
         return limitMicros / SETTLED_SHARE;
     }
 
     /**
-     * {@return how long an attempt that was written has until something shows that it was
-     * delivered} Until then it stops the release of what it is to take, but no longer than {@link
-     * #latestStartMicros()}.
+     * {@return the time within which the delivery of a written attempt has to be confirmed, in
+     * microseconds} Until then the attempt postpones the release of what it is to consume, but not
+     * beyond {@link #latestStartMicros()}.
      */
     public long confirmationMicros() {
         return limitMicros / CONFIRMATION_SHARE;
     }
 
     /**
-     * {@return how long after a request's last outcome its reservations are released at the latest,
-     * unless their engine has the attempt that takes them}
+     * {@return the longest time after a request's last outcome until the release of its
+     * reservations starts, in microseconds} It does not apply once the delivery of the attempt that
+     * consumes them is confirmed.
      */
     public long latestStartMicros() {
         return limitMicros * LATEST_START_PERCENT / PERCENT;
     }
 
     /**
-     * {@return for how long what an attempt may leave that its engine has not answered is released
-     * once that engine was heard again} The attempt may have to wait there, and its own connection
-     * may be silent for longer than others.
+     * {@return how long the possible holds of an unanswered attempt are released repeatedly after
+     * its engine has responded again, in microseconds} The attempt may be queued there, and its own
+     * connection may be silent for longer than others.
      */
     public long lateArrivalMicros() {
         return limitMicros * LATE_ARRIVAL_FACTOR;
     }
 
     /**
-     * {@return for how long what such an attempt may leave is released while its engine is not
-     * heard} It is released again once that engine is heard, however late; what it had begun before
-     * it fell silent has ended by then.
+     * {@return how long the possible holds of an unanswered attempt are released repeatedly while
+     * its engine does not respond, in microseconds} By then, whatever the engine had started before
+     * it fell silent has ended. The holds are released again when the engine responds, however
+     * late.
      */
     public long unheardEngineMicros() {
         return limitMicros * UNHEARD_ENGINE_FACTOR;
     }
 
     /**
-     * {@return for how long what such an attempt may leave is released once its engine has left the
-     * endpoint list} A stopped engine may be taken off the list, and go on with what it has.
+     * {@return how long the possible holds of an unanswered attempt are released repeatedly after
+     * its engine has left the endpoint list, in microseconds} A stopped engine may be removed from
+     * the list and later continue with the requests that it has.
      */
     public long removedEngineMicros() {
         return limitMicros * REMOVED_ENGINE_FACTOR;
     }
 
     /**
-     * {@return how long an attempt that is over may still be under way at its engine} It is
-     * cancelled at once, but a release travels on another connection and may overtake that.
+     * {@return how long an attempt that has ended for the router may still run at its engine, in
+     * microseconds} It is cancelled at once, but a release uses another connection and may overtake
+     * the cancellation.
      */
     public long settleMicros() {
         return limitMicros / SETTLED_SHARE;
     }
 
-    /** {@return how long one engine's answer is waited for before another is asked as well} */
+    /**
+     * {@return how long to wait for one engine's answer before another engine is called as well, in
+     * microseconds}
+     */
     public long retryMicros() {
         return limitMicros / RETRY_SHARE;
     }
 
     /**
-     * {@return by how much before the limit a release has arrived, where one of three engines asked
-     * can do it}
+     * {@return how long before the limit a release has arrived if one of three called engines can
+     * perform it, in microseconds}
      */
     public long safetyMarginMicros() {
         return limitMicros / SAFETY_MARGIN_SHARE;
     }
 
     /**
-     * {@return after which a hold that is not settled is released again} What came to be held right
-     * after one release is let go of by the next within the limit.
+     * {@return the interval at which a hold that is not settled is released again, in microseconds}
+     * Whatever is reserved just after one release is released by the next one within the limit.
      */
     public long renewMicros() {
         return limitMicros - safetyMarginMicros();
     }
 
     /**
-     * {@return how long a release is tried for; what no engine has released by then is reported.
-     * Where its holder alone could, it is forgotten; where any engine can, it is tried again in
-     * this interval, as engines return}
+     * {@return how long a release is tried before it is reported as expired, in microseconds} If
+     * only the holder can release the reservation, it is then forgotten; if any engine can, the
+     * release is retried at this interval, as engines may return.
      */
     public long expiryMicros() {
         return limitMicros * EXPIRY_FACTOR;
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleaseTargetSelector.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleaseTargetSelector.java
@@ -2,14 +2,14 @@
 
 import java.util.Set;
 
-/** Chooses the engine that is asked next for a release. */
+/** Selects the engine that is called next for a release. */
 @FunctionalInterface
 public interface ReleaseTargetSelector {
     /**
-     * {@return the engine to ask, or null where there is none}
+     * {@return the engine to call, or null if there is none}
      *
-     * @param hold what is to be released
-     * @param asked engines that were asked already and have not done it
+     * @param hold the resource to release
+     * @param asked engines that were already called and have not confirmed the release
      */
     String select(Hold hold, Set<String> asked);
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/Reservation.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/Reservation.java
@@ -7,12 +7,15 @@
 import java.util.function.UnaryOperator;
 import sorrelhoist.core.reservation.Hold.Certainty;
 
-/** The holds of one key, the attempt that may take them, and the calls that release them. */
+/** The holds of one key, the attempt that may consume them, and the release calls for them. */
 final class Reservation {
     final ReservationKey key;
     final ReservationHistory history = new ReservationHistory();
 
-    /** The time of the table's timer for it; Long.MAX_VALUE for none. */
+    /**
+     * When the earliest pending timer of the table for this reservation fires, in microseconds;
+     * Long.MAX_VALUE if none is scheduled.
+     */
     long timerAt = Long.MAX_VALUE;
 
     private final ReleasePolicy policy;
@@ -21,18 +24,26 @@
     private final PendingReleases releases;
     private ReservationAttempt attempt;
     private boolean unwanted;
+
+    /**
+     * When the idle time of the holds began, in microseconds: at the request's last outcome, which
+     * is the opening of the reservation or the latest answer to an attempt.
+     */
     private long idleSince;
 
-    /** Whether an attempt that was to take what is held has ended without a stream. */
+    /** Whether an attempt that was meant to consume the holds ended without starting a stream. */
     private boolean takeFailed;
 
-    /** Whether a release may have let go of what a decode that is out has not taken yet. */
+    /**
+     * Whether a release call may have released the prefill state while a decode that needs it was
+     * in flight.
+     */
     private boolean releasedBesideDecode;
 
-    /** When the latest of the releases was made that were answered beside a decode. */
+    /** Send time of the latest release call that was answered while a decode was in flight. */
     private long latestAnsweredAt;
 
-    /** Whether it was reported that it has waited for too long. */
+    /** Whether the reservation was already reported as overdue. */
     private boolean overdueReported;
 
     Reservation(ReservationKey key, ReleasePolicy policy, long now) {
@@ -42,7 +53,7 @@
         this.idleSince = now;
     }
 
-    // What happens to its request
+    // Events of the request
 
     void opened(Hold hold, long now) {
         history.add(ReservationStep.HELD, hold.engine(), now);
@@ -59,7 +70,7 @@
         unwanted = false;
     }
 
-    /** The attempt's last byte was written; nothing shows yet that its engine has it. */
+    /** Records that the last byte of the attempt was written. Its delivery is not confirmed yet. */
     void attemptWritten(long now) {
         if (attempt != null) {
             history.add(ReservationStep.WRITTEN, attempt.engine, now);
@@ -68,7 +79,7 @@
         }
     }
 
-    /** The attempt's engine has it. */
+    /** Records that the delivery of the attempt was confirmed, directly or by inference. */
     void attemptDelivered(long now) {
         if (attempt != null) {
             history.add(ReservationStep.DELIVERED, attempt.engine, now);
@@ -77,7 +88,10 @@
         }
     }
 
-    /** Releases that are on their way may arrive while a decode waits for what they would end. */
+    /**
+     * Marks the release calls in flight if a decode is in flight: they may arrive while the decode
+     * waits for the state that they would release.
+     */
     private void noteDecodeOut() {
         if (isDecodeOut()) {
             releasedBesideDecode |= !releases.isEmpty();
@@ -89,7 +103,7 @@
         return attempt != null && attempt.isDecodeOut();
     }
 
-    /** A connection to the attempt's engine has to come up first. */
+    /** Records that the attempt waits for a connection to its engine. */
     void attemptConnecting(long now) {
         if (attempt != null) {
             history.add(ReservationStep.CONNECTING, attempt.engine, now);
@@ -97,14 +111,16 @@
         }
     }
 
-    /** No attempt will use the prefill states; decode slots may still be used. */
+    /**
+     * Records that no attempt will use the prefill states any more. Decode slots may still be used.
+     */
     void prefillStatesUnneeded() {
         holds.replaceAll(OpenHold::withoutPrefillStateNeeded);
     }
 
     /**
-     * The attempt ended. Where its engine has not answered it, the time of what is held has run on,
-     * and a release that had begun before it goes on.
+     * Records that the attempt ended. Unless its engine answered it, the idle time of the holds
+     * keeps running, and a release that was under way before the attempt resumes.
      */
     void attemptEnded(AttemptEnding ending, long now) {
         boolean answered = ending == AttemptEnding.ANSWERED;
@@ -118,7 +134,7 @@
         idleSince = answered ? now : idleSince;
     }
 
-    /** Nothing will take what is held any more. */
+    /** Records that no attempt will consume the holds any more. */
     void unwanted(long now) {
         if (!unwanted) {
             history.add(ReservationStep.UNWANTED, "", now);
@@ -131,8 +147,8 @@
     }
 
     /**
-     * A stream began: its engine has taken all that was held, but for what a lost prefill may yet
-     * leave.
+     * Records that a stream started: its engine has consumed all holds, except what a lost or
+     * abandoned prefill may still create.
      */
     void taken(long now) {
         history.add(ReservationStep.TAKEN, "", now);
@@ -154,14 +170,14 @@
     }
 
     /**
-     * {@return whether all that is held was released once it could be, so that what is left is to
-     * make sure of it}
+     * {@return whether every hold was released at least once after its release became due, so that
+     * the remaining releases only make sure of it}
      */
     boolean isReleased() {
         return holds.stream().allMatch(OpenHold::released);
     }
 
-    /** An engine is reachable again: what was on its way there arrives now, or never. */
+    /** Records that an engine responded again: what was in transit to it arrives now or never. */
     void engineHeard(String engine, long now) {
         if (holds.stream().anyMatch(open -> open.awaits(engine))) {
             history.add(ReservationStep.ENGINE_HEARD, engine, now);
@@ -169,7 +185,10 @@
         }
     }
 
-    /** An engine is gone, and what may have been held there with it. */
+    /**
+     * Records that an engine left the endpoint list. The holds that wait for it are treated as gone
+     * after a further period of releases.
+     */
     void engineRemoved(String engine, long now) {
         if (holds.stream().anyMatch(open -> open.awaits(engine))) {
             history.add(ReservationStep.ENGINE_REMOVED, engine, now);
@@ -177,7 +196,10 @@
         }
     }
 
-    /** Changes the holds that await an engine; their releases alone become due earlier by it. */
+    /**
+     * Applies a change to the holds that wait for this engine. Only the releases of these holds
+     * become due earlier.
+     */
     private void settle(String engine, UnaryOperator<OpenHold> change) {
         for (int i = 0; i < holds.size(); i++) {
             OpenHold open = holds.get(i);
@@ -189,7 +211,7 @@
         }
     }
 
-    /** {@return why what is held is released now} */
+    /** {@return the reason for a release that is sent now} */
     ReleaseCause releaseCause() {
         boolean late = holds.stream().anyMatch(OpenHold::isLateArrival);
         if (late) {
@@ -206,9 +228,12 @@
         return holds.stream().mapToLong(OpenHold::releaseDueAt).min().orElse(otherwise);
     }
 
-    // Releases
+    // Release calls
 
-    /** {@return when the next call is due; Long.MAX_VALUE for never as things are} */
+    /**
+     * {@return when the next release call is due, in microseconds; Long.MAX_VALUE if none is due
+     * without a further event}
+     */
     long due() {
         return releases.due(holds.isEmpty() ? Long.MAX_VALUE : releasableFrom());
     }
@@ -226,29 +251,33 @@
         return sent.takesReservation() || holds.stream().allMatch(OpenHold::needed);
     }
 
-    /** {@return the hold whose engine is asked first} */
+    /** {@return the hold whose engine is called first} */
     Hold latest() {
         Hold latest = holds.get(holds.size() - 1).hold();
         for (OpenHold open : holds) {
-            // An engine in whose queue a decode may stand holds nothing itself.
+            // A queued decode reserves nothing at its engine, so other kinds of holds take
+            // precedence.
             latest = open.hold().kind() == Hold.Kind.QUEUED_DECODE ? latest : open.hold();
         }
         return latest;
     }
 
-    /** {@return the calls that release it} */
     PendingReleases releases() {
         return releases;
     }
 
-    /** A call was made. */
+    /** Records that a release call was sent. */
     void called(long call, String engine, long now) {
         history.add(ReservationStep.RELEASE_SENT, engine, now);
         releasedBesideDecode |= isDecodeOut();
         releases.made(call, engine, isDecodeOut(), now);
     }
 
-    /** A call ended without an answer. */
+    /**
+     * Records that a release call failed.
+     *
+     * @param others whether another engine can be called instead
+     */
     void callFailed(long call, boolean others, long now) {
         if (releases.failed(call, others, now)) {
             history.add(ReservationStep.RELEASE_FAILED, "", now);
@@ -256,8 +285,10 @@
     }
 
     /**
-     * A call was answered. {@return whether that proves that what could be released when it was
-     * made is gone}
+     * Records that a release call succeeded.
+     *
+     * @return whether this proves that everything that was releasable when the call was sent is
+     *     gone
      */
     boolean callDone(long call, long now) {
         PendingReleases.Call answered = releases.answered(call);
@@ -276,7 +307,10 @@
         return true;
     }
 
-    /** The decode may never have arrived, so it does not put the next release off without end. */
+    /**
+     * Schedules the next release after an answer that proves nothing. The decode may never have
+     * arrived, so it must not postpone the next release indefinitely.
+     */
     private void answerProvesNothing(long madeAt, long now) {
         releases.restart();
         if (isDecodeOut()) {
@@ -288,14 +322,18 @@
     }
 
     /**
-     * {@return whether a release went out beside a decode that had not taken the prefill state: no
-     * other attempt can count on it}
+     * {@return whether a release was sent while a decode that had not fetched the prefill state was
+     * in flight; no other attempt can rely on that state}
      */
     boolean wasReleasedBesideDecode() {
         return releasedBesideDecode;
     }
 
-    /** {@return the calls that are not waited for any more} */
+    /**
+     * Abandons all release calls in flight.
+     *
+     * @return the ids of these calls
+     */
     List<Long> abandonCalls(long now) {
         List<Long> abandoned = releases.abandon();
         if (!abandoned.isEmpty()) {
@@ -304,13 +342,13 @@
         return abandoned;
     }
 
-    /** No engine has released it in time. */
+    /** Records that no engine released the reservation in time. */
     void expire(long now) {
         history.add(ReservationStep.EXPIRED, "", now);
         releases.expire(now);
     }
 
-    /** {@return the engine that was asked last, or that holds it} */
+    /** {@return the engine that was called last, or the holder if none was called} */
     String lastAsked() {
         return releases.lastAsked().isEmpty() && !holds.isEmpty()
                 ? latest().engine()
@@ -319,12 +357,18 @@
 
     // Reports
 
-    /** {@return whether its end is worth a line: what was to take it has not} */
+    /**
+     * {@return whether to log the end of this reservation: the attempt that was meant to consume it
+     * did not}
+     */
     boolean isWorthReporting() {
         return takeFailed;
     }
 
-    /** {@return whether it has waited for longer than the limit, said once} */
+    /**
+     * {@return whether a confirmed reservation without a running attempt has exceeded the limit;
+     * true at most once}
+     */
     boolean becameOverdue(long now) {
         boolean confirmed =
                 holds.stream().anyMatch(open -> open.hold().certainty() == Certainty.CONFIRMED);
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationAttempt.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationAttempt.java
@@ -1,8 +1,8 @@
 package sorrelhoist.core.reservation;
 
-/** The running attempt of a request, as far as it concerns what is reserved. */
+/** The running attempt of a request, in terms of the reservations of the request. */
 final class ReservationAttempt {
-    /** How far it has come. */
+    /** The delivery progress of the attempt. */
     private enum Progress {
         CONNECTING,
         WRITTEN,
@@ -11,7 +11,10 @@
 
     final String engine;
 
-    /** Whether the holds were being released until this attempt went out. */
+    /**
+     * Whether the holds were being released when this attempt was sent. The attempt stops that
+     * release.
+     */
     final boolean stoppedRelease;
 
     private final AttemptPurpose purpose;
@@ -27,29 +30,30 @@
         this.policy = policy;
     }
 
-    /** A connection to its engine has to come up first. */
+    /** Records that the attempt waits for a connection to its engine. */
     void connecting() {
         progress = Progress.CONNECTING;
     }
 
-    /** Its last byte was written; nothing shows yet that its engine has it. */
+    /** Records that the last byte was written. The delivery is not confirmed yet. */
     void written(long now) {
         progress = Progress.WRITTEN;
         writtenAt = now;
     }
 
-    /** Its engine has it, as far as evidence goes. */
+    /** Records that the delivery was confirmed, directly or by inference. */
     void delivered() {
         progress = Progress.DELIVERED;
     }
 
-    /** {@return whether it is to take what is reserved} */
+    /** {@return whether the attempt is meant to consume the reservations} */
     boolean takesReservation() {
         return purpose == AttemptPurpose.DECODE_RESERVED;
     }
 
     /**
-     * {@return whether it is a decode that may be with an engine, so that a release proves nothing}
+     * {@return whether any engine can release the holds and the attempt is a decode that may be at
+     * an engine, so that the answer to a release proves nothing}
      */
     boolean isDecodeOut() {
         return policy.reach() == ReleaseReach.ANY_ENGINE
@@ -58,11 +62,12 @@
     }
 
     /**
-     * {@return from when on what it may take is released all the same; Long.MAX_VALUE for never}
-     * That its engine has it is inferred from other connections: its own may be silent, and its
-     * engine may be gone by now.
+     * {@return when the holds are released even though this attempt may consume them, in
+     * microseconds; Long.MAX_VALUE for never} The delivery of a decode may be inferred from other
+     * connections only: its own connection may be silent, and its engine may be gone by now. The
+     * holds are therefore released even if the decode counts as delivered.
      *
-     * @param idleSince since when that waits
+     * @param idleSince when the idle time of the holds began, in microseconds
      */
     long releasableFrom(long idleSince) {
         long ordinary = idleSince + policy.idleMicros();
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationHistory.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationHistory.java
@@ -6,14 +6,14 @@
 import java.util.StringJoiner;
 
 /**
- * What happened to one reservation, oldest first: for the log alone. Bounded: its first entries are
- * kept, and of the others the latest that fit into a line of the log.
+ * The events of one reservation, oldest first; used for logging only. The size is bounded: it keeps
+ * the first entries, and of the others the latest that fit into a log line.
  */
 final class ReservationHistory {
     private static final int FIRST_ENTRIES = 2;
     private static final int LATEST_ENTRIES = 16;
 
-    /** The log cuts lines off at their end; other fields stand in front of this. */
+    /** The log truncates long lines at the end, and other fields precede the history. */
     private static final int MAX_CHARACTERS = 270;
 
     private static final int CHARACTERS_OF_OMISSION = ",(999 left out)".length();
@@ -26,11 +26,11 @@
     private int leftOut;
 
     /**
-     * Something happened.
+     * Records an event.
      *
-     * @param step what
-     * @param engine the engine that it concerns; empty for none
-     * @param now the time, microseconds
+     * @param step the event
+     * @param engine the engine concerned; empty if none
+     * @param now the time, in microseconds
      */
     void add(ReservationStep step, String engine, long now) {
         Entry entry = new Entry(now, step, engine);
@@ -45,7 +45,7 @@
         latest.addLast(entry);
     }
 
-    /** {@return steps with their milliseconds since the first, separated by commas} */
+    /** {@return the steps, each with the milliseconds since the first one, separated by commas} */
     @Override
     public String toString() {
         StringJoiner text = new StringJoiner(",");
@@ -59,7 +59,7 @@
         return text.toString();
     }
 
-    /** {@return the latest entries that fit into so many characters, oldest first} */
+    /** {@return the latest entries that fit into {@code characters} characters, oldest first} */
     private Deque<String> latestThatFit(int characters) {
         Deque<String> fitting = new ArrayDeque<>();
         int left = characters;
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationKey.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationKey.java
@@ -1,16 +1,17 @@
 package sorrelhoist.core.reservation;
 
 /**
- * Names what is released together: all reservations of a request, or that of one of its attempts.
+ * Identifies a group of holds that are released together: those of a request, or of one of its
+ * attempts.
  *
- * @param requestName the request's name at engines
- * @param attempt the number of the attempt; {@link #ALL} for whatever the request has reserved
+ * @param requestName the name under which engines know the request
+ * @param attempt the number of the attempt; {@link #ALL} for all attempts of the request
  */
 public record ReservationKey(String requestName, int attempt) {
-    /** In place of an attempt's number: all attempts of the request. */
+    /** Stands for all attempts of the request. */
     public static final int ALL = -1;
 
-    /** {@return the key of all that a request has reserved} */
+    /** {@return the key for everything that a request has reserved} */
     public static ReservationKey ofRequest(String request) {
         return new ReservationKey(request, ALL);
     }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationStep.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationStep.java
@@ -2,50 +2,50 @@
 
 import java.util.Locale;
 
-/** What can happen to a reservation, as its history names it. */
+/** The events of a reservation, as recorded in its history. */
 public enum ReservationStep {
-    /** Something is held, or may be. */
+    /** A resource is reserved, or may be. */
     HELD,
     /** An attempt of the request was sent. */
     SENT,
-    /** The attempt waits for its connection. */
+    /** The attempt waits for a connection to its engine. */
     CONNECTING,
-    /** The attempt's last byte was written. */
+    /** The last byte of the attempt was written. */
     WRITTEN,
-    /** Something shows that the attempt's engine has it. */
+    /** The delivery of the attempt to its engine was confirmed. */
     DELIVERED,
     /** The attempt was never sent. */
     NOT_SENT,
     /** The attempt was answered. */
     ANSWERED,
-    /** The attempt's connection broke. */
+    /** The connection of the attempt broke. */
     LOST,
-    /** The attempt was given up. */
+    /** The router abandoned the attempt. */
     GIVEN_UP,
-    /** A stream began, which took what is held. */
+    /** A stream started, which consumed the holds. */
     TAKEN,
-    /** Nothing will take what is held. */
+    /** No attempt will consume the holds. */
     UNWANTED,
     /** A release was sent. */
     RELEASE_SENT,
-    /** A release was answered, and proves that what could be released is gone. */
+    /** A release was answered, which proves that everything releasable is gone. */
     RELEASE_PROVEN,
-    /** A release was answered, and proves nothing. */
+    /** A release was answered, but the answer proves nothing. */
     RELEASE_UNPROVEN,
-    /** A release was not answered, or by an error. */
+    /** A release failed, or was not answered. */
     RELEASE_FAILED,
-    /** The answers of releases under way do not matter any more. */
+    /** The releases in flight were abandoned. */
     RELEASES_ABANDONED,
-    /** An engine that had to be heard first was heard. */
+    /** An awaited engine responded. */
     ENGINE_HEARD,
     /** An engine left the endpoint list. */
     ENGINE_REMOVED,
-    /** No engine has released it in time. */
+    /** No engine released the reservation in time. */
     EXPIRED;
 
     private final String label = name().toLowerCase(Locale.ROOT).replace('_', '-');
 
-    /** {@return its name in log lines} */
+    /** {@return the name in log lines, in kebab case} */
     public String label() {
         return label;
     }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
@@ -9,19 +9,27 @@
 import sorrelhoist.core.time.TimerQueue;
 
 /**
- * What requests have reserved at engines, until it is known to be gone: the one place where that is
- * kept.
+ * Tracks what requests have reserved at engines until it is known to be gone. No other component
+ * keeps this state.
  *
- * <p>A hold is opened by each outcome that can leave something, also by prefills that were lost or
- * cancelled, and by decodes that may still stand in a queue. It ends by proof alone: {@link
- * HoldProof} says what is one. Until then a release goes out within the limit, counted from the
- * request's last outcome, whatever is inferred of the attempt that takes the hold: at once where
- * the request is over, after half the limit where no attempt is out or its connection does not come
- * up, after three fifths at the latest while nothing shows that it arrived, and after four fifths,
- * and again at that interval, where other connections show it. Only an answer on the attempt's own
- * connection puts it off for longer.
+ * <p>Every outcome of an attempt that can leave a reservation opens a hold. This includes prefills
+ * that were lost or cancelled, and decodes that may still be queued. A hold ends only when it is
+ * proven to be gone; {@link HoldProof} defines the proofs. Until then a release is sent within the
+ * limit, counted from the request's last outcome, whatever is inferred about the attempt that
+ * consumes the hold:
  *
- * <p>One thread at a time.
+ * <ul>
+ *   <li>at once if the request is over;
+ *   <li>after half the limit if no attempt is in flight or its connection is not established;
+ *   <li>after three fifths of the limit at the latest while the delivery of the attempt that
+ *       consumes the hold is not confirmed;
+ *   <li>after four fifths, and again at that interval, if the delivery is inferred from other
+ *       connections.
+ * </ul>
+ *
+ * <p>Only an answer on the attempt's own connection postpones the release for longer.
+ *
+ * <p>Not thread-safe.
  */
 public final class ReservationTable {
     private final ReleasePolicy policy;
@@ -31,10 +39,7 @@
     private final Map<ReservationKey, Reservation> reservations = new LinkedHashMap<>();
     private final Map<Long, Reservation> calls = new HashMap<>();
 
-    /**
-     * For each reservation an entry at the time at which it is due, or before; some are out of
-     * date.
-     */
+    /** Each reservation has an entry at or before its due time; some entries are stale. */
     private final TimerQueue<Reservation> timers = new TimerQueue<>();
 
     private final Map<ReleaseCause, Long> callsByCause = new EnumMap<>(ReleaseCause.class);
@@ -42,12 +47,13 @@
     private long expiredCount;
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
      * @param policy when releases are sent
-     * @param targets chooses engines
-     * @param releaseClient makes the calls
-     * @param capacity keys at once; beyond, the oldest that nothing wants any more is given up on
+     * @param targets selects the engines to call
+     * @param releaseClient sends the calls
+     * @param capacity the maximum number of keys; beyond it, the oldest reservation that no attempt
+     *     needs is evicted, if there is one
      */
     public ReservationTable(
             ReleasePolicy policy,
@@ -60,9 +66,9 @@
         this.capacity = capacity;
     }
 
-    // What happens to requests
+    // Events of requests
 
-    /** Something is held, or may be. */
+    /** Records a hold that exists, or may exist. */
     public void opened(ReservationKey key, Hold hold, long now) {
         if (reservations.size() >= capacity && !reservations.containsKey(key)) {
             evictOldestUnwanted(now);
@@ -74,14 +80,15 @@
     }
 
     /**
-     * A prefill ended well. Calls for what an earlier one may have left would take its state away.
+     * Records that a prefill completed. Abandons the release calls for earlier prefills of the
+     * request, as they would release the new state as well.
      */
     public void prefillCompleted(ReservationKey key, Hold state, long now) {
         update(key, reservation -> abandonCalls(reservation, now));
         opened(key, state, now);
     }
 
-    /** An attempt goes out. */
+    /** Records that an attempt is sent. */
     public void attemptSent(ReservationKey key, AttemptPurpose purpose, String engine, long now) {
         update(
                 key,
@@ -93,52 +100,49 @@
                 });
     }
 
-    /** The running attempt waits for a connection. */
+    /** Records that the running attempt waits for a connection. */
     public void attemptConnecting(ReservationKey key, long now) {
         update(key, reservation -> reservation.attemptConnecting(now));
     }
 
     /**
-     * No attempt will take the states that are held: the prompt is read again, or they could not be
-     * fetched.
+     * Records that the prefill states are unneeded: the prompt is read again, or a fetch failed.
      */
     public void prefillStatesUnneeded(ReservationKey key) {
         update(key, Reservation::prefillStatesUnneeded);
     }
 
-    /**
-     * The last byte of the running attempt was written to a connection that stands. That alone does
-     * not show that its engine has it.
-     */
+    /** Records that the last byte was written to a connection, which does not confirm delivery. */
     public void attemptWritten(ReservationKey key, long now) {
         update(key, reservation -> reservation.attemptWritten(now));
     }
 
-    /** The running attempt's engine has it, as far as evidence goes. */
+    /** Records that the delivery of the running attempt was confirmed, directly or by inference. */
     public void attemptDelivered(ReservationKey key, long now) {
         update(key, reservation -> reservation.attemptDelivered(now));
     }
 
-    /** {@return whether a key holds anything} */
+    /** {@return whether a key has any hold} */
     public boolean isHeld(ReservationKey key) {
         return reservations.containsKey(key);
     }
 
-    /**
-     * {@return whether what a key holds was released while a decode was out that had not taken it}
-     */
+    /** {@return whether a release was sent during a decode that had not fetched the key's state} */
     public boolean wasReleasedBesideDecode(ReservationKey key) {
         Reservation reservation = reservations.get(key);
         return reservation != null && reservation.wasReleasedBesideDecode();
     }
 
-    /** {@return since when what a key holds waits; {@code otherwise} where it holds nothing} */
+    /**
+     * {@return when the key's idle time began, in microseconds; {@code otherwise} if it has no
+     * hold}
+     */
     public long idleSince(ReservationKey key, long otherwise) {
         Reservation reservation = reservations.get(key);
         return reservation == null ? otherwise : reservation.idleSince();
     }
 
-    /** An engine of which nothing was heard for a while was heard again. */
+    /** Records that an engine responded after a period of silence. */
     public void engineHeard(String engine, long now) {
         for (Reservation reservation : reservations.values()) {
             reservation.engineHeard(engine, now);
@@ -146,7 +150,10 @@
         }
     }
 
-    /** An engine left the endpoint list: nothing that was on its way there arrives any more. */
+    /**
+     * Records that an engine left the endpoint list: nothing in transit to it will arrive any more.
+     * The holds that wait for it are released for a further period.
+     */
     public void engineRemoved(String engine, long now) {
         for (Reservation reservation : reservations.values()) {
             reservation.engineRemoved(engine, now);
@@ -155,11 +162,11 @@
     }
 
     /**
-     * The running attempt ended.
+     * Records that the running attempt ended.
      *
-     * @param key whose
-     * @param ending how
-     * @param now the time
+     * @param key the key of its reservation
+     * @param ending how it ended
+     * @param now the time, in microseconds
      */
     public void attemptEnded(ReservationKey key, AttemptEnding ending, long now) {
         update(
@@ -170,7 +177,10 @@
                 });
     }
 
-    /** A stream began: its engine has taken what was held. */
+    /**
+     * Records that a stream started: its engine has consumed the holds, except what a lost or
+     * abandoned prefill may still create.
+     */
     public void taken(ReservationKey key, long now) {
         update(
                 key,
@@ -181,7 +191,7 @@
                 });
     }
 
-    /** Nothing will take what is held: it is released at once, unless an attempt runs. */
+    /** Releases the holds at once unless an attempt is running, as no attempt will consume them. */
     public void unwanted(ReservationKey key, long now) {
         update(
                 key,
@@ -200,14 +210,14 @@
         }
     }
 
-    // Calls
+    // Release calls
 
     /**
-     * A call ended.
+     * Records the end of a release call.
      *
-     * @param call which; ones that are not waited for are passed over
-     * @param done whether the engine said that it is released
-     * @param now the time
+     * @param call the id of the call; unknown and abandoned calls are ignored
+     * @param done whether the engine confirmed the release
+     * @param now the time, in microseconds
      */
     public void releaseCompleted(long call, boolean done, long now) {
         Reservation reservation = calls.remove(call);
@@ -224,7 +234,7 @@
         scheduleTimer(reservation);
     }
 
-    /** Makes the calls that are due. */
+    /** Sends the release calls that are due. */
     public void advance(long now) {
         for (Reservation due = timers.pollDue(now); due != null; due = timers.pollDue(now)) {
             due.timerAt = Long.MAX_VALUE;
@@ -234,8 +244,8 @@
     }
 
     /**
-     * {@return when {@link #advance(long)} is next needed, or a little before; Long.MAX_VALUE for
-     * never}
+     * {@return when {@link #advance(long)} is next needed, or slightly earlier, in microseconds;
+     * Long.MAX_VALUE for never}
      */
     public long nextDueMicros() {
         return timers.nextDueMicros();
@@ -261,11 +271,11 @@
         if (engine != null) {
             call(reservation, engine, now);
         } else if (policy.reach() == ReleaseReach.HOLDER) {
-            // Its engine left the endpoint list, and what it held went with it.
+            // The holder was called and has left the endpoint list; its resources are gone with it.
             abandonCalls(reservation, now);
             reservations.remove(reservation.key);
         } else {
-            // All were asked, or there are none: from the beginning, a little later.
+            // Every engine was called, or there is none: start over after the retry interval.
             reservation.releases().forgetAsked();
             reservation.releases().waitForAnswer(now);
         }
@@ -332,14 +342,17 @@
         }
     }
 
-    // For tests and logs
+    // Counters for tests and logs
 
-    /** {@return keys for which something is held or may be} */
+    /** {@return the number of keys with a hold that exists or may exist} */
     public int size() {
         return reservations.size();
     }
 
-    /** {@return keys of which something was not released yet since it could be} */
+    /**
+     * {@return the number of keys with a hold that was not released yet since its release became
+     * due; keys whose release has expired are not counted}
+     */
     public int releasableCount() {
         return (int)
                 reservations.values().stream()
@@ -348,7 +361,7 @@
                         .count();
     }
 
-    /** {@return those among them that an attempt may still take} */
+    /** {@return the number of keys whose holds an attempt may still consume} */
     public int wantedCount() {
         return (int)
                 reservations.values().stream()
@@ -356,17 +369,17 @@
                         .count();
     }
 
-    /** {@return calls that are under way} */
+    /** {@return the number of release calls in flight} */
     public int releaseCallsInFlight() {
         return calls.size();
     }
 
-    /** {@return how many releases were asked for since the start, by their cause} */
+    /** {@return the number of release calls sent since the start, by cause; unmodifiable} */
     public Map<ReleaseCause, Long> callsByCause() {
         return Collections.unmodifiableMap(callsByCause);
     }
 
-    /** {@return how long the oldest of what is held has waited, in microseconds; 0 for nothing} */
+    /** {@return the longest idle time of all reservations, in microseconds; 0 if there is none} */
     public long oldestMicros(long now) {
         return reservations.values().stream()
                 .mapToLong(reservation -> now - reservation.idleSince())
@@ -374,7 +387,7 @@
                 .orElse(0);
     }
 
-    /** {@return reservations that no engine has released in time, or that made room for others} */
+    /** {@return the number of reservations that expired unreleased or were evicted} */
     public long expiredCount() {
         return expiredCount;
     }
--- a/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
@@ -4,22 +4,24 @@
 import java.util.List;
 
 /**
- * Decides which background job may run a slice now, and how large the slice is. Requests go first:
- * while any wait, a job runs only once it is overdue, and then one slice at a time with a pause
- * after it, so that starvation is bounded and requests lose a known share at most.
+ * Decides which background job may run a slice now, and how large the slice is. Requests have
+ * priority: while any request waits, a job runs only when it is overdue, and then one slice at a
+ * time with a pause after it. This bounds starvation and limits the share of the thread that
+ * requests lose.
  *
- * <p>Times are its caller's, in microseconds. The caller runs the slice and reports what it cost; a
- * job that overspends pays that back before it runs again.
+ * <p>Times are given by the caller, in microseconds. The caller runs the slice and reports its
+ * cost; a job that exceeds its budget does not run again until the excess is refilled.
  */
 public final class BackgroundScheduler {
     /**
      * A kind of background work.
      *
-     * @param name for logs
-     * @param priority higher goes first
-     * @param cpuMicrosPerSecond microseconds of CPU that it may use a second
-     * @param bytesPerSecond bytes that it may read or write a second
-     * @param maxWaitMicros after which it is overdue, and goes before all others and requests
+     * @param name the name in logs
+     * @param priority higher values run first
+     * @param cpuMicrosPerSecond its CPU budget, in microseconds per second
+     * @param bytesPerSecond its I/O budget, in bytes per second
+     * @param maxWaitMicros the wait after which the job is overdue and runs before other jobs and
+     *     requests, in microseconds
      */
     public record Job(
             String name,
@@ -29,22 +31,28 @@
             long maxWaitMicros) {}
 
     /**
-     * Permission to run.
+     * Permission to run a job.
      *
-     * @param job which
-     * @param cpuMicros for how long at most
-     * @param bytes how much it may read or write at most
-     * @param overdue whether it runs because it has waited too long
+     * @param job the job
+     * @param cpuMicros the maximum CPU time, in microseconds
+     * @param bytes the maximum number of bytes to read or write
+     * @param overdue whether the job runs because it has waited too long
      */
     public record Slice(Job job, long cpuMicros, long bytes, boolean overdue) {}
 
-    /** Microseconds of CPU: what a request that comes meanwhile waits at most. */
+    /**
+     * The maximum CPU time of a slice, in microseconds; a request that arrives meanwhile waits this
+     * long at most.
+     */
     private static final long MAX_SLICE_MICROS = 2_000;
 
-    /** The same while requests wait. */
+    /** The maximum CPU time of a slice while requests wait, in microseconds. */
     private static final long MAX_SLICE_BESIDE_REQUESTS_MICROS = 500;
 
-    /** Times the cost of an overdue slice: requests keep nine tenths of the thread. */
+    /**
+     * Length of the pause after an overdue slice, as a multiple of its cost; leaves nine tenths of
+     * the thread to requests.
+     */
     private static final int PAUSE_PER_COST = 9;
 
     private final List<ScheduledJob> jobs = new ArrayList<>();
@@ -55,47 +63,49 @@
     /**
      * Creates a scheduler without jobs.
      *
-     * @param cpuPerSecond microseconds of CPU that all jobs together may use a second
-     * @param now microseconds
+     * @param cpuPerSecond the shared CPU budget of all jobs, in microseconds per second
+     * @param now the time, in microseconds
      */
     public BackgroundScheduler(long cpuPerSecond, long now) {
         this.sharedCpuMicros = new TokenBucket(cpuPerSecond, now);
     }
 
     /**
-     * Registers a job, with nothing to do yet.
+     * Registers a job without work.
      *
      * @param job the job
-     * @param now microseconds
+     * @param now the time, in microseconds
      */
     public void register(Job job, long now) {
         jobs.add(new ScheduledJob(job, now));
     }
 
     /**
-     * Announces work.
+     * Schedules work for a job.
      *
      * @param job a registered job
-     * @param at from when on, in microseconds
-     * @param deadline by when it should have run; Long.MAX_VALUE for none
-     * @throws IllegalArgumentException where the job was not registered
+     * @param at when the work may start, in microseconds
+     * @param deadline by when the work should have run; Long.MAX_VALUE for none
+     * @throws IllegalArgumentException if the job is not registered
      */
     public void schedule(Job job, long at, long deadline) {
         find(job).addWork(at, deadline);
     }
 
     /**
-     * Asks for the next slice.
+     * Selects the next slice.
      *
-     * @param now microseconds
+     * @param now the time, in microseconds
      * @param requestsWait whether requests wait for the thread
-     * @return a slice, to be followed by {@link #sliceFinished}; null where nothing may run now
-     * @throws IllegalStateException where the slice before was not reported
+     * @return a slice, which has to be reported with {@link #sliceFinished}; null if no job may run
+     *     now
+     * @throws IllegalStateException if the previous slice was not reported
      */
     public Slice nextSlice(long now, boolean requestsWait) {
         if (running != null) {
             throw new IllegalStateException(
-                    running.job().name() + " has not reported what its slice cost");
+                    running.job().name()
+                            + ": the previous slice was not reported with sliceFinished");
         }
         ScheduledJob next = firstRunnable(now);
         if (next == null || !mayRun(next, now, requestsWait)) {
@@ -122,7 +132,10 @@
         return first;
     }
 
-    /** An overdue job may overdraw the shared budget; what it takes is paid back by all. */
+    /**
+     * Decides whether a job may run now. An overdue job may overdraw the shared budget; the debt
+     * reduces the budget of all jobs.
+     */
     private boolean mayRun(ScheduledJob job, long now, boolean requestsWait) {
         if (job.isOverdue(now)) {
             return !requestsWait || now >= pausedUntil;
@@ -131,13 +144,13 @@
     }
 
     /**
-     * Reports the slice that {@link #nextSlice} gave.
+     * Reports the end of the slice that {@link #nextSlice} returned.
      *
-     * @param now microseconds
-     * @param cpuMicros what it used
-     * @param bytes what it read or wrote
-     * @param again when the job has more to do; Long.MAX_VALUE for nothing
-     * @param deadline by when that should have run; Long.MAX_VALUE for none
+     * @param now the time, in microseconds
+     * @param cpuMicros the CPU time used, in microseconds
+     * @param bytes the number of bytes read or written
+     * @param again when the job has more work, in microseconds; Long.MAX_VALUE for none
+     * @param deadline by when that work should have run; Long.MAX_VALUE for none
      */
     public void sliceFinished(long now, long cpuMicros, long bytes, long again, long deadline) {
         ScheduledJob finished = running;
@@ -149,10 +162,10 @@
     }
 
     /**
-     * {@return when {@link #nextSlice} may first give something, as far as is known now;
-     * Long.MAX_VALUE for never}
+     * {@return the earliest time at which {@link #nextSlice} may return a slice, as far as is known
+     * now, in microseconds; Long.MAX_VALUE for never}
      *
-     * @param now microseconds
+     * @param now the time, in microseconds
      */
     public long nextWakeAt(long now) {
         long wakeAt = Long.MAX_VALUE;
@@ -170,6 +183,8 @@
                 .filter(candidate -> candidate.job().equals(job))
                 .findFirst()
                 .orElseThrow(
-                        () -> new IllegalArgumentException("job " + job.name() + " was not added"));
+                        () ->
+                                new IllegalArgumentException(
+                                        "job " + job.name() + " is not registered"));
     }
 }
--- a/core/src/main/java/sorrelhoist/core/scheduling/ScheduledJob.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/ScheduledJob.java
@@ -2,7 +2,7 @@
 
 import sorrelhoist.core.scheduling.BackgroundScheduler.Job;
 
-/** A registered job: its budgets, and when it is due. */
+/** A registered job with its budgets and due times. */
 final class ScheduledJob {
     private static final long NEVER = Long.MAX_VALUE;
 
@@ -22,19 +22,19 @@
         return job;
     }
 
-    /** There is work from {@code at} on, which should run by {@code newDeadline}. */
+    /** Adds work that may start at {@code at} and should run by {@code newDeadline}. */
     void addWork(long at, long newDeadline) {
         dueAt = Math.min(dueAt, at);
         deadline = Math.min(deadline, newDeadline);
     }
 
-    /** A slice has run. */
+    /** Charges the cost of a finished slice to the budgets. */
     void sliceFinished(long now, long usedCpuMicros, long usedBytes) {
         cpuMicros.spend(now, usedCpuMicros);
         bytes.spend(now, usedBytes);
     }
 
-    /** Sets when there is more work, in place of what was due before. */
+    /** Replaces the due time and the deadline. */
     void reschedule(long at, long newDeadline) {
         dueAt = at;
         deadline = newDeadline;
@@ -60,7 +60,10 @@
         return bytes.available(now);
     }
 
-    /** {@return from when on it goes before everything: its longest wait, or its deadline} */
+    /**
+     * {@return when the job becomes overdue: after its maximum wait, or at its deadline if that is
+     * earlier}
+     */
     long overdueFrom() {
         if (dueAt == NEVER) {
             return NEVER;
@@ -73,7 +76,10 @@
         return now >= overdueFrom();
     }
 
-    /** Overdue jobs go by how long they are, others by priority and then by who waits longest. */
+    /**
+     * {@return whether this job runs before another one} Overdue jobs run before others, ordered by
+     * the time since which they are overdue; all others are ordered by priority, then by due time.
+     */
     boolean goesBefore(ScheduledJob other, long now) {
         boolean overdue = isOverdue(now);
         boolean otherOverdue = other.isOverdue(now);
@@ -86,10 +92,10 @@
     }
 
     /**
-     * {@return when it may run, as far as is known now}
+     * {@return the earliest time at which the job may run, as far as is known now}
      *
-     * @param now microseconds
-     * @param sharedBudgetAt when the budget of all jobs together has something again
+     * @param now the time, in microseconds
+     * @param sharedBudgetAt when the shared budget of all jobs is available again, in microseconds
      */
     long runnableAt(long now, long sharedBudgetAt) {
         long budgetAt = Math.max(cpuMicros.nextAvailableAt(now), bytes.nextAvailableAt(now));
--- a/core/src/main/java/sorrelhoist/core/scheduling/TokenBucket.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/TokenBucket.java
@@ -1,8 +1,8 @@
 package sorrelhoist.core.scheduling;
 
 /**
- * A token bucket that holds up to a second's worth. It may be overdrawn, as the cost of work is
- * known only afterwards; a debt is paid back before anything is available again.
+ * A token bucket with a capacity of one second's tokens. It may be overdrawn, as the cost of work
+ * is only known afterwards; no tokens are available until the debt is refilled.
  */
 final class TokenBucket {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -14,8 +14,8 @@
     /**
      * Creates a full bucket.
      *
-     * @param tokensPerSecond its rate and its capacity, above 0
-     * @param now microseconds
+     * @param tokensPerSecond the refill rate per second, which is also the capacity; above 0
+     * @param now the time, in microseconds
      */
     TokenBucket(double tokensPerSecond, long now) {
         this.tokensPerSecond = tokensPerSecond;
@@ -23,7 +23,7 @@
         this.refilledAt = now;
     }
 
-    /** {@return tokens that may be spent now; below 0 where too many were} */
+    /** {@return the number of available tokens; negative if the bucket is overdrawn} */
     double available(long now) {
         double refill = Math.max(0, now - refilledAt) * tokensPerSecond / MICROS_PER_SECOND;
         tokens = Math.min(tokensPerSecond, tokens + refill);
@@ -36,7 +36,7 @@
         tokens -= amount;
     }
 
-    /** {@return when a token is available, in microseconds} */
+    /** {@return when a token is available, in microseconds; {@code now} if one is} */
     long nextAvailableAt(long now) {
         double have = available(now);
         if (have > 0) {
--- a/core/src/main/java/sorrelhoist/core/scheduling/package-info.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/package-info.java
@@ -1,6 +1,6 @@
 /**
- * When background work may run beside requests: priorities, budgets of CPU and bytes, deadlines,
- * and a bound on starvation. {@link sorrelhoist.core.scheduling.BackgroundScheduler} belongs to the
- * thread whose time it shares out; its caller runs the work and reports what it cost.
+ * Schedules background work alongside requests: priorities, CPU and I/O budgets, deadlines, and a
+ * bound on starvation. A {@link sorrelhoist.core.scheduling.BackgroundScheduler} belongs to the
+ * thread whose time it divides; the caller runs the work and reports its cost.
  */
 package sorrelhoist.core.scheduling;
--- a/core/src/main/java/sorrelhoist/core/time/Backoff.java
+++ b/core/src/main/java/sorrelhoist/core/time/Backoff.java
@@ -2,7 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** Delays between retries: doubling, with a random half so that clients do not retry together. */
+/**
+ * Exponential backoff between retries. Half of each delay is random, so that clients do not retry
+ * at the same time.
+ */
 public final class Backoff {
     private final long firstMicros;
     private final long maxMicros;
@@ -10,11 +13,11 @@
     private long delayMicros;
 
     /**
-     * Creates a backoff without a failure.
+     * Creates a backoff in its initial state.
      *
      * @param firstMicros the first delay, above 0, in microseconds
      * @param maxMicros the longest delay, in microseconds
-     * @param seed of the random half
+     * @param seed the seed of the random half
      */
     public Backoff(long firstMicros, long maxMicros, long seed) {
         this.firstMicros = firstMicros;
@@ -22,13 +25,13 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** {@return microseconds to wait after one more failure} */
+    /** {@return the delay after another failure, in microseconds} */
     public long nextDelayMicros() {
         delayMicros = delayMicros == 0 ? firstMicros : Math.min(maxMicros, 2 * delayMicros);
         return delayMicros / 2 + random.nextLong(delayMicros / 2 + 1);
     }
 
-    /** A retry succeeded: the next failure waits for the first delay again. */
+    /** Resets the delay after a success; the next failure uses the first delay again. */
     public void reset() {
         delayMicros = 0;
     }
--- a/core/src/main/java/sorrelhoist/core/time/TimerQueue.java
+++ b/core/src/main/java/sorrelhoist/core/time/TimerQueue.java
@@ -4,9 +4,10 @@
 import java.util.PriorityQueue;
 
 /**
- * Timers in the order of their times and, among equals, of their scheduling. Time is the caller's.
+ * A queue of timers, ordered by due time and, among equal times, by the order of scheduling. Times
+ * are given by the caller.
  *
- * @param <T> what a timer hands back
+ * @param <T> the type of the payload
  */
 public final class TimerQueue<T> {
     private record Entry<T>(long at, long order, T payload) {}
@@ -22,24 +23,28 @@
     /**
      * Schedules a timer.
      *
-     * @param at when it is due, in microseconds
-     * @param payload handed back by {@link #pollDue}
+     * @param at when the timer is due, in microseconds
+     * @param payload the value that {@link #pollDue} returns
      */
     public void schedule(long at, T payload) {
         queue.add(new Entry<>(at, scheduled++, payload));
     }
 
-    /** {@return when the first is due, or Long.MAX_VALUE} */
+    /** {@return when the first timer is due, in microseconds; Long.MAX_VALUE if there is none} */
     public long nextDueMicros() {
         return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().at();
     }
 
-    /** {@return the first that is due, taken out, or null} */
+    /**
+     * Removes the first timer that is due.
+     *
+     * @return its payload, or null if none is due
+     */
     public T pollDue(long now) {
         return nextDueMicros() <= now ? queue.poll().payload() : null;
     }
 
-    /** {@return how many are scheduled} */
+    /** {@return the number of scheduled timers} */
     public int size() {
         return queue.size();
     }
--- a/core/src/main/java/sorrelhoist/core/time/package-info.java
+++ b/core/src/main/java/sorrelhoist/core/time/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Timers and retry delays in the caller's time, in microseconds: no clock is read here. Whoever
- * creates a queue or a backoff owns its state.
+ * Timers and retry delays. Times are given by the caller, in microseconds; no clock is read here.
+ * The creator of a queue or a backoff owns its state.
  */
 package sorrelhoist.core.time;
--- a/core/src/test/java/sorrelhoist/core/delivery/DeliveryMonitorTest.java
+++ b/core/src/test/java/sorrelhoist/core/delivery/DeliveryMonitorTest.java
@@ -10,7 +10,10 @@
 import sorrelhoist.core.delivery.AttemptDelivery.Evidence;
 import sorrelhoist.core.delivery.AttemptDelivery.State;
 
-/** What shows that an attempt has arrived, and what follows where nothing does; in virtual time. */
+/**
+ * Tests the evidence for deliveries, and the reports about attempts without evidence, in virtual
+ * time.
+ */
 class DeliveryMonitorTest {
     private static final long LIMIT = 500_000;
     private static final DeliveryPolicy POLICY = new DeliveryPolicy(LIMIT);
@@ -244,9 +247,13 @@
         monitor.questionEnded("e", now);
         passTo(LIMIT);
         assertEquals(2, asked.size());
-        assertFalse(monitor.callAnswered("e", BEFORE), "written before it was awaited");
+        assertFalse(
+                monitor.callAnswered("e", BEFORE),
+                "the call was written before the engine was awaited");
         assertTrue(monitor.callAnswered("e", now));
-        assertFalse(monitor.callAnswered("e", now + LIMIT), "once");
+        assertFalse(
+                monitor.callAnswered("e", now + LIMIT),
+                "the awaited response is reported only once");
         monitor.questionEnded("e", now);
         passTo(10 * LIMIT);
         assertEquals(2, asked.size());
--- a/core/src/test/java/sorrelhoist/core/guard/SendGuardTest.java
+++ b/core/src/test/java/sorrelhoist/core/guard/SendGuardTest.java
@@ -22,7 +22,10 @@
 import sorrelhoist.routing.RoutingSettings.ServerKind;
 import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
-/** Each invariant of a send, violated once: it is counted by its name, and the bytes stay here. */
+/**
+ * Violates each invariant of a send once: the violation is counted by invariant, and the send is
+ * refused.
+ */
 class SendGuardTest {
     private static final long SECOND = 1_000_000;
     private static final RoutingSettings SETTINGS =
@@ -145,11 +148,11 @@
         while (monitor.counts().isEmpty()) {
             assertTrue(
                     guard.allows(attempt("b", true, Idempotency.SAFE, false), SECOND + allowed),
-                    "it is only counted");
+                    "a send beyond the budget is only counted");
             allowed++;
         }
-        // 2 x 0.3 x 10, three roots of that, three more: the sixteenth is one too many by the
-        // guard's own account.
+        // The budget is 2 x 0.3 x 10 sends, plus three times its square root, plus three: by the
+        // count of the guard, 16 sends are allowed and the next one exceeds it.
         assertEquals(Map.of(Invariant.SLOW_START_BUDGET, 1L), monitor.counts());
         assertEquals(17, allowed);
     }
--- a/core/src/test/java/sorrelhoist/core/members/EndpointTrackerTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/EndpointTrackerTest.java
@@ -11,7 +11,7 @@
 import sorrelhoist.core.members.RegistryView.Instance;
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
-/** The registry's list read as engines that serve, drain or are gone. */
+/** Tests how engine states are derived from the registry. */
 class EndpointTrackerTest {
     private static final long SECOND = 1_000_000;
     private static final List<Instance> THREE =
--- a/core/src/test/java/sorrelhoist/core/members/EngineTableTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/EngineTableTest.java
@@ -9,7 +9,7 @@
 import sorrelhoist.routing.RoutingEvents.Server;
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
-/** A router's view of the engines, and the starts of their processes. */
+/** Tests the engines as a router sees them, and the start times of their processes. */
 class EngineTableTest {
     private static final long SECOND = 1_000_000;
 
@@ -28,14 +28,15 @@
         long since =
                 update(table, 100 * SECOND, engine(ServerState.SERVING, 7, 10 * SECOND)).since();
         assertEquals(90 * SECOND, since);
-        // The same process, listed again with an uptime that a slow network has bent.
+        // The same process is listed again with an uptime distorted by a slow network.
         assertEquals(
                 since,
                 update(table, 105 * SECOND, engine(ServerState.DRAINING, 7, 14 * SECOND)).since());
-        // It restarted within a second under the same id: later, whatever the uptimes say.
+        // The process restarted within a second under the same id, so its start is later whatever
+        // the uptimes say.
         Server restarted = update(table, 106 * SECOND, engine(ServerState.SERVING, 8, 30 * SECOND));
         assertTrue(restarted.since() > since);
-        // Late news of the process before says nothing of the one that runs.
+        // A delayed entry of the replaced process does not apply to the current one.
         assertEquals(
                 List.of(), table.update(107 * SECOND, List.of(engine(ServerState.GONE, 7, 0))));
     }
--- a/core/src/test/java/sorrelhoist/core/members/ProcessStartTimesTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/ProcessStartTimesTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Starts of processes as other machines' clocks give them. */
+/** Tests start times of processes given on the clocks of other machines. */
 class ProcessStartTimesTest {
     private static final long NOW = 1_000_000;
 
--- a/core/src/test/java/sorrelhoist/core/members/RegistryViewTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/RegistryViewTest.java
@@ -10,7 +10,7 @@
 import sorrelhoist.core.members.RegistryView.Change;
 import sorrelhoist.core.members.RegistryView.Instance;
 
-/** The registry's list, from full fetches and deltas. */
+/** Tests the registry view with full fetches and deltas. */
 class RegistryViewTest {
     private static Instance instance(String id, String status) {
         return new Instance("ENGINES", id, status, "127.0.0.1:1", Map.of());
--- a/core/src/test/java/sorrelhoist/core/members/ReplicaSlotsTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/ReplicaSlotsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.members.ReplicaSlots.Slot;
 
-/** The routers' numbers while routers join, leave and come back. */
+/** Tests the numbers of routers that join, leave and return. */
 class ReplicaSlotsTest {
     private static final long SECOND = 1_000_000;
 
--- a/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
@@ -7,19 +7,21 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Watches that fall silent, hang, are refused and reset, in virtual time. */
+/** Tests watches that fall silent, hang, are refused or are reset, in virtual time. */
 class WatchReconnectPolicyTest {
     private static final long STEP = 10_000;
     private static final long HEARTBEAT = 2_000_000;
 
-    /** What happens to the n-th attempt after the silence: it connects, hangs, or ends at once. */
+    /** The outcome of an attempt after the silence: it connects, hangs, or ends at once. */
     private enum AttemptOutcome {
         CONNECTS,
         HANGS,
         REFUSED
     }
 
-    /** {@return microseconds from the last message until a new watch is established} */
+    /**
+     * {@return the time from the last message until a new watch is established, in microseconds}
+     */
     private static long replacementTime(long seed, AttemptOutcome... outcomes) {
         WatchReconnectPolicy policy = new WatchReconnectPolicy(seed);
         long now = 1_000_000;
@@ -32,7 +34,7 @@
             long abandoned = policy.attemptToAbandon(now);
             assertTrue(
                     abandoned != established,
-                    "a silent watch is kept until another is established");
+                    "a silent watch must stay open until another is established");
             long number = policy.attemptToOpen(now);
             if (number != 0) {
                 AttemptOutcome outcome =
@@ -42,7 +44,7 @@
                     assertEquals(
                             established,
                             policy.messageReceived(now, number),
-                            "the silent one is dropped then");
+                            "the silent watch is dropped once another is established");
                     assertTrue(policy.isCurrent(number));
                     assertFalse(policy.isCurrent(established));
                     return now - silentFrom;
@@ -50,7 +52,9 @@
                     policy.watchEnded(now, number);
                 }
             }
-            assertTrue(policy.nextDeadline() > now, "what is due was done: nothing spins");
+            assertTrue(
+                    policy.nextDeadline() > now,
+                    "the next deadline must be in the future, or the event loop spins");
         }
         throw new AssertionError("no watch was opened");
     }
@@ -88,7 +92,7 @@
             away[39] = AttemptOutcome.CONNECTS;
             assertTrue(
                     first - replacementTime(seed, away) <= WatchReconnectPolicy.MAX_BACKOFF + STEP,
-                    "the pause stays short");
+                    "the reconnect delay must stay short");
         }
     }
 
@@ -133,12 +137,15 @@
         policy.messageReceived(0, old);
         assertEquals(0, policy.restart(500));
         long hanging = policy.attemptToOpen(500);
-        assertEquals(hanging, policy.restart(700), "an attempt at the former address is given up");
+        assertEquals(hanging, policy.restart(700), "an attempt at the former address is abandoned");
         long fresh = policy.attemptToOpen(700);
         assertTrue(policy.isCurrent(old));
         assertEquals(old, policy.messageReceived(900, fresh));
         policy.watchEnded(1000, old);
-        assertEquals(0, policy.attemptToOpen(1000), "the end of what was dropped changes nothing");
+        assertEquals(
+                0,
+                policy.attemptToOpen(1000),
+                "the end of a dropped watch must not open another one");
     }
 
     @Test
@@ -170,9 +177,9 @@
     }
 
     /**
-     * Every order of up to five outcomes of the attempts after a silence, with a change told at
-     * each moment between: it has arrived by the time at which it counts as announced, or a watch
-     * in use was open that could have brought it.
+     * Checks every sequence of five outcomes of the attempts after a silence: the next watch is
+     * established within the silence timeout, one attempt timeout for each attempt that hangs, and
+     * the longest delay for each attempt that fails.
      */
     @Test
     void inEveryOrderOfOutcomesTheNextListComesSoonAfterDiscoveryCanBeReached() {
@@ -196,7 +203,7 @@
                             + hung * WatchReconnectPolicy.ATTEMPT_TIMEOUT
                             + before * WatchReconnectPolicy.MAX_BACKOFF
                             + (before + 2) * STEP;
-            assertTrue(replacementTime(outcomes, order) <= bound, "order " + outcomes);
+            assertTrue(replacementTime(outcomes, order) <= bound, "sequence " + outcomes);
         }
     }
 }
--- a/core/src/test/java/sorrelhoist/core/reservation/LateArrivalReleaseTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/LateArrivalReleaseTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What prefills may leave that were given up, and reach their engine or end there later. */
+/** Tests the releases for abandoned prefills that reach their engine, or end there, later. */
 class LateArrivalReleaseTest extends ReservationTableTestSupport {
     private static final long SILENCE = 20 * LIMIT;
 
-    /** Until all releases have followed each other that are due once an engine was heard. */
+    /** Time after which the repeated releases end once an engine has responded. */
     private static final long SETTLED_AFTER = POLICY.lateArrivalMicros() + POLICY.renewMicros();
 
     private static final long FORGOTTEN_AFTER = POLICY.removedEngineMicros() + POLICY.renewMicros();
@@ -23,9 +23,9 @@
     private void assertReleasedWithinEachLimitWhileUnheard() {
         passAnsweringTo(SILENCE);
         assertEquals(1, table.size());
-        assertTrue(longestPause(0, SILENCE) <= LIMIT, "a pause of " + longestPause(0, SILENCE));
+        assertTrue(longestPause(0, SILENCE) <= LIMIT, "no release for " + longestPause(0, SILENCE));
         assertTrue(calls.size() <= SILENCE / POLICY.renewMicros() + 2, calls.size() + " releases");
-        assertEquals(0, table.releasableCount(), "an exit does not wait for the engine");
+        assertEquals(0, table.releasableCount(), "shutdown must not wait for the engine");
     }
 
     private void assertReleasedUntilItHasSettled() {
@@ -58,7 +58,7 @@
         table.engineRemoved("r0", now);
         long removedAt = now;
         passAnsweringTo(removedAt + FORGOTTEN_AFTER);
-        assertTrue(calls.size() > before, "not released once more");
+        assertTrue(calls.size() > before, "no release after the engine was removed");
         assertTrue(callTimes.get(calls.size() - 1) >= removedAt + POLICY.removedEngineMicros());
         assertTrue(longestPause(removedAt, callTimes.get(calls.size() - 1)) <= LIMIT);
         assertEquals(0, table.size());
@@ -78,7 +78,10 @@
         assertReleasedUntilItHasSettled();
     }
 
-    /** The stream took the state of another prefill. */
+    /**
+     * The stream consumes the state of another prefill, so the abandoned one may still create its
+     * own.
+     */
     @Test
     void aStreamThatBeganDoesNotEndTheWaitForWhatMayArriveLate() {
         table.opened(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
@@ -90,11 +93,13 @@
         assertEquals(1, table.size());
         long takenAt = now;
         passAnsweringTo(10 * LIMIT);
-        assertTrue(longestPause(takenAt, now) <= LIMIT, "the engine behind a cut goes on");
+        assertTrue(
+                longestPause(takenAt, now) <= LIMIT,
+                "releases must go on, as the engine may continue behind a network partition");
         assertReleasedUntilItHasSettled();
     }
 
-    /** Its engine was heard, but may have been stopped again before it came to the prefill. */
+    /** The engine responded, but may have been suspended again before it started the prefill. */
     @Test
     void aStreamDoesNotEndTheReleasesThatFollowEachOther() {
         table.opened(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
@@ -115,7 +120,9 @@
         assertEquals(0, table.size());
     }
 
-    /** A dead engine that stays on the list must not cost more calls with each request. */
+    /**
+     * An engine that is dead but still listed must not cause more and more calls with each request.
+     */
     @Test
     void releasesForAnEngineThatIsNeverHeardPauseAfterAWhileAndGoOnOnceItIsHeard() {
         openUnwanted(Hold.ofUndeliveredPrefill("r0", 0));
--- a/core/src/test/java/sorrelhoist/core/reservation/LeaseOfUnansweredAttemptsTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/LeaseOfUnansweredAttemptsTest.java
@@ -5,11 +5,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Holds of attempts that no engine has answered, where something else happens meanwhile. */
+/** Tests the holds of unanswered attempts while other events occur. */
 class LeaseOfUnansweredAttemptsTest extends ReservationTableTestSupport {
     private static final long MILLI = 1000;
 
-    /** Another connection speaks for it; its own may be silent. */
+    /**
+     * Sends a decode whose delivery is inferred from another connection; its own connection may be
+     * silent.
+     */
     private void decodeThatOnlyOthersSpeakFor(String engine) {
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, engine, now);
         table.attemptConnecting(KEY, now);
@@ -22,7 +25,7 @@
         decodeThatOnlyOthersSpeakFor("w0");
     }
 
-    /** The first is given up just before the release that is due beside it. */
+    /** The first decode is abandoned just before the release that is due while it is in flight. */
     @Test
     void theEndOfADecodeThatOnlyOthersSpokeForDoesNotRestartTheTimeOfItsState() {
         stateWithDecodeThatOnlyOthersSpeakFor();
@@ -43,10 +46,10 @@
             table.engineHeard("r1", now);
             passAnsweringTo(now + 10 * MILLI);
         }
-        assertEquals(1, calls.size(), "each sign of life of another engine is a release");
+        assertEquals(1, calls.size(), "a response of an unrelated engine must not cause a release");
     }
 
-    /** The first release of two lay at a stopped engine; its answer is as late. */
+    /** The first of two releases was delayed at a suspended engine, and so is its answer. */
     @Test
     void aLateAnswerDoesNotPutTheNextReleaseBesideADecodeOff() {
         stateWithDecodeThatOnlyOthersSpeakFor();
@@ -72,10 +75,14 @@
         while (calls.size() == before) {
             passTo(now + MILLI);
         }
-        assertEquals(0, table.releasableCount(), "a renewal on its way keeps the process");
+        assertEquals(
+                0, table.releasableCount(), "a repeated release in flight must not delay shutdown");
     }
 
-    /** A long prompt, or one behind others; the close of its silent connection never arrives. */
+    /**
+     * The prompt is long or queued behind others, and the close of the silent connection never
+     * arrives.
+     */
     @Test
     void aReadThatEndsTwoSecondsAfterItsEngineWasHeardIsReleasedInTime() {
         table.opened(KEY, Hold.ofGivenUpPrefill("r0", 0), now);
@@ -87,10 +94,14 @@
         passAnsweringTo(readAt + LIMIT);
         boolean released = callTimes.stream().anyMatch(time -> time >= readAt);
         long last = callTimes.get(callTimes.size() - 1);
-        assertTrue(released, "the last release was sent " + (readAt - last) + " us before");
+        assertTrue(
+                released,
+                "the last release was sent " + (readAt - last) + " us before the prefill ended");
     }
 
-    /** A stopped engine is taken off the list as silent; it runs again and is listed again. */
+    /**
+     * A suspended engine is removed from the list as unresponsive, resumes, and is listed again.
+     */
     @Test
     void whatAnEngineReadsThatLeftTheListUnheardIsReleasedOnceItIsListedAgain() {
         table.opened(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
@@ -104,6 +115,8 @@
         long backAt = now;
         table.engineHeard("r0", now);
         passAnsweringTo(backAt + LIMIT);
-        assertTrue(callTimes.stream().anyMatch(time -> time > backAt), "no release since it left");
+        assertTrue(
+                callTimes.stream().anyMatch(time -> time > backAt),
+                "no release since the engine was listed again");
     }
 }
--- a/core/src/test/java/sorrelhoist/core/reservation/ReleaseBeforeEngineHeardTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReleaseBeforeEngineHeardTest.java
@@ -6,12 +6,13 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** A release that was on its way as an engine that was stopped went on. */
+/** Tests a release that was in flight when a suspended engine resumed. */
 class ReleaseBeforeEngineHeardTest extends ReservationTableTestSupport {
     private static final long MILLI = 1000;
 
     /**
-     * The engine ends the prefill as it goes on, after the release before has arrived elsewhere.
+     * The engine finishes the prefill when it resumes, after the earlier release has reached
+     * another engine.
      */
     @Test
     void aReleaseAfterAnEngineWasHeardIsNotAbandonedForTheAnswerToOneBefore() {
@@ -27,10 +28,12 @@
         passTo(now + MILLI);
         table.releaseCompleted(before.id(), true, now);
         passTo(heardAt + LIMIT);
-        assertTrue(releasesKept(heardAt) > 0, "all abandoned or made before: " + callTimes);
+        assertTrue(
+                releasesKept(heardAt) > 0,
+                "every release was abandoned or sent before the engine responded: " + callTimes);
     }
 
-    /** {@return how many releases were made from a time on, and not given up before an answer} */
+    /** {@return the number of releases sent at or after {@code from} that were not abandoned} */
     private long releasesKept(long from) {
         return IntStream.range(0, calls.size())
                 .filter(i -> callTimes.get(i) >= from && !abandoned.contains(calls.get(i).id()))
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationHistoryTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationHistoryTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the log keeps of the history of a reservation. */
+/** Tests which part of the history of a reservation is logged. */
 class ReservationHistoryTest {
-    /** Of a line; it is cut at its end. */
+    /** Length at which the log truncates a line. */
     private static final int KEPT_CHARACTERS = 400;
 
-    /** Time, event, request, state, time held, number of releases. */
+    /** Characters taken by the time, event, request, state, held time and number of releases. */
     private static final int CHARACTERS_BEFORE_HISTORY = 120;
 
     private static final int STEPS = 40;
@@ -37,7 +37,7 @@
         history.add(ReservationStep.EXPIRED, "", (STEPS + 1) * MILLI);
         String kept = kept(history.toString());
         String last = "+40:given-up@" + ENGINE + ",+41:expired";
-        assertTrue(kept.endsWith(last), "the line ends in " + kept.substring(kept.length() - 40));
+        assertTrue(kept.endsWith(last), "the line ends with " + kept.substring(kept.length() - 40));
     }
 
     @Test
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationModel.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationModel.java
@@ -6,16 +6,17 @@
 import java.util.Map;
 
 /**
- * One request with a state at a reader, two workers that decode, and a table that is told of it
- * what a router would know. The model knows where bytes really are: it lets a release take effect
- * only where no decode waits for the state, whatever the release is answered.
+ * A model of one request with a prefill state at one engine and up to two decodes at others, and of
+ * a table that receives the events that a router would report. The model tracks where messages
+ * really are: a release takes effect only if no decode waits for the state, whatever the answer to
+ * the release is.
  */
 final class ReservationModel {
     private static final long STEP = 20_000;
     private static final ReservationKey KEY = ReservationTableTestSupport.KEY;
     private static final ReleasePolicy POLICY = ReservationTableTestSupport.POLICY;
 
-    /** What can happen. Those that are not possible now change nothing. */
+    /** The events. An event that is not possible in the current state changes nothing. */
     enum Event {
         SENT,
         WRITTEN,
@@ -34,7 +35,7 @@
         TIME_PASSED
     }
 
-    /** One decode, as the router and as its engine see it. */
+    /** One decode, as seen by the router and by its engine. */
     private static final class Decode {
         final int number;
         boolean written;
@@ -59,7 +60,7 @@
 
     private final List<Decode> decodes = new ArrayList<>();
 
-    /** Releases on their way, and whether each has arrived. */
+    /** Releases in flight, with whether each has arrived. */
     private final Map<Long, Boolean> releases = new LinkedHashMap<>();
 
     private final ReservationTable table =
@@ -80,17 +81,17 @@
 
         @Override
         public void abandon(long call) {
-            // It may arrive all the same; its answer is not waited for.
+            // An abandoned call may still arrive; its answer is ignored.
         }
 
         @Override
         public void expired(ReservationKey key, String engine, int calls) {
-            // Said in the log alone.
+            // Only logged.
         }
 
         @Override
         public void report(ReservationReport report) {
-            // Said in the log alone.
+            // Only logged.
         }
     }
 
@@ -99,7 +100,11 @@
         return last == null || last.overForRouter ? null : last;
     }
 
-    /** Lets an event happen. {@return whether it was possible} */
+    /**
+     * Applies an event.
+     *
+     * @return whether it was possible
+     */
     boolean happen(Event event) {
         passTo(now + STEP);
         Decode running = running();
@@ -152,7 +157,7 @@
         return first;
     }
 
-    /** Its engine fetches the state, and whatever else is held goes with it. */
+    /** The engine fetches the state, and everything else that is held is released. */
     private boolean stream(Decode decode) {
         held = false;
         unwanted = true;
@@ -176,14 +181,16 @@
         return true;
     }
 
-    /** Where nothing keeps it from arriving, it does so within the settling time. */
+    /** A close arrives within the settling time unless the network prevents it. */
     private boolean closeArrives(Decode decode) {
         boolean arrives = decode.overForRouter && !decode.overForEngine;
         decode.overForEngine |= arrives;
         return arrives;
     }
 
-    /** An engine that speaks after the end of an attempt runs: it learns of the end as well. */
+    /**
+     * An engine that responds after the end of an attempt is running, so it also learns of the end.
+     */
     private boolean engineIsHeard(Decode decode) {
         if (!decode.overForRouter || now - decode.overAt < STEP) {
             return false;
@@ -240,9 +247,9 @@
     }
 
     /**
-     * The request ends, engines run and are heard, and releases arrive and are answered at once.
+     * Ends the request; the engines run and respond, and releases arrive and are answered at once.
      *
-     * @return whether the state is released within the limit and the table knows it
+     * @return whether the state was released within the limit and the table has removed it
      */
     boolean endsClean() {
         Decode running = running();
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationModelTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationModelTest.java
@@ -9,8 +9,8 @@
 import sorrelhoist.core.reservation.ReservationModel.Event;
 
 /**
- * Every order of the events of a reservation with two decodes, up to a depth: nothing is forgotten
- * that is still held.
+ * Checks every sequence of events of a reservation with two decodes, up to a depth: the table must
+ * not forget a state that is still reserved.
  */
 class ReservationModelTest {
     private static final int DEPTH = 8;
@@ -20,12 +20,18 @@
     @Test
     void inEveryOrderTheStateIsReleasedInTimeOnceNothingWaitsForIt() {
         extend(new ArrayList<>());
-        System.out.println(orders + " orders of up to " + DEPTH + " events were played");
-        assertTrue(orders > 50_000, orders + " orders");
-        assertEquals(List.of(), broken.stream().limit(10).toList(), broken.size() + " broken");
+        System.out.println(orders + " sequences of up to " + DEPTH + " events were checked");
+        assertTrue(orders > 50_000, orders + " sequences");
+        assertEquals(
+                List.of(),
+                broken.stream().limit(10).toList(),
+                broken.size() + " sequences in which the state is not released in time");
     }
 
-    /** Plays an order, and all that begin with it; none in which an event changes nothing. */
+    /**
+     * Checks a sequence and all its extensions, skipping sequences with an event that changes
+     * nothing.
+     */
     private void extend(List<Event> order) {
         ReservationModel model = new ReservationModel();
         for (int i = 0; i < order.size(); i++) {
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationReportTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationReportTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.reservation.ReservationReport.State;
 
-/** What is reported of reservations that their decodes did not take. */
+/** Tests the reports about reservations that were not consumed by their decodes. */
 class ReservationReportTest extends ReservationTableTestSupport {
     private void decodeWritten() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Reservations of single requests, with time in the test's hands. */
+/** Tests reservations of single requests in virtual time. */
 class ReservationTableTest extends ReservationTableTestSupport {
     @Test
     void aStateThatNothingWantsIsReleasedAtOnceByOneCall() {
@@ -25,7 +25,8 @@
         table.opened(KEY, Hold.ofLostPrefill("r0", 0), now);
         table.unwanted(KEY, now);
         answerLast(true);
-        assertEquals(1, table.size(), "the first call may have overtaken the close");
+        assertEquals(
+                1, table.size(), "the hold stays, as the release may have overtaken the close");
         passTo(POLICY.settleMicros() - 1);
         assertEquals(1, calls.size());
         passTo(POLICY.settleMicros());
@@ -59,7 +60,8 @@
         table.attemptDelivered(KEY, now);
         passAnsweringTo(10 * LIMIT);
         assertTrue(
-                longestPause(0, now) <= LIMIT, "its writer may be gone, and the request with it");
+                longestPause(0, now) <= LIMIT,
+                "releases are needed, as the decode engine may be gone together with the request");
         assertEquals(10 * LIMIT / POLICY.renewMicros(), calls.size());
         table.taken(KEY, now);
         assertEquals(0, table.size());
@@ -85,15 +87,16 @@
         table.unwanted(KEY, now);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptConnecting(KEY, now);
-        assertEquals(1, abandoned.size(), "the attempt is to take it");
+        assertEquals(
+                1, abandoned.size(), "the attempt needs the state, so its release is abandoned");
         now = 10_000;
         table.attemptEnded(KEY, AttemptEnding.NOT_SENT, now);
         passTo(now);
-        assertEquals(2, calls.size(), "at once, as it was due before");
+        assertEquals(2, calls.size(), "the release is due at once, as before the attempt");
         answerLast(true);
         table.attemptEnded(KEY, AttemptEnding.NOT_SENT, now);
         passTo(10 * LIMIT);
-        assertEquals(2, calls.size(), "once");
+        assertEquals(2, calls.size(), "the state is released only once");
         table.attemptEnded(ReservationKey.ofRequest("b"), AttemptEnding.NOT_SENT, now);
         assertEquals(2, calls.size());
     }
@@ -107,7 +110,7 @@
         table.taken(KEY, now);
         table.attemptEnded(KEY, AttemptEnding.ANSWERED, now);
         passTo(10 * LIMIT);
-        assertEquals(1, calls.size(), "the one before the attempt");
+        assertEquals(1, calls.size(), "only the release before the attempt");
         assertEquals(0, table.size());
     }
 
@@ -130,10 +133,14 @@
         table.attemptSent(KEY, AttemptPurpose.PREFILL, "r0", now);
         table.attemptDelivered(KEY, now);
         passTo(POLICY.idleMicros());
-        assertEquals(1, calls.size(), "the second read may never have arrived");
+        assertEquals(
+                1, calls.size(), "a release is due, as the second prefill may never have arrived");
         table.attemptEnded(KEY, AttemptEnding.ANSWERED, now);
         table.prefillCompleted(KEY, Hold.ofPrefillState("r1", ""), now);
-        assertEquals(List.of(lastCall().id()), abandoned, "it would take the second state away");
+        assertEquals(
+                List.of(lastCall().id()),
+                abandoned,
+                "the release would remove the second state as well");
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptDelivered(KEY, now);
         passTo(now + POLICY.renewMicros() - 1);
@@ -156,15 +163,17 @@
     }
 
     /**
-     * The holder is dead, another engine is silent: the third one asked still has it before the
-     * limit.
+     * The holder is dead and a second engine does not answer; the third one still receives the
+     * release before the limit.
      */
     @Test
     void aReleaseArrivesWithTimeToSpareThoughTwoEnginesDoNotAnswer() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         passTo(LIMIT);
         assertEquals(
-                POLICY.idleMicros(), callTimes.get(0), "half the limit was waited for a writer");
+                POLICY.idleMicros(),
+                callTimes.get(0),
+                "the first release is sent after half the limit");
         assertTrue(callTimes.get(2) <= LIMIT - POLICY.safetyMarginMicros(), callTimes.toString());
         assertEquals(3, calls.stream().limit(3).map(ReleaseCall::engine).distinct().count());
     }
@@ -179,7 +188,7 @@
         }
         assertEquals(4, calls.size());
         passTo(2 * POLICY.retryMicros());
-        assertTrue(calls.size() > 4, "from the beginning, a little later");
+        assertTrue(calls.size() > 4, "calls must continue after the retry interval");
     }
 
     @Test
@@ -215,12 +224,13 @@
         assertEquals(1, expired.size());
         assertTrue(expired.get(0).startsWith("a at "), expired.get(0));
         assertEquals(0, table.releaseCallsInFlight());
-        assertTrue(calls.size() <= 10, calls.size() + " calls for a release that nobody answers");
-        assertEquals(0, table.releasableCount(), "an exit does not wait for it");
+        assertTrue(
+                calls.size() <= 10, calls.size() + " calls for a release that no engine answers");
+        assertEquals(0, table.releasableCount(), "shutdown must not wait for it");
         int before = calls.size();
         passTo(11 * POLICY.expiryMicros());
         assertEquals(before + 10, calls.size());
-        assertEquals(1, table.releaseCallsInFlight(), "the ones before are given up");
+        assertEquals(1, table.releaseCallsInFlight(), "the earlier calls are abandoned");
         assertEquals(1, expired.size());
         answerLast(true);
         assertEquals(0, table.size());
@@ -262,7 +272,7 @@
         answerLast(true);
         assertEquals(1, table.size());
         passTo(POLICY.idleMicros());
-        assertEquals(2, calls.size(), "what the earlier request left is still released");
+        assertEquals(2, calls.size(), "the hold of the earlier request is still released");
     }
 
     @Test
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTestSupport.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTestSupport.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A table of reservations with its calls kept and time in the test's hands. */
+/** A reservation table in virtual time that records its release calls. */
 abstract class ReservationTableTestSupport {
     static final long LIMIT = 500_000;
     static final int MOST = 8;
@@ -57,7 +57,7 @@
         now = time;
     }
 
-    /** Lets time pass; each release is answered at once. */
+    /** Advances the time and answers each release at once. */
     void passAnsweringTo(long time) {
         while (table.nextDueMicros() <= time) {
             int before = calls.size();
@@ -69,7 +69,7 @@
         now = time;
     }
 
-    /** {@return the longest time without a release from one time to another, in microseconds} */
+    /** {@return the longest time without a release between two times, in microseconds} */
     long longestPause(long from, long to) {
         long longest = 0;
         long last = from;
--- a/core/src/test/java/sorrelhoist/core/scheduling/BackgroundSchedulerTest.java
+++ b/core/src/test/java/sorrelhoist/core/scheduling/BackgroundSchedulerTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Priorities, budgets, deadlines, and the bound on starvation, with time in the test's hands. */
+/** Tests priorities, budgets, deadlines and the bound on starvation in virtual time. */
 class BackgroundSchedulerTest {
     private static final long SECOND = 1_000_000;
     private static final long NEVER = Long.MAX_VALUE;
@@ -93,11 +93,11 @@
             BackgroundScheduler.Slice slice = scheduler.nextSlice(now, false);
             if (slice == null) {
                 long wake = scheduler.nextWakeAt(now);
-                assertTrue(wake > now, "asked to wake at once and given nothing");
+                assertTrue(wake > now, "nextWakeAt must be later than now if there is no slice");
                 now = Math.min(end, wake);
                 continue;
             }
-            // It overspends, as work that cannot be cut exactly does.
+            // The cost exceeds the slice, as for work that cannot be cut exactly.
             long cost = slice.cpuMicros() + random.nextLong(3000);
             long size = random.nextLong(40_000);
             cpu[slice.job().equals(LOW) ? 0 : 1] += cost;
@@ -108,7 +108,7 @@
         assertTrue(cpu[0] <= 61 * 100_000 + 10_000, "low used " + cpu[0]);
         assertTrue(cpu[1] <= 61 * 100_000 + 10_000, "high used " + cpu[1]);
         assertTrue(bytes <= 61L * (1 << 20) + 40_000, "high moved " + bytes);
-        assertTrue(cpu[0] + cpu[1] > 5 * SECOND, "too little: " + (cpu[0] + cpu[1]));
+        assertTrue(cpu[0] + cpu[1] > 5 * SECOND, "the jobs used too little: " + (cpu[0] + cpu[1]));
         assertTrue(cpu[0] > 0 && cpu[1] >= cpu[0], cpu[0] + " and " + cpu[1]);
     }
 
--- a/core/src/test/java/sorrelhoist/core/scheduling/TokenBucketTest.java
+++ b/core/src/test/java/sorrelhoist/core/scheduling/TokenBucketTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A bucket that refills, is capped, and pays back debts. */
+/** Tests the refill, the capacity and debts of a token bucket. */
 class TokenBucketTest {
     private static final long SECOND = 1_000_000;
 
