--- a/core/src/main/java/sorrelhoist/core/request/ActionExecutor.java
+++ b/core/src/main/java/sorrelhoist/core/request/ActionExecutor.java
@@ -11,7 +11,10 @@
 import sorrelhoist.routing.RoutingActions.Tell;
 import sorrelhoist.routing.RoutingActions.Timer;
 
-/** Executes the routing policy's actions: those of requests elsewhere, those of the fleet here. */
+/**
+ * Executes the routing policy's actions. Actions that concern one request are delegated to {@link
+ * RequestActions}; all others are executed here.
+ */
 final class ActionExecutor {
     private final RequestActions requestActions;
     private final TimerQueue<RouterTimer> timers;
@@ -29,7 +32,7 @@
         this.commands = commands;
     }
 
-    /** Creates an executor with the parts that only it uses. */
+    /** Creates an executor together with the collaborators that no other class uses. */
     static ActionExecutor create(
             RequestComponents core, StreamMigration migration, Consumer<Command> commands) {
         AttemptSender sender =
--- a/core/src/main/java/sorrelhoist/core/request/Attempt.java
+++ b/core/src/main/java/sorrelhoist/core/request/Attempt.java
@@ -2,7 +2,7 @@
 
 import sorrelhoist.core.delivery.AttemptDelivery;
 
-/** One send of a request to one engine, until its one outcome. */
+/** One send of a request to one engine. Every attempt ends with exactly one outcome. */
 final class Attempt {
     final RequestState request;
     final AttemptId id;
@@ -14,16 +14,16 @@
     final boolean prefill;
     final long sentAt;
 
-    /** Whether its outcome is known. */
+    /** Whether the outcome of the attempt is known. */
     boolean ended;
 
-    /** Whether its first token came. */
+    /** Whether the first token was received. */
     boolean streaming;
 
-    /** What is known of its way to its engine. */
+    /** What is known about whether the attempt reached its engine. */
     final AttemptDelivery delivery;
 
-    /** When its latest token came, or its client took tokens again. */
+    /** When the latest token was received or the client resumed reading, whichever is later. */
     long lastTokenAt;
 
     Attempt(
--- a/core/src/main/java/sorrelhoist/core/request/AttemptCommands.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptCommands.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import sorrelhoist.routing.Reason;
 
-/** Turns attempts into the commands that send them to engines. */
+/** Builds and emits the commands that send attempts to engines. */
 final class AttemptCommands {
     private final IdempotencyWindow idempotencyWindow;
     private final Consumer<Command> commands;
--- a/core/src/main/java/sorrelhoist/core/request/AttemptDeliveries.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptDeliveries.java
@@ -15,15 +15,17 @@
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
- * Whether running attempts have reached their engines, and who has to know: what is reserved for
- * their requests, and the routing policy, which may send a request elsewhere.
+ * Tracks whether running attempts have reached their engines. Reports the results to {@link
+ * RequestReservations} and to the routing policy, which may then send a request to another engine.
  */
 final class AttemptDeliveries {
-    /** Outcomes that are the engine's own answer to the attempt. */
+    /** Outcomes that the engine itself returned for the attempt. */
     private static final Set<Outcome> ANSWERS =
             EnumSet.of(Outcome.DONE, Outcome.READ, Outcome.ERROR, Outcome.FULL);
 
-    /** Outcomes after which an engine may still have the attempt, and not know that it is over. */
+    /**
+     * Outcomes after which an engine may still hold the attempt without knowing that it has ended.
+     */
     private static final Set<Outcome> UNANSWERED =
             EnumSet.of(Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.RESET);
 
@@ -47,7 +49,7 @@
         this.monitor = new DeliveryMonitor<>(policy, new MonitorListener());
     }
 
-    /** Carries out what the monitor finds. */
+    /** Acts on the findings of the delivery monitor. */
     private final class MonitorListener implements DeliveryMonitor.Listener<Attempt> {
         @Override
         public void ask(String engine) {
@@ -82,22 +84,23 @@
         }
     }
 
-    /** The attempt's last byte was written. */
+    /** Called when the last byte of an attempt was written. */
     void written(Attempt attempt) {
         long heldSince = attempt.prefill ? clock.now() : reservations.heldSince(attempt.request);
         monitor.written(attempt, attempt.delivery, heldSince, clock.now());
     }
 
-    /** The engine answers the attempt. */
+    /** Called when the engine responds to an attempt. */
     void answered(Attempt attempt) {
         monitor.answered(attempt, attempt.delivery);
     }
 
     /**
-     * The attempt ended, well or not.
+     * Called when an attempt ends, successfully or not.
      *
-     * @return whether its engine has to be heard before it is known that its end has arrived there:
-     *     a prefill may yet end well, however late, and a decode may yet wait for what is held
+     * @return whether the router has to wait for a response from the engine to know that the end of
+     *     the attempt has reached the engine; until then, a prefill may still complete, however
+     *     late, and a decode may still wait in the engine's queue for what is reserved
      */
     boolean ended(Attempt attempt, Outcome outcome) {
         if (ANSWERS.contains(outcome)) {
@@ -121,14 +124,20 @@
         return !attempt.streaming && reservations.mayWaitFor(attempt);
     }
 
-    /** An engine began to answer a call that was written to it at a time. */
+    /**
+     * Called when an engine begins to respond to a call that was written to it at {@code writtenAt}
+     * or later.
+     */
     void callAnswered(String engine, long writtenAt) {
         if (monitor.callAnswered(engine, writtenAt)) {
             reservations.awaitedEngineHeard(engine);
         }
     }
 
-    /** The endpoint list, or an update of it: what left it is not waited for any longer. */
+    /**
+     * Applies the complete endpoint list or an update of it. Stops waiting for engines that are no
+     * longer on the list.
+     */
     void endpointsUpdated(ListUpdateKind updateKind, List<Server> servers) {
         Set<String> listed = new HashSet<>();
         for (Server server : servers) {
@@ -150,7 +159,10 @@
         reservations.engineRemoved(engine);
     }
 
-    /** The call that asked an engine for a sign of life ended, or could not be made. */
+    /**
+     * Called when a reachability check of an engine ended; {@code asked} is false if the check
+     * could not be sent.
+     */
     void reachabilityChecked(String engine, boolean asked) {
         if (asked) {
             monitor.questionEnded(engine, clock.now());
@@ -159,12 +171,12 @@
         }
     }
 
-    /** Asks and reports what is due. */
+    /** Sends the reachability checks and reports the unconfirmed attempts that are due. */
     void advance() {
         monitor.advance(clock.now());
     }
 
-    /** {@return when {@link #advance()} is next needed; Long.MAX_VALUE for never} */
+    /** {@return when {@link #advance()} has to be called next; Long.MAX_VALUE for never} */
     long nextDueMicros() {
         return monitor.nextDueMicros();
     }
--- a/core/src/main/java/sorrelhoist/core/request/AttemptFailures.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptFailures.java
@@ -4,7 +4,10 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
-/** Attempts that end without success, by themselves or because the router cancels them. */
+/**
+ * Handles attempts that end without success, either by themselves or because the router cancels
+ * them.
+ */
 final class AttemptFailures {
     private static final long NO_STATE_TO_FETCH = 1;
     private static final long STATE_RELEASED = 2;
@@ -25,21 +28,22 @@
         this.commands = commands;
     }
 
-    /** Stops waiting for an attempt; its outcome is known here and now. */
+    /** Cancels an attempt and ends it with the given outcome at once. */
     void cancelAttempt(Attempt attempt, Outcome outcome) {
         commands.accept(new Command.CancelAttempt(attempt.id));
-        // Nothing can have run where the request was never written: its time was used up by
+        // The engine cannot have run a request that was never written: the timeout elapsed while
         // connecting.
         boolean neverConnected = !attempt.delivery.isWritten() && outcome == Outcome.TIMED_OUT;
         failed(attempt, neverConnected ? Outcome.CONNECT_FAILED : outcome, 0, ServerLoad.NONE);
     }
 
     /**
-     * An attempt ended without success.
+     * Ends an attempt that did not succeed.
      *
-     * @param attempt which
-     * @param outcome how; neither DONE nor READ
-     * @param note 1 with FULL where no state was there to fetch
+     * @param attempt the attempt that ended
+     * @param outcome how the attempt ended; neither DONE nor READ
+     * @param note 1 with outcome FULL if the decode engine found no prefill state to fetch;
+     *     otherwise 0
      * @param load the engine's load report, or {@link ServerLoad#NONE}
      */
     void failed(Attempt attempt, Outcome outcome, long note, ServerLoad load) {
--- a/core/src/main/java/sorrelhoist/core/request/AttemptHolds.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptHolds.java
@@ -5,11 +5,11 @@
 import sorrelhoist.core.reservation.Hold.Certainty;
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
-/** What attempts that have ended may leave at their engines. */
+/** Determines what attempts that have ended may still hold at their engines. */
 final class AttemptHolds {
     private AttemptHolds() {}
 
-    /** {@return how an attempt ended, as far as it concerns what is reserved} */
+    /** {@return how an attempt ended, as far as it affects reservations} */
     static AttemptEnding endingOf(Attempt attempt, Outcome outcome) {
         if (!attempt.delivery.isWritten()) {
             return AttemptEnding.NOT_SENT;
@@ -23,11 +23,12 @@
     }
 
     /**
-     * {@return what an attempt may have left, or null for nothing}
+     * {@return what an attempt may still hold at its engine, or null if nothing}
      *
-     * @param attempt which
-     * @param outcome how it ended
-     * @param awaitsEngine whether its engine has to be heard before its end is known there
+     * @param attempt the attempt that ended
+     * @param outcome how the attempt ended
+     * @param awaitsEngine whether the router has to wait for a response from the engine to know
+     *     that the end of the attempt has reached the engine
      */
     static Hold leftBy(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
         AttemptEnding ending = endingOf(attempt, outcome);
@@ -39,7 +40,7 @@
                 : leftByDecode(attempt, ending, awaitsEngine);
     }
 
-    /** A prefill may have ended well in the moment in which it was lost or cancelled. */
+    /** A prefill may have completed at the same moment at which it was lost or cancelled. */
     private static Hold leftByPrefill(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
         if (outcome == Outcome.READ || outcome == Outcome.FULL) {
             return null;
@@ -53,7 +54,10 @@
                 : Hold.ofUndeliveredPrefill(attempt.engine, number);
     }
 
-    /** A decode that was not answered may stand in its engine's queue, though it is over. */
+    /**
+     * A decode that was not answered may remain in its engine's queue after it has ended at the
+     * router.
+     */
     private static Hold leftByDecode(Attempt attempt, AttemptEnding ending, boolean awaitsEngine) {
         if (ending == AttemptEnding.ANSWERED || attempt.streaming) {
             return null;
--- a/core/src/main/java/sorrelhoist/core/request/AttemptId.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptId.java
@@ -1,9 +1,9 @@
 package sorrelhoist.core.request;
 
 /**
- * Names an attempt.
+ * Identifies an attempt.
  *
- * @param requestId the request's number at the routing policy; a resumed stream has a new one
- * @param number of the send, from 0
+ * @param requestId the request's ID at the routing policy; a resumed stream gets a new one
+ * @param number number of the send under this request ID, starting at 0
  */
 public record AttemptId(long requestId, int number) {}
--- a/core/src/main/java/sorrelhoist/core/request/AttemptSender.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptSender.java
@@ -5,7 +5,11 @@
 import sorrelhoist.routing.RoutingActions.Send;
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
-/** Sends attempts where the routing policy orders them, unless they have become pointless. */
+/**
+ * Starts the attempts that the routing policy orders. Skips a send if its request has finished, its
+ * timeout has passed, another attempt of the request is running, or the engine is not on the
+ * endpoint list.
+ */
 final class AttemptSender {
     private final RequestTable requests;
     private final EngineKinds engineKinds;
@@ -32,7 +36,9 @@
         this.clock = clock;
     }
 
-    /** Carries out the policy's order to send a request to an engine. */
+    /**
+     * Executes the policy's order to send a request to an engine, or reports the send as skipped.
+     */
     void send(Send order) {
         attempts.sendOrdered();
         RequestState request = requests.byRoutingId(order.id());
--- a/core/src/main/java/sorrelhoist/core/request/AttemptTracker.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptTracker.java
@@ -6,7 +6,9 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 import sorrelhoist.routing.RoutingEvents.StreamStarted;
 
-/** The account of attempts: each send of the routing policy gets exactly one outcome. */
+/**
+ * Tracks attempts. Ensures that every send ordered by the routing policy gets exactly one outcome.
+ */
 final class AttemptTracker {
     private final RouterClock clock;
     private final DecisionLoop decisions;
@@ -26,12 +28,12 @@
         this.deliveries = deliveries;
     }
 
-    /** The policy ordered a send. */
+    /** Counts a send that the policy ordered. */
     void sendOrdered() {
         sends++;
     }
 
-    /** A send that was ordered does not go out. */
+    /** Reports the outcome of a send that was ordered but not started. */
     void skipped(Send send, int number, Outcome outcome, boolean requestOver) {
         outcomes++;
         decisions.submitEvent(
@@ -46,7 +48,7 @@
                         ServerLoad.NONE));
     }
 
-    /** An attempt is about to go out. */
+    /** Called before an attempt is sent. */
     void started(Attempt attempt) {
         attempt.request.runningAttempt = attempt;
         attempt.request.apply(
@@ -55,19 +57,22 @@
                         : RequestPhase.Transition.DECODE_SENT);
     }
 
-    /** The attempt waits for a connection, so nothing of it is written yet. */
+    /** Called when an attempt waits for a connection, so that none of it has been written yet. */
     void connecting(Attempt attempt) {
         attempt.delivery.connecting();
         reservations.connecting(attempt.request);
     }
 
-    /** The attempt's last byte was written. */
+    /** Called when the last byte of an attempt was written. */
     void written(Attempt attempt) {
         deliveries.written(attempt);
         reservations.written(attempt.request);
     }
 
-    /** A prefill ended well, and its state waits at the engine. */
+    /**
+     * Called when a prefill succeeded; its state is held at the engine until it is fetched or
+     * released.
+     */
     void prefillCompleted(Attempt attempt, String stateId, long cachedTokens, ServerLoad load) {
         RequestState request = attempt.request;
         reservations.prefillCompleted(attempt, stateId);
@@ -75,7 +80,7 @@
         ended(attempt, Outcome.READ, request.finished, cachedTokens, load);
     }
 
-    /** The first token came. */
+    /** Called when the first token of an attempt was received. */
     void streamStarted(Attempt attempt) {
         RequestState request = attempt.request;
         attempt.streaming = true;
@@ -90,7 +95,7 @@
                         clock.now() - attempt.sentAt));
     }
 
-    /** The whole answer came. */
+    /** Called when the whole answer was received. */
     void streamCompleted(Attempt attempt, long cachedTokens, ServerLoad load) {
         attempt.request.apply(RequestPhase.Transition.STREAM_COMPLETED);
         reservations.taken(attempt.request);
@@ -98,12 +103,14 @@
     }
 
     /**
-     * An attempt has its outcome.
+     * Ends an attempt and reports its outcome to the routing policy.
      *
-     * @param attempt which
-     * @param outcome how it ended
-     * @param requestOver whether the policy need not do anything more for the request
-     * @param note what the outcome adds: cached tokens, or 1 with FULL where no state was there
+     * @param attempt the attempt that ended
+     * @param outcome how the attempt ended
+     * @param requestOver whether the request is over, so that the policy does nothing more for it
+     * @param note detail of the outcome: for a successful attempt, the number of cached tokens; for
+     *     a failed decode, 1 if the outcome is FULL because the engine found no prefill state to
+     *     fetch, or 2 if the state may have been released before the decode used it
      * @param load the engine's load report, or {@link ServerLoad#NONE}
      */
     void ended(Attempt attempt, Outcome outcome, boolean requestOver, long note, ServerLoad load) {
@@ -128,7 +135,7 @@
                         load));
     }
 
-    /** {@return whether the engine may have begun work that has an effect} */
+    /** {@return whether the engine may have begun work that has a side effect} */
     private static boolean mayHaveRun(Attempt attempt, Outcome outcome) {
         return !attempt.prefill
                 && attempt.delivery.isWritten()
@@ -136,7 +143,7 @@
                 && outcome != Outcome.CONNECT_FAILED;
     }
 
-    /** {@return sends ordered less outcomes reported: the number of running attempts} */
+    /** {@return ordered sends minus reported outcomes, which is the number of running attempts} */
     long sendsWithoutOutcome() {
         return sends - outcomes;
     }
--- a/core/src/main/java/sorrelhoist/core/request/ClientCommands.java
+++ b/core/src/main/java/sorrelhoist/core/request/ClientCommands.java
@@ -1,16 +1,16 @@
 package sorrelhoist.core.request;
 
-/** The commands that concern clients, and the log. */
+/** Commands that concern clients and the log. */
 public interface ClientCommands {
-    /** Gives a client a token or an event. */
+    /** Delivers a token or an opaque event to a client. */
     void deliverToken(Command.DeliverToken command);
 
-    /** Gives a client its final result. */
+    /** Delivers the final result to a client. */
     void finishRequest(Command.FinishRequest command);
 
     /** Writes a line to the log. */
     void writeLog(Command.WriteLog command);
 
-    /** Reports that what must always hold did not. */
+    /** Reports the violation of an invariant. */
     void reportViolation(Command.ReportViolation command);
 }
--- a/core/src/main/java/sorrelhoist/core/request/ClientResponses.java
+++ b/core/src/main/java/sorrelhoist/core/request/ClientResponses.java
@@ -5,7 +5,7 @@
 import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.routing.Reason;
 
-/** What clients receive: tokens, then one final result and nothing after it. */
+/** Delivers responses to clients: tokens, then exactly one final result and nothing after it. */
 final class ClientResponses {
     private final RequestTable requests;
     private final RouterClock clock;
@@ -23,12 +23,12 @@
         this.commands = commands;
     }
 
-    /** Gives the client a token or an opaque event. */
+    /** Delivers a token or an opaque event to the client. */
     void deliver(RequestState request, int index, String text, Object attachment) {
         commands.accept(new Command.DeliverToken(request.clientId, index, text, attachment));
     }
 
-    /** Gives the client its final result, unless it has one or has left. */
+    /** Delivers the final result to the client, unless it already has one or has disconnected. */
     void finish(RequestState request, RequestResult result) {
         if (request.finished) {
             return;
@@ -38,7 +38,10 @@
         commands.accept(new Command.FinishRequest(request.clientId, result));
     }
 
-    /** The client left: it gets nothing more. */
+    /**
+     * Marks the request of a client that disconnected as finished; the client receives nothing
+     * more.
+     */
     void clientDisconnected(RequestState request) {
         requests.finish(request);
         report(request, RecordEntry.Completion.LEFT, Reason.UNKNOWN);
--- a/core/src/main/java/sorrelhoist/core/request/Command.java
+++ b/core/src/main/java/sorrelhoist/core/request/Command.java
@@ -4,20 +4,24 @@
 import sorrelhoist.core.reservation.ReservationReport;
 import sorrelhoist.routing.Reason;
 
-/** What a {@link Router} has its transport do, in the order in which it is given. */
+/**
+ * A command from a {@link Router} to its transport. The transport executes commands in the order in
+ * which the router emits them.
+ */
 public sealed interface Command {
     /** Calls the handler's method for this command. */
     void accept(CommandHandler handler);
 
     /**
-     * What is sent where, by either kind of attempt.
+     * The payload and the destination of an attempt, common to prefill and decode.
      *
-     * @param attempt names the attempt
-     * @param requestName the request's name at engines
-     * @param engine where to
-     * @param request what the client asks for
-     * @param prompt the text to read, with what was generated so far where a stream is resumed
-     * @param promptTokens its tokens
+     * @param attempt ID of the attempt
+     * @param requestName the name under which engines know the request
+     * @param engine the engine that the attempt is sent to
+     * @param request the client's request
+     * @param prompt the text to prefill; for a resumed stream, the client's prompt followed by the
+     *     text generated so far
+     * @param promptTokens length of {@code prompt}, in tokens
      * @param reason why this engine was selected
      */
     record AttemptTarget(
@@ -29,37 +33,40 @@
             long promptTokens,
             Reason reason) {}
 
-    /** Start an attempt. Answered by one outcome of this attempt. */
+    /**
+     * Starts an attempt. The transport answers with exactly one outcome of the attempt, unless the
+     * attempt is cancelled first.
+     */
     sealed interface StartAttempt extends Command {
-        /** {@return what is sent where} */
+        /** {@return the payload and the destination of the attempt} */
         AttemptTarget target();
 
-        /** {@return the attempt's name} */
+        /** {@return the ID of the attempt} */
         default AttemptId attempt() {
             return target().attempt();
         }
 
-        /** {@return the request's name at engines} */
+        /** {@return the name under which engines know the request} */
         default String requestName() {
             return target().requestName();
         }
 
-        /** {@return where to send it} */
+        /** {@return the engine that the attempt is sent to} */
         default String engine() {
             return target().engine();
         }
 
-        /** {@return what the client asks for} */
+        /** {@return the client's request} */
         default InferenceRequest request() {
             return target().request();
         }
 
-        /** {@return the text to read} */
+        /** {@return the text to prefill} */
         default String prompt() {
             return target().prompt();
         }
 
-        /** {@return the tokens of the text to read} */
+        /** {@return the length of the text to prefill, in tokens} */
         default long promptTokens() {
             return target().promptTokens();
         }
@@ -71,9 +78,9 @@
     }
 
     /**
-     * Have an engine read the prompt.
+     * Has an engine prefill the prompt.
      *
-     * @param target what is sent where
+     * @param target the payload and the destination of the attempt
      * @param deadlineMicros when the attempt times out, on the router's clock; Long.MAX_VALUE for
      *     never
      */
@@ -85,16 +92,19 @@
     }
 
     /**
-     * Have an engine fetch the prefill state and answer. Answered by tokens as well.
+     * Has an engine fetch the prefill state and decode. The transport also reports the tokens of
+     * the answer.
      *
-     * @param target what is sent where
-     * @param prefillState what to fetch, or null where the engine reads the prompt by itself
-     * @param decodeSlot reserved there, or empty
-     * @param firstTokenIndex the first index that the client has not received
-     * @param deadlineMicros when the client's time for the whole answer is up; Long.MAX_VALUE where
-     *     it gave none
-     * @param sendByMicros when its last byte has to have left, or it must not be sent any more;
-     *     Long.MAX_VALUE for no limit
+     * @param target the payload and the destination of the attempt
+     * @param prefillState the prefill state to fetch, or null if the engine prefills the prompt
+     *     itself
+     * @param decodeSlot name of the decode slot reserved at the engine, or empty if none is
+     *     reserved
+     * @param firstTokenIndex index of the first token that the client has not received yet
+     * @param deadlineMicros the client's deadline for the whole answer; Long.MAX_VALUE if it set
+     *     none
+     * @param sendByMicros the latest time at which the last byte of the request may be sent; after
+     *     it, the request must not be sent any more; Long.MAX_VALUE for no limit
      */
     record StartDecode(
             AttemptTarget target,
@@ -111,9 +121,9 @@
     }
 
     /**
-     * Stop waiting for an attempt; nothing of it is reported any more.
+     * Cancels an attempt. The transport reports nothing about it any more.
      *
-     * @param attempt which
+     * @param attempt ID of the attempt
      */
     record CancelAttempt(AttemptId attempt) implements Command {
         @Override
@@ -123,12 +133,13 @@
     }
 
     /**
-     * Reserve a decode slot ahead of its use. Answered by {@link Router#decodeSlotAnswered}.
+     * Reserves a decode slot in advance. Answered by {@link Router#decodeSlotAnswered} or {@link
+     * Router#decodeSlotUnknown}.
      *
-     * @param requestId which request
-     * @param requestName its name at engines
+     * @param requestId ID of the request at the routing policy
+     * @param requestName the name under which engines know the request
      * @param engine the engine that is to decode
-     * @param request what the client asks for
+     * @param request the client's request
      */
     record ReserveDecodeSlot(
             long requestId, String requestName, String engine, InferenceRequest request)
@@ -140,17 +151,18 @@
     }
 
     /**
-     * Have an engine release what it holds for a request. Answered by {@link
+     * Has an engine release what it holds for a request. Answered by {@link
      * Router#releaseCompleted}.
      *
-     * @param releaseId names the call
-     * @param requestName the request's name at engines; a slot's name where its request is not
-     *     known
-     * @param engine which
-     * @param prefillState the state's name; empty for what cancelled prefills left
-     * @param decodeSlot the slot's name; may be empty
-     * @param upToAttempt where neither is named: the last attempt whose state is meant, so that a
-     *     later prefill at the same engine keeps its own
+     * @param releaseId ID of the release call
+     * @param requestName the name under which engines know the request; the name of the slot if the
+     *     request is not known
+     * @param engine the engine that the release is sent to
+     * @param prefillState name of the prefill state; empty for the states that lost or cancelled
+     *     prefills may have produced
+     * @param decodeSlot name of the decode slot; may be empty
+     * @param upToAttempt if neither a prefill state nor a decode slot is named, the last attempt
+     *     whose state is released, so that a later prefill at the same engine keeps its state
      */
     record ReleaseReservation(
             long releaseId,
@@ -167,9 +179,10 @@
     }
 
     /**
-     * Stop waiting for the answer to a release; nothing of it is reported any more.
+     * Stops waiting for the answer to a release call. The transport reports nothing about it any
+     * more.
      *
-     * @param releaseId which
+     * @param releaseId ID of the release call
      */
     record AbandonRelease(long releaseId) implements Command {
         @Override
@@ -179,10 +192,10 @@
     }
 
     /**
-     * Ask an engine for a sign of life by a call that changes nothing. Answered by {@link
-     * Router#reachabilityChecked}, and by bytes that come from the engine.
+     * Checks whether an engine is reachable, by a call that has no effect. Answered by {@link
+     * Router#reachabilityChecked}, and by bytes received from the engine.
      *
-     * @param engine which
+     * @param engine the engine to check
      */
     record CheckReachability(String engine) implements Command {
         @Override
@@ -192,12 +205,14 @@
     }
 
     /**
-     * Report that what a request had reserved was not released in time: no engine answered. It is
-     * not tried any longer.
+     * Reports that reservations of a request were not released in time because no engine answered,
+     * or that they were dropped to make room for others. After a release has expired, further calls
+     * follow at longer intervals if any engine can release the reservations; otherwise none follow.
      *
-     * @param requestName the request's name at engines
-     * @param engine the engine that was asked last
-     * @param releaseCalls how many releases were sent
+     * @param requestName the name under which engines know the request
+     * @param engine the engine that the last release call was sent to; the holding engine if none
+     *     was sent
+     * @param releaseCalls number of release calls sent since the last answer or expiry
      */
     record ReportExpiredRelease(String requestName, String engine, int releaseCalls)
             implements Command {
@@ -208,12 +223,13 @@
     }
 
     /**
-     * Give the client a token.
+     * Delivers a token or an opaque event to a client.
      *
-     * @param clientId which
-     * @param index from 0, without gaps
-     * @param text the token
-     * @param attachment as given to {@link Router#tokenReceived}
+     * @param clientId ID of the client's request
+     * @param index index of the token, starting at 0 without gaps
+     * @param text the text of the token; empty for an opaque event
+     * @param attachment the attachment passed to {@link Router#tokenReceived} or {@link
+     *     Router#opaqueEventReceived}
      */
     record DeliverToken(long clientId, int index, String text, Object attachment)
             implements Command {
@@ -224,10 +240,10 @@
     }
 
     /**
-     * Give the client its one final result; nothing follows it.
+     * Delivers the one final result to a client; nothing follows it.
      *
-     * @param clientId which
-     * @param result how it ended
+     * @param clientId ID of the client's request
+     * @param result how the request ended
      */
     record FinishRequest(long clientId, RequestResult result) implements Command {
         @Override
@@ -237,9 +253,9 @@
     }
 
     /**
-     * Check an engine's health. Answered by {@link Router#probeCompleted}.
+     * Checks the health of an engine. Answered by {@link Router#probeCompleted}.
      *
-     * @param engine which
+     * @param engine the engine to check
      */
     record ProbeEngine(String engine) implements Command {
         @Override
@@ -249,10 +265,10 @@
     }
 
     /**
-     * Send a message to other routers.
+     * Sends a message to other routers.
      *
-     * @param recipient a router's index; -1 for all
-     * @param body at most 256 bytes
+     * @param recipient index of the receiving router; -1 for all routers
+     * @param body the message, at most 256 bytes
      */
     record SendPeerMessage(int recipient, String body) implements Command {
         @Override
@@ -261,7 +277,7 @@
         }
     }
 
-    /** Ask for the complete endpoint list. */
+    /** Requests the complete endpoint list. */
     record FetchEndpointList() implements Command {
         @Override
         public void accept(CommandHandler handler) {
@@ -270,9 +286,9 @@
     }
 
     /**
-     * Close idle connections to an engine.
+     * Closes idle connections to an engine.
      *
-     * @param engine which
+     * @param engine the engine whose idle connections are closed
      */
     record CloseIdleConnections(String engine) implements Command {
         @Override
@@ -282,10 +298,10 @@
     }
 
     /**
-     * Write a line to the log.
+     * Writes a line to the log.
      *
-     * @param requestName the request's name, or null
-     * @param text the line
+     * @param requestName name of the request, or null if the line concerns no request
+     * @param text text of the line
      */
     record WriteLog(String requestName, String text) implements Command {
         @Override
@@ -295,9 +311,10 @@
     }
 
     /**
-     * Report what became of a reservation that was not taken in the ordinary way.
+     * Reports that a reservation was released after an attempt had failed to use it, or that it has
+     * been held beyond its time limit.
      *
-     * @param report what the line says
+     * @param report contents of the log line
      */
     record ReportReservation(ReservationReport report) implements Command {
         @Override
@@ -307,14 +324,15 @@
     }
 
     /**
-     * Report that an attempt was taken for undelivered, or has arrived although it was.
+     * Reports that an attempt is considered undelivered, or that it has arrived after being
+     * considered undelivered.
      *
-     * @param requestName the request's name at engines
-     * @param attempt number of the send
-     * @param engine where it was sent
-     * @param delivery what is known of its delivery
-     * @param sinceWrittenMicros since its last byte was written
-     * @param history the latest transitions of its request
+     * @param requestName the name under which engines know the request
+     * @param attempt number of the send, starting at 0
+     * @param engine the engine that the attempt was sent to
+     * @param delivery the state of its delivery
+     * @param sinceWrittenMicros time since its last byte was written, in microseconds
+     * @param history the latest transitions of the request
      */
     record ReportDelivery(
             String requestName,
@@ -331,9 +349,9 @@
     }
 
     /**
-     * Report that what must always hold did not.
+     * Reports the violation of an invariant.
      *
-     * @param text the line
+     * @param text text of the log line
      */
     record ReportViolation(String text) implements Command {
         @Override
--- a/core/src/main/java/sorrelhoist/core/request/CommandHandler.java
+++ b/core/src/main/java/sorrelhoist/core/request/CommandHandler.java
@@ -1,4 +1,7 @@
 package sorrelhoist.core.request;
 
-/** Carries out commands: one method for each, so that a new one cannot be forgotten. */
+/**
+ * Executes commands. Has one method per command, so that the compiler rejects a handler that lacks
+ * one.
+ */
 public interface CommandHandler extends ClientCommands, EngineCommands, PlannerCommands {}
--- a/core/src/main/java/sorrelhoist/core/request/DecisionLoop.java
+++ b/core/src/main/java/sorrelhoist/core/request/DecisionLoop.java
@@ -10,8 +10,8 @@
 import sorrelhoist.routing.RoutingPolicy;
 
 /**
- * Owns the routing policy: queues events for it, and has its actions executed in the order in which
- * it gives them.
+ * Owns the routing policy: queues events for the policy, and has its actions executed in the order
+ * in which the policy returns them.
  */
 final class DecisionLoop {
     private final RoutingPolicy policy;
@@ -25,15 +25,16 @@
         this.clock = clock;
     }
 
-    /** Queues an event; the policy sees it when the loop is run. */
+    /** Queues an event. The policy receives it when {@link #run} is called. */
     void submitEvent(Event event) {
         events.add(event);
     }
 
     /**
-     * Gives the policy all queued events and executes its actions, until nothing is left; executing
-     * may queue more. A failure concerns one request, and the actions for others are not to be lost
-     * with it: the rest is carried out first, then the first failure is thrown.
+     * Passes all queued events to the policy and executes its actions, until the queue is empty;
+     * executing an action may queue further events. A failure concerns a single request and must
+     * not discard the actions for other requests, so all remaining actions are executed before the
+     * first failure is thrown.
      */
     void run(Consumer<Action> executor) {
         Throwable failure = runAll(executor);
@@ -71,12 +72,17 @@
         }
     }
 
-    /** {@return what the policy has learned by itself, with at most so many prefixes} */
+    /**
+     * {@return the knowledge that the policy has learned by itself, with at most {@code
+     * maxPrefixes} prefixes}
+     */
     Knowledge exportKnowledge(int maxPrefixes) {
         return policy.exportKnowledge(clock.now(), maxPrefixes);
     }
 
-    /** Gives the policy what another one has learned, {@code ageMicros} ago. */
+    /**
+     * Passes knowledge that another router's policy learned {@code ageMicros} ago to the policy.
+     */
     void importKnowledge(Knowledge knowledge, long ageMicros) {
         policy.importKnowledge(clock.now(), knowledge, ageMicros);
         listener.onKnowledgeAdopted(clock.now(), ageMicros, knowledge);
--- a/core/src/main/java/sorrelhoist/core/request/DecodeSlots.java
+++ b/core/src/main/java/sorrelhoist/core/request/DecodeSlots.java
@@ -3,7 +3,9 @@
 import sorrelhoist.core.reservation.Hold;
 import sorrelhoist.routing.RoutingEvents.PlaceAnswered;
 
-/** Engines' answers to reservations of decode slots, made while a prefill runs. */
+/**
+ * Handles the engines' answers to decode slot reservations, which are made while a prefill runs.
+ */
 final class DecodeSlots {
     private final RequestTable requests;
     private final RequestReservations reservations;
@@ -16,9 +18,9 @@
     }
 
     /**
-     * A slot was reserved, or not.
+     * Called when an engine accepted or rejected the reservation of a slot.
      *
-     * @return whether its request still waits for it
+     * @return whether the request still needs the slot
      */
     boolean answered(long requestId, String engine, boolean reserved, String slot) {
         RequestState request = awaitingSlot(requestId);
@@ -35,7 +37,10 @@
         return true;
     }
 
-    /** It is not known whether a slot was reserved; it may be. */
+    /**
+     * Called when it is unknown whether a slot was reserved. The slot is treated as possibly
+     * reserved.
+     */
     void unknown(long requestId, String engine, String slot) {
         RequestState request = awaitingSlot(requestId);
         if (request == null) {
@@ -45,7 +50,10 @@
         }
     }
 
-    /** {@return the request if its prefill runs, for so long a slot is of use to it; else null} */
+    /**
+     * {@return the request if its prefill is running, otherwise null} A request can make use of a
+     * new slot only while its prefill is running.
+     */
     private RequestState awaitingSlot(long requestId) {
         RequestState request = requests.byRoutingId(requestId);
         if (request == null || request.finished || request.runningAttempt == null) {
--- a/core/src/main/java/sorrelhoist/core/request/EngineCommands.java
+++ b/core/src/main/java/sorrelhoist/core/request/EngineCommands.java
@@ -1,14 +1,14 @@
 package sorrelhoist.core.request;
 
-/** The commands that concern engines. */
+/** Commands that concern engines. */
 public interface EngineCommands {
-    /** Sends a request to an engine that reads its prompt. */
+    /** Sends a request to an engine that prefills its prompt. */
     void startPrefill(Command.StartPrefill command);
 
-    /** Sends a request to an engine that answers it. */
+    /** Sends a request to an engine that decodes its answer. */
     void startDecode(Command.StartDecode command);
 
-    /** Stops waiting for an attempt. */
+    /** Cancels an attempt. */
     void cancelAttempt(Command.CancelAttempt command);
 
     /** Reserves a decode slot. */
@@ -17,21 +17,27 @@
     /** Has an engine release what it holds for a request. */
     void releaseReservation(Command.ReleaseReservation command);
 
-    /** Stops waiting for a release's answer. */
+    /** Stops waiting for the answer to a release call. */
     void abandonRelease(Command.AbandonRelease command);
 
-    /** Asks an engine for a sign of life. */
+    /** Checks whether an engine is reachable. */
     void checkReachability(Command.CheckReachability command);
 
-    /** Reports that an attempt was taken for undelivered, or has arrived although it was. */
+    /**
+     * Reports that an attempt is considered undelivered, or that it has arrived after being
+     * considered undelivered.
+     */
     void reportDelivery(Command.ReportDelivery command);
 
-    /** Reports what no engine has released in time. */
+    /** Reports reservations that no engine released in time, or that were dropped to make room. */
     void reportExpiredRelease(Command.ReportExpiredRelease command);
 
-    /** Reports what became of a reservation that was not taken in the ordinary way. */
+    /**
+     * Reports that a reservation was released after an attempt had failed to use it, or that it has
+     * been held beyond its time limit.
+     */
     void reportReservation(Command.ReportReservation command);
 
-    /** Closes idle connections. */
+    /** Closes idle connections to an engine. */
     void closeIdleConnections(Command.CloseIdleConnections command);
 }
--- a/core/src/main/java/sorrelhoist/core/request/EngineKinds.java
+++ b/core/src/main/java/sorrelhoist/core/request/EngineKinds.java
@@ -9,7 +9,7 @@
 import sorrelhoist.routing.RoutingSettings.Role;
 import sorrelhoist.routing.RoutingSettings.ServerKind;
 
-/** The kind of each engine on the endpoint list. */
+/** Maps each engine on the endpoint list to its kind. */
 final class EngineKinds {
     private final List<ServerKind> kinds;
     private final Map<String, Integer> kindByEngine = new HashMap<>();
@@ -18,7 +18,7 @@
         this.kinds = kinds;
     }
 
-    /** The endpoint list, or an update of it. */
+    /** Applies the complete endpoint list or an update of it. */
     void update(ListUpdateKind updateKind, List<Server> servers) {
         if (updateKind == ListUpdateKind.COMPLETE) {
             kindByEngine.clear();
@@ -41,7 +41,7 @@
         return kindByEngine.get(engine);
     }
 
-    /** {@return whether a listed engine only prefills} */
+    /** {@return whether a listed engine serves prefill only} */
     boolean isPrefillOnly(String engine) {
         return kinds.get(kindOf(engine)).role() == Role.READ;
     }
--- a/core/src/main/java/sorrelhoist/core/request/GracefulShutdown.java
+++ b/core/src/main/java/sorrelhoist/core/request/GracefulShutdown.java
@@ -1,34 +1,37 @@
 package sorrelhoist.core.request;
 
 /**
- * Paces how a router that shuts down migrates its running streams, where clients come again for the
- * rest: a few at a time over the time it has, so that they do not all come to the others at once,
- * each with all of its text to be read again. The youngest go first, as old ones may still end by
- * themselves. None goes while no other router is there to take it ({@link PeerLiveness}): its
- * client would find nobody.
+ * Paces the migration of running streams from a router that shuts down, in deployments where
+ * clients reconnect for the rest of a stream. Streams are migrated a few at a time over the
+ * available time, so that they do not all reach the other routers at once: the whole text of each
+ * migrated stream has to be prefilled again. The youngest streams are migrated first, as old ones
+ * may still complete by themselves. Streams are migrated only while another router is live ({@link
+ * PeerLiveness}); otherwise their clients would have no router to reconnect to.
  */
 public final class GracefulShutdown {
-    /** Between two steps, in microseconds. */
+    /** Interval between two migration steps, in microseconds. */
     public static final long STEP_MICROS = 100_000;
 
     private final long deadline;
 
     /**
-     * Plans a shutdown.
+     * Creates the schedule of one shutdown.
      *
-     * @param deadline when the last stream should have gone, in microseconds of the caller's clock
+     * @param deadline when the last stream should have been migrated, on the caller's clock in
+     *     microseconds
      */
     public GracefulShutdown(long deadline) {
         this.deadline = deadline;
     }
 
     /**
-     * How many streams to migrate in this step.
+     * Returns the number of streams to migrate in this step.
      *
-     * @param now the caller's clock, in microseconds
-     * @param streams how many run
-     * @param peerIsLive whether another router is there
-     * @return 0 to {@code streams}; all once the time is up, where there is another router
+     * @param now the current time on the caller's clock, in microseconds
+     * @param streams number of running streams
+     * @param peerIsLive whether another router is live
+     * @return a number from 0 to {@code streams}; all of them once the deadline has passed, if
+     *     another router is live
      */
     public int streamsToMigrate(long now, int streams, boolean peerIsLive) {
         if (!peerIsLive) {
--- a/core/src/main/java/sorrelhoist/core/request/IdempotencyWindow.java
+++ b/core/src/main/java/sorrelhoist/core/request/IdempotencyWindow.java
@@ -5,12 +5,16 @@
 import sorrelhoist.routing.RoutingSettings.RequestClass;
 
 /**
- * Until when a request that may have had an effect may be sent again under its idempotency key. The
- * routing policy heeds the window when it decides; until the bytes leave, a connection may have to
- * come up.
+ * Computes until when a request that may have had a side effect may be sent again under its
+ * idempotency key. The routing policy respects the window when it decides, but the connection may
+ * have to be established between that decision and the sending of the bytes, so the window is
+ * checked again before sending.
  */
 final class IdempotencyWindow {
-    /** The longest that a transport may be held up between its clock and its bytes. */
+    /**
+     * Upper bound of the delay between a transport's reading of its clock and its sending of the
+     * bytes.
+     */
     private static final long MAX_TRANSPORT_DELAY_MICROS = 150_000;
 
     private final List<RequestClass> classes;
@@ -23,7 +27,10 @@
         return classOf(request).idempotency();
     }
 
-    /** {@return when the last byte has to have left; Long.MAX_VALUE for no limit} */
+    /**
+     * {@return the latest time at which the last byte of the request may be sent; Long.MAX_VALUE
+     * for no limit}
+     */
     long sendByMicros(RequestState request) {
         RequestClass requestClass = classOf(request);
         boolean limited =
--- a/core/src/main/java/sorrelhoist/core/request/InferenceRequest.java
+++ b/core/src/main/java/sorrelhoist/core/request/InferenceRequest.java
@@ -1,22 +1,21 @@
 package sorrelhoist.core.request;
 
 /**
- * What a client asks for.
+ * A client's request for an answer.
  *
- * @param clientRequestId the client's own name for it; may be empty
- * @param classIndex index of its class
- * @param tenantIndex index of its tenant
- * @param session the conversation, or null
- * @param sharedPrefix the beginning shared with other sessions, or null
- * @param sharedPrefixTokens tokens of that beginning
- * @param prompt the text
- * @param promptTokens tokens of the text
- * @param maxOutputTokens the most that may be generated, 1 or more
- * @param timeoutMicros until the client gives up on the whole answer, in microseconds; 0 where it
- *     did not say
- * @param previousAttempts how often the client's own library has tried before, as it marks it
- * @param resumed whether the client has the beginning of the answer already and asks for the rest
- * @param attachment the transport's own, handed back with commands; may be null
+ * @param clientRequestId the ID that the client gave the request; may be empty
+ * @param classIndex index of the request class
+ * @param tenantIndex index of the tenant
+ * @param session name of the session, or null for none
+ * @param sharedPrefix name of the prompt prefix shared with other sessions, or null for none
+ * @param sharedPrefixTokens length of the shared prefix, in tokens
+ * @param prompt text of the prompt
+ * @param promptTokens length of the prompt, in tokens
+ * @param maxOutputTokens maximum number of tokens to generate, 1 or more
+ * @param timeoutMicros the client's timeout for the whole answer, in microseconds; 0 if it set none
+ * @param previousAttempts number of earlier attempts that the client's library reports
+ * @param resumed whether the client already has the beginning of the answer and requests the rest
+ * @param attachment object owned by the transport, passed back with commands; may be null
  */
 public record InferenceRequest(
         String clientRequestId,
@@ -33,17 +32,18 @@
         boolean resumed,
         Object attachment) {
     /**
-     * {@return a builder of a request for a whole answer, without session, prefix and timeout}
+     * {@return a builder of a request for a whole answer, without session, shared prefix or
+     * timeout}
      *
-     * @param prompt the text
-     * @param promptTokens its tokens
-     * @param maxOutputTokens the most that may be generated, 1 or more
+     * @param prompt text of the prompt
+     * @param promptTokens length of the prompt, in tokens
+     * @param maxOutputTokens maximum number of tokens to generate, 1 or more
      */
     public static Builder builder(String prompt, long promptTokens, int maxOutputTokens) {
         return new Builder(prompt, promptTokens, maxOutputTokens);
     }
 
-    /** Builds a request. */
+    /** Builder of {@link InferenceRequest}. */
     public static final class Builder {
         private final String prompt;
         private final long promptTokens;
@@ -65,56 +65,62 @@
             this.maxOutputTokens = maxOutputTokens;
         }
 
-        /** Sets the client's own name for it. {@return this} */
+        /** Sets the ID that the client gave the request. {@return this} */
         public Builder clientRequestId(String id) {
             this.clientRequestId = id;
             return this;
         }
 
-        /** Sets the index of its class. {@return this} */
+        /** Sets the index of the request class. {@return this} */
         public Builder classIndex(int index) {
             this.classIndex = index;
             return this;
         }
 
-        /** Sets the index of its tenant. {@return this} */
+        /** Sets the index of the tenant. {@return this} */
         public Builder tenantIndex(int index) {
             this.tenantIndex = index;
             return this;
         }
 
-        /** Sets the conversation; null for none. {@return this} */
+        /** Sets the name of the session; null for none. {@return this} */
         public Builder session(String name) {
             this.session = name;
             return this;
         }
 
-        /** Sets the beginning shared with other sessions; null for none. {@return this} */
+        /**
+         * Sets the name and the length, in tokens, of the prompt prefix shared with other sessions;
+         * null for none. {@return this}
+         */
         public Builder sharedPrefix(String name, long tokens) {
             this.sharedPrefix = name;
             this.sharedPrefixTokens = tokens;
             return this;
         }
 
-        /** Sets when the client gives up, in microseconds; 0 for never. {@return this} */
+        /**
+         * Sets the client's timeout for the whole answer, in microseconds; 0 for none. {@return
+         * this}
+         */
         public Builder timeoutMicros(long micros) {
             this.timeoutMicros = micros;
             return this;
         }
 
-        /** Sets how often the client's library has tried before. {@return this} */
+        /** Sets the number of earlier attempts that the client's library reports. {@return this} */
         public Builder previousAttempts(int attempts) {
             this.previousAttempts = attempts;
             return this;
         }
 
-        /** Sets whether the client asks for the rest of an answer. {@return this} */
+        /** Sets whether the client requests the rest of an answer. {@return this} */
         public Builder resumed(boolean rest) {
             this.resumed = rest;
             return this;
         }
 
-        /** Sets what is handed back with commands. {@return this} */
+        /** Sets the object that is passed back with commands; may be null. {@return this} */
         public Builder attachment(Object object) {
             this.attachment = object;
             return this;
--- a/core/src/main/java/sorrelhoist/core/request/PeerLiveness.java
+++ b/core/src/main/java/sorrelhoist/core/request/PeerLiveness.java
@@ -4,22 +4,25 @@
 import java.util.Map;
 
 /**
- * Whether another router of the tier is there to take requests, by the heartbeats that they send to
- * each other. All routers together send a few a second however many they are: messages are priced
- * for each receiver. A router that has just started sends none yet, and one that shuts down says
- * so. Lost messages cost a second or two. Only a graceful shutdown asks this; no request is routed
- * by it.
+ * Tracks whether another router of the tier is live and can take requests, based on heartbeats
+ * between routers. All routers together send only a few heartbeats per second, however many routers
+ * there are, because every message has a cost per receiver. A router that has just started sends no
+ * heartbeats yet, and one that shuts down announces it. Lost messages delay a change of this state
+ * by a second or two. Only graceful shutdown uses this state; it does not affect routing.
  */
 public final class PeerLiveness {
     private static final long SECOND = 1_000_000;
 
-    /** By all routers together. */
+    /** Rate of all routers together. */
     private static final int HEARTBEATS_PER_SECOND = 4;
 
-    /** After so long without a heartbeat a router counts as gone. */
+    /** A router that has sent no heartbeat for this long is considered gone. */
     private static final long TIMEOUT_MICROS = 5 * SECOND / 2;
 
-    /** A router that has just started is slow, and has learned nothing. */
+    /**
+     * Heartbeats start this long after the start of a router: a router that has just started is
+     * slow and has no knowledge yet.
+     */
     private static final long START_UP_MICROS = 4 * SECOND;
 
     private static final String HEARTBEAT = "@here";
@@ -31,11 +34,11 @@
     private final Map<Integer, Long> lastHeartbeat = new HashMap<>();
 
     /**
-     * Creates one that knows no peer.
+     * Creates a tracker that knows no peer.
      *
      * @param self this router's index, from 0
-     * @param routers how many there are
-     * @param startedAt when this one started, on the caller's clock in microseconds
+     * @param routers number of routers in the tier
+     * @param startedAt when this router started, on the caller's clock in microseconds
      */
     public PeerLiveness(int self, int routers, long startedAt) {
         this.self = self;
@@ -43,25 +46,26 @@
         this.startedAt = startedAt;
     }
 
-    /** {@return microseconds between two heartbeats of this router} */
+    /** {@return the interval between two heartbeats of this router, in microseconds} */
     public long heartbeatIntervalMicros() {
         return Math.max(SECOND, SECOND * routers / HEARTBEATS_PER_SECOND);
     }
 
     /**
-     * {@return microseconds from the start to the first heartbeat: routers that start together send
-     * theirs in turns}
+     * {@return the delay from the start of this router to its first heartbeat, in microseconds} The
+     * delay depends on the router's index, so that routers that start together spread their
+     * heartbeats evenly.
      */
     public long firstHeartbeatDelayMicros() {
         return START_UP_MICROS + heartbeatIntervalMicros() * self / routers;
     }
 
     /**
-     * Says whether this router is there.
+     * Returns the message that announces this router's state to its peers.
      *
-     * @param now the caller's clock, in microseconds
-     * @param shuttingDown whether it was told to end
-     * @return what to send to all others, or null where there is nothing to say
+     * @param now the current time on the caller's clock, in microseconds
+     * @param shuttingDown whether this router is shutting down
+     * @return the message to send to all other routers, or null to send none
      */
     public String heartbeatMessage(long now, boolean shuttingDown) {
         if (shuttingDown) {
@@ -71,12 +75,13 @@
     }
 
     /**
-     * Takes a message in.
+     * Processes a message from a peer.
      *
-     * @param now the caller's clock, in microseconds
-     * @param from the sender's index
+     * @param now the current time on the caller's clock, in microseconds
+     * @param from index of the sender
      * @param body the message
-     * @return whether it was a heartbeat; others are the routing policy's
+     * @return whether the message was a heartbeat or a shutdown announcement; all other messages
+     *     are for the routing policy
      */
     public boolean messageReceived(long now, int from, String body) {
         if (body.equals(HEARTBEAT)) {
@@ -90,7 +95,7 @@
         return false;
     }
 
-    /** {@return whether another router is there that has been for a while} */
+    /** {@return whether another router is live and past its start-up time} */
     public boolean hasLivePeer(long now) {
         return lastHeartbeat.entrySet().stream()
                 .anyMatch(peer -> peer.getKey() != self && now - peer.getValue() <= TIMEOUT_MICROS);
--- a/core/src/main/java/sorrelhoist/core/request/PlannerCommands.java
+++ b/core/src/main/java/sorrelhoist/core/request/PlannerCommands.java
@@ -1,13 +1,16 @@
 package sorrelhoist.core.request;
 
-/** The commands that concern the view of the fleet: health checks, peers, the endpoint list. */
+/**
+ * Commands that concern the view of the fleet: health checks, messages to peers and the endpoint
+ * list.
+ */
 public interface PlannerCommands {
-    /** Checks an engine's health. */
+    /** Checks the health of an engine. */
     void probeEngine(Command.ProbeEngine command);
 
     /** Sends a message to other routers. */
     void sendPeerMessage(Command.SendPeerMessage command);
 
-    /** Asks for the complete endpoint list. */
+    /** Requests the complete endpoint list. */
     void fetchEndpointList(Command.FetchEndpointList command);
 }
--- a/core/src/main/java/sorrelhoist/core/request/PolicyResults.java
+++ b/core/src/main/java/sorrelhoist/core/request/PolicyResults.java
@@ -5,7 +5,7 @@
 import sorrelhoist.routing.RoutingActions.Fail;
 import sorrelhoist.routing.RoutingActions.Refuse;
 
-/** Gives clients the results that the routing policy decides on. */
+/** Delivers the final results that the routing policy decides on to clients. */
 final class PolicyResults {
     static final String DEADLINE_EXCEEDED_MESSAGE = "no answer within the client's time";
 
@@ -19,14 +19,15 @@
         this.responses = responses;
     }
 
-    /** The policy rejects a request. */
+    /** Rejects a request by decision of the policy. */
     void reject(Refuse refusal) {
         RequestState request = requests.byRoutingId(refusal.id());
         if (!awaitsResult(request)) {
             return;
         }
         if (request.tokens > 0) {
-            // A resumed stream: what its client has received can't be rejected any more.
+            // This is a resumed stream. Its client has already received tokens, so the request
+            // fails instead of being rejected.
             finishFailed(request, "the answer broke off and could not go on: ", refusal.why());
         } else {
             request.apply(RequestPhase.Transition.REJECTED);
@@ -41,7 +42,7 @@
         responses.finish(request, new RequestResult.Failed(text, false, reason));
     }
 
-    /** The policy gives a request up. */
+    /** Fails a request by decision of the policy. */
     void fail(Fail failure) {
         RequestState request = requests.byRoutingId(failure.id());
         if (!awaitsResult(request)) {
@@ -61,8 +62,9 @@
     }
 
     /**
-     * The policy's deadline timer may still fire for a stream that has begun. The first token has
-     * concluded what it concerns, so it is passed over.
+     * Returns whether a result of the policy still applies to the request. The policy's deadline
+     * timer covers only the time until the first token but may still fire for a stream that has
+     * begun; such a result is ignored.
      */
     private static boolean awaitsResult(RequestState request) {
         return request != null && !request.finished && request.phase != RequestPhase.STREAMING;
--- a/core/src/main/java/sorrelhoist/core/request/RequestActions.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestActions.java
@@ -38,7 +38,7 @@
         this.commands = commands;
     }
 
-    /** Executes an action; others than those of requests are passed over. */
+    /** Executes an action. Ignores actions that do not concern a request. */
     void execute(Action action) {
         if (action instanceof Send send) {
             sender.send(send);
--- a/core/src/main/java/sorrelhoist/core/request/RequestAdmission.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestAdmission.java
@@ -2,7 +2,10 @@
 
 import sorrelhoist.routing.Reason;
 
-/** Rejects requests that the router itself has no capacity for, and all once it is draining. */
+/**
+ * Admission control of the router itself: rejects requests beyond the limit of open requests, and
+ * all requests once the router is draining.
+ */
 final class RequestAdmission {
     private static final long RETRY_AFTER_MICROS = 500_000;
 
@@ -25,7 +28,10 @@
         return draining;
     }
 
-    /** Rejects a request that has just been opened, if need be. {@return whether it is admitted} */
+    /**
+     * Rejects a request that has just been opened if the router is full or draining. {@return
+     * whether the request is admitted}
+     */
     boolean admit(RequestState request) {
         if (!draining && requests.openCount() <= maxOpenRequests) {
             return true;
--- a/core/src/main/java/sorrelhoist/core/request/RequestComponents.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestComponents.java
@@ -8,9 +8,9 @@
 import sorrelhoist.routing.RoutingPolicy;
 
 /**
- * Creates and connects the parts of a router that everything else builds on: the tables, the
- * decision loop, and what happens to a request and its attempts. For {@link Router} alone; each
- * part is given only what it uses.
+ * Creates and connects the components that the rest of a router builds on: the tables, the decision
+ * loop, and the handling of requests and attempts. Only {@link Router} uses this class; each
+ * component receives only the collaborators that it uses.
  */
 final class RequestComponents {
     final RouterClock clock = new RouterClock();
--- a/core/src/main/java/sorrelhoist/core/request/RequestIntake.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestIntake.java
@@ -2,11 +2,11 @@
 
 import sorrelhoist.core.time.TimerQueue;
 
-/** Opens requests as they arrive, with their deadlines and the timers that keep them. */
+/** Opens arriving requests, computes their deadlines and schedules the timers that enforce them. */
 final class RequestIntake {
     /**
-     * After a client's deadline; by then the policy has answered every request that does not
-     * stream.
+     * Time after a client's deadline by which the policy has answered every request that is not
+     * streaming.
      */
     private static final long RESULT_OVERDUE_MICROS = 150_000;
 
@@ -51,7 +51,10 @@
         submitter.submit(request);
     }
 
-    /** Has a stream end at its client's deadline, where the deployment wants that. */
+    /**
+     * Schedules the end of the stream at the client's deadline, if the deployment is configured to
+     * do so.
+     */
     void scheduleDeadline(RequestState request) {
         if (request.hasDeadline() && settings.streams().endAtClientDeadline()) {
             timers.schedule(request.deadline, new RouterTimer.ClientDeadline(request));
--- a/core/src/main/java/sorrelhoist/core/request/RequestPhase.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestPhase.java
@@ -5,20 +5,20 @@
 
 /** The phases of a request, and the transitions between them. */
 enum RequestPhase {
-    /** No attempt runs and no prefill state is held. */
+    /** No attempt is running and there is no prefill state to fetch. */
     WAITING,
-    /** A prefill engine reads the prompt. */
+    /** A prefill attempt is running. */
     PREFILLING,
-    /** The prefill state waits at its engine. */
+    /** The prefill state is held at its engine, and no attempt is running. */
     PREFILLED,
-    /** A decode engine has the request and has not begun to answer. */
+    /** A decode attempt is running and no token has been received yet. */
     DECODE_PENDING,
-    /** Tokens come. */
+    /** Tokens are being received. */
     STREAMING,
-    /** The client has its final result, or has left. */
+    /** The client has received its final result or has disconnected. */
     COMPLETED;
 
-    /** What can happen to a request. */
+    /** An event that moves a request to its next phase. */
     enum Transition {
         PREFILL_SENT,
         PREFILL_COMPLETED,
@@ -49,11 +49,12 @@
         allow(DECODE_PENDING, Transition.DECODE_FAILED, PREFILLED);
         allow(DECODE_PENDING, Transition.PREFILL_STATE_LOST, WAITING);
         allow(DECODE_PENDING, Transition.FIRST_TOKEN, STREAMING);
-        // An answer without tokens is an answer: the engine finished at once.
+        // An answer may have no tokens: the engine completed the request at once.
         allow(DECODE_PENDING, Transition.STREAM_COMPLETED, COMPLETED);
         allow(STREAMING, Transition.TOKEN, STREAMING);
         allow(STREAMING, Transition.STREAM_COMPLETED, COMPLETED);
-        // A resumed stream starts anew, with its prompt and what was generated as the new prompt.
+        // A resumed stream starts over with the original prompt and the generated text as its
+        // prompt.
         allow(STREAMING, Transition.STREAM_BROKEN, WAITING);
         for (RequestPhase phase : values()) {
             if (phase == COMPLETED) {
@@ -75,14 +76,14 @@
     }
 
     /**
-     * {@return the phase that a transition leads to}
+     * {@return the phase that a transition from this phase leads to}
      *
-     * @throws IllegalStateException if it cannot follow this phase
+     * @throws IllegalStateException if the transition is not allowed in this phase
      */
     RequestPhase after(Transition transition) {
         RequestPhase next = TRANSITIONS.getOrDefault(this, Map.of()).get(transition);
         if (next == null) {
-            throw new IllegalStateException(transition + " cannot follow " + this);
+            throw new IllegalStateException(transition + " is not allowed in phase " + this);
         }
         return next;
     }
--- a/core/src/main/java/sorrelhoist/core/request/RequestReservations.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestReservations.java
@@ -23,20 +23,21 @@
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
- * Tells the reservation table what happens to requests. Where holders release by name, each prefill
- * state and each decode slot has a key of its own, released as soon as nothing needs it; where any
- * engine releases all of a request, the request has one key.
+ * Reports the events of requests to the reservation table. If reservations are released by name at
+ * the engine that holds them, each prefill state and each decode slot has its own key and is
+ * released as soon as nothing needs it. If any engine can release everything that a request has
+ * reserved, the request has a single key.
  */
 final class RequestReservations {
     private static final int KEYS_PER_REQUEST = 4;
 
-    /** In place of an attempt's number in a key: the decode slot. */
+    /** Stands for the decode slot in a key, in place of the number of an attempt. */
     private static final int DECODE_SLOT = -2;
 
-    /** After so many retry intervals without a word, while others spoke, an engine is silent. */
+    /** Retry intervals after which an engine is silent if only others have sent bytes. */
     private static final int SILENT_RETRIES = 2;
 
-    /** Whether one key stands for all that a request has reserved. */
+    /** Whether a single key covers everything that a request has reserved. */
     private final boolean oneKeyPerRequest;
 
     private final RouterClock clock;
@@ -57,14 +58,15 @@
     }
 
     /**
-     * An engine that is not listed may run on for a while, so it is asked once; what it held after
-     * that went with it.
+     * Returns the engine to send a release to, or null for none. An engine that is not on the
+     * endpoint list may keep running for a while, so it is asked once; after that, its reservations
+     * are considered gone with it.
      */
     private String holder(Hold hold, Set<String> asked) {
         return asked.isEmpty() || engines.isListed(hold.engine()) ? hold.engine() : null;
     }
 
-    /** Turns the table's calls into commands. */
+    /** Converts the calls of the reservation table into commands. */
     private record ReleaseCommands(Consumer<Command> commands) implements ReleaseClient {
         @Override
         public void release(ReleaseCall call) {
@@ -97,7 +99,7 @@
 
     // Engines
 
-    /** The endpoint list, or an update of it. */
+    /** Applies the complete endpoint list or an update of it. */
     void endpointsUpdated(ListUpdateKind updateKind, List<Server> servers) {
         if (updateKind == ListUpdateKind.COMPLETE) {
             engines.replaced(
@@ -116,7 +118,7 @@
         }
     }
 
-    /** Bytes came from an engine. */
+    /** Called when bytes were received from an engine. */
     void bytesReceived(String engine) {
         engines.bytesReceived(engine, clock.now());
     }
@@ -126,12 +128,12 @@
         return engines.isListed(engine);
     }
 
-    /** An engine was heard of which a sign of life was awaited. */
+    /** Called when an engine whose response was awaited has responded. */
     void awaitedEngineHeard(String engine) {
         table.engineHeard(engine, clock.now());
     }
 
-    /** An engine left the list: nothing that was on its way there arrives any more. */
+    /** Called when an engine left the list. Calls in transit to it no longer arrive. */
     void engineRemoved(String engine) {
         table.engineRemoved(engine, clock.now());
     }
@@ -139,8 +141,8 @@
     // Attempts
 
     /**
-     * An attempt is about to go out. A prefill makes a state of its own: an earlier one is not
-     * fetched any more.
+     * Called before an attempt is sent. A prefill produces a new prefill state, so an earlier state
+     * of the request is no longer needed.
      */
     void attemptSent(Attempt attempt) {
         RequestState request = attempt.request;
@@ -151,7 +153,7 @@
         for (ReservationKey key : keysOf(request)) {
             table.attemptSent(key, purpose, attempt.engine, clock.now());
             if (!oneKeyPerRequest) {
-                // Holders are called by a transport that cannot tell what is written.
+                // HOLDER transports cannot report writes, so the attempt counts as delivered.
                 table.attemptDelivered(key, clock.now());
             }
         }
@@ -169,22 +171,22 @@
                 : AttemptPurpose.PREFILL_AND_DECODE;
     }
 
-    /** The running attempt waits for a connection. */
+    /** Called when the running attempt waits for a connection. */
     void connecting(RequestState request) {
         keysOf(request).forEach(key -> table.attemptConnecting(key, clock.now()));
     }
 
-    /** The last byte of the running attempt was written. */
+    /** Called when the last byte of the running attempt was written. */
     void written(RequestState request) {
         keysOf(request).forEach(key -> table.attemptWritten(key, clock.now()));
     }
 
-    /** The running attempt's engine has it. */
+    /** Called when the running attempt is known to have reached its engine. */
     void delivered(RequestState request) {
         keysOf(request).forEach(key -> table.attemptDelivered(key, clock.now()));
     }
 
-    /** {@return since when something that is held for a request waits; now where nothing is} */
+    /** {@return since when the longest-idle reservation has been idle; now if there is none} */
     long heldSince(RequestState request) {
         return keysOf(request).stream()
                 .mapToLong(key -> table.idleSince(key, clock.now()))
@@ -192,7 +194,7 @@
                 .orElse(clock.now());
     }
 
-    /** A prefill ended well: its state waits at the engine. */
+    /** Called when a prefill succeeded; its state is held at the engine. */
     void prefillCompleted(Attempt attempt, String stateId) {
         RequestState request = attempt.request;
         request.prefillState = new HeldPrefillState(attempt.engine, stateId);
@@ -202,11 +204,13 @@
     }
 
     /**
-     * A running attempt ended, well or not; what it leaves is said by the other methods.
+     * Called when a running attempt ended, successfully or not. Reservations that it confirmed or
+     * used are reported by the other methods.
      *
-     * @param attempt which
-     * @param outcome how
-     * @param awaitsEngine whether its engine has to be heard before its end is known there
+     * @param attempt the attempt that ended
+     * @param outcome how it ended
+     * @param awaitsEngine whether the router has to wait for a response from the engine to know
+     *     that the end of the attempt has reached the engine
      */
     void attemptEnded(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
         AttemptEnding ending = AttemptHolds.endingOf(attempt, outcome);
@@ -221,20 +225,20 @@
         keysOf(attempt.request).forEach(key -> table.attemptEnded(key, ending, clock.now()));
     }
 
-    /** {@return whether something is held that a decode may wait for in its engine's queue} */
+    /** {@return whether something is reserved that a decode may wait for in its engine's queue} */
     boolean mayWaitFor(Attempt decode) {
         return oneKeyPerRequest && table.isHeld(keyOf(decode));
     }
 
-    /** A stream began: its engine has fetched the state and used the slot. */
+    /** Called when a stream began: its engine fetched the prefill state and used the slot. */
     void taken(RequestState request) {
         keysOf(request).forEach(key -> table.taken(key, clock.now()));
         forget(request);
     }
 
     /**
-     * A decode engine could not fetch the state. It may be held all the same, where only that
-     * engine cannot reach it.
+     * Called when a decode engine could not fetch the prefill state. The state may still be held,
+     * if it is unreachable only for that engine.
      */
     void prefillStateNotFetched(RequestState request) {
         keysOf(request)
@@ -242,13 +246,13 @@
         dropPrefillState(request);
     }
 
-    /** {@return whether the prefill state of a request may have been released before its decode} */
+    /** {@return whether the prefill state may have been released before its decode used it} */
     boolean isPrefillStateReleased(RequestState request) {
         ReservationKey key = ReservationKey.ofRequest(request.name);
         return oneKeyPerRequest && (!table.isHeld(key) || table.wasReleasedBesideDecode(key));
     }
 
-    /** No attempt of a request uses its prefill state any more; the prompt is read again. */
+    /** Drops a state that no attempt will use; the prompt has to be prefilled again. */
     void dropPrefillState(RequestState request) {
         if (oneKeyPerRequest) {
             table.prefillStatesUnneeded(ReservationKey.ofRequest(request.name));
@@ -259,7 +263,7 @@
         request.prefillStateKey = null;
     }
 
-    /** Releases all that a request has reserved, unless a running attempt may take it. */
+    /** Releases all reservations of a request unless a running attempt may still use them. */
     void release(RequestState request) {
         if (request.runningAttempt != null) {
             return;
@@ -276,7 +280,7 @@
 
     // Decode slots
 
-    /** A decode slot was reserved, or may have been. */
+    /** Records a decode slot that was reserved or may have been reserved. */
     void decodeSlot(RequestState request, String engine, String slot, Hold.Certainty certainty) {
         ReservationKey key =
                 oneKeyPerRequest
@@ -296,7 +300,7 @@
         }
     }
 
-    /** A slot was reserved, or may have been, for a request that cannot use it any more. */
+    /** Releases a slot that was, or may be, reserved for a request that can no longer use it. */
     void unwantedDecodeSlot(String engine, String slot) {
         ReservationKey key =
                 oneKeyPerRequest ? ReservationKey.ofRequest(slot) : decodeSlotKey(slot);
@@ -305,9 +309,10 @@
     }
 
     /**
-     * Claims the slot that is reserved at an engine; one that is reserved elsewhere is released.
+     * Claims the slot reserved at an engine. A slot reserved elsewhere is dropped: released at once
+     * if it has its own key, otherwise with the request's other reservations.
      *
-     * @return the slot's name, or empty where none is reserved there
+     * @return name of the slot, or empty if none is reserved at the engine
      */
     String claimDecodeSlot(RequestState request, String engine) {
         if (engine.equals(request.decodeSlotEngine)) {
@@ -331,12 +336,12 @@
         table.releaseCompleted(releaseId, released, clock.now());
     }
 
-    /** Makes the release calls that are due. */
+    /** Sends the release calls that are due. */
     void advance() {
         table.advance(clock.now());
     }
 
-    /** {@return when {@link #advance()} is next needed; Long.MAX_VALUE for never} */
+    /** {@return when {@link #advance()} has to be called next; Long.MAX_VALUE for never} */
     long nextDueMicros() {
         return table.nextDueMicros();
     }
@@ -378,7 +383,7 @@
         return new ReservationKey(name, DECODE_SLOT);
     }
 
-    /** {@return the keys of what an attempt of the request may take} */
+    /** {@return the keys of the reservations that an attempt of the request may use} */
     private List<ReservationKey> keysOf(RequestState request) {
         if (oneKeyPerRequest) {
             return List.of(ReservationKey.ofRequest(request.name));
--- a/core/src/main/java/sorrelhoist/core/request/RequestState.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestState.java
@@ -4,14 +4,14 @@
 import sorrelhoist.core.reservation.ReservationKey;
 
 /**
- * The state of one request: its phase, its running attempt, what is reserved for it, and what its
- * client has received.
+ * The state of one request: its phase, its running attempt, the engine resources reserved for it,
+ * and the tokens that its client has received.
  */
 final class RequestState {
-    /** In place of a time: it did not happen. */
+    /** Placeholder for the time of something that has not happened. */
     static final long NEVER = Long.MIN_VALUE;
 
-    /** In place of a deadline: the client gave none. */
+    /** Placeholder for the deadline of a client that set none. */
     static final long NO_DEADLINE = Long.MAX_VALUE;
 
     private static final int HISTORY_LENGTH = 8;
@@ -19,54 +19,54 @@
     final long clientId;
     final InferenceRequest parameters;
 
-    /** Until when the whole answer has to be given, or {@link #NO_DEADLINE}. */
+    /** Deadline for the whole answer, or {@link #NO_DEADLINE}. */
     final long deadline;
 
-    /** Its number at the routing policy; a stream that is resumed gets a new one. */
+    /** ID of the request at the routing policy; a resumed stream gets a new one. */
     long routingId;
 
-    /** Its name at engines. */
+    /** The name under which engines know the request. */
     String name;
 
     RequestPhase phase = RequestPhase.WAITING;
 
-    /** Whether nothing is owed to the client any more. */
+    /** Whether the client has received its final result or has disconnected. */
     boolean finished;
 
-    /** Sends under the present number at the routing policy. */
+    /** Number of sends ordered under the current {@link #routingId}. */
     int sends;
 
-    /** When the first attempt that may have had an effect was sent, or {@link #NEVER}. */
+    /** When the first attempt that may have had a side effect was sent, or {@link #NEVER}. */
     long mayHaveRunFrom = NEVER;
 
-    /** How often its stream was resumed at another engine. */
+    /** How often the stream was resumed. */
     int resumptions;
 
-    /** Tokens that its client has received. */
+    /** Number of tokens delivered to the client. */
     int tokens;
 
-    /** The text that its client has received. */
+    /** Text delivered to the client; stays empty for opaque events. */
     final StringBuilder generatedText = new StringBuilder();
 
-    /** Since when the client takes nothing; 0 while it does. */
+    /** Since when the client has not been reading; 0 while it reads. */
     long blockedSince;
 
-    /** The attempt whose outcome is not known yet, or null. */
+    /** The attempt whose outcome is not known yet, or null if none is running. */
     Attempt runningAttempt;
 
-    /** What the next decode engine is to fetch, or null. */
+    /** The prefill state that the next decode engine has to fetch, or null. */
     HeldPrefillState prefillState;
 
-    /** The reservation of {@link #prefillState}, or null. */
+    /** Key of the reservation of {@link #prefillState}, or null. */
     ReservationKey prefillStateKey;
 
-    /** The engine that holds a decode slot for it, or null. */
+    /** The engine that holds a decode slot for the request, or null. */
     String decodeSlotEngine;
 
-    /** The slot's name there, or empty. */
+    /** Name of the decode slot at that engine, or empty. */
     String decodeSlot = "";
 
-    /** The latest transitions, oldest first: for the log alone. */
+    /** The latest transitions, oldest first; used only for logging. */
     private final ArrayDeque<RequestPhase.Transition> history = new ArrayDeque<>(HISTORY_LENGTH);
 
     RequestState(long clientId, InferenceRequest parameters, long deadline) {
@@ -76,9 +76,10 @@
     }
 
     /**
-     * Moves to the next phase. Once the request is completed, what still comes in changes nothing.
+     * Moves to the next phase. Once the request is completed, further transitions are recorded in
+     * the history but do not change the phase.
      *
-     * @throws IllegalStateException if the transition cannot follow the present phase
+     * @throws IllegalStateException if the transition is not allowed in the current phase
      */
     void apply(RequestPhase.Transition transition) {
         if (transition != history.peekLast()) {
@@ -92,12 +93,15 @@
         }
     }
 
-    /** {@return the latest transitions; turned into text only where it is logged} */
+    /**
+     * {@return the latest transitions, oldest first} The result is an object so that it is
+     * formatted as text only if it is logged.
+     */
     Object history() {
         return history;
     }
 
-    /** {@return whether its client receives tokens now} */
+    /** {@return whether the client is currently receiving tokens} */
     boolean isStreaming() {
         return !finished && phase == RequestPhase.STREAMING;
     }
@@ -106,7 +110,10 @@
         return deadline < NO_DEADLINE;
     }
 
-    /** {@return the text to read, with what was generated so far where a stream is resumed} */
+    /**
+     * {@return the text to prefill; for a resumed stream, the client's prompt followed by the text
+     * generated so far}
+     */
     String prompt() {
         return generatedText.length() == 0
                 ? parameters.prompt()
--- a/core/src/main/java/sorrelhoist/core/request/RequestSubmitter.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestSubmitter.java
@@ -4,7 +4,7 @@
 import sorrelhoist.core.record.RecordEntry;
 import sorrelhoist.routing.RoutingEvents.Arrived;
 
-/** Submits requests, and what is left of broken streams, to the routing policy. */
+/** Submits requests, and the remainders of broken streams, to the routing policy. */
 final class RequestSubmitter {
     private static final int NAME_RADIX = 36;
     private static final int TOKENS_PER_TIMEOUT_STEP = 1000;
@@ -28,7 +28,7 @@
         this.decisions = decisions;
     }
 
-    /** Submits a request under a new number and name. */
+    /** Submits a request under a new routing ID and a new name. */
     void submit(RequestState request) {
         requests.assignRoutingId(request);
         request.name = nameOf(request);
@@ -36,7 +36,9 @@
         decisions.submitEvent(arrival(request));
     }
 
-    /** The policy is done with a request's number: its stream has ended. */
+    /**
+     * Removes the routing ID of a request whose stream has ended; the policy no longer uses the ID.
+     */
     void conclude(RequestState request) {
         requests.removeRoutingId(request);
     }
--- a/core/src/main/java/sorrelhoist/core/request/RequestTable.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestTable.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * The requests of a router: by their clients' numbers while a result is owed, by their numbers at
- * the routing policy while it may still say something of them. Numbers are never given twice.
+ * The requests of a router. A request is indexed by client ID until its client has its final result
+ * or has disconnected, and by routing ID as long as the routing policy may still act on it. IDs are
+ * never reused.
  */
 final class RequestTable {
     private final Map<Long, RequestState> byClientId = new HashMap<>();
@@ -16,43 +17,48 @@
     private final List<RequestState> finished = new ArrayList<>();
     private long lastId;
 
-    /** Opens a request for a client, who is owed a result from now on. */
+    /** Opens a request. From now on its client has to receive a final result. */
     RequestState open(InferenceRequest parameters, long deadline) {
         RequestState request = new RequestState(++lastId, parameters, deadline);
         byClientId.put(request.clientId, request);
         return request;
     }
 
-    /** Gives a request, or what is left of a broken stream, a number at the routing policy. */
+    /** Assigns a new routing ID to a request or to the remainder of a broken stream. */
     void assignRoutingId(RequestState request) {
         request.routingId = ++lastId;
         request.sends = 0;
         byRoutingId.put(request.routingId, request);
     }
 
-    /** The policy is done with this number; the request may go on under another. */
+    /**
+     * Removes the routing ID of a request, which the policy no longer uses. The request may
+     * continue under another one.
+     */
     void removeRoutingId(RequestState request) {
         byRoutingId.remove(request.routingId);
     }
 
-    /** Nothing is owed to the client any more. */
+    /** Marks a request as finished: its client has its final result or has disconnected. */
     void finish(RequestState request) {
         request.finished = true;
         finished.add(request);
         byClientId.remove(request.clientId);
     }
 
-    /** {@return the request that is owed a result, or null} */
+    /**
+     * {@return the request with this client ID if it still awaits its final result, otherwise null}
+     */
     RequestState byClientId(long clientId) {
         return byClientId.get(clientId);
     }
 
-    /** {@return the request with this number at the routing policy, or null} */
+    /** {@return the request with this routing ID, or null} */
     RequestState byRoutingId(long routingId) {
         return byRoutingId.get(routingId);
     }
 
-    /** {@return the attempt with this name while it runs, or null} */
+    /** {@return the attempt with this ID while it is running, otherwise null} */
     Attempt runningAttempt(AttemptId id) {
         RequestState request = byRoutingId.get(id.requestId());
         Attempt attempt = request == null ? null : request.runningAttempt;
@@ -60,8 +66,8 @@
     }
 
     /**
-     * Forgets finished requests that have no running attempt. Until then the policy's releases have
-     * to find them.
+     * Removes finished requests that have no running attempt. They are kept until then so that the
+     * policy's release actions can find them.
      */
     void removeFinished() {
         finished.removeIf(
@@ -74,17 +80,17 @@
                 });
     }
 
-    /** {@return how many clients are owed a result} */
+    /** {@return the number of requests that still await their final result} */
     int openCount() {
         return byClientId.size();
     }
 
-    /** {@return a copy of the requests whose clients are owed a result} */
+    /** {@return a copy of the requests that still await their final result} */
     List<RequestState> open() {
         return List.copyOf(byClientId.values());
     }
 
-    /** {@return the requests that the routing policy knows} */
+    /** {@return a live view of the requests that the routing policy knows} */
     Collection<RequestState> knownToPolicy() {
         return byRoutingId.values();
     }
--- a/core/src/main/java/sorrelhoist/core/request/RequestTermination.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestTermination.java
@@ -4,7 +4,10 @@
 import sorrelhoist.routing.RoutingEvents.ClientGone;
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
-/** Ends requests early: their clients left, stopped reading, or ran out of time. */
+/**
+ * Ends requests early, for example because the client disconnected or stopped reading, or because
+ * its deadline has passed.
+ */
 final class RequestTermination {
     private static final long MICROS_PER_MILLI = 1000;
 
@@ -24,26 +27,29 @@
         this.responses = responses;
     }
 
-    /** The client left. */
+    /** Ends the request of a client that disconnected. */
     void clientDisconnected(RequestState request) {
         responses.clientDisconnected(request);
         abandon(request, RequestPhase.Transition.CLIENT_DISCONNECTED);
     }
 
-    /** The client has taken nothing since {@code blockedSince}, unless it has taken some again. */
+    /**
+     * Ends the request of a client that has not read since {@code blockedSince}. Does nothing if
+     * the client has resumed reading in the meantime.
+     */
     void clientStalled(RequestState request, long blockedSince) {
         if (request.finished || request.blockedSince != blockedSince) {
             return;
         }
         long timeoutMillis = clientStallTimeoutMicros / MICROS_PER_MILLI;
-        String message = "the client took nothing of its answer for " + timeoutMillis + " ms";
+        String message = "the client did not read its answer for " + timeoutMillis + " ms";
         responses.finish(request, new RequestResult.Stalled(message));
         abandon(request, RequestPhase.Transition.CLIENT_DISCONNECTED);
     }
 
     /**
-     * The client's time is up. Until the first token the routing policy keeps the deadline; from
-     * then on it ends the stream.
+     * Ends the stream at the client's deadline. Does nothing before the first token, because until
+     * then the routing policy enforces the deadline.
      */
     void clientDeadlineReached(RequestState request) {
         if (!request.isStreaming()) {
@@ -57,34 +63,36 @@
     }
 
     /**
-     * The routing policy answers each request by the end of its client's time. Should one be left
-     * over all the same, because an event could not be taken, its client is still owed a result.
+     * Fails a request that still has no result after its deadline. Normally the routing policy
+     * answers each request by then; this covers the case that it missed one because an event could
+     * not be processed. Does nothing if the stream has begun.
      */
     void resultOverdue(RequestState request) {
         if (request.phase == RequestPhase.STREAMING || request.tokens > 0) {
             return;
         }
-        responses.log(request, "not answered by the end of its time");
+        responses.log(request, "request had no result after its deadline; failing it");
         fail(
                 request,
                 new RequestResult.Failed(
                         PolicyResults.DEADLINE_EXCEEDED_MESSAGE, true, Reason.UNKNOWN));
     }
 
-    /** Fails a request and stops what is done for it. */
+    /** Fails a request and stops all work on it. */
     void fail(RequestState request, RequestResult.Failed result) {
         responses.finish(request, result);
         abandon(request, RequestPhase.Transition.FAILED);
     }
 
-    /** Stops what is done for a client to whom nothing is owed any more. */
+    /** Stops all work on a request whose client awaits nothing more. */
     private void abandon(RequestState request, RequestPhase.Transition transition) {
         boolean streaming = request.phase == RequestPhase.STREAMING;
         Attempt running = streaming ? request.runningAttempt : null;
         request.apply(transition);
         decisions.submitEvent(new ClientGone(request.routingId));
         if (running != null) {
-            // The routing policy leaves it to us to end a stream that nobody reads.
+            // The routing policy does not cancel running streams, so a stream that no client reads
+            // any more is cancelled here.
             failures.cancelAttempt(running, Outcome.CANCELLED);
         }
     }
--- a/core/src/main/java/sorrelhoist/core/request/Router.java
+++ b/core/src/main/java/sorrelhoist/core/request/Router.java
@@ -19,16 +19,17 @@
 import sorrelhoist.routing.RoutingPolicy;
 
 /**
- * One router without its sockets: the events that its caller, the transport, reports. It submits
- * them to the {@link RoutingPolicy}, and gives the transport commands during the calls below. One
- * thread at a time; times are the caller's, in microseconds.
+ * The core of one router, without I/O. Its caller, the transport, reports events; the router
+ * submits them to the {@link RoutingPolicy} and passes commands to the transport during the calls
+ * below. Not thread-safe: only one thread may call at a time. All times are on the caller's clock,
+ * in microseconds.
  *
- * <p>What it guarantees, whatever is reported and in whatever order: each client gets one final
+ * <p>Guarantees, regardless of the events reported and of their order: each client gets one final
  * result and nothing after it; each {@code Send} of the policy gets exactly one {@code
  * AttemptEnded}; each reservation is released when the policy says so. The policy selects engines,
- * rejects, retries and sets attempt timeouts. Here is decided only what begins where it stops, at
- * the first token: how long a stream may be silent, that it ends at its client's deadline, and
- * whether a broken one is resumed.
+ * rejects, retries and sets attempt timeouts. Its responsibility ends at the first token; from then
+ * on this class decides how long a stream may be silent, that it ends at its client's deadline, and
+ * whether a broken stream is resumed.
  */
 public final class Router {
     private final RouterClock clock;
@@ -54,21 +55,21 @@
     private final RouterMetrics metrics;
 
     /**
-     * Creates a router that knows no engine yet.
+     * Creates a router with an empty endpoint list.
      *
-     * @param settings what it is given at its start
-     * @param commands takes commands, during the calls below
+     * @param settings configuration of the router
+     * @param commands receives commands during the calls below
      */
     public Router(RouterSettings settings, Consumer<Command> commands) {
         this(settings, commands, DecisionListener.NONE);
     }
 
     /**
-     * Creates a router that knows no engine yet.
+     * Creates a router with an empty endpoint list.
      *
-     * @param settings what it is given at its start
-     * @param commands takes commands, during the calls below
-     * @param listener hears what the routing policy is told and says
+     * @param settings configuration of the router
+     * @param commands receives commands during the calls below
+     * @param listener observes the events and the decisions of the routing policy
      */
     public Router(RouterSettings settings, Consumer<Command> commands, DecisionListener listener) {
         RequestComponents core = new RequestComponents(settings, commands, listener);
@@ -96,7 +97,7 @@
         metrics = new RouterMetrics(requests, engineKinds, attempts, deliveries, reservations);
     }
 
-    /** A request arrived. {@return its client's number here} */
+    /** Called when a request arrives. {@return the client ID, used in commands and later calls} */
     public long requestArrived(long time, InferenceRequest parameters) {
         clock.advanceTo(time);
         RequestState request = intake.open(parameters);
@@ -108,7 +109,7 @@
         return request.clientId;
     }
 
-    /** A client left. Unknown ones got their result a moment ago. */
+    /** Called when a client disconnects. Ignores unknown IDs: their result was just delivered. */
     public void clientDisconnected(long time, long clientId) {
         clock.advanceTo(time);
         RequestState request = requests.byClientId(clientId);
@@ -119,8 +120,8 @@
     }
 
     /**
-     * A client takes nothing of its answer for now, or takes it again. While it does not, its
-     * engine is not to blame for its silence; one that takes nothing for too long is given up.
+     * Called when a client stops or resumes reading its answer. Meanwhile the engine's silence is
+     * not a failure; a client that stops reading for too long has its request cancelled.
      */
     public void clientBackpressureChanged(long time, long clientId, boolean blocked) {
         clock.advanceTo(time);
@@ -130,7 +131,7 @@
         }
     }
 
-    /** An attempt's connection has to come up first. Reported while its command is carried out. */
+    /** Called during the start command of an attempt if it first has to connect. */
     public void attemptConnecting(long time, AttemptId id) {
         Attempt attempt = runningAttempt(time, id);
         if (attempt != null) {
@@ -139,15 +140,16 @@
     }
 
     /**
-     * {@return whether an attempt's bytes may go to its engine now} To be asked when the connection
-     * stands, right before they are made: much can have happened while it came up.
+     * {@return whether the bytes of an attempt may be sent to its engine now} Must be called once
+     * the connection is established, immediately before the bytes are produced, because the state
+     * may have changed while the connection was being established.
      */
     public boolean maySend(long time, AttemptId id) {
         clock.advanceTo(time);
         return sendAuthorization.maySend(id);
     }
 
-    /** The last byte of an attempt was written to a connection that stands. */
+    /** Called when the last byte of an attempt was written to an established connection. */
     public void attemptWritten(long time, AttemptId id) {
         Attempt attempt = runningAttempt(time, id);
         if (attempt != null) {
@@ -155,7 +157,7 @@
         }
     }
 
-    /** A prefill ended well; its state has this name at its engine. */
+    /** Called when a prefill succeeded; {@code stateId} names its state at the engine. */
     public void prefillCompleted(
             long time, AttemptId id, String stateId, long cachedTokens, ServerLoad load) {
         handle(
@@ -164,12 +166,12 @@
     }
 
     /**
-     * An attempt ended without success.
+     * Called when an attempt ended without success.
      *
-     * @param time now
-     * @param id which
-     * @param outcome how; neither DONE nor READ
-     * @param note 1 with FULL where no state was there to fetch
+     * @param time the current time
+     * @param id ID of the attempt
+     * @param outcome how the attempt ended; neither DONE nor READ
+     * @param note 1 with outcome FULL if there was no prefill state to fetch; otherwise 0
      * @param load the engine's load report, or {@link ServerLoad#NONE}
      */
     public void attemptFailed(
@@ -178,13 +180,13 @@
     }
 
     /**
-     * A token came.
+     * Called when a token was received.
      *
-     * @param time now
-     * @param id of which attempt
-     * @param index from 0
-     * @param text the token
-     * @param attachment handed on with the token; dropped with a token that is not wanted
+     * @param time the current time
+     * @param id ID of the attempt
+     * @param index index of the token, starting at 0
+     * @param text the text of the token
+     * @param attachment passed on with the token; dropped if the token is dropped
      */
     public void tokenReceived(long time, AttemptId id, int index, String text, Object attachment) {
         handle(
@@ -192,7 +194,7 @@
                 attempt -> streams.tokenReceived(attempt, index, text, attachment));
     }
 
-    /** An engine says that it has sent its whole answer, of so many tokens. */
+    /** Called when an engine reports that its answer of {@code tokens} tokens is complete. */
     public void tokenStreamCompleted(
             long time, AttemptId id, int tokens, long cachedTokens, ServerLoad load) {
         handle(
@@ -201,13 +203,13 @@
     }
 
     /**
-     * An event of an answer came that is passed on as it is ({@link StreamSettings#opaqueEvents});
-     * nothing of it is kept.
+     * Called when an event of an answer was received that is forwarded unchanged ({@link
+     * StreamSettings#opaqueEvents}). The router keeps no reference to the event.
      *
-     * @param time now
-     * @param id of which attempt
-     * @param attachment the event, handed on in the command to deliver it
-     * @return whether it was handed on; if not, it is still the caller's
+     * @param time the current time
+     * @param id ID of the attempt
+     * @param attachment the event, passed on in the command that delivers it
+     * @return whether the event was passed on; if not, the caller still owns it
      */
     public boolean opaqueEventReceived(long time, AttemptId id, Object attachment) {
         Attempt attempt = runningDecode(time, id);
@@ -216,7 +218,7 @@
         return delivered;
     }
 
-    /** A stream of opaque events came to its proper end. */
+    /** Called when a stream of opaque events completed successfully. */
     public void opaqueStreamCompleted(long time, AttemptId id, long cachedTokens, ServerLoad load) {
         handle(
                 runningDecode(time, id),
@@ -238,7 +240,7 @@
         return attempt != null && !attempt.prefill ? attempt : null;
     }
 
-    /** Runs a handler with a running attempt, and has the policy decide on what follows. */
+    /** Runs a handler on an attempt, unless it is null, and processes the resulting events. */
     private void handle(Attempt attempt, Consumer<Attempt> handler) {
         if (attempt != null) {
             handler.accept(attempt);
@@ -246,7 +248,7 @@
         }
     }
 
-    /** A decode slot was reserved, or not. */
+    /** Called when an engine accepted or rejected the reservation of a decode slot. */
     public void decodeSlotAnswered(
             long time, long requestId, String engine, boolean reserved, String slot) {
         clock.advanceTo(time);
@@ -255,53 +257,53 @@
         }
     }
 
-    /** It is not known whether a decode slot was reserved; it may be. */
+    /** Called when it is unknown whether a decode slot was reserved; it may be. */
     public void decodeSlotUnknown(long time, long requestId, String engine, String slot) {
         clock.advanceTo(time);
         decodeSlots.unknown(requestId, engine, slot);
     }
 
-    /** A release ended; {@code released} where the engine answered that nothing is held now. */
+    /** Called when a release ended; {@code released} if the engine released what it names. */
     public void releaseCompleted(long time, long releaseId, boolean released) {
         clock.advanceTo(time);
         reservations.releaseCompleted(releaseId, released);
     }
 
-    /** Bytes came from an engine, sent at whatever time. */
+    /** Called when bytes were received from an engine, no matter when the engine sent them. */
     public void bytesReceived(long time, String engine) {
         clock.advanceTo(time);
         reservations.bytesReceived(engine);
     }
 
-    /** An engine began to answer a call of any kind, written later than {@code writtenAfter}. */
+    /** Called when an engine begins to answer any call written after {@code writtenAfter}. */
     public void callAnswered(long time, String engine, long writtenAfter) {
         clock.advanceTo(time);
         deliveries.callAnswered(engine, writtenAfter);
     }
 
-    /** The call that asked an engine for a sign of life ended; or none could be made. */
+    /** Called when a reachability check ended, or ({@code asked} is false) was not sent. */
     public void reachabilityChecked(long time, String engine, boolean asked) {
         clock.advanceTo(time);
         deliveries.reachabilityChecked(engine, asked);
     }
 
-    /** A health check ended, after so many microseconds. */
+    /** Called when a health check ended, {@code tookMicros} microseconds after its start. */
     public void probeCompleted(
             long time, String engine, Outcome outcome, long tookMicros, ServerLoad load) {
         submitEvent(time, new ProbeAnswered(engine, outcome, tookMicros, load));
     }
 
-    /** Another router's message came. */
+    /** Called when a message from another router was received. */
     public void peerMessageReceived(long time, int from, String body) {
         submitEvent(time, new PeerMessage(from, body));
     }
 
-    /** The number of routers, or this one's index among them, changed. */
+    /** Called when the number of routers or the index of this router changed. */
     public void routerCountChanged(long time, int routers, int self) {
         submitEvent(time, new Seated(routers, self));
     }
 
-    /** The endpoint list, or an update of it. */
+    /** Applies the complete endpoint list or an update of it. */
     public void endpointsUpdated(long time, ListUpdateKind updateKind, List<Server> servers) {
         clock.advanceTo(time);
         engineKinds.update(updateKind, servers);
@@ -317,36 +319,36 @@
         drain();
     }
 
-    /** {@return what the policy has learned by itself, with at most so many prefixes} */
+    /** {@return what the policy learned by itself, with at most {@code maxPrefixes} prefixes} */
     public Knowledge exportKnowledge(long time, int maxPrefixes) {
         clock.advanceTo(time);
         return decisions.exportKnowledge(maxPrefixes);
     }
 
-    /** Adopts what another router has learned, {@code ageMicros} ago. */
+    /** Adopts knowledge that another router learned {@code ageMicros} ago. */
     public void importKnowledge(long time, Knowledge knowledge, long ageMicros) {
         clock.advanceTo(time);
         decisions.importKnowledge(knowledge, ageMicros);
     }
 
-    /** Admits no new requests from now on: they are rejected with a hint when to retry. */
+    /** Starts rejecting all new requests, with a recommended retry delay. */
     public void startDraining() {
         admission.startDraining();
     }
 
-    /** {@return running streams whose clients come again for the rest of a migrated one} */
+    /** {@return the number of running streams whose clients reconnect after a migration} */
     public int migratableStreams() {
         return migration.migratableStreams();
     }
 
-    /** Migrates the youngest streams: each ends early, and its client comes again. */
+    /** Migrates the youngest streams: each ends early, and its client reconnects. */
     public void migrateYoungestStreams(long time, int count) {
         clock.advanceTo(time);
         migration.migrateYoungest(count);
         drain();
     }
 
-    /** Fails what is still open: each client is told, and nothing stays reserved. */
+    /** Starts draining, fails all open requests with a message and releases reservations. */
     public void failAllRequests(long time, String message) {
         clock.advanceTo(time);
         admission.startDraining();
@@ -356,10 +358,10 @@
         }
     }
 
-    /** Lets time pass. */
+    /** Advances the clock and runs everything that is due. */
     public void advance(long time) {
         clock.advanceTo(time);
-        // First of all: reservations have the shortest time, and attempts that may take them.
+        // These run before timers: reservations and attempts that may use them expire first.
         deliveries.advance();
         drain();
         reservations.advance();
@@ -371,13 +373,13 @@
         }
     }
 
-    /** {@return when {@link #advance} is next needed; Long.MAX_VALUE for never} */
+    /** {@return when {@link #advance} has to be called next; Long.MAX_VALUE for never} */
     public long nextTimerAt() {
         long reservationsDue = Math.min(reservations.nextDueMicros(), deliveries.nextDueMicros());
         return Math.min(timers.nextDueMicros(), reservationsDue);
     }
 
-    /** Has the policy decide on all that has happened, then throws the first failure, if any. */
+    /** Executes the policy's decisions on all queued events, then throws the first failure. */
     private void drain() {
         try {
             decisions.run(actionExecutor::execute);
@@ -386,12 +388,12 @@
         }
     }
 
-    /** {@return counts violations of what must always hold} */
+    /** {@return the monitor that counts violations of invariants} */
     public InvariantMonitor invariantMonitor() {
         return invariantMonitor;
     }
 
-    /** {@return gauges and counters} */
+    /** {@return the gauges and counters of this router} */
     public RouterMetrics metrics() {
         return metrics;
     }
--- a/core/src/main/java/sorrelhoist/core/request/RouterClock.java
+++ b/core/src/main/java/sorrelhoist/core/request/RouterClock.java
@@ -1,6 +1,8 @@
 package sorrelhoist.core.request;
 
-/** The latest time that the router's caller gave, in microseconds; it never goes back. */
+/**
+ * The latest time passed in by the caller of the router, in microseconds. Never moves backwards.
+ */
 final class RouterClock {
     private long now = Long.MIN_VALUE;
 
--- a/core/src/main/java/sorrelhoist/core/request/RouterIdentity.java
+++ b/core/src/main/java/sorrelhoist/core/request/RouterIdentity.java
@@ -1,9 +1,10 @@
 package sorrelhoist.core.request;
 
 /**
- * What tells a router's requests from those of all others, and of its own earlier processes.
+ * Identifies a router process, so that the names of its requests differ from those of all other
+ * routers and of earlier processes of the same router.
  *
- * @param name the router's name; part of every request's name
- * @param incarnation grows with every start, so that names are never used again
+ * @param name name of the router; part of every request name
+ * @param incarnation increases with every start, so that request names are never reused
  */
 public record RouterIdentity(String name, long incarnation) {}
--- a/core/src/main/java/sorrelhoist/core/request/RouterMetrics.java
+++ b/core/src/main/java/sorrelhoist/core/request/RouterMetrics.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import sorrelhoist.core.reservation.ReleaseCause;
 
-/** Gauges and counters of a router, read on its thread. */
+/** Gauges and counters of a router. Must be read on the router's thread. */
 public final class RouterMetrics {
     private final RequestTable requests;
     private final EngineKinds engineKinds;
@@ -24,22 +24,25 @@
         this.reservations = reservations;
     }
 
-    /** {@return engines on the endpoint list} */
+    /** {@return the number of engines on the endpoint list} */
     public int engineCount() {
         return engineKinds.size();
     }
 
-    /** {@return requests whose clients have no final result yet} */
+    /** {@return the number of requests that still await their final result} */
     public int openRequests() {
         return requests.openCount();
     }
 
-    /** {@return requests that the routing policy still knows, with or without a client} */
+    /**
+     * {@return the number of requests that the routing policy still knows, including those whose
+     * client has its result or has disconnected}
+     */
     public int knownRequests() {
         return requests.knownToPolicy().size();
     }
 
-    /** {@return attempts whose outcome is not known yet} */
+    /** {@return the number of attempts whose outcome is not known yet} */
     public int runningAttempts() {
         return (int)
                 requests.knownToPolicy().stream()
@@ -48,57 +51,69 @@
     }
 
     /**
-     * {@return sends that the routing policy ordered less the outcomes it was told: never other
-     * than {@link #runningAttempts()}}
+     * {@return sends ordered by the routing policy minus outcomes reported to it; always equal to
+     * {@link #runningAttempts()}}
      */
     public long sendsWithoutOutcome() {
         return attempts.sendsWithoutOutcome();
     }
 
-    /** {@return reservations of requests that may still use them} */
+    /** {@return the number of reservations whose requests may still use them} */
     public int wantedReservations() {
         return reservations.wantedCount();
     }
 
-    /** {@return reservations that are held or may be, whether or not their release is under way} */
+    /**
+     * {@return the number of reservations that are held or may be held, including those being
+     * released}
+     */
     public int reservationCount() {
         return reservations.size();
     }
 
     /**
-     * {@return reservations of which something can be released as things are; the others wait for
-     * an engine to be reachable again}
+     * {@return the number of reservations that can currently be released at least in part; the
+     * others wait for an engine to become reachable again}
      */
     public int releasableReservations() {
         return reservations.releasableCount();
     }
 
-    /** {@return releases that were asked for since the start, by their cause} */
+    /** {@return the number of release calls sent since the start, by cause} */
     public Map<ReleaseCause, Long> releasesByCause() {
         return reservations.releasesByCause();
     }
 
-    /** {@return how long the oldest of what is held has waited, in microseconds} */
+    /**
+     * {@return how long the longest-idle reservation has been idle, in microseconds; 0 if there is
+     * none} The idle time counts from the opening of the reservation or, if later, from the end of
+     * the latest attempt that was answered by its engine.
+     */
     public long oldestReservationMicros() {
         return reservations.oldestMicros();
     }
 
-    /** {@return written attempts of which nothing shows yet that their engines have them} */
+    /**
+     * {@return the number of written attempts whose delivery to the engine is not confirmed yet}
+     */
     public int unconfirmedAttempts() {
         return deliveries.unconfirmedAttempts();
     }
 
-    /** {@return attempts that were taken for undelivered, since the start} */
+    /** {@return the number of attempts that were considered undelivered, since the start} */
     public long undeliveredAttempts() {
         return deliveries.reportedUnconfirmed();
     }
 
-    /** {@return how often engines were asked for a sign of life, since the start} */
+    /** {@return the number of reachability checks sent to engines, since the start} */
     public long reachabilityChecks() {
         return deliveries.reachabilityChecks();
     }
 
-    /** {@return reservations that no engine has released in time, since the start} */
+    /**
+     * {@return the number of reservations that no engine released in time or that were dropped to
+     * make room for others, since the start}
+     */
     public long expiredReleases() {
         return reservations.expiredCount();
     }
--- a/core/src/main/java/sorrelhoist/core/request/RouterSettings.java
+++ b/core/src/main/java/sorrelhoist/core/request/RouterSettings.java
@@ -5,15 +5,15 @@
 import sorrelhoist.routing.RoutingSettings;
 
 /**
- * What a router is given at its start.
+ * Configuration of a router.
  *
- * @param identity its name and incarnation
- * @param routing the routing policy's settings
- * @param timeouts how long requests may take
- * @param streams how answers are treated after their first token
- * @param maxOpenRequests requests that may be open at once; more are rejected at once
- * @param releaseReach which engines can release what a request has reserved
- * @param seed of all randomness
+ * @param identity name and incarnation of the router
+ * @param routing settings of the routing policy
+ * @param timeouts time limits of requests
+ * @param streams settings for answers after their first token
+ * @param maxOpenRequests maximum number of open requests; further requests are rejected immediately
+ * @param releaseReach which engines can release the reservations of a request
+ * @param seed seed of all random decisions
  */
 public record RouterSettings(
         RouterIdentity identity,
@@ -23,7 +23,7 @@
         int maxOpenRequests,
         ReleaseReach releaseReach,
         long seed) {
-    /** {@return when releases are sent} */
+    /** {@return the policy that determines when releases are sent} */
     ReleasePolicy releasePolicy() {
         return new ReleasePolicy(releaseReach, routing.serverLimits().reservationLimitMicros());
     }
--- a/core/src/main/java/sorrelhoist/core/request/RouterTimer.java
+++ b/core/src/main/java/sorrelhoist/core/request/RouterTimer.java
@@ -1,22 +1,22 @@
 package sorrelhoist.core.request;
 
-/** What a timer of the router was scheduled for. */
+/** The purpose of a scheduled timer of the router. */
 sealed interface RouterTimer {
-    /** The routing policy's own timer. */
+    /** Fires a timer that the routing policy requested. */
     record PolicyTimer(long token) implements RouterTimer {}
 
-    /** The attempt has to have begun to answer. */
+    /** Cancels the attempt if it has not begun to answer. */
     record AttemptTimeout(Attempt attempt) implements RouterTimer {}
 
-    /** The stream may have been silent for too long. */
+    /** Checks whether the stream has been silent for too long. */
     record StreamSilence(Attempt attempt) implements RouterTimer {}
 
-    /** The client's time for the whole answer is up. */
+    /** Ends the stream at the client's deadline for the whole answer. */
     record ClientDeadline(RequestState request) implements RouterTimer {}
 
-    /** By now the policy has answered every request that has not begun to stream. */
+    /** Checks that a request that has not begun to stream has its final result. */
     record ResultOverdue(long clientId) implements RouterTimer {}
 
-    /** A client may have taken nothing since then. */
+    /** Checks whether the client has not been reading since {@code blockedSince}. */
     record ClientStall(RequestState request, long blockedSince) implements RouterTimer {}
 }
--- a/core/src/main/java/sorrelhoist/core/request/SendAuthorization.java
+++ b/core/src/main/java/sorrelhoist/core/request/SendAuthorization.java
@@ -7,7 +7,10 @@
 import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
 import sorrelhoist.routing.RoutingEvents.Server;
 
-/** Asks the send guard, at the last moment, whether an attempt's bytes may go to its engine. */
+/**
+ * Checks with the send guard, immediately before an attempt is sent, whether its bytes may go to
+ * its engine.
+ */
 final class SendAuthorization {
     private final RequestTable requests;
     private final SendGuard guard;
@@ -28,7 +31,7 @@
         this.clock = clock;
     }
 
-    /** The endpoint list, or an update of it. */
+    /** Applies the complete endpoint list or an update of it. */
     void endpointsUpdated(ListUpdateKind updateKind, List<Server> servers) {
         guard.endpointsUpdated(updateKind, servers, clock.now());
     }
--- a/core/src/main/java/sorrelhoist/core/request/StreamMigration.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamMigration.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
-/** Ends streams here so that they go on elsewhere, through this router or through another. */
+/**
+ * Ends streams early so that they are resumed at another engine, through this router or another
+ * one.
+ */
 final class StreamMigration {
     private final StreamSettings settings;
     private final RequestTable requests;
@@ -16,7 +19,10 @@
         this.failures = failures;
     }
 
-    /** {@return running streams, where their clients come again for the rest of one that ended} */
+    /**
+     * {@return the number of running streams; 0 in deployments where clients do not reconnect for
+     * the rest of a stream that ended early}
+     */
     int migratableStreams() {
         if (!settings.clientsResume()) {
             return 0;
@@ -24,7 +30,9 @@
         return (int) requests.knownToPolicy().stream().filter(RequestState::isStreaming).count();
     }
 
-    /** Migrates the streams with the fewest tokens: old ones may still end by themselves. */
+    /**
+     * Migrates the streams with the fewest tokens, as older ones may still complete by themselves.
+     */
     void migrateYoungest(int count) {
         List<RequestState> youngest =
                 requests.knownToPolicy().stream()
@@ -35,7 +43,7 @@
         youngest.forEach(this::migrate);
     }
 
-    /** Ends a stream where somebody, the router or its client, resumes it. */
+    /** Ends a stream if the router or its client resumes it. Otherwise the stream continues. */
     void migrate(RequestState request) {
         boolean resumable = settings.resumeBrokenStreams() || settings.clientsResume();
         if (request.isStreaming() && resumable) {
--- a/core/src/main/java/sorrelhoist/core/request/StreamMonitor.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamMonitor.java
@@ -3,7 +3,7 @@
 import sorrelhoist.core.time.TimerQueue;
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
-/** Watches running streams: for engines that fall silent, and for clients that stop reading. */
+/** Monitors running streams for engines that stop sending and for clients that stop reading. */
 final class StreamMonitor {
     private final StreamTimeouts timeouts;
     private final long clientStallTimeoutMicros;
@@ -27,19 +27,19 @@
         this.responses = responses;
     }
 
-    /** The first token of a stream came. */
+    /** Called when the first token of a stream was received. */
     void streamStarted(Attempt attempt) {
         attempt.lastTokenAt = clock.now();
         scheduleCheck(attempt);
     }
 
-    /** A later token came. */
+    /** Called when a token after the first one was received. */
     void tokenReceived(Attempt attempt) {
         timeouts.tokenReceived(attempt, clock.now());
         attempt.lastTokenAt = clock.now();
     }
 
-    /** Cancels a stream that has been silent for too long. */
+    /** Cancels a stream that has been silent for too long; otherwise schedules the next check. */
     void checkSilence(Attempt attempt) {
         if (attempt.ended) {
             return;
@@ -50,13 +50,17 @@
         }
         long silentMicros = clock.now() - attempt.lastTokenAt;
         responses.log(
-                attempt.request, "stream silent for " + silentMicros + " us at " + attempt.engine);
+                attempt.request,
+                "stream received no data for "
+                        + silentMicros
+                        + " us; cancelling its attempt at "
+                        + attempt.engine);
         failures.cancelAttempt(attempt, Outcome.TIMED_OUT);
     }
 
     /**
-     * A client takes nothing of its answer for now, or takes it again. While it does not, its
-     * engine is held back, and is not to blame for its silence.
+     * Called when a client stops or resumes reading its answer. While the client does not read,
+     * backpressure stops the engine, so its silence is not treated as a failure.
      */
     void clientBackpressureChanged(RequestState request, boolean blocked) {
         boolean wasBlocked = request.blockedSince > 0;
--- a/core/src/main/java/sorrelhoist/core/request/StreamRecovery.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamRecovery.java
@@ -6,10 +6,10 @@
 import sorrelhoist.routing.RoutingSettings.Idempotency;
 
 /**
- * Decides what follows when a stream ends before its answer does. Where the deployment resumes
- * streams and the class is idempotent, the stream goes on from its last token as a request of its
- * own, as a returning client's would; the client's stream stays open meanwhile. Otherwise the
- * client is told at once.
+ * Decides how to proceed when a stream breaks before the answer is complete. If the deployment
+ * resumes streams and the request class is idempotent, the stream continues from its last token as
+ * a new request, as if the client had reconnected; the client's stream stays open meanwhile.
+ * Otherwise the client receives an error immediately.
  */
 final class StreamRecovery {
     private final RouterSettings settings;
@@ -37,7 +37,7 @@
         this.responses = responses;
     }
 
-    /** A running stream was lost or cancelled. */
+    /** Handles a running stream that was lost or cancelled. */
     void streamBroken(Attempt attempt, Outcome outcome, ServerLoad load) {
         RequestState request = attempt.request;
         attempts.ended(attempt, outcome, true, 0, load);
--- a/core/src/main/java/sorrelhoist/core/request/StreamSettings.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamSettings.java
@@ -1,19 +1,20 @@
 package sorrelhoist.core.request;
 
 /**
- * How a deployment treats an answer after its first token.
+ * Settings for answers after their first token.
  *
- * @param opaqueEvents whether answers are events of their engine, passed on as they are and not
- *     counted against the token limit, and requests keep their client's name at engines
- * @param endAtClientDeadline whether the client's deadline also ends a stream that has begun
- * @param resumeBrokenStreams whether the router resumes a broken stream at another engine, where
- *     its class is idempotent
- * @param clientsResume whether clients come again by themselves for the rest of a stream that ended
+ * @param opaqueEvents whether answers consist of engine-specific events that are forwarded
+ *     unchanged and do not count towards the token limit; engines then know requests by the
+ *     client's request ID
+ * @param endAtClientDeadline whether a stream that has begun also ends at the client's deadline
+ * @param resumeBrokenStreams whether the router resumes a broken stream at another engine if its
+ *     request class is idempotent
+ * @param clientsResume whether clients reconnect by themselves for the rest of a stream that ended
  *     early
- * @param silenceTimeoutMicros how long a stream may be silent, in microseconds; 0 to judge by the
- *     gaps between tokens that were seen
- * @param clientStallTimeoutMicros how long a client may take nothing of a running answer, in
- *     microseconds
+ * @param silenceTimeoutMicros how long a stream may be silent before it is considered dead, in
+ *     microseconds; 0 to derive the timeout from the observed gaps between tokens
+ * @param clientStallTimeoutMicros how long a client may stop reading a running answer before its
+ *     request is cancelled, in microseconds
  */
 public record StreamSettings(
         boolean opaqueEvents,
@@ -23,8 +24,8 @@
         long silenceTimeoutMicros,
         long clientStallTimeoutMicros) {
     /**
-     * {@return settings for streams of tokens} They end at their client's deadline, and their
-     * silence is judged by the gaps that were seen.
+     * {@return settings for streams of tokens} Such streams end at their client's deadline, and
+     * their silence timeout is derived from the observed gaps between tokens.
      */
     public static StreamSettings ofTokens(
             boolean resumeBrokenStreams, long clientStallTimeoutMicros) {
@@ -32,7 +33,10 @@
                 false, true, resumeBrokenStreams, false, 0, clientStallTimeoutMicros);
     }
 
-    /** {@return settings for streams of opaque events, which the router itself does not resume} */
+    /**
+     * {@return settings for streams of opaque events} The router itself does not resume such
+     * streams.
+     */
     public static StreamSettings ofOpaqueEvents(
             boolean clientsResume, long silenceTimeoutMicros, long clientStallTimeoutMicros) {
         return new StreamSettings(
--- a/core/src/main/java/sorrelhoist/core/request/StreamTimeouts.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamTimeouts.java
@@ -1,6 +1,6 @@
 package sorrelhoist.core.request;
 
-/** How long a stream may be silent before it counts as dead. */
+/** Determines how long a stream may be silent before it is considered dead. */
 final class StreamTimeouts {
     private final StreamSettings settings;
     private final TokenGapEstimator tokenGaps;
@@ -10,14 +10,14 @@
         this.tokenGaps = new TokenGapEstimator(engineKinds);
     }
 
-    /** A token came on a stream that had begun. */
+    /** Records the gap between a token and the one before it. */
     void tokenReceived(Attempt attempt, long now) {
         tokenGaps.record(attempt.engineKind, now - attempt.lastTokenAt);
     }
 
     /**
-     * {@return when a stream counts as dead if nothing comes before; never while its client holds
-     * it back}
+     * {@return when a stream is considered dead unless a token is received before; Long.MAX_VALUE
+     * while its client is not reading}
      */
     long deadAt(Attempt attempt) {
         if (attempt.request.blockedSince > 0) {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * {@return when to check a stream again: timeouts shrink as streams are seen, so at least as
-     * often as the shortest}
+     * {@return when to check a stream again} Timeouts may shrink as more gaps are observed, so the
+     * interval is at most the shortest possible timeout.
      */
     long nextCheckAt(Attempt attempt, long now) {
         return Math.min(deadAt(attempt), now + TokenGapEstimator.MIN_TIMEOUT_MICROS);
--- a/core/src/main/java/sorrelhoist/core/request/StreamTracker.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamTracker.java
@@ -3,7 +3,7 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
-/** Follows answers from their first token to their end, and passes them on to clients. */
+/** Tracks answers from their first token to their end and forwards them to clients. */
 final class StreamTracker {
     private final AttemptTracker attempts;
     private final AttemptFailures failures;
@@ -21,11 +21,20 @@
         this.responses = responses;
     }
 
-    /** A token came; one that is out of turn ends the attempt. */
+    /**
+     * Handles a token. Cancels the attempt if the token is out of order or exceeds the token limit.
+     */
     void tokenReceived(Attempt attempt, int index, String text, Object attachment) {
         RequestState request = attempt.request;
         if (index != request.tokens || index >= request.parameters.maxOutputTokens()) {
-            responses.log(request, "token " + index + " where " + request.tokens + " was due");
+            responses.log(
+                    request,
+                    "received token "
+                            + index
+                            + " after "
+                            + request.tokens
+                            + " tokens: out of order or beyond the token limit;"
+                            + " cancelling the attempt");
             failures.cancelAttempt(attempt, Outcome.ERROR);
             return;
         }
@@ -34,7 +43,7 @@
         deliverOrCancel(attempt, index, text, attachment);
     }
 
-    /** An opaque event came. {@return whether it was passed on} */
+    /** Handles an opaque event. {@return whether the event was forwarded to the client} */
     boolean opaqueEventReceived(Attempt attempt, Object attachment) {
         countToken(attempt);
         return deliverOrCancel(attempt, attempt.request.tokens - 1, "", attachment);
@@ -61,19 +70,26 @@
         return true;
     }
 
-    /** An engine says that it has sent its whole answer, of so many tokens. */
+    /**
+     * Called when an engine reports that it has sent its whole answer of {@code tokens} tokens,
+     * counted from the start of the answer.
+     */
     void tokenStreamCompleted(Attempt attempt, int tokens, long cachedTokens, ServerLoad load) {
         RequestState request = attempt.request;
         if (tokens == request.tokens) {
             completeStream(attempt, cachedTokens, load);
         } else {
             responses.log(
-                    request, "an answer of " + tokens + " tokens ended after " + request.tokens);
+                    request,
+                    "engine reported an answer of "
+                            + tokens
+                            + " tokens but sent "
+                            + request.tokens);
             failures.failed(attempt, Outcome.ERROR, 0, load);
         }
     }
 
-    /** The whole answer has come. */
+    /** Completes a request whose whole answer was received. */
     void completeStream(Attempt attempt, long cachedTokens, ServerLoad load) {
         attempts.streamCompleted(attempt, cachedTokens, load);
         RequestState request = attempt.request;
--- a/core/src/main/java/sorrelhoist/core/request/TimerDispatcher.java
+++ b/core/src/main/java/sorrelhoist/core/request/TimerDispatcher.java
@@ -3,7 +3,7 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 
-/** Takes each timer that is due to the class that acts on it. */
+/** Dispatches each due timer to the class that handles it. */
 final class TimerDispatcher {
     private final RequestTable requests;
     private final DecisionLoop decisions;
--- a/core/src/main/java/sorrelhoist/core/request/TokenGapEstimator.java
+++ b/core/src/main/java/sorrelhoist/core/request/TokenGapEstimator.java
@@ -1,29 +1,32 @@
 package sorrelhoist.core.request;
 
 /**
- * Estimates from the gaps between tokens how long a running stream may be silent before it counts
- * as dead. Streams of one kind of engine share one estimate: mean and mean deviation of their gaps,
- * both as moving averages.
+ * Estimates from the gaps between tokens how long a running stream may be silent before it is
+ * considered dead. All streams from one kind of engine share one estimate: the mean and the mean
+ * absolute deviation of their gaps, both as exponential moving averages.
  *
- * <p>An engine that runs out of memory reads a prompt again before it goes on, and pauses happen:
- * so the timeout is a large multiple, and never under a floor. Too short a timeout costs an
- * answer's work; too long a one costs its client that much waiting before it is told or served
- * elsewhere.
+ * <p>An engine that runs out of memory prefills a prompt again before it continues, and other
+ * pauses occur as well. The timeout is therefore a large multiple of the estimate and never below a
+ * minimum. A timeout that is too short wastes the work spent on an answer; one that is too long
+ * delays the client's error, or the resumption at another engine, accordingly.
  */
 final class TokenGapEstimator {
-    /** A long pause, or a prompt that is read again, is no failure. */
+    /** A pause shorter than this is not treated as a failure; it may be a repeated prefill. */
     static final long MIN_TIMEOUT_MICROS = 750_000;
 
-    /** Before enough gaps were seen. */
+    /** Used until enough gaps have been recorded. */
     private static final long DEFAULT_TIMEOUT_MICROS = 2_500_000;
 
-    /** Of the newest gap in the averages: about fifty gaps count. */
+    /** Weight of the newest gap in the averages; about fifty gaps contribute. */
     private static final double NEWEST_WEIGHT = 0.02;
 
-    /** Of mean and deviation: far beyond any batch that still moves. */
+    /**
+     * Factor applied to the sum of mean and deviation; far beyond the gap of any batch that still
+     * makes progress.
+     */
     private static final double TIMEOUT_MULTIPLE = 25;
 
-    /** Gaps seen before the estimate is used. */
+    /** Number of gaps recorded before the estimate is used. */
     private static final int MIN_SAMPLES = 20;
 
     private final double[] mean;
@@ -31,9 +34,9 @@
     private final int[] samples;
 
     /**
-     * Creates an estimator that has seen nothing.
+     * Creates an estimator without samples.
      *
-     * @param engineKinds how many kinds of engines there are
+     * @param engineKinds number of engine kinds
      */
     TokenGapEstimator(int engineKinds) {
         mean = new double[engineKinds];
@@ -44,8 +47,8 @@
     /**
      * Records the time between two tokens of a stream.
      *
-     * @param engineKind the engine's kind
-     * @param gapMicros time between them, in microseconds
+     * @param engineKind index of the engine's kind
+     * @param gapMicros time between the two tokens, in microseconds
      */
     void record(int engineKind, long gapMicros) {
         double weight = Math.max(NEWEST_WEIGHT, 1.0 / (samples[engineKind] + 1));
@@ -55,7 +58,7 @@
         samples[engineKind] = Math.min(MIN_SAMPLES, samples[engineKind] + 1);
     }
 
-    /** {@return for how many microseconds a stream of this kind may be silent} */
+    /** {@return how long a stream from this kind of engine may be silent, in microseconds} */
     long silenceTimeoutMicros(int engineKind) {
         if (samples[engineKind] < MIN_SAMPLES) {
             return DEFAULT_TIMEOUT_MICROS;
--- a/core/src/main/java/sorrelhoist/core/request/package-info.java
+++ b/core/src/main/java/sorrelhoist/core/request/package-info.java
@@ -1,28 +1,29 @@
 /**
- * The life of each request inside one router, from its arrival to its one final result.
+ * The lifecycle of each request within one router, from its arrival to its single final result.
  *
- * <p>{@link sorrelhoist.core.request.Router} is the entry: its caller reports what happened (a
- * request arrived, a token came, an attempt failed, time passed), and it answers with {@link
- * sorrelhoist.core.request.Command}s. Which engine a request goes to, and whether it is rejected or
- * retried, is decided by {@link sorrelhoist.routing.RoutingPolicy}; this package tracks what
- * follows from those decisions.
+ * <p>{@link sorrelhoist.core.request.Router} is the entry point: its caller reports events (a
+ * request arrived, a token was received, an attempt failed, time passed), and it responds with
+ * {@link sorrelhoist.core.request.Command}s. {@link sorrelhoist.routing.RoutingPolicy} decides
+ * which engine a request is sent to and whether it is rejected or retried; this package executes
+ * and tracks those decisions.
  *
- * <p>Who owns which state:
+ * <p>Ownership of state:
  *
  * <ul>
- *   <li>{@code RequestTable}: the requests and their numbers; {@code RequestState} and {@code
- *       Attempt} hold one request and one send.
- *   <li>{@code DecisionLoop}: the routing policy and the events that it has not seen yet.
- *   <li>{@code AttemptTracker}: the account of sends and their outcomes.
+ *   <li>{@code RequestTable}: the requests and their IDs; {@code RequestState} and {@code Attempt}
+ *       hold the state of one request and of one send.
+ *   <li>{@code DecisionLoop}: the routing policy and its queue of unprocessed events.
+ *   <li>{@code AttemptTracker}: the counts of sends and of their outcomes.
  *   <li>{@code EngineKinds}: the kind of each listed engine.
- *   <li>{@code RequestReservations}: what requests have reserved at engines.
+ *   <li>{@code RequestReservations}: the prefill states and decode slots that requests have
+ *       reserved at engines.
  *   <li>{@code RequestAdmission}: whether the router is draining.
- *   <li>{@code StreamTimeouts}: the token gaps seen on streams.
+ *   <li>{@code StreamTimeouts}: the observed gaps between the tokens of streams.
  *   <li>{@code Router}: the queue of timers, filled by the classes that schedule them; {@code
- *       TimerDispatcher} tells those that are due where to go.
+ *       TimerDispatcher} dispatches those that are due.
  * </ul>
  *
- * <p>No I/O, no clock, no threads: times are microseconds given by the caller, and one thread at a
- * time calls.
+ * <p>The package does no I/O, reads no clock and starts no threads. The caller passes in times as
+ * microseconds, and must not call from several threads at once.
  */
 package sorrelhoist.core.request;
