--- a/core/src/test/java/sorrelhoist/core/request/AnsweringEnginesTestSupport.java
+++ b/core/src/test/java/sorrelhoist/core/request/AnsweringEnginesTestSupport.java
@@ -7,25 +7,25 @@
 import sorrelhoist.core.time.TimerQueue;
 
 /**
- * Engines that answer releases and questions by themselves, but for those that are silent. What
- * becomes of attempts is in the test's hands.
+ * Simulates engines that answer release calls and reachability checks automatically, except for the
+ * engines marked as silent. The test itself controls the outcomes of attempts.
  */
 abstract class AnsweringEnginesTestSupport extends PlatformAttemptTestSupport {
     private static final long ANSWER_MICROS = 2 * STEP;
 
-    /** After which the transport does not wait for the answer to a question any more. */
+    /** Time after which the transport stops waiting for the answer to a reachability check. */
     private static final long QUESTION_TIMEOUT_MICROS = Fleet.SECOND;
 
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** Engines that nothing reaches and of which nothing comes. */
+    /** Engines that receive nothing and send nothing. */
     final Set<String> silentEngines = new HashSet<>();
 
     private final TimerQueue<Runnable> answers = new TimerQueue<>();
     private final List<Long> releaseTimes = new ArrayList<>();
     private int commandsSeen;
 
-    /** Lets time pass; engines that are not silent answer. */
+    /** Advances time to {@code time}, with all engines that are not silent answering. */
     void passAnsweringTo(long time) {
         answerNewCommands();
         while (now < time) {
@@ -77,7 +77,7 @@
         return all(Command.ReleaseReservation.class).size();
     }
 
-    /** {@return the longest time without a release from one time to another, in milliseconds} */
+    /** {@return the longest period without a release call between two times, in milliseconds} */
     long longestPauseMillis(long from, long to) {
         long longest = 0;
         long last = from;
@@ -94,7 +94,7 @@
         return releaseTimes.stream().anyMatch(time -> time >= from && time <= to);
     }
 
-    /** {@return when the last release was sent, in microseconds; 0 for never} */
+    /** {@return when the last release call was sent, in microseconds; 0 if none was sent} */
     long lastReleaseAt() {
         return releaseTimes.isEmpty() ? 0 : releaseTimes.get(releaseTimes.size() - 1);
     }
--- a/core/src/test/java/sorrelhoist/core/request/AttemptSenderTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/AttemptSenderTest.java
@@ -12,7 +12,9 @@
 import sorrelhoist.routing.RoutingActions.Send;
 import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
 
-/** A send goes out only while it has a point; either way it has one outcome. */
+/**
+ * Tests that the sender skips sends that are no longer of use, and that every send has one outcome.
+ */
 class AttemptSenderTest {
     private static final long DEADLINE = Fleet.SECOND;
     private final List<Command> commands = new ArrayList<>();
--- a/core/src/test/java/sorrelhoist/core/request/FaultSchedule.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultSchedule.java
@@ -10,35 +10,44 @@
 import sorrelhoist.core.request.FaultyNetwork.Connection;
 import sorrelhoist.core.request.RequestTruth.SentAttempt;
 
-/** Draws the faults of one play of a {@link FaultyFleet}, and has them happen. */
+/** Draws the faults of one simulation run of a {@link FaultyFleet} and injects them. */
 final class FaultSchedule {
     private static final long MILLI = 1000;
     private static final long LAST_FAULT_MICROS = 2500 * MILLI;
     private static final int MAX_FAULTS = 4;
 
-    /** Workers that may be cut off or hang in one play: others can always be asked. */
+    /**
+     * Number of workers that may become unreachable or hang in one run; the others can always be
+     * called.
+     */
     private static final int TROUBLED_WORKERS = 2;
 
-    /** Faults that happen while an attempt is on its way. */
+    /** Share of the faults that are injected while an attempt is in transit. */
     private static final double AIMED_SHARE = 0.5;
 
     private static final long LONGEST_WAY_MICROS = 10 * MILLI;
     private static final long[] FAULT_MILLIS = {50, 150, 300, 600, 1200, 2500, 6000};
     private static final double FOR_EVER_SHARE = 0.3;
 
-    /** What may go wrong, beside clients that leave and workers that drop or refuse attempts. */
+    /**
+     * Kinds of faults, in addition to clients that disconnect and workers that drop or reject
+     * attempts.
+     */
     enum Fault {
         CONNECTION_SILENT,
         LINK_SILENT,
         WORKER_HANGS,
         CONNECTION_RESET,
-        /** Workers go on with a prefill though they know that its connection has ended. */
+        /** Workers continue a prefill although they know that its connection has ended. */
         PREFILLS_GO_ON,
-        /** Planted, to see that the judge sees it: releases are answered and let go of nothing. */
+        /**
+         * Deliberate defect, to verify that the checks detect it: releases are answered but release
+         * nothing.
+         */
         RELEASES_DO_NOTHING
     }
 
-    /** Those that happen at a time; the others hold for the whole play. */
+    /** Faults that occur at a point in time; the others apply to the whole run. */
     static final Set<Fault> EVENTS =
             EnumSet.of(
                     Fault.CONNECTION_SILENT,
@@ -53,7 +62,7 @@
     private final Random random;
     private final List<String> troubled;
 
-    /** Faults that wait for an attempt to be written. */
+    /** Faults to be injected when the next attempt has been written. */
     private final ArrayDeque<Fault> aimed = new ArrayDeque<>();
 
     FaultSchedule(
@@ -72,7 +81,7 @@
         this.troubled = names.subList(0, TROUBLED_WORKERS);
     }
 
-    /** Draws what happens when. */
+    /** Draws the faults of the run and schedules them. */
     void draw() {
         if (kinds.isEmpty()) {
             return;
@@ -87,7 +96,10 @@
         }
     }
 
-    /** An attempt's last byte was written: a fault may happen while it is on its way. */
+    /**
+     * Called when the last byte of an attempt was written. Schedules a pending fault so that it
+     * occurs while the attempt may be in transit.
+     */
     void attemptWritten(SentAttempt attempt) {
         Fault next = aimed.peekFirst();
         boolean ofWorker = next == Fault.LINK_SILENT || next == Fault.WORKER_HANGS;
@@ -118,7 +130,7 @@
         switch (fault) {
             case LINK_SILENT -> {
                 network.silenceLink(worker, network.now() + duration, resetAtEnd);
-                fleet.noteFault("the link of " + worker + " falls silent" + length + end);
+                fleet.noteFault("the link of " + worker + " stops passing data" + length + end);
             }
             case WORKER_HANGS -> {
                 fleet.worker(worker).hang(duration);
@@ -128,14 +140,17 @@
                 boolean forEver = random.nextDouble() < FOR_EVER_SHARE;
                 long until = forEver ? FaultyNetwork.NEVER : network.now() + duration;
                 connection.silence(until, resetAtEnd);
-                String lasting = forEver ? " for ever" : length + end;
-                fleet.noteFault("connection " + connection.number + " falls silent" + lasting);
+                String lasting = forEver ? " permanently" : length + end;
+                fleet.noteFault(
+                        "connection " + connection.number + " stops passing data" + lasting);
             }
             case CONNECTION_RESET -> {
                 connection.reset();
                 fleet.noteFault("connection " + connection.number + " is reset");
             }
-            default -> throw new IllegalStateException("nothing that happens: " + fault);
+            default ->
+                    throw new IllegalStateException(
+                            "not a fault that occurs at a point in time: " + fault);
         }
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/FaultyFleet.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyFleet.java
@@ -12,9 +12,9 @@
 import sorrelhoist.routing.RoutingEvents.Server;
 
 /**
- * One router, its workers and the network between them, in virtual time, with requests and faults
- * drawn from a seed. What is held for requests is judged by what is true at the workers, whatever
- * the router takes for true.
+ * Simulates one router, its workers and the network between them in virtual time, with requests and
+ * faults drawn from a seed. Whether prefill states are held for too long is checked against the
+ * actual state of the workers, not against the router's view of it.
  */
 final class FaultyFleet {
     private static final long MILLI = 1000;
@@ -22,28 +22,32 @@
     private static final long ARRIVALS_END = 3 * Fleet.SECOND / 2;
     private static final long PLAY_END = 12 * Fleet.SECOND;
 
-    /** A state is looked at that often. */
+    /** Interval between two checks of the prefill states. */
     private static final long JUDGE_MICROS = 5 * MILLI;
 
-    /** A call's way, and what a router may take for a turn. */
+    /** Tolerance for the transit of a call and for the router's processing time. */
     private static final long SLACK_MICROS = 300 * MILLI;
 
     private static final int MIN_REQUESTS = 4;
     private static final int MAX_REQUESTS = 14;
     private static final double LEAVING_SHARE = 0.25;
 
-    /** What a state waited for when its limit was over. */
+    /** Why a prefill state was still held when its time limit had passed. */
     enum Cause {
-        /** A decode was written and has not arrived, so nobody is to take the state. */
+        /**
+         * A decode was written but has not arrived, so no attempt at a worker will fetch the state.
+         */
         DECODE_NOT_ARRIVED,
-        /** A decode is over at its worker, and its answer has not come, or never will. */
+        /**
+         * A decode has ended at its worker, and its answer has not been received, or never will be.
+         */
         DECODE_UNANSWERED,
-        /** A prefill was over for the router, and has left the state after that. */
+        /** A prefill produced the state after the router had ended the attempt. */
         PREFILL_ENDED_LATE,
         OTHER
     }
 
-    /** A state that was not taken or released in time. */
+    /** A prefill state that was neither fetched nor released in time. */
     static final class LateState {
         final RequestTruth request;
         final Cause cause;
@@ -96,19 +100,22 @@
         return requests.get(name);
     }
 
-    /** A release arrived at a worker that runs. */
+    /** Called when a release arrives at a worker that is not hanging. */
     void releaseArrived(RequestTruth request, String worker) {
         if (releasesWork) {
             request.releaseArrives(worker, network.now());
         }
     }
 
-    /** An attempt's last byte was written. */
+    /** Called when the last byte of an attempt was written. */
     void attemptWritten(SentAttempt attempt) {
         schedule.attemptWritten(attempt);
     }
 
-    /** Bytes came on a connection, in answer to a call that was written at a time. */
+    /**
+     * Called when bytes were received on a connection in response to a call that was written at
+     * {@code callWrittenAt}.
+     */
     void bytesCame(Connection connection, long callWrittenAt) {
         for (RequestTruth request : requests.values()) {
             SentAttempt open = request.openAtRouter();
@@ -118,11 +125,11 @@
         }
     }
 
-    /** A client got its final answer. */
+    /** Called when a client received its final result. */
     void answered(long clientId) {
         RequestTruth request = openByClient.remove(clientId);
         if (request != null) {
-            request.note(network.now(), "its client is answered");
+            request.note(network.now(), "client received its final result");
         }
     }
 
@@ -137,9 +144,9 @@
         requests.values().forEach(request -> request.note(network.now(), "-- " + text));
     }
 
-    // The play
+    // Simulation
 
-    /** Plays to the end. {@return states that were held for too long} */
+    /** Runs the simulation to its end. {@return the states that were held for too long} */
     List<LateState> play() {
         drawRequests();
         schedule.draw();
@@ -208,19 +215,19 @@
     private void leave(long client) {
         RequestTruth request = openByClient.remove(client);
         if (request != null) {
-            request.note(network.now(), "its client leaves");
+            request.note(network.now(), "client disconnects");
             router.clientDisconnected(network.now(), client);
         }
     }
 
-    // Why a state is late
+    // Cause of a late state
 
     private LateState lateState(RequestTruth request) {
         SentAttempt open = request.openAtRouter();
         SentAttempt prefill = request.heldBy();
         if (prefill.endedTooLate) {
-            String how = prefill.arrivedTooLate ? "arrived" : "went on";
-            String detail = how + " after its end, " + prefill.routerEnd;
+            String how = prefill.arrivedTooLate ? "arrived" : "continued";
+            String detail = how + " after the router had ended it: " + prefill.routerEnd;
             return new LateState(request, Cause.PREFILL_ENDED_LATE, detail);
         }
         if (open == null || open.prefill || !open.written) {
@@ -233,13 +240,16 @@
         return new LateState(request, Cause.DECODE_UNANSWERED, detail);
     }
 
-    /** {@return what keeps an attempt's bytes from passing now, and what was heard instead} */
+    /**
+     * {@return what currently prevents the bytes of an attempt from passing, and what was received
+     * from its worker on other connections}
+     */
     String wayOf(SentAttempt attempt) {
         if (!attempt.written) {
             return "not written";
         }
         String silence = attempt.connection.silence();
         String way = workers.get(attempt.worker).isHung() ? "worker hangs" : silence;
-        return (way.isEmpty() ? "all passes" : way) + ", " + attempt.evidence();
+        return (way.isEmpty() ? "nothing blocked" : way) + ", " + attempt.evidence();
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/FaultyNetwork.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyNetwork.java
@@ -9,12 +9,13 @@
 import sorrelhoist.core.time.TimerQueue;
 
 /**
- * Virtual time, and the connections between a router and its workers. Each connection has a delay
- * of its own; it, or the whole link of a worker, can fall silent: what is on its way then waits for
- * the end of the silence, or is lost where the connection is reset at that end.
+ * Virtual time and the simulated connections between a router and its workers. Each connection has
+ * its own delay. A single connection or the whole link of a worker can stop passing data. Messages
+ * in transit are then delivered when the silence ends, or are lost if the connection is reset at
+ * that moment.
  */
 final class FaultyNetwork {
-    /** In place of a time: not before the end of the play. */
+    /** Placeholder for a time that is not reached before the end of the simulation. */
     static final long NEVER = Long.MAX_VALUE;
 
     private static final long MIN_ONE_WAY_MICROS = 1000;
@@ -44,7 +45,7 @@
         events.schedule(now + delayMicros, event);
     }
 
-    /** Lets time pass, and what is due by then happen. */
+    /** Advances time and runs the events that are due. */
     void advanceTo(long time) {
         now = Math.max(now, time);
         for (Runnable due = events.pollDue(now); due != null; due = events.pollDue(now)) {
@@ -60,19 +61,22 @@
 
     // Links and connections
 
-    /** Makes a connection that carries bytes at once; whether it has come up is the caller's. */
+    /**
+     * Creates a connection that carries bytes immediately; the caller keeps track of whether it is
+     * established.
+     */
     Connection open(String worker) {
         Connection connection = new Connection(worker, connections.size());
         connections.add(connection);
         return connection;
     }
 
-    /** {@return connections that neither end has closed} */
+    /** {@return the connections that are neither closed by the router nor reset} */
     List<Connection> openConnections() {
         return connections.stream().filter(Connection::isOpen).toList();
     }
 
-    /** Nothing passes between the router and a worker's machine until a time. */
+    /** Passes no data between the router and the machine of a worker until {@code until}. */
     void silenceLink(String worker, long until, boolean resetAtEnd) {
         linkSilentUntil.merge(worker, until, Math::max);
         if (resetAtEnd) {
@@ -86,12 +90,15 @@
                 .forEach(Connection::reset);
     }
 
-    /** One connection from the router to a worker's machine. */
+    /** A connection from the router to the machine of a worker. */
     final class Connection {
         final String worker;
         final int number;
 
-        /** When the call that it carries last was written; for the time that it then rests. */
+        /**
+         * When the connection was last assigned to a call or became idle. It has to stay idle for
+         * some time before it is reused.
+         */
         long lastUsedAt;
 
         private final long oneWayMicros =
@@ -118,7 +125,7 @@
             return Math.max(silentUntil, linkSilentUntil.getOrDefault(worker, 0L));
         }
 
-        /** {@return what keeps bytes from passing now; empty for nothing} */
+        /** {@return what currently prevents bytes from passing; empty if nothing does} */
         String silence() {
             if (reset) {
                 return "connection reset";
@@ -129,21 +136,23 @@
             return silentUntil > now ? "connection silent" : "";
         }
 
-        /** A call takes the connection: who has to know of its end. */
+        /**
+         * Assigns the connection to a call and sets the callbacks for the end of the connection.
+         */
         void carry(Runnable whenResetAtRouter, Runnable whenEndedAtWorker) {
             this.whenResetAtRouter = whenResetAtRouter;
             this.whenEndedAtWorker = whenEndedAtWorker;
             lastUsedAt = now;
         }
 
-        /** Sends to the worker's machine, which may take it only later. */
+        /** Sends a message to the machine of the worker; the worker may process it later. */
         void sendToWorker(Runnable arrival) {
             if (isOpen()) {
                 toWorker.send(arrival);
             }
         }
 
-        /** Sends to the router, unless it has closed the connection. */
+        /** Sends a message to the router, which drops it if it has closed the connection. */
         void sendToRouter(Runnable arrival) {
             if (!reset) {
                 toRouter.send(
@@ -155,7 +164,10 @@
             }
         }
 
-        /** The router closes it: that arrives after all that was written before. */
+        /**
+         * Closes the connection on the router's side. The close arrives after everything written
+         * before.
+         */
         void close() {
             if (isOpen()) {
                 toWorker.send(whenEndedAtWorker);
@@ -163,7 +175,7 @@
             }
         }
 
-        /** Nothing passes on this connection alone until a time. */
+        /** Passes no data on this connection alone until {@code until}. */
         void silence(long until, boolean resetAtEnd) {
             silentUntil = Math.max(silentUntil, until);
             if (resetAtEnd) {
@@ -171,7 +183,7 @@
             }
         }
 
-        /** It breaks: both ends learn of it, and what was on its way is lost. */
+        /** Resets the connection. Both ends are notified, and messages in transit are lost. */
         void reset() {
             if (!reset) {
                 reset = true;
@@ -190,7 +202,9 @@
 
         private record Message(long dueAt, Runnable arrival) {}
 
-        /** One direction; what was sent first arrives first. */
+        /**
+         * One direction of a connection; delivers messages in the order in which they were sent.
+         */
         private final class Pipe {
             private final ArrayDeque<Message> messages = new ArrayDeque<>();
 
--- a/core/src/test/java/sorrelhoist/core/request/FaultyNetworkModelTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyNetworkModelTest.java
@@ -12,7 +12,8 @@
 import sorrelhoist.core.request.RequestTruth.WorkerEnd;
 
 /**
- * What the parts of the model of a faulty network play: no kinder than the rules they stand for.
+ * Tests the components of the faulty network simulation: the model must not be more lenient than
+ * the rules that it represents.
  */
 class FaultyNetworkModelTest {
     private static final long MILLI = 1000;
@@ -119,7 +120,7 @@
         assertEquals(SILENCE, request.heldForNobodyMicros(SILENCE));
     }
 
-    /** Its place in the queue keeps the state, also when the router has given it up. */
+    /** A queued decode keeps the state held, even after the router has cancelled the decode. */
     @Test
     void aReleaseLetsGoOfNothingThatADecodeWaitsForAndTheClockBeginsAfterIt() {
         leaveState();
--- a/core/src/test/java/sorrelhoist/core/request/FaultyNetworkTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyNetworkTest.java
@@ -9,11 +9,17 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.request.FaultSchedule.Fault;
 
-/** The model of a faulty network as a whole: it sees what is planted, and nothing else. */
+/**
+ * Tests the faulty network simulation as a whole: it detects an injected defect and reports nothing
+ * without one.
+ */
 class FaultyNetworkTest {
     private static final int PLANTED_SEEDS = 50;
 
-    /** The least of them in which a state has to be released at all: a decode was not served. */
+    /**
+     * Lower bound of the runs that detect the defect. A state has to be released only in runs in
+     * which a decode is not served.
+     */
     private static final int PLANTED_SEEN = 15;
 
     @Test
@@ -25,6 +31,8 @@
     void releasesThatLetGoOfNothingAreSeen() {
         Set<Fault> planted = EnumSet.of(Fault.RELEASES_DO_NOTHING);
         int seen = FaultyPlays.play(planted, PLANTED_SEEDS).broken().size();
-        assertTrue(seen >= PLANTED_SEEN, "seen in " + seen + " of " + PLANTED_SEEDS + " seeds");
+        assertTrue(
+                seen >= PLANTED_SEEN,
+                "defect detected in " + seen + " of " + PLANTED_SEEDS + " seeds");
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/FaultyPlays.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyPlays.java
@@ -10,12 +10,12 @@
 import sorrelhoist.core.request.FaultyFleet.LateState;
 
 /**
- * Plays of a {@link FaultyFleet} with one seed after the other, and the states that were late in
- * them. Other seeds, and what happened in one that broke: {@code -Dnetwork.firstSeed=7
- * -Dnetwork.seeds=1 -Dnetwork.traces=9}.
+ * Runs simulations of a {@link FaultyFleet} with consecutive seeds and collects the states that
+ * were held for too long. To run other seeds and to print the traces of failed runs: {@code
+ * -Dnetwork.firstSeed=7 -Dnetwork.seeds=1 -Dnetwork.traces=9}.
  */
 final class FaultyPlays {
-    /** Plays in one test. */
+    /** Number of simulation runs per test. */
     static final int SEEDS = Integer.getInteger("network.seeds", 2000);
 
     private static final long FIRST_SEED = Long.getLong("network.firstSeed", 1);
@@ -23,7 +23,7 @@
     private static final int PRINTED_SEEDS = 20;
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** Of the seeds that broke. */
+    /** Late states by seed; contains only the seeds of failed runs. */
     private final Map<Long, List<LateState>> lateBySeed = new TreeMap<>();
 
     private int requests;
@@ -34,7 +34,7 @@
 
     private FaultyPlays() {}
 
-    /** Plays so many seeds, and prints which broke by what. */
+    /** Runs the simulation with {@code seeds} seeds and prints the failed seeds by cause. */
     static FaultyPlays play(Set<Fault> faults, int seeds) {
         FaultyPlays plays = new FaultyPlays();
         for (long seed = FIRST_SEED; seed < FIRST_SEED + seeds; seed++) {
@@ -45,19 +45,20 @@
                 plays.lateBySeed.put(seed, late);
             }
         }
-        System.out.println(faults + ": " + plays.broken().size() + " of " + seeds + " seeds broke");
+        System.out.println(
+                faults + ": " + plays.broken().size() + " of " + seeds + " seeds failed");
         plays.printCosts();
         plays.printCauses();
         plays.printTraces();
         return plays;
     }
 
-    /** {@return the seeds in which a state was late} */
+    /** {@return the seeds of the runs in which a state was late} */
     List<Long> broken() {
         return List.copyOf(lateBySeed.keySet());
     }
 
-    /** {@return those among them in which a state was late for a cause} */
+    /** {@return the seeds of the runs in which a state was late for the given cause} */
     List<Long> brokenBy(Cause cause) {
         return lateBySeed.entrySet().stream()
                 .filter(entry -> entry.getValue().stream().anyMatch(late -> late.cause == cause))
@@ -73,7 +74,10 @@
         releases += request.releases;
     }
 
-    /** What a change of releases may cost, beside what it mends. */
+    /**
+     * Prints figures that show the cost of a change to the release logic, in addition to the
+     * failures.
+     */
     private void printCosts() {
         System.out.println(
                 requests
--- a/core/src/test/java/sorrelhoist/core/request/FaultyTransport.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyTransport.java
@@ -13,9 +13,9 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
- * Carries out a router's commands over a {@link FaultyNetwork}, as the platform's transport does:
- * connections that have rested are checked before an attempt goes out on them, new ones have to
- * come up in time, releases and questions have connections of their own.
+ * Executes the commands of a router over a {@link FaultyNetwork} in the way the platform's
+ * transport does: idle connections are checked before an attempt is sent on them, new connections
+ * have a connect timeout, and releases and reachability checks use separate connections.
  */
 final class FaultyTransport {
     private static final long MILLI = 1000;
@@ -23,10 +23,13 @@
     private static final long CHECK_TIMEOUT_MICROS = 40 * MILLI;
     private static final long QUESTION_TIMEOUT_MICROS = 1000 * MILLI;
 
-    /** Of new connections, those that never come up. */
+    /** Share of new connections that are never established. */
     private static final double NEVER_UP_SHARE = 0.02;
 
-    /** Before a connection carries another call: a second response would be taken for its own. */
+    /**
+     * Minimum idle time before a connection carries another call, because a second response to the
+     * previous call would be mistaken for the response to the new one.
+     */
     private static final long REST_MICROS = 50 * MILLI;
 
     private final FaultyNetwork network;
@@ -50,7 +53,7 @@
         return network.now();
     }
 
-    /** Carries out a command. */
+    /** Executes a command. */
     void take(Command command) {
         if (command instanceof Command.StartPrefill start) {
             long deadline = start.deadlineMicros();
@@ -77,7 +80,10 @@
         }
     }
 
-    /** {@return the connections of attempts that were written and have no outcome} */
+    /**
+     * {@return the open connections of attempts that were written and have no outcome, sorted by
+     * number}
+     */
     List<Connection> attemptConnections() {
         return running.values().stream()
                 .map(call -> call.connection)
@@ -86,16 +92,22 @@
                 .toList();
     }
 
-    // What bytes of a worker say to the router
+    // Bytes received from workers
 
-    /** A worker began to answer a call whose last byte was written at a time. */
+    /**
+     * Called when a worker begins to answer a call whose last byte was written at {@code
+     * writtenAt}.
+     */
     private void answerBegan(Connection connection, long writtenAt) {
         fleet.bytesCame(connection, writtenAt);
         router().bytesReceived(now(), connection.worker);
         router().callAnswered(now(), connection.worker, writtenAt);
     }
 
-    /** More bytes of an answer came: nothing that was sent now has caused them. */
+    /**
+     * Called when further bytes of an answer were received. They do not show that anything sent
+     * recently has arrived.
+     */
     private void moreBytesCame(Connection connection) {
         fleet.bytesCame(connection, 0);
         router().bytesReceived(now(), connection.worker);
@@ -117,7 +129,10 @@
         rested.computeIfAbsent(connection.worker, name -> new ArrayDeque<>()).addLast(connection);
     }
 
-    /** Takes one that has rested, or connects; {@code call} gets null where none comes up. */
+    /**
+     * Uses an idle connection or opens a new one; passes null to {@code call} if none can be
+     * established.
+     */
     private void connect(String worker, Consumer<Connection> call) {
         Connection resting = takeRested(worker);
         if (resting == null) {
@@ -144,7 +159,7 @@
                                 }));
     }
 
-    /** The same, but one that has rested has to show first that it is not silent. */
+    /** Like {@link #connect}, but an idle connection must first respond to a check. */
     private void connectChecked(String worker, Consumer<Connection> call) {
         Connection resting = takeRested(worker);
         if (resting == null) {
@@ -169,7 +184,7 @@
         network.after(CHECK_TIMEOUT_MICROS, () -> once.run(silent));
     }
 
-    /** What happens first of several things. */
+    /** Runs only the first of several alternative tasks. */
     private static final class Once {
         private boolean done;
 
@@ -183,7 +198,10 @@
 
     // Calls
 
-    /** A call that changes nothing but what it lets go of; any worker that runs answers it. */
+    /**
+     * Makes a call that has no effect except for what it releases; any worker that is not hanging
+     * answers it.
+     */
     private void call(String worker, Runnable arrival, Once once, Consumer<Boolean> ended) {
         connect(
                 worker,
@@ -232,7 +250,7 @@
     private void ask(String worker) {
         Once once = new Once();
         Consumer<Boolean> ended = any -> router().reachabilityChecked(now(), worker, true);
-        // In a later turn: the router asks while it runs.
+        // Deferred, because the router emits the command during one of its own calls.
         network.after(0, () -> call(worker, () -> {}, once, ended));
         network.after(QUESTION_TIMEOUT_MICROS, () -> once.run(() -> ended.accept(false)));
     }
@@ -324,7 +342,7 @@
             }
         }
 
-        /** Its answer is complete, and the connection can carry another call. */
+        /** Called when the answer is complete; the connection can then carry another call. */
         private void completed(String how) {
             bytesCame();
             over(how);
--- a/core/src/test/java/sorrelhoist/core/request/FaultyWorker.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyWorker.java
@@ -9,8 +9,8 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /**
- * A worker of the operators' platform. While it hangs, its machine takes bytes and closes, and it
- * takes them from there when it goes on.
+ * Simulates a worker of the platform. While the worker hangs, its machine still accepts bytes and
+ * the closing of connections; the worker processes both when it continues.
  */
 final class FaultyWorker {
     private static final long MILLI = 1000;
@@ -25,12 +25,12 @@
     private static final double ERROR_SHARE = 0.04;
     private static final double RESET_SHARE = 0.03;
 
-    /** With less time left than that, an attempt may be dropped without a word. */
+    /** A decode with less time left than this may be dropped without a response. */
     private static final long LITTLE_TIME_MICROS = 400 * MILLI;
 
     private static final double DROPPED_SHARE = 0.5;
 
-    /** What comes back to the router for one attempt. */
+    /** Responses to the router for one attempt. */
     interface Answers {
         void prefillCompleted();
 
@@ -45,10 +45,10 @@
     private final FaultyNetwork network;
     private final Random random;
 
-    /** Whether it takes a decode out of its queue whose connection has ended. */
+    /** Whether the worker removes a decode whose connection has ended from its queue. */
     private final boolean cancelsQueued;
 
-    /** Whether a prefill whose connection has ended goes on, and leaves a state at its end. */
+    /** Whether a prefill whose connection has ended continues and produces a state. */
     private final boolean prefillsGoOn;
 
     private final ArrayDeque<Runnable> untaken = new ArrayDeque<>();
@@ -62,7 +62,7 @@
         this.cancelsQueued = random.nextBoolean();
     }
 
-    /** It stands still for a time, in microseconds. */
+    /** Makes the worker hang for {@code duration} microseconds. */
     void hang(long duration) {
         hungUntil = Math.max(hungUntil, network.now() + duration);
         network.after(duration, this::goOn);
@@ -78,7 +78,7 @@
         return network.now() < hungUntil;
     }
 
-    /** Has it do something as soon as it runs. */
+    /** Runs a task now, or once the worker no longer hangs. */
     void whenItRuns(Runnable task) {
         if (isHung()) {
             untaken.addLast(task);
@@ -93,7 +93,7 @@
 
     // Attempts
 
-    /** An attempt's last byte has come, and it takes the attempt. */
+    /** Called when the worker has received the last byte of an attempt. */
     void attemptArrives(SentAttempt attempt, RequestTruth request, Sender sender) {
         attempt.arrived(network.now());
         double luck = random.nextDouble();
@@ -113,7 +113,7 @@
         }
     }
 
-    /** The connection that an attempt came on, and who is told of its answer there. */
+    /** The connection on which an attempt was received, and the receiver of its answers. */
     record Sender(Connection connection, Answers answers) {
         private void send(Consumer<Answers> answer) {
             connection.sendToRouter(() -> answer.accept(answers));
@@ -182,7 +182,7 @@
                 () -> stream(attempt, sender, eventsLeft - 1));
     }
 
-    /** The connection of an attempt has ended, and it notices. */
+    /** Called when the worker notices that the connection of an attempt has ended. */
     void connectionEnded(SentAttempt attempt) {
         boolean goesOn = attempt.prefill ? prefillsGoOn : attempt.waitsForState && !cancelsQueued;
         if (attempt.arrived && !goesOn && attempt.workerEnd == WorkerEnd.NONE) {
--- a/core/src/test/java/sorrelhoist/core/request/Fleet.java
+++ b/core/src/test/java/sorrelhoist/core/request/Fleet.java
@@ -16,8 +16,8 @@
 import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
- * Small settings and engines for tests: two readers and three writers, one class of each kind of
- * repeat.
+ * Small settings and engine lists for tests: two prefill engines, three decode engines, and one
+ * request class for each kind of idempotency.
  */
 final class Fleet {
     static final long SECOND = 1_000_000;
@@ -68,7 +68,9 @@
                 seed);
     }
 
-    /** {@return settings of a router on the operators' platform} */
+    /**
+     * {@return the settings of a router on the platform: opaque events, and releases by any engine}
+     */
     static RouterSettings platformSettings(boolean decodersMayPrefill, long budget) {
         RoutingSettings plain = decide(true);
         Capabilities limits = plain.capabilities();
@@ -115,7 +117,7 @@
         return all;
     }
 
-    /** {@return news that one of {@link #servers()} is gone} */
+    /** {@return an endpoint list entry that marks one of {@link #servers()} as gone} */
     static Server goneServer(String id) {
         Server server = servers().stream().filter(s -> s.id().equals(id)).findFirst().orElseThrow();
         return new Server(
--- a/core/src/test/java/sorrelhoist/core/request/GracefulShutdownTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/GracefulShutdownTest.java
@@ -40,7 +40,7 @@
         PeerLiveness n = new PeerLiveness(0, 2, 0);
         assertFalse(n.hasLivePeer(0));
         assertTrue(n.messageReceived(0, 0, "@here"));
-        assertFalse(n.hasLivePeer(0), "its own word is no neighbour");
+        assertFalse(n.hasLivePeer(0), "a router's own heartbeat counted as a live peer");
         assertTrue(n.messageReceived(0, 1, "@here"));
         assertTrue(n.hasLivePeer(2_000_000));
         assertFalse(n.hasLivePeer(3_000_000));
@@ -58,7 +58,10 @@
         assertEquals("@here", n.heartbeatMessage(6_000_000, false));
     }
 
-    /** Each word is priced for each receiver: a hundred routers must not say a hundred a second. */
+    /**
+     * Every message has a cost per receiver, so a hundred routers must not send a hundred per
+     * second.
+     */
     @Test
     void allTogetherSayAFewWordsASecondAndOneIsAlwaysFresh() {
         for (int routers : new int[] {2, 3, 20, 100, 150}) {
@@ -73,7 +76,9 @@
             }
             Collections.sort(words);
             long seconds = (120_000_000 - words.get(0)) / 1_000_000;
-            assertTrue(words.size() <= 4 * (seconds + 2), routers + " say " + words.size());
+            assertTrue(
+                    words.size() <= 4 * (seconds + 2),
+                    routers + " routers sent too many heartbeats: " + words.size());
             for (int i = 1; i < words.size(); i++) {
                 assertTrue(words.get(i) - words.get(i - 1) <= 1_000_000);
             }
--- a/core/src/test/java/sorrelhoist/core/request/Histories.java
+++ b/core/src/test/java/sorrelhoist/core/request/Histories.java
@@ -18,9 +18,9 @@
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
- * Random histories of a router in virtual time: clients that come and leave, engines that answer,
- * fail, hang, stall and send nonsense, a roster that changes. What the router orders is checked
- * against the rules as it is ordered.
+ * Random histories of a router in virtual time: clients connect and disconnect, engines answer,
+ * fail, hang, stall and send invalid data, and the endpoint list changes. Every command of the
+ * router is checked against the rules when it is emitted.
  */
 final class Histories {
     private static final class Client {
@@ -71,7 +71,7 @@
         router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
     }
 
-    /** Plays one history to its end. */
+    /** Runs one history to its end. */
     void play() {
         int count = 1 + random.nextInt(12);
         for (int i = 0; i < count; i++) {
@@ -84,11 +84,11 @@
             now = Math.max(now, Math.min(world.nextDueMicros(), router.nextTimerAt()));
             advanceToNow();
             if (steps > 100_000) {
-                broken.add("no end");
+                broken.add("history does not end");
                 return;
             }
         }
-        // What was released or timed out needs its last timers; periodic ones go on for ever.
+        // Fires the last release and timeout timers; bounded, as periodic timers never end.
         for (long until = now + 6 * Fleet.SECOND; router.nextTimerAt() <= until; ) {
             now = Math.max(now, router.nextTimerAt());
             advanceToNow();
@@ -96,7 +96,7 @@
         checkNothingLeft();
         clients.values().stream()
                 .filter(c -> !c.ended && !c.gone)
-                .forEach(c -> broken.add("rule 1: no answer"));
+                .forEach(c -> broken.add("rule 1: no final result"));
     }
 
     private void advanceToNow() {
@@ -114,7 +114,8 @@
         if (total > 0) {
             broken.add(
                     String.format(
-                            "left: %d known, %d out, %d held, %d reserved",
+                            "state left over: %d known requests, %d running attempts,"
+                                    + " %d wanted reservations, %d reservations",
                             left.knownRequests(),
                             left.runningAttempts(),
                             left.wantedReservations(),
@@ -179,8 +180,7 @@
                                 0)));
     }
 
-    // ---- Engines
-    // ------------------------------------------------------------------------------------------
+    // Engines
 
     private void take(Command given) {
         Command order = sabotage.apply(given);
@@ -198,13 +198,13 @@
         } else if (order instanceof Command.DeliverToken o) {
             Client c = client(o.clientId());
             if (c.ended || c.gone || now > c.endsBy) {
-                broken.add("rule 1: a token after the end");
+                broken.add("rule 1: token delivered after the end of the request");
             }
             if (o.index() != c.tokens++) {
-                broken.add("a token lost or doubled");
+                broken.add("token lost or duplicated");
             }
             if (c.tokens == 1 && now > c.firstTokenBy) {
-                broken.add("rule 1: a first token after the deadline");
+                broken.add("rule 1: first token delivered after the deadline");
             }
         } else if (order instanceof Command.FinishRequest o) {
             finish(client(o.clientId()), o.result());
@@ -213,7 +213,7 @@
 
     private void finish(Client c, RequestResult answer) {
         if (c.ended || c.gone) {
-            broken.add("rule 1: a second answer");
+            broken.add("rule 1: second final result");
         }
         c.ended = true;
         served += answer instanceof RequestResult.Served ? 1 : 0;
@@ -223,17 +223,17 @@
                         ? 1
                         : 0;
         if (now > c.endsBy || c.tokens == 0 && now > c.firstTokenBy) {
-            broken.add("rule 1: answered " + (now - c.firstTokenBy) + " us late");
+            broken.add("rule 1: final result " + (now - c.firstTokenBy) + " us late");
         }
     }
 
     private void sent(AttemptId id, String name, String engine) {
         names.put(id, name);
         if (outBy.merge(name, 1, Integer::sum) > 1) {
-            broken.add("rule 2: two attempts out");
+            broken.add("rule 2: two attempts running at once");
         }
         if (drainedAt.containsKey(engine)) {
-            broken.add("rule 3: sent to " + engine + " which drains");
+            broken.add("rule 3: attempt sent to " + engine + ", which is draining");
         }
     }
 
@@ -253,8 +253,8 @@
         world.schedule(
                 now + delay,
                 () -> {
-                    // A carrier reports nothing of what it was told to drop; sometimes word is on
-                    // its way already.
+                    // A transport reports nothing about a cancelled attempt, but a report may
+                    // already be in transit.
                     if (isOut(id) || random.nextInt(3) == 0) {
                         what.run();
                     }
@@ -318,17 +318,19 @@
         }
     }
 
-    /** The attempt may have an effect: at most once where that matters. */
+    /** Records a possible side effect; checks that it occurs once where the class requires it. */
     private void run(Command.StartDecode o) {
         boolean again = !ran.add(o.requestName());
         if (o.request().classIndex() == Fleet.UNSAFE && (again || o.firstTokenIndex() > 0)) {
-            broken.add("rule 2: an unsafe request ran twice");
+            broken.add("rule 2: request of an unsafe class ran twice");
         }
         String cell = o.engine().equals("w1") ? "1" : "0";
         String first = cells.putIfAbsent(o.requestName(), cell);
         if (o.request().classIndex() == Fleet.KEYED
                 && (first != null && !first.equals(cell) || o.firstTokenIndex() > 0)) {
-            broken.add("rule 2: a keyed request ran in two cells");
+            broken.add(
+                    "rule 2: request of a keyed class ran in two cells,"
+                            + " or ran again after its first token");
         }
     }
 
@@ -368,22 +370,22 @@
                 });
     }
 
-    /** Rule 5: a state that no attempt waits for is taken or let go in time. */
+    /** Checks that sends have one outcome, and rule 5: unused states do not outlive the limit. */
     private void check() {
         if (router.metrics().sendsWithoutOutcome() != router.metrics().runningAttempts()) {
             broken.add(
-                    "a send has not exactly one outcome: "
+                    "not every send has exactly one outcome: "
                             + router.metrics().sendsWithoutOutcome()
-                            + " are without, "
+                            + " sends without outcome, "
                             + router.metrics().runningAttempts()
-                            + " are out");
+                            + " running attempts");
         }
         held.forEach(
                 (state, h) -> {
                     if (outBy.getOrDefault(h.name(), 0) == 0
                             && now - Math.max(h.since(), lastOut.getOrDefault(h.name(), 0L))
                                     > Fleet.RELEASE) {
-                        broken.add("rule 5: " + state + " pinned");
+                        broken.add("rule 5: " + state + " held for too long");
                     }
                 });
         outBy.forEach(
--- a/core/src/test/java/sorrelhoist/core/request/HistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HistoriesTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seeded random histories against the rules, and the same with broken transitions, which must be
- * caught.
+ * Checks seeded random histories against the rules. The same histories with deliberately broken
+ * commands verify that violations are detected.
  */
 class HistoriesTest {
     private static final int COUNT = Integer.getInteger("histories", 3000);
@@ -47,20 +47,22 @@
                 return;
             }
         }
-        throw new AssertionError("not caught: " + what);
+        throw new AssertionError("no history detected the violation: " + what);
     }
 
     @Test
     void brokenTransitionsAreCaught() {
-        caught("rule 1: no answer", o -> o instanceof Command.FinishRequest ? null : o);
+        caught("rule 1: no final result", o -> o instanceof Command.FinishRequest ? null : o);
         caught("rule 5: ", o -> o instanceof Command.ReleaseReservation ? null : o);
         caught(
-                "a token lost or doubled",
+                "token lost or duplicated",
                 o ->
                         o instanceof Command.DeliverToken d
                                 ? new Command.DeliverToken(
                                         d.clientId(), d.index() / 2, d.text(), null)
                                 : o);
-        caught("rule 2: two attempts out", o -> o instanceof Command.CancelAttempt ? null : o);
+        caught(
+                "rule 2: two attempts running at once",
+                o -> o instanceof Command.CancelAttempt ? null : o);
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/HoldOfUnansweredDecodeTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HoldOfUnansweredDecodeTest.java
@@ -8,21 +8,25 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
- * A decode that never arrives, or is over at its engine without a word, stops no clock: only an
- * answer on its own connection shows that its engine has it.
+ * A decode that never arrives, or that its engine ends without a response, must not suspend the
+ * time limit of the state that is held for it. Only an answer on the decode's own connection shows
+ * that its engine has the decode; bytes on other connections do not.
  */
 class HoldOfUnansweredDecodeTest extends AnsweringEnginesTestSupport {
     private static final long MICROS_PER_MILLI = 1000;
     private static final long LIMIT_MILLIS = Fleet.RELEASE / MICROS_PER_MILLI;
     private static final long ONE_WAY_MICROS = 4 * STEP;
 
-    /** After which a release that no engine has answered is reported. */
+    /** Time after which a release that no engine has answered is reported as expired. */
     private static final long EXPIRY_MICROS = 4 * Fleet.RELEASE;
 
-    /** Under way at once: the limit is over before a fifth is due. */
+    /**
+     * Number of release calls in flight at the same time; the time limit passes before a fifth one
+     * is due.
+     */
     private static final int RELEASES_ON_THEIR_WAY = 4;
 
-    /** Bytes of a running stream left the engine before the decode arrived there; then it hangs. */
+    /** The engine sends bytes of a running stream before the decode arrives, and then hangs. */
     private void engineHangsRightAfterSending(String engine) {
         passAnsweringTo(now + ONE_WAY_MICROS);
         streamEventReceived(engine);
@@ -34,7 +38,9 @@
         Command.StartDecode decode = decodeWritten(Fleet.UNSAFE);
         engineHangsRightAfterSending(decode.engine());
         passAnsweringTo(PREFILLED + Fleet.RELEASE);
-        assertTrue(releases() > 0, "bytes that came 4 ms after the decode spoke for it");
+        assertTrue(
+                releases() > 0,
+                "stream bytes received 4 ms after the decode counted as its delivery");
     }
 
     @Test
@@ -43,10 +49,11 @@
         engineHangsRightAfterSending(decode.engine());
         passAnsweringTo(PREFILLED + Fleet.RELEASE);
         int decodes = all(Command.StartDecode.class).size();
-        assertEquals(2, decodes, "bytes that came 4 ms after the decode spoke for it");
+        assertEquals(
+                2, decodes, "stream bytes received 4 ms after the decode counted as its delivery");
     }
 
-    /** Nothing orders two connections: the call may have overtaken the decode. */
+    /** There is no ordering between two connections, so the call may have overtaken the decode. */
     @Test
     void anAnswerToACallThatOvertookADecodeDoesNotKeepItsStateFromBeingReleased() {
         Command.StartDecode decode = decodeWritten(Fleet.UNSAFE);
@@ -55,20 +62,27 @@
         questionAnswered(decode.engine(), writtenAt);
         silentEngines.add(decode.engine());
         passAnsweringTo(PREFILLED + Fleet.RELEASE);
-        assertTrue(releases() > 0, "the answer to another call spoke for the decode");
+        assertTrue(
+                releases() > 0, "the answer to another call counted as the delivery of the decode");
     }
 
-    /** Its engine answers questions on other connections; it may not be repeated elsewhere. */
+    /**
+     * The engine answers reachability checks on other connections, and the decode must not be
+     * repeated at another engine.
+     */
     @Test
     void aStateWhoseDecodeIsUnansweredIsReleasedWithinEveryLimitUntilTheDecodeHasEnded() {
         decodeWritten(Fleet.UNSAFE);
         passUntilTheDecodeIsGivenUp();
         passAnsweringTo(now + Fleet.RELEASE);
         long pause = longestPauseMillis(PREFILLED, now);
-        assertTrue(pause <= LIMIT_MILLIS, "no release for " + pause + " ms");
+        assertTrue(pause <= LIMIT_MILLIS, "no release sent for " + pause + " ms");
     }
 
-    /** Its connection takes so long to come up that releases begin. */
+    /**
+     * The connection of the decode takes so long to be established that releases are sent
+     * meanwhile.
+     */
     private Command.StartDecode decodeWrittenWhileReleasesAreOnTheirWay() {
         client = router.requestArrived(now, Fleet.call(Fleet.UNSAFE, 10, BUDGET));
         Command.StartPrefill prefill = all(Command.StartPrefill.class).get(0);
@@ -78,7 +92,9 @@
         Command.StartDecode decode = all(Command.StartDecode.class).get(0);
         router.attemptConnecting(now, decode.attempt());
         while (releases() < RELEASES_ON_THEIR_WAY) {
-            assertTrue(now < PREFILLED + Fleet.RELEASE, "only " + releases() + " releases");
+            assertTrue(
+                    now < PREFILLED + Fleet.RELEASE,
+                    "only " + releases() + " releases sent within the limit");
             passTo(now + STEP);
         }
         router.attemptWritten(now, decode.attempt());
@@ -87,7 +103,7 @@
 
     private void passUntilTheDecodeIsGivenUp() {
         while (all(Command.CancelAttempt.class).isEmpty()) {
-            assertTrue(now < 2 * BUDGET, "not given up by the end of the client's time");
+            assertTrue(now < 2 * BUDGET, "decode not cancelled by the client's deadline");
             passAnsweringTo(now + STEP);
         }
     }
@@ -98,7 +114,10 @@
         passAnsweringTo(endedAt + EXPIRY_MICROS);
         boolean released = wasReleasedBetween(endedAt, endedAt + Fleet.RELEASE);
         assertTrue(released, "no release within the limit after the end of the decode");
-        assertEquals(List.of(), all(Command.ReportExpiredRelease.class), "engines answer");
+        assertEquals(
+                List.of(),
+                all(Command.ReportExpiredRelease.class),
+                "releases expired although engines answer");
     }
 
     @Test
@@ -114,7 +133,10 @@
         assertKeptAndReleasedAfterTheDecode();
     }
 
-    /** A question was answered meanwhile: the decode counts as delivered until it is given up. */
+    /**
+     * A reachability check is answered in the meantime, so the decode counts as delivered until it
+     * is cancelled.
+     */
     @Test
     void aHoldDoesNotExpireAsADecodeEndsThatWasWrittenWhileItsReleasesWereOnTheirWay() {
         Command.StartDecode decode = decodeWrittenWhileReleasesAreOnTheirWay();
@@ -132,6 +154,6 @@
         router.prefillCompleted(now, prefill.attempt(), "", 0, ServerLoad.NONE);
         assertEquals(1, all(Command.StartDecode.class).size());
         passAnsweringTo(PREFILLED + Fleet.RELEASE);
-        assertTrue(releases() > 0, "nothing was released");
+        assertTrue(releases() > 0, "no release was sent");
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/HoldOfUnansweredPrefillTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HoldOfUnansweredPrefillTest.java
@@ -7,8 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A prefill arrives, and its own connection falls silent, while its engine answers on others. When
- * it ends, its state is held and its answer does not come: a long prefill looks the same.
+ * A prefill arrives, and then its own connection stops passing data while its engine still answers
+ * on other connections. When the prefill completes, its state is held but its answer never arrives.
+ * For the router, this looks the same as a long-running prefill.
  */
 class HoldOfUnansweredPrefillTest extends AnsweringEnginesTestSupport {
     private static final long MICROS_PER_MILLI = 1000;
@@ -20,7 +21,10 @@
         written(all(Command.StartPrefill.class).get(0));
     }
 
-    /** It may still run, and a release would take the state that it is about to leave. */
+    /**
+     * The prefill may still be running, and a release would drop the state that it is about to
+     * produce.
+     */
     @Test
     void aPrefillThatIsNotAnsweredIsNotReleasedBeforeTheRouterStopsWaiting() {
         prefillWritten();
@@ -33,16 +37,16 @@
     void aPrefillWhoseAnswerDoesNotComeIsReleasedWithinEveryLimitOnceTheRouterStopsWaiting() {
         prefillWritten();
         while (all(Command.CancelAttempt.class).isEmpty()) {
-            assertTrue(now < 2 * BUDGET, "not given up by the end of the client's time");
+            assertTrue(now < 2 * BUDGET, "prefill not cancelled by the client's deadline");
             passAnsweringTo(now + STEP);
         }
         long stoppedAt = now;
         passAnsweringTo(stoppedAt + RUNNING_MICROS);
         long pause = longestPauseMillis(stoppedAt, now);
-        assertTrue(pause <= LIMIT_MILLIS, "no release for " + pause + " ms");
+        assertTrue(pause <= LIMIT_MILLIS, "no release sent for " + pause + " ms");
     }
 
-    /** Its close stays in the silent connection, and the engine goes on. */
+    /** The close is stuck in the silent connection, so the engine continues the prefill. */
     @Test
     void aPrefillGivenUpOnASilentConnectionIsReleasedThoughItsEngineIsHeard() {
         prefillWritten();
@@ -51,6 +55,6 @@
         long leftAt = now;
         passAnsweringTo(leftAt + RUNNING_MICROS);
         long pause = longestPauseMillis(leftAt, now);
-        assertTrue(pause <= LIMIT_MILLIS, "no release for " + pause + " ms");
+        assertTrue(pause <= LIMIT_MILLIS, "no release sent for " + pause + " ms");
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/HoldOfUnheardEngineTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HoldOfUnheardEngineTest.java
@@ -8,8 +8,8 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
- * A prefill arrives, and the link to its engine falls silent. Behind the cut the engine goes on and
- * holds what it has read: any engine that can be reached can release it.
+ * A prefill arrives, and then the link to its engine stops passing data. The unreachable engine
+ * continues and holds the resulting state, which any reachable engine can release.
  */
 class HoldOfUnheardEngineTest extends AnsweringEnginesTestSupport {
     private static final long MICROS_PER_MILLI = 1000;
@@ -17,15 +17,17 @@
     private static final long SILENCE = 6 * Fleet.SECOND;
     private static final long SHORT_SILENCE = 3 * Fleet.RELEASE;
 
-    /** For an engine that is back to do what it had in its queue. */
+    /** Time for an engine that is reachable again to process its queue. */
     private static final long LATE_ARRIVALS_END = 6 * Fleet.RELEASE;
 
     private static final long PREFILL_MICROS = 5 * STEP;
 
-    /** The engine behind the cut. */
+    /** The engine whose link passes no data. */
     private String unheard;
 
-    /** The prefill arrives at an engine, is taken for undelivered, and goes to another one. */
+    /**
+     * The prefill arrives at an engine, is considered undelivered, and is sent to another engine.
+     */
     private Command.StartPrefill prefillSentElsewhere() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
         Command.StartPrefill first = all(Command.StartPrefill.class).get(0);
@@ -33,7 +35,8 @@
         unheard = first.engine();
         silentEngines.add(unheard);
         passAnsweringTo(Fleet.RELEASE);
-        assertEquals(2, all(Command.StartPrefill.class).size(), "not sent elsewhere");
+        assertEquals(
+                2, all(Command.StartPrefill.class).size(), "prefill not sent to another engine");
         Command.StartPrefill second = all(Command.StartPrefill.class).get(1);
         assertNotEquals(unheard, second.engine());
         written(second);
@@ -62,7 +65,7 @@
         long from = now;
         passAnsweringTo(from + SILENCE);
         long pause = longestPauseMillis(from, now);
-        assertTrue(pause <= LIMIT_MILLIS, "no release for " + pause + " ms");
+        assertTrue(pause <= LIMIT_MILLIS, "no release sent for " + pause + " ms");
     }
 
     @Test
@@ -78,7 +81,10 @@
         assertReleasedWithinEveryLimitFromNow();
     }
 
-    /** The only attempt: the client leaves before it is taken for undelivered. */
+    /**
+     * There is only one attempt: the client disconnects before the attempt is considered
+     * undelivered.
+     */
     @Test
     void aPrefillGivenUpAsItsEngineFellSilentIsReleasedWithinEveryLimitWhileThatIsUnheard() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
@@ -98,12 +104,15 @@
         int before = releases();
         long heardAt = now;
         passAnsweringTo(heardAt + 2 * LATE_ARRIVALS_END);
-        assertTrue(releases() > before, "none after the engine was heard");
-        assertTrue(lastReleaseAt() <= heardAt + LATE_ARRIVALS_END, "releases go on for ever");
+        assertTrue(releases() > before, "no release sent after the engine was reachable again");
+        assertTrue(lastReleaseAt() <= heardAt + LATE_ARRIVALS_END, "releases do not end");
         assertEquals(0, router.metrics().reservationCount());
     }
 
-    /** Releases for it may go on for long; a process that is told to end has to end in time. */
+    /**
+     * Releases for the unreachable engine may continue for a long time, but a process that shuts
+     * down has to exit in time.
+     */
     @Test
     void anExitDoesNotWaitForAnEngineThatIsUnheard() {
         serve(prefillSentElsewhere());
--- a/core/src/test/java/sorrelhoist/core/request/LeaseOfRequestsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/LeaseOfRequestsTest.java
@@ -11,14 +11,17 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
-/** What is held for requests whose attempts fail one after the other. */
+/** Tests the time limit of what is held for requests whose attempts fail one after another. */
 class LeaseOfRequestsTest extends AnsweringEnginesTestSupport {
     private static final long LIMIT_MILLIS = Fleet.RELEASE / STEP;
 
-    /** The first decode is given up after 384 ms, right before a release is due beside it. */
+    /**
+     * With this budget, the first decode is cancelled after 384 ms, immediately before a release of
+     * its state is due.
+     */
     private static final long SHORT_BUDGET = 650 * STEP;
 
-    /** A router of a deployment whose writers may read prompts. */
+    /** A router of a deployment whose decode engines may prefill prompts. */
     private final Router reading = new Router(Fleet.platformSettings(true, BUDGET), commands::add);
 
     private <T extends Command> T last(Class<T> type) {
@@ -26,7 +29,7 @@
         return every.get(every.size() - 1);
     }
 
-    /** The decode connection comes up after the release went out and was answered. */
+    /** The connection of the decode is established after a release was sent and answered. */
     @Test
     void aDecodeWhoseStateWasReleasedAsItsConnectionCameUpIsNotSentToAnotherDecoder() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
@@ -37,15 +40,21 @@
         Command.StartDecode decode = all(Command.StartDecode.class).get(0);
         router.attemptConnecting(now, decode.attempt());
         passAnsweringTo(PREFILLED + 3 * Fleet.RELEASE / 5);
-        assertTrue(releases() > 0, "nothing was released");
+        assertTrue(releases() > 0, "no release was sent");
         router.attemptWritten(now, decode.attempt());
         passAnsweringTo(now + 10 * STEP);
         router.attemptFailed(now, decode.attempt(), Outcome.FULL, 0, ServerLoad.NONE);
-        assertEquals(1, all(Command.StartDecode.class).size(), "its state was released");
+        assertEquals(
+                1,
+                all(Command.StartDecode.class).size(),
+                "decode sent to another engine although its state was released");
         assertEquals(2, all(Command.StartPrefill.class).size());
     }
 
-    /** Its readers drain, so writers are to read the prompt; what it has left is not released. */
+    /**
+     * Loses a prefill while all prefill engines are draining, so that decode engines have to
+     * prefill the prompt. The state that the lost prefill may have produced is not released yet.
+     */
     private void prefillLost() {
         reading.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
         reading.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
@@ -83,7 +92,9 @@
     private void assertReleasedInTime() {
         int releases = all(Command.ReleaseReservation.class).size();
         int decodes = all(Command.StartDecode.class).size();
-        assertTrue(releases > 0, "no release within " + now + " us, " + decodes + " decodes");
+        assertTrue(
+                releases > 0,
+                "no release sent within " + now + " us, with " + decodes + " decodes");
     }
 
     @Test
@@ -116,7 +127,10 @@
         assertReleasedInTime();
     }
 
-    /** Both decodes are out on connections that are silent, and others speak for their engines. */
+    /**
+     * Both decodes are on connections that pass no data, while their engines answer on other
+     * connections.
+     */
     @Test
     void aSecondDecodeThatOnlyOtherConnectionsSpeakForDoesNotRestartTheTimeOfItsState() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, SHORT_BUDGET));
@@ -127,16 +141,19 @@
         router.prefillCompleted(now, prefill.attempt(), "", 0, ServerLoad.NONE);
         written(all(Command.StartDecode.class).get(0));
         while (all(Command.StartDecode.class).size() < 2) {
-            assertTrue(now < SHORT_BUDGET, "not sent elsewhere");
+            assertTrue(now < SHORT_BUDGET, "decode not sent to another engine");
             passAnsweringTo(now + STEP);
         }
         written(last(Command.StartDecode.class));
         passAnsweringTo(PREFILLED + 2 * Fleet.RELEASE);
         long pause = longestPauseMillis(PREFILLED, lastReleaseAt());
-        assertTrue(pause <= LIMIT_MILLIS, "no release for " + pause + " ms");
+        assertTrue(pause <= LIMIT_MILLIS, "no release sent for " + pause + " ms");
     }
 
-    /** Clients leave early at engines that answer: each such end awaits a sign of life. */
+    /**
+     * Clients disconnect while their prefills are running at engines that answer. After each
+     * cancelled prefill, the router waits for a response from its engine.
+     */
     @Test
     void clientsThatLeaveDoNotMultiplyTheReleasesOfOtherRequests() {
         Command.StartDecode slow = decodeWritten(Fleet.UNSAFE);
--- a/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
@@ -15,8 +15,8 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
- * A router whose answers are events of its engines, and whose clients come again for the rest by
- * themselves.
+ * Tests a router that forwards opaque events of its engines, and whose clients reconnect by
+ * themselves for the rest of an interrupted stream.
  */
 class OpaqueStreamsTest {
     private static final long SILENCE = 4 * Fleet.SECOND;
--- a/core/src/test/java/sorrelhoist/core/request/PlatformAttemptTestSupport.java
+++ b/core/src/test/java/sorrelhoist/core/request/PlatformAttemptTestSupport.java
@@ -5,7 +5,10 @@
 import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
-/** A router on the operators' platform, its transport and time in the test's hands. */
+/**
+ * Base for tests of a router on the platform, in which the test controls the transport and the
+ * time.
+ */
 abstract class PlatformAttemptTestSupport {
     static final long BUDGET = 4 * Fleet.SECOND;
     static final long STEP = 1000;
@@ -15,7 +18,7 @@
     final Router router = new Router(Fleet.platformSettings(false, BUDGET), commands::add);
     long now;
 
-    /** The client of {@link #decodeWritten}. */
+    /** Client ID of the request under test. */
     long client;
 
     PlatformAttemptTestSupport() {
@@ -33,7 +36,10 @@
         }
     }
 
-    /** A transport that connects at once and whose writes its own system takes. */
+    /**
+     * Reports that an attempt waits for a connection and is then written, as by a transport that
+     * connects at once and whose operating system accepts the bytes.
+     */
     Command.StartAttempt written(Command.StartAttempt attempt) {
         router.attemptConnecting(now, attempt.attempt());
         router.attemptWritten(now, attempt.attempt());
@@ -56,12 +62,18 @@
                 .forEach(release -> router.releaseCompleted(now, release.releaseId(), true));
     }
 
-    /** Bytes of a running stream came from an engine; nothing that was sent now has caused them. */
+    /**
+     * Reports bytes of a running stream from an engine. They do not show that anything sent
+     * recently has arrived.
+     */
     void streamEventReceived(String engine) {
         router.bytesReceived(now, engine);
     }
 
-    /** An engine began to answer a call whose last byte was written at a time, in microseconds. */
+    /**
+     * Reports that an engine begins to answer a call whose last byte was written at {@code
+     * writtenAt}, in microseconds.
+     */
     void questionAnswered(String engine, long writtenAt) {
         router.bytesReceived(now, engine);
         router.callAnswered(now, engine, writtenAt);
--- a/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
@@ -29,8 +29,8 @@
 import sorrelhoist.routing.RoutingSettings.Capabilities;
 
 /**
- * Histories of a router, recorded, and played again: every action must be the same, and every
- * answer explained.
+ * Records random histories of a router and replays them: every action must be identical, and the
+ * timeline must explain every final result.
  */
 class RecordedHistoriesTest {
     private static byte[] file(List<byte[]> chunks) {
@@ -43,7 +43,7 @@
         return out;
     }
 
-    /** Plays one history with a recorder. {@return what it wrote} */
+    /** Runs one history with a recorder. {@return the recording as a file} */
     private static byte[] recorded(long seed) {
         List<byte[]> chunks = new ArrayList<>();
         Recorder[] recorder = new Recorder[1];
@@ -117,7 +117,7 @@
                 assertTrue(d.describe().startsWith("entry " + d.entry().number()), d.describe());
             }
         }
-        assertTrue(found > 10, found + " noticed");
+        assertTrue(found > 10, found + " differences detected");
     }
 
     @Test
@@ -157,7 +157,7 @@
                 }
             }
         }
-        assertTrue(told > 200, told + " stories");
+        assertTrue(told > 200, told + " timelines");
     }
 
     @Test
@@ -175,14 +175,17 @@
                         little.entries().size() + " of " + tape.entries().size());
                 Recording again = Recording.of(List.of(little.toFileBytes()));
                 assertTrue(again.isComplete());
-                assertTrue(Replay.run(again).isIdentical(), "what was cut plays as it was cut");
+                assertTrue(
+                        Replay.run(again).isIdentical(),
+                        "the replay of the minimized recording differs");
                 return;
             }
         }
-        throw new AssertionError("no history in which an engine's failure ended a request");
+        throw new AssertionError(
+                "no history in which a request failed because its repeat was unsafe");
     }
 
-    /** A request ended because nothing harmless was left to try. */
+    /** Returns whether a request failed because a further attempt would have been unsafe. */
     private static boolean budgetSpent(Recording tape) {
         return tape.entries().stream()
                 .anyMatch(
@@ -238,7 +241,9 @@
                             + fewer.newlyForwarded().values().stream().mapToInt(n -> n).sum());
             refusedNow += changed;
         }
-        assertTrue(refusedNow > 20, "two attempts in place of five end " + refusedNow + " more");
+        assertTrue(
+                refusedNow > 20,
+                "a limit of two attempts instead of five rejects " + refusedNow + " more requests");
     }
 
     @Test
--- a/core/src/test/java/sorrelhoist/core/request/RequestTruth.java
+++ b/core/src/test/java/sorrelhoist/core/request/RequestTruth.java
@@ -5,29 +5,32 @@
 import java.util.stream.Collectors;
 
 /**
- * What truly becomes of one request at the workers of a {@link FaultyFleet}, whatever its router
- * takes for true. Times are in microseconds.
+ * The actual state of one request at the workers of a {@link FaultyFleet}, independent of the
+ * router's view of it. Times are in microseconds.
  */
 final class RequestTruth {
     private static final double MICROS_PER_MILLI = 1000;
 
-    /** Bytes that come earlier after a write are not taken for a sign of it. */
+    /** Bytes received within this time after a write are not considered a response to it. */
     private static final long SURELY_EARLIER_MICROS = 2000;
 
     private static final long LONGEST_ROUND_TRIP_MICROS = 20_000;
 
     /** How an attempt ended at its worker. */
     enum WorkerEnd {
-        /** It has not. */
+        /** The attempt has not ended. */
         NONE,
         ANSWERED,
-        /** Little time was left, and it said nothing. */
+        /** The worker dropped the attempt without a response, because little time was left. */
         DROPPED,
-        /** It took the attempt out of its queue, or fetched the state, for nobody. */
+        /**
+         * The worker stopped the attempt after noticing that its connection had ended, or fetched
+         * the state for it after the router had ended it.
+         */
         UNWANTED
     }
 
-    /** One attempt, as its worker and its router see it. */
+    /** One attempt, as seen by its worker and by its router. */
     final class SentAttempt {
         final int number;
         final String worker;
@@ -38,27 +41,30 @@
         boolean overAtRouter;
         WorkerEnd workerEnd = WorkerEnd.NONE;
 
-        /** Whether it stands in its worker's queue, so that no release lets go of the state. */
+        /** Whether the attempt is in its worker's queue, so that no release drops the state. */
         boolean waitsForState;
 
-        /** Whether an event of its own answer has come to the router. */
+        /** Whether the router has received any part of the attempt's own answer. */
         boolean answered;
 
-        /** Whether its worker got it after it was over for the router. */
+        /** Whether the attempt arrived at its worker after the router had ended it. */
         boolean arrivedTooLate;
 
-        /** Whether its worker ended it after it was over for the router. */
+        /** Whether the attempt ended at its worker after the router had ended it. */
         boolean endedTooLate;
 
-        /** How it ended for the router. */
+        /** How the attempt ended at the router. */
         String routerEnd = "";
 
-        /** The connection that it was written to. */
+        /** The connection that the attempt was written to. */
         FaultyNetwork.Connection connection;
 
         private long writtenAt;
 
-        /** The first bytes on another connection that may be taken for a sign of it. */
+        /**
+         * The first bytes on another connection that could be taken as evidence that the attempt
+         * was delivered.
+         */
         private String evidence = "";
 
         private SentAttempt(int number, String worker, boolean prefill, long deadline) {
@@ -69,8 +75,10 @@
         }
 
         /**
-         * An answer that does not come is an outcome when the router stops waiting: the protocol's
-         * 'nothing: timed out'. A decode's answer takes the state, so that matters for prefills.
+         * Returns whether the attempt is running at its worker, which suspends the time limit of
+         * the state. A prefill whose answer is never received has an outcome only when the router
+         * stops waiting for it, as with the protocol's 'nothing: timed out'. This matters for
+         * prefills only, because a decode that answers has fetched the state.
          */
         boolean isOut() {
             boolean unanswered = workerEnd == WorkerEnd.NONE;
@@ -92,21 +100,21 @@
             note(now, this + " arrived");
         }
 
-        /** It is over at its worker. */
+        /** Called when the attempt ends at its worker. */
         void overAtWorker(WorkerEnd end, long now) {
             restartClock(now);
             waitsForState = false;
             workerEnd = end;
             endedTooLate = overAtRouter;
-            note(now, this + " is over at its worker: " + end);
+            note(now, this + " ended at its worker: " + end);
         }
 
-        /** The router has an outcome of it, or gives it up. */
+        /** Called when the router has an outcome of the attempt or cancels it. */
         void overAtRouter(String how, long now) {
             restartClock(now);
             overAtRouter = true;
             routerEnd = how;
-            note(now, this + " is over for the router: " + how);
+            note(now, this + " ended at the router: " + how);
         }
 
         private void restartClock(long now) {
@@ -115,20 +123,29 @@
             }
         }
 
-        /** Bytes came from its worker on another connection, in answer to a call. */
+        /**
+         * Called when bytes of an answer to another call were received from the worker of the
+         * attempt.
+         */
         void otherBytes(long now, long callWrittenAt) {
             boolean mayCount = written && !answered && now - writtenAt > SURELY_EARLIER_MICROS;
             if (!mayCount || !evidence.isEmpty()) {
                 return;
             }
-            String later = now - writtenAt > LONGEST_ROUND_TRIP_MICROS ? " later" : " at once";
+            String later =
+                    now - writtenAt > LONGEST_ROUND_TRIP_MICROS
+                            ? " after more than a round trip"
+                            : " within a round trip";
             evidence = callWrittenAt >= writtenAt ? "a later call answered" : "other bytes" + later;
             note(now, "bytes from " + worker + " after " + this + " was written: " + evidence);
         }
 
-        /** {@return what spoke for it on other connections} */
+        /**
+         * {@return what was received on other connections that could be taken as evidence of its
+         * delivery}
+         */
         String evidence() {
-            return evidence.isEmpty() ? "nothing heard" : evidence;
+            return evidence.isEmpty() ? "no evidence" : evidence;
         }
 
         @Override
@@ -140,20 +157,25 @@
     final String name;
     final List<SentAttempt> attempts = new ArrayList<>();
 
-    /** Whether its client got a whole stream. */
+    /** Whether the client received a complete stream. */
     boolean served;
 
-    /** Decodes that found no state to fetch: the prompt is read once more for each. */
+    /**
+     * Number of decodes that found no state to fetch; for each, the prompt is prefilled once more.
+     */
     int decodesWithoutState;
 
-    /** Releases that arrived at a worker that runs. */
+    /** Number of releases that arrived at a worker that was not hanging. */
     int releases;
 
     private final List<Note> trace = new ArrayList<>();
     private boolean held;
     private SentAttempt heldBy;
 
-    /** Since when no attempt was out, and none waited for a state; or when a state came. */
+    /**
+     * Since when no attempt has been running or waiting for a state, or, if later, when a state was
+     * produced.
+     */
     private long idleSince;
 
     RequestTruth(String name) {
@@ -167,30 +189,36 @@
         return attempt;
     }
 
-    /** A prefill has ended, and its state is held. */
+    /** Called when a prefill completed and its state is held. */
     void held(SentAttempt prefill, long now) {
         held = true;
         heldBy = prefill;
         idleSince = now;
-        note(now, prefill + " leaves a state");
+        note(now, prefill + " produces a state");
     }
 
     boolean isHeld() {
         return held;
     }
 
-    /** {@return the prefill that left the state} */
+    /** {@return the prefill that produced the state} */
     SentAttempt heldBy() {
         return heldBy;
     }
 
-    /** A decode has fetched what is held; all else goes with it. */
+    /**
+     * Called when a decode has fetched the state; everything else that is held for the request is
+     * dropped with it.
+     */
     void taken(long now) {
         held = false;
-        note(now, "the state is taken");
+        note(now, "the state is fetched");
     }
 
-    /** A release arrived at a worker that runs: it lets go of nothing that a decode waits for. */
+    /**
+     * Called when a release arrives at a worker that is not hanging. It does not release a state
+     * that a decode is waiting for.
+     */
     void releaseArrives(String worker, long now) {
         boolean awaited = attempts.stream().anyMatch(attempt -> attempt.waitsForState);
         note(now, "a release arrives at " + worker + describeEffect(awaited));
@@ -202,17 +230,20 @@
         if (!held) {
             return ", nothing is held";
         }
-        return awaited ? ", a decode waits" : " and lets go of the state";
+        return awaited ? ", a decode is waiting for the state" : " and releases the state";
     }
 
-    /** {@return how long a state has been held that no attempt was out for; 0 for none} */
+    /**
+     * {@return how long a state has been held without a running or waiting attempt; 0 if none is
+     * held}
+     */
     long heldForNobodyMicros(long now) {
         boolean clockStands =
                 attempts.stream().anyMatch(attempt -> attempt.isOut() || attempt.waitsForState);
         return held && !clockStands ? now - idleSince : 0;
     }
 
-    /** {@return the attempt whose outcome the router waits for, or null} */
+    /** {@return the attempt whose outcome the router is waiting for, or null} */
     SentAttempt openAtRouter() {
         return attempts.stream().filter(attempt -> !attempt.overAtRouter).findFirst().orElse(null);
     }
@@ -228,7 +259,7 @@
         trace.add(new Note(now, text));
     }
 
-    /** {@return what happened, a line each} */
+    /** {@return the trace of the request, one line per event} */
     String trace() {
         return trace.stream().map(Note::toString).collect(Collectors.joining("\n"));
     }
--- a/core/src/test/java/sorrelhoist/core/request/ReservationEvent.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationEvent.java
@@ -1,8 +1,9 @@
 package sorrelhoist.core.request;
 
 /**
- * What can happen to what a request has reserved. Those that concern no running attempt change what
- * becomes of the next one.
+ * Events that affect the reservations of a request. The {@code NEXT_} events apply to the next
+ * attempt, the {@code RELEASE_} events to the next release, and {@link #READ_ENDS_AS_IT_IS_DROPPED}
+ * and {@link #READ_ENDS_LONG_AFTER_ITS_DROP} to the next prefill that is cancelled.
  */
 enum ReservationEvent {
     READ_ENDS,
--- a/core/src/test/java/sorrelhoist/core/request/ReservationOrdersTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationOrdersTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All orders of two and three events around one request: nothing stays reserved beyond the limit in
- * any of them.
+ * Runs all sequences of two and three events around one request, and checks that nothing stays
+ * reserved beyond the time limit in any of them.
  */
 class ReservationOrdersTest {
     private static int runs;
@@ -23,9 +23,9 @@
                 orders(List.of(), 3, events -> play(events, tail, writersRead, broken));
             }
         }
-        System.out.println(runs + " orders of two and three events were played");
-        assertTrue(runs > 20_000, runs + " orders");
-        assertEquals(List.of(), broken.stream().limit(20).toList(), broken.size() + " broken");
+        System.out.println(runs + " sequences of two and three events were run");
+        assertTrue(runs > 20_000, runs + " sequences");
+        assertEquals(List.of(), broken.stream().limit(20).toList(), broken.size() + " faults");
     }
 
     private interface Play {
@@ -56,7 +56,7 @@
                     events
                             + " then "
                             + tail
-                            + (writersRead ? ", writers read" : "")
+                            + (writersRead ? ", decode engines prefill" : "")
                             + ": "
                             + fault);
         }
--- a/core/src/test/java/sorrelhoist/core/request/ReservationWorld.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationWorld.java
@@ -13,13 +13,13 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
- * Workers of the operators' platform around one router, in virtual time: they keep what reads leave
- * under the request's id, and any of them releases it. Told in which order what happens, it reports
- * each moment in which something was held for longer than the limit while no attempt of the request
- * was with a worker.
+ * Simulates the workers of the platform around one router in virtual time. The workers hold the
+ * states that prefills produce under the ID of the request, and any worker can release them. Runs a
+ * given sequence of events and reports every case in which something was held for longer than the
+ * time limit while no attempt of the request was at a worker.
  */
 final class ReservationWorld {
-    /** What becomes of attempts once all that was to happen has happened. */
+    /** The outcome of attempts after all events of the sequence. */
     enum Tail {
         SERVED,
         FULL,
@@ -67,7 +67,7 @@
     private final Set<Long> abandoned = new HashSet<>();
     private final Set<String> gone = new HashSet<>();
 
-    /** Engines of which nothing comes, with the time at which they are back. */
+    /** Engines that cannot be reached, with the time from which they are reachable again. */
     private final Map<String, Long> unreachable = new HashMap<>();
 
     private final ArrayDeque<ReservationEvent> releases = new ArrayDeque<>();
@@ -87,7 +87,7 @@
         router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
     }
 
-    /** Plays one order. {@return what was wrong in it} */
+    /** Runs one sequence of events. {@return the faults found} */
     List<String> play(List<ReservationEvent> events) {
         arrive();
         for (ReservationEvent event : events) {
@@ -98,11 +98,13 @@
         List.copyOf(out.values()).forEach(this::playTail);
         passTo(now + BUDGET + 6 * Fleet.SECOND);
         if (held) {
-            faults.add("held at the end");
+            faults.add("state still held at the end");
         }
         if (router.metrics().reservationCount() > 0) {
             faults.add(
-                    "the router still counts " + router.metrics().reservationCount() + " reserved");
+                    "the router still counts "
+                            + router.metrics().reservationCount()
+                            + " reservations");
         }
         if (router.metrics().expiredReleases() > 0) {
             faults.add(router.metrics().expiredReleases() + " releases expired");
@@ -140,7 +142,7 @@
     private void check() {
         boolean reached = out.values().stream().anyMatch(attempt -> attempt.reached);
         if (held && !reached && now - heldSince > Fleet.RELEASE) {
-            faults.add("held for longer than the limit");
+            faults.add("state held for longer than the time limit");
         }
     }
 
@@ -149,8 +151,7 @@
         heldSince = now;
     }
 
-    // ---- What happens
-    // -------------------------------------------------------------------------------------
+    // Events
 
     private void happen(ReservationEvent event) {
         Out attempt = out.values().stream().findFirst().orElse(null);
@@ -188,7 +189,7 @@
             }
             case RELEASE_LOST, RELEASE_REFUSED, RELEASE_SLOW -> releases.add(event);
             case WORKER_GONE -> removeEngineOf(attempt);
-            default -> throw new IllegalStateException("unknown " + event);
+            default -> throw new IllegalStateException("unknown event " + event);
         }
     }
 
@@ -227,7 +228,8 @@
     }
 
     /**
-     * The time of what is held counts from the last outcome of an attempt that was with a worker.
+     * Ends an attempt. The time limit of what is held starts again with the outcome of an attempt
+     * that was at a worker.
      */
     private void end(Out attempt) {
         out.remove(attempt.id);
@@ -274,8 +276,7 @@
                 });
     }
 
-    // ---- What the router orders
-    // ---------------------------------------------------------------------------
+    // Commands of the router
 
     private void take(Command order) {
         if (order instanceof Command.StartPrefill o) {
@@ -297,7 +298,7 @@
 
     private void send(Out attempt) {
         if (out.values().stream().anyMatch(other -> other.reached)) {
-            faults.add("two attempts at once");
+            faults.add("two attempts running at once");
         }
         Connecting connecting = gone.contains(attempt.engine) ? Connecting.FAILS : next;
         next = Connecting.STANDS;
@@ -340,7 +341,10 @@
         }
     }
 
-    /** An engine that is there answers at once; one that is not, as soon as it is back. */
+    /**
+     * A reachable engine answers at once; an unreachable one answers as soon as it is reachable
+     * again.
+     */
     private void checkReachability(String engine) {
         if (gone.contains(engine)) {
             world.schedule(now + SOON, () -> router.reachabilityChecked(now, engine, true));
@@ -378,7 +382,8 @@
                         router.releaseCompleted(now, o.releaseId(), false);
                         return;
                     }
-                    // It lets go of nothing that a decode waits for, and is answered all the same.
+                    // A release does not drop a state that a decode is waiting for, but is answered
+                    // nevertheless.
                     held &= out.values().stream().anyMatch(Out::waitsForState);
                     world.schedule(
                             now + RELEASE_ARRIVES,
--- a/core/src/test/java/sorrelhoist/core/request/RouterBench.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterBench.java
@@ -20,8 +20,8 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
- * What a whole request costs the router, from its arrival to its answer of two tokens, with and
- * without a recorder.
+ * Measures the router's cost of a whole request, from its arrival to its answer of two tokens, with
+ * and without a recorder.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -30,7 +30,7 @@
 @Measurement(iterations = 8, time = 1)
 @Fork(2)
 public class RouterBench {
-    /** Off, or recording into chunks that are dropped at once. */
+    /** Whether decisions are recorded: "off", or "on" with chunks that are discarded at once. */
     @Param({"off", "on"})
     public String recorder;
 
@@ -42,7 +42,7 @@
     private long chunkBytes;
     private long requests;
 
-    /** Makes a router that knows its fleet. */
+    /** Creates a router with a complete endpoint list. */
     @Setup
     public void fleet() {
         RouterSettings s = Fleet.settings(true, true, 3);
@@ -81,7 +81,7 @@
         }
     }
 
-    /** One request. {@return the router, so that nothing is left out} */
+    /** Runs one request. {@return the router, so that the work is not optimized away} */
     @Benchmark
     public Router request() {
         requests++;
@@ -95,14 +95,14 @@
         return router;
     }
 
-    /** Says what a request takes in the record. */
+    /** Prints the size of the record per request. */
     @org.openjdk.jmh.annotations.TearDown
     public void say() {
         System.out.println(
-                recorder + ": " + chunkBytes / Math.max(1, requests) + " bytes a request");
+                recorder + ": " + chunkBytes / Math.max(1, requests) + " bytes per request");
     }
 
-    /** Runs this alone. */
+    /** Runs this benchmark alone. */
     public static void main(String[] args) throws RunnerException {
         new org.openjdk.jmh.runner.Runner(
                         new org.openjdk.jmh.runner.options.OptionsBuilder()
--- a/core/src/test/java/sorrelhoist/core/request/RouterReservationTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterReservationTest.java
@@ -6,7 +6,7 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
-/** What single requests have reserved is released, whatever becomes of them. */
+/** Tests that the reservations of a request are released, regardless of how the request ends. */
 class RouterReservationTest extends RouterTestSupport {
     @Test
     void aClientThatLeavesBetweenPrefillAndDecodeLeavesNothingReserved() {
@@ -31,7 +31,9 @@
         assertNothingLeft();
     }
 
-    /** Nothing orders a cancellation and a release that travel on two connections. */
+    /**
+     * There is no ordering between a cancellation and a release that are sent on two connections.
+     */
     @Test
     void aCancelledPrefillIsReleasedAgainAsItsCancellationMayComeAfterTheRelease() {
         long client = router.requestArrived(0, Fleet.call(Fleet.SAFE, 10, 0));
@@ -47,8 +49,8 @@
     }
 
     /**
-     * The policy goes back to a reader after a writer's error, with the first state still at its
-     * reader.
+     * After the error of a decode engine, the policy starts another prefill while the first state
+     * is still held at its prefill engine.
      */
     @Test
     void aPrefillStateIsReleasedWhenThePromptIsReadAgain() {
@@ -98,7 +100,9 @@
         assertEquals(0, router.metrics().reservationCount());
     }
 
-    /** Its reader may only be out of the writer's reach. */
+    /**
+     * The prefill engine may be unreachable only for the decode engine and still hold the state.
+     */
     @Test
     void aPrefillStateThatCouldNotBeFetchedIsReleasedAtItsEngine() {
         Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, 0);
--- a/core/src/test/java/sorrelhoist/core/request/RouterTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterTest.java
@@ -18,7 +18,7 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
-/** One request at a time through each of its ways, with time in the test's hands. */
+/** Tests the lifecycle of single requests; the test controls the time. */
 class RouterTest extends RouterTestSupport {
     @Test
     void enginesThatLeftAreForgottenByUpdatesAndCompleteLists() {
@@ -205,7 +205,7 @@
                 ((RequestResult.Refused) last(Command.FinishRequest.class).result())
                                 .retryAfterMicros()
                         > 0);
-        router.failAllRequests(40_000, "the edge stops");
+        router.failAllRequests(40_000, "the router is shutting down");
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
         assertEquals(2, all(Command.FinishRequest.class).size());
         assertNothingLeft();
@@ -259,7 +259,7 @@
                     @Override
                     public void onDecision(long at, Event event, List<Action> actions) {
                         if (event instanceof Arrived) {
-                            throw new IllegalStateException("a fault of the program's own");
+                            throw new IllegalStateException("injected failure");
                         }
                     }
                 };
@@ -284,7 +284,7 @@
                         order -> {
                             if (order instanceof Command.CancelAttempt && !failed[0]) {
                                 failed[0] = true;
-                                throw new IllegalStateException("a fault of the program's own");
+                                throw new IllegalStateException("injected failure");
                             }
                             commands.add(order);
                         });
@@ -296,7 +296,7 @@
             try {
                 faulty.advance(now);
             } catch (IllegalStateException e) {
-                // Once, as above.
+                // Thrown once by the failing command handler above.
             }
         }
         assertTrue(failed[0]);
@@ -308,15 +308,17 @@
     void aKeyedRetryThatMayHaveRunSaysByWhenItHasToLeave() {
         Command.StartDecode first = startedDecode(0, Fleet.KEYED, 10, 0);
         assertEquals(
-                Long.MAX_VALUE, first.sendByMicros(), "the first attempt may go out at any time");
+                Long.MAX_VALUE,
+                first.sendByMicros(),
+                "the first attempt got a time limit for sending");
         router.attemptFailed(20_000, first.attempt(), Outcome.RESET, 0, ServerLoad.NONE);
         router.prefillCompleted(
                 30_000, last(Command.StartPrefill.class).attempt(), "s2", 0, ServerLoad.NONE);
         Command.StartDecode second = last(Command.StartDecode.class);
         assertNotEquals(first.attempt(), second.attempt());
-        // Sent at 10 ms, when the read had ended; the window of the class is two seconds, and the
-        // carrier may be held up
-        // for 150 ms between its clock and its bytes.
+        // The first decode was sent at 10 ms, when the prefill had completed. The idempotency
+        // window of the class is two seconds, and the transport may be delayed for 150 ms between
+        // reading its clock and sending the bytes.
         assertEquals(10_000 + 2 * Fleet.SECOND - 150_000, second.sendByMicros());
     }
 
@@ -347,6 +349,6 @@
         assertEquals(
                 Long.MAX_VALUE,
                 last(Command.StartDecode.class).sendByMicros(),
-                "no window runs for what never ran");
+                "a request that never ran got an idempotency window");
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/RouterTestSupport.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterTestSupport.java
@@ -8,7 +8,7 @@
 import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
-/** A router with its commands kept, for tests of one request at a time. */
+/** Base for tests of single requests, with a router whose commands are recorded. */
 abstract class RouterTestSupport {
     final List<Command> commands = new ArrayList<>();
     Router router = router(true, true);
@@ -22,7 +22,7 @@
 
     <T extends Command> T last(Class<T> type) {
         List<T> all = all(type);
-        assertTrue(!all.isEmpty(), "no " + type.getSimpleName());
+        assertTrue(!all.isEmpty(), "no command of type " + type.getSimpleName());
         return all.get(all.size() - 1);
     }
 
--- a/core/src/test/java/sorrelhoist/core/request/StatesUnderFaultsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/StatesUnderFaultsTest.java
@@ -10,8 +10,9 @@
 import sorrelhoist.core.request.FaultyFleet.Cause;
 
 /**
- * What is held at workers is taken or released in time under faults of the network and of workers,
- * by what is true there; a test for each cause. The plays are those of one set of seeds.
+ * Checks that the prefill states held at workers are fetched or released in time under network and
+ * worker faults. The checks use the actual state of the workers, not the router's view of it. There
+ * is one test for each cause; all but the last test share the simulation runs of one set of seeds.
  */
 class StatesUnderFaultsTest {
     private static FaultyPlays plays;
@@ -23,7 +24,7 @@
 
     private static void assertNone(Cause cause, FaultyPlays played) {
         List<Long> broken = played.brokenBy(cause);
-        assertEquals(List.of(), broken, broken.size() + " seeds broke by " + cause);
+        assertEquals(List.of(), broken, broken.size() + " seeds failed because of " + cause);
     }
 
     @Test
@@ -46,7 +47,7 @@
         assertNone(Cause.OTHER, plays);
     }
 
-    /** Workers notice that its connection was closed, and go on with it. */
+    /** Workers continue a prefill although they notice that its connection was closed. */
     @Test
     void noStateIsLateThatAPrefillLeftWhichWentOnThoughItWasClosed() {
         FaultyPlays goingOn = FaultyPlays.play(EnumSet.of(Fault.PREFILLS_GO_ON), FaultyPlays.SEEDS);
--- a/core/src/test/java/sorrelhoist/core/request/StreamRecoveryTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/StreamRecoveryTest.java
@@ -11,7 +11,7 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
-/** What follows a stream that ended before its answer did. */
+/** Tests the handling of streams that break before the answer is complete. */
 class StreamRecoveryTest {
     private static final int MAX_TOKENS = 10;
     private final List<Command> commands = new ArrayList<>();
--- a/core/src/test/java/sorrelhoist/core/request/UndeliveredAttemptTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/UndeliveredAttemptTest.java
@@ -8,14 +8,20 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
-/** Attempts whose last byte was written, and of whose engine nothing shows that it has them. */
+/**
+ * Tests attempts whose last byte was written but for which there is no evidence that the engine
+ * received them.
+ */
 class UndeliveredAttemptTest extends PlatformAttemptTestSupport {
     @Test
     void aStateIsReleasedInTimeWhereNothingShowsThatItsDecodeArrived() {
         decodeWritten(Fleet.UNSAFE);
         passTo(PREFILLED + Fleet.RELEASE - STEP);
-        assertTrue(all(Command.ReleaseReservation.class).size() > 0, "nothing was released");
-        assertEquals(1, all(Command.StartDecode.class).size(), "it may have run");
+        assertTrue(all(Command.ReleaseReservation.class).size() > 0, "no release was sent");
+        assertEquals(
+                1,
+                all(Command.StartDecode.class).size(),
+                "an unsafe decode that may have run was sent again");
     }
 
     @Test
@@ -50,7 +56,7 @@
         passTo(PREFILLED + Fleet.RELEASE / 2);
         assertEquals(List.of(), all(Command.ReleaseReservation.class));
         passTo(PREFILLED + 7 * Fleet.RELEASE / 10);
-        assertTrue(all(Command.ReleaseReservation.class).size() > 0, "nothing was released");
+        assertTrue(all(Command.ReleaseReservation.class).size() > 0, "no release was sent");
     }
 
     @Test
@@ -61,12 +67,15 @@
         passTo(PREFILLED + 3 * Fleet.RELEASE / 4);
         assertEquals(List.of(), all(Command.ReleaseReservation.class));
         passTo(PREFILLED + Fleet.RELEASE - STEP);
-        assertTrue(all(Command.ReleaseReservation.class).size() > 0, "nothing was released");
+        assertTrue(all(Command.ReleaseReservation.class).size() > 0, "no release was sent");
         passTo(PREFILLED + 2 * Fleet.RELEASE);
         assertEquals(1, all(Command.StartDecode.class).size());
     }
 
-    /** The engine read it after all, when it could: whatever it left is released then. */
+    /**
+     * The engine runs the prefill late, once it is reachable again; the state that it may then hold
+     * has to be released.
+     */
     @Test
     void aPrefillThatArrivesAfterItWasGivenUpIsReleasedOnceItsEngineIsBack() {
         router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
@@ -84,7 +93,9 @@
         int before = all(Command.ReleaseReservation.class).size();
         questionAnswered(first.engine(), now);
         passTo(now + Fleet.RELEASE);
-        assertTrue(all(Command.ReleaseReservation.class).size() > before, "not released again");
+        assertTrue(
+                all(Command.ReleaseReservation.class).size() > before,
+                "no release was sent after the engine was reachable again");
         for (int i = 0; i < 5; i++) {
             answerReleases();
             passTo(now + Fleet.RELEASE);
--- a/core/src/test/java/sorrelhoist/core/request/UnprovenReleaseTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/UnprovenReleaseTest.java
@@ -8,11 +8,12 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
- * A release lets go of nothing that an attempt waits for, and is answered all the same: its answer
- * proves nothing where an attempt may have had the state when it arrived.
+ * A release does not drop a state that an attempt is waiting for, but is answered nevertheless. Its
+ * answer therefore proves nothing if an attempt may have been using the state when the release
+ * arrived, and the release has to be repeated.
  */
 class UnprovenReleaseTest extends PlatformAttemptTestSupport {
-    /** Lets time pass; engines answer releases within a step. */
+    /** Advances time to {@code time}, with engines answering releases within one step. */
     private void passAnsweringTo(long time) {
         while (now < time) {
             passTo(now + STEP);
@@ -24,25 +25,30 @@
         return all(Command.ReleaseReservation.class).size();
     }
 
-    /** What its engine has not confirmed is released in time; but the engine may have it. */
+    /**
+     * A decode whose delivery is not confirmed must not delay the release beyond the time limit,
+     * but its engine may have received it.
+     */
     @Test
     void aReleaseThatIsAnsweredWhileADecodeIsOutIsRepeatedOnceTheDecodeHasEnded() {
         Command.StartDecode decode = decodeWritten(Fleet.UNSAFE);
         passTo(PREFILLED + Fleet.RELEASE);
-        assertTrue(releases() > 0, "released within the limit, as the decode may not have arrived");
+        assertTrue(
+                releases() > 0,
+                "no release within the limit, although the decode may not have arrived");
         answerReleases();
         int whileItWasOut = releases();
         while (all(Command.CancelAttempt.class).isEmpty()) {
-            assertTrue(now < BUDGET, "not given up by the end of the client's time");
+            assertTrue(now < BUDGET, "decode not cancelled by the client's deadline");
             whileItWasOut = releases();
             passTo(now + STEP);
         }
         assertEquals(decode.attempt(), all(Command.CancelAttempt.class).get(0).attempt());
         passTo(now + Fleet.RELEASE);
-        assertTrue(releases() > whileItWasOut, "not released after the end of the decode");
+        assertTrue(releases() > whileItWasOut, "no release was sent after the end of the decode");
     }
 
-    /** Nothing orders a release and the close of another connection at their engines. */
+    /** There is no ordering between a release and the close of another connection. */
     @Test
     void aReleaseThatMayOvertakeTheCloseOfADecodeIsRepeatedWithinTheLimit() {
         Command.StartDecode decode = decodeWritten(Fleet.SAFE);
@@ -53,10 +59,12 @@
         assertEquals(1, releases());
         answerReleases();
         passTo(now + Fleet.RELEASE);
-        assertTrue(releases() > 1, "released once, and that may have come before the close");
+        assertTrue(
+                releases() > 1,
+                "only one release was sent, which may have arrived before the close");
     }
 
-    /** It may stand in the queue of an engine that is stopped, and wait for the state there. */
+    /** The decode may be waiting for the state in the queue of an engine that is stopped. */
     @Test
     void whatADecodeWaitsForAtAStoppedEngineIsReleasedOnceThatEngineIsHeard() {
         Command.StartDecode decode = decodeWritten(Fleet.SAFE);
@@ -64,13 +72,19 @@
         questionAnswered(decode.engine(), now);
         router.clientDisconnected(now, client);
         answerReleases();
-        assertEquals(1, router.metrics().releasableReservations(), "an exit waits for the next");
+        assertEquals(
+                1,
+                router.metrics().releasableReservations(),
+                "shutdown would not wait for the next release");
         passAnsweringTo(now + Fleet.RELEASE);
-        assertEquals(0, router.metrics().releasableReservations(), "nothing to wait for");
+        assertEquals(
+                0,
+                router.metrics().releasableReservations(),
+                "shutdown would wait for a stopped engine");
         for (int limits = 0; limits < 20; limits++) {
             int before = releases();
             passAnsweringTo(now + Fleet.RELEASE);
-            assertTrue(releases() > before, "not released in limit " + limits);
+            assertTrue(releases() > before, "no release was sent in period " + limits);
         }
         assertEquals(1, router.metrics().reservationCount());
         int before = releases();
@@ -81,7 +95,7 @@
         assertEquals(0, router.metrics().reservationCount());
     }
 
-    /** Its engine may be stopped, and may not have noticed that the connection is gone. */
+    /** The engine may be stopped and may not have noticed that the connection is broken. */
     @Test
     void whatAPrefillLeavesWhoseConnectionBrokeIsReleasedOnceItsEngineIsHeard() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
@@ -107,7 +121,7 @@
         assertEquals(0, router.metrics().reservationCount());
     }
 
-    /** A release that is given up may arrive after the prompt was read again. */
+    /** An abandoned release may arrive late and drop a state that was produced in the meantime. */
     @Test
     void aStateThatALateReleaseTookAwayIsReadAgain() {
         Command.StartDecode decode = decodeWritten(Fleet.UNSAFE);
@@ -116,7 +130,10 @@
         assertEquals(0, all(Command.FinishRequest.class).size());
     }
 
-    /** Other connections pass bytes, and that of the decode fell silent as it was written. */
+    /**
+     * Other connections of the engine pass data, but the decode's own connection stopped passing
+     * data when the decode was written.
+     */
     @Test
     void aStateIsReleasedOnceWithinEachLimitThoughAnotherConnectionSpeaksForItsDecode() {
         Command.StartDecode decode = decodeWritten(Fleet.SAFE);
@@ -124,13 +141,20 @@
         questionAnswered(decode.engine(), now);
         passAnsweringTo(PREFILLED + Fleet.RELEASE);
         assertEquals(1, releases());
-        assertEquals(1, all(Command.StartDecode.class).size(), "it may be there");
+        assertEquals(
+                1,
+                all(Command.StartDecode.class).size(),
+                "a decode that may have been delivered was sent again");
         passAnsweringTo(PREFILLED + 2 * Fleet.RELEASE);
-        assertEquals(2, releases(), "its engine may have gone since, and the decode with it");
+        assertEquals(
+                2,
+                releases(),
+                "no second release, although the engine may have failed together with the decode");
     }
 
     /**
-     * Whoever gets it next would have to read the prompt, and engines that decode are slow at it.
+     * The next decode engine would have to prefill the prompt, and decode engines are slow at
+     * prefill.
      */
     @Test
     void aDecodeWhoseStateWasReleasedBesideItIsNotSentToAnotherDecoderBeforeThePromptIsReadAgain() {
