--- a/app/src/test/java/sorrelhoist/app/StreamsTest.java
+++ b/app/src/test/java/sorrelhoist/app/StreamsTest.java
@@ -302,7 +302,7 @@
                         ? again.fault()
                         : again.firstDifference().describe());
         List<String> story = new sorrelhoist.core.record.RequestTimeline(tape).describe("mine");
-        assertTrue(story.get(0).contains("its client's mine"), story.toString());
+        assertTrue(story.get(0).contains("client id mine"), story.toString());
         assertTrue(story.stream().anyMatch(l -> l.contains("ended: ERROR")), story.toString());
         assertTrue(story.get(story.size() - 1).contains("refused"), story.toString());
     }
--- a/core/src/main/java/sorrelhoist/core/explain/ReasonFormatter.java
+++ b/core/src/main/java/sorrelhoist/core/explain/ReasonFormatter.java
@@ -3,20 +3,23 @@
 import java.util.Locale;
 import sorrelhoist.routing.Reason;
 
-/** A decision's reason in plain words: for a client's status, a log line, or a timeline. */
+/**
+ * Describes the reason of a decision in plain text, for a client's status, a log line, or a
+ * timeline.
+ */
 public final class ReasonFormatter {
     private static final double MICROS_PER_MILLI = 1000;
 
-    /** Below this, milliseconds are given with a decimal place. */
+    /** Times below this limit are formatted as milliseconds with one decimal place. */
     private static final double ONE_DECIMAL_BELOW_MICROS = 100 * MICROS_PER_MILLI;
 
     private ReasonFormatter() {}
 
     /**
-     * Describes why a request was rejected, and when to retry.
+     * Describes why a request was rejected and when to retry.
      *
-     * @param why the reason
-     * @param backoffMicros after which to retry; 0 for no advice
+     * @param why the reason of the rejection
+     * @param backoffMicros time after which to retry, in microseconds; 0 for no advice
      * @return one sentence for the client, without names of engines
      */
     public static String describeRejection(Reason why, long backoffMicros) {
@@ -24,7 +27,7 @@
         return "refused, and a repeat is harmless: " + describeFailure(why) + retry;
     }
 
-    /** {@return what was short, for a final answer that served nothing} */
+    /** {@return why a request was rejected, failed or cancelled, as part of a sentence} */
     public static String describeFailure(Reason why) {
         return switch (why.kind()) {
             case DOOR -> "the engines are too busy: " + expectedTimes(why);
@@ -70,10 +73,10 @@
     }
 
     /**
-     * Describes why a server was selected.
+     * Describes why an engine was selected.
      *
-     * @param why as given with a send
-     * @return a part of a sentence
+     * @param why the reason of a send
+     * @return the description, as part of a sentence
      */
     public static String describeSelection(Reason why) {
         return selectionRule(why.kind())
@@ -114,7 +117,7 @@
                 + why.next();
     }
 
-    /** Servers that decode are compared by tokens, others by time. */
+    /** Formats an estimate: tokens if engines were compared for decode, otherwise a time. */
     private static String estimate(Reason.Kind kind, double value) {
         return switch (kind) {
             case MIXED, WRITER_READS, TWO_DRAWS -> count(value) + " tokens";
@@ -126,7 +129,7 @@
         return String.format(Locale.ROOT, "%.0f", number);
     }
 
-    /** Rounds up, so that nobody comes back too early. */
+    /** Rounds up, so that no client retries too early. */
     private static String wholeMillis(long micros) {
         return (micros + 999) / 1000 + " ms";
     }
--- a/core/src/main/java/sorrelhoist/core/explain/package-info.java
+++ b/core/src/main/java/sorrelhoist/core/explain/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Words for decisions: the reasons of {@link sorrelhoist.routing.Reason} as sentences for clients,
- * logs and operators. Without state.
+ * Describes the reasons of decisions ({@link sorrelhoist.routing.Reason}) in sentences for clients,
+ * logs and operators. Stateless.
  */
 package sorrelhoist.core.explain;
--- a/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
+++ b/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
@@ -15,32 +15,37 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /**
- * Reports when a rule came close to being broken, or service degraded, so that the record around it
- * is preserved: an answer at the last moment, a prefill state held almost too long, or many failed
- * requests in a short time. It changes no decision, and reports one incident once.
+ * Detects decisions that come close to breaking a rule, and degraded service, so that the
+ * surrounding record is preserved: a rejection or failure shortly before the client's timeout or
+ * after it, a prefill state that was held for almost the reservation limit or longer, and many
+ * requests that failed in a short time for other reasons than {@link Reason.Kind#DEADLINE}. It
+ * changes no decision and reports each incident once.
  */
 public final class AnomalyTrigger implements DecisionListener {
-    /** Is notified of anomalies. */
+    /** Receives reports of anomalies. */
     public interface AnomalyListener {
         /**
-         * A rule came close to being broken, or service degraded.
+         * Called when a rule came close to being broken, or service degraded.
          *
-         * @param at when, in microseconds
-         * @param what happened, for operators
+         * @param at time of the anomaly, in microseconds
+         * @param what description of the anomaly, for operators
          */
         void onAnomaly(long at, String what);
     }
 
-    /** Of a client's timeout: an answer that leaves less is late. */
+    /** Time left of a client's timeout below which a rejection or failure counts as late. */
     private static final long LAST_MOMENT_MICROS = 20_000;
 
-    /** Of the reservation limit: a state that was held for longer was almost held too long. */
+    /** Fraction of the reservation limit above which a state counts as held for almost too long. */
     private static final double NEARLY_EXPIRED = 0.9;
 
     private static final long FAILURE_WINDOW_MICROS = 1_000_000;
     private static final int MANY_FAILURES = 50;
 
-    /** After each report: one preserved record for one incident. */
+    /**
+     * Time after a report in which nothing is reported, so that one incident preserves the record
+     * only once.
+     */
     private static final long QUIET_MICROS = 60_000_000;
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -55,9 +60,9 @@
     /**
      * Creates a trigger.
      *
-     * @param next is notified of everything too, before this looks at it
-     * @param reservationLimitMicros within which a held state is fetched or released
-     * @param listener is notified of anomalies
+     * @param next listener that receives every notification before this trigger inspects it
+     * @param reservationLimitMicros time within which a held state has to be fetched or released
+     * @param listener receives the reports of anomalies
      */
     public AnomalyTrigger(
             DecisionListener next, long reservationLimitMicros, AnomalyListener listener) {
--- a/core/src/main/java/sorrelhoist/core/record/BinaryReader.java
+++ b/core/src/main/java/sorrelhoist/core/record/BinaryReader.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads what {@link BinaryWriter} wrote. It never reads beyond its bounds, and a length is accepted
- * only where that many bytes are left, so that damaged bytes cannot cause a large allocation.
+ * Reads values that {@link BinaryWriter} wrote. It never reads beyond its bounds, and it accepts a
+ * length only if at least that many bytes remain, so damaged data cannot cause a large allocation.
  */
 final class BinaryReader {
     private static final int VARINT_PAYLOAD_BITS = 7;
@@ -31,7 +31,7 @@
 
     int readByte() throws CorruptRecordException {
         if (position >= end) {
-            throw new CorruptRecordException("cut short");
+            throw new CorruptRecordException("data ends in the middle of a value");
         }
         return data[position++] & 0xFF;
     }
@@ -45,19 +45,19 @@
                 return value;
             }
         }
-        throw new CorruptRecordException("a number that does not end");
+        throw new CorruptRecordException("varint is longer than 10 bytes");
     }
 
     /**
-     * Reads how many items follow.
+     * Reads the number of items that follow.
      *
-     * @param minItemBytes bytes that each of them takes at least
+     * @param minItemBytes minimum encoded size of one item, in bytes
      */
     int readLength(int minItemBytes) throws CorruptRecordException {
         long length = readVarint();
         if (length < 0 || length * minItemBytes > remaining() || length > remaining()) {
             throw new CorruptRecordException(
-                    "a length of " + length + " where " + remaining() + " bytes are left");
+                    "length " + length + " does not fit the " + remaining() + " remaining bytes");
         }
         return (int) length;
     }
@@ -90,12 +90,16 @@
         return text;
     }
 
-    /** Reads a block that is preceded by its length. {@return a reader of that block alone} */
+    /** Reads a length-prefixed block. {@return a reader of that block only} */
     BinaryReader readBlock() throws CorruptRecordException {
         return slice(readLength(1));
     }
 
-    /** {@return a reader of the next bytes, which are passed over here} */
+    /**
+     * Skips bytes. {@return a reader of the skipped bytes}
+     *
+     * @param length number of bytes; the caller ensures that at least that many remain
+     */
     BinaryReader slice(int length) {
         BinaryReader slice = new BinaryReader(data, position, position + length);
         position += length;
--- a/core/src/main/java/sorrelhoist/core/record/BinaryWriter.java
+++ b/core/src/main/java/sorrelhoist/core/record/BinaryWriter.java
@@ -3,7 +3,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** A growing byte buffer to which values are appended; integers are stored as varints. */
+/**
+ * Appends values to a growing byte buffer; integers are stored as varints unless noted otherwise.
+ */
 final class BinaryWriter {
     private static final int INITIAL_CAPACITY = 256;
     private static final int VARINT_PAYLOAD_BITS = 7;
@@ -18,7 +20,7 @@
         return size;
     }
 
-    /** {@return the buffer itself, of which the first {@link #size()} bytes are written} */
+    /** {@return the backing array, not a copy; only its first {@link #size()} bytes are valid} */
     byte[] array() {
         return data;
     }
@@ -27,7 +29,7 @@
         return Arrays.copyOf(data, size);
     }
 
-    /** Drops everything after a position that {@link #size()} gave earlier. */
+    /** Discards everything after a position that {@link #size()} returned earlier. */
     void truncate(int length) {
         size = length;
     }
@@ -44,7 +46,7 @@
         return this;
     }
 
-    /** Writes a number as an unsigned varint: seven bits a byte, the lowest first. */
+    /** Writes an unsigned varint: seven bits per byte, the lowest bits first. */
     BinaryWriter writeVarint(long value) {
         ensureCapacity(MAX_VARINT_BYTES);
         long remaining = value;
@@ -56,12 +58,12 @@
         return this;
     }
 
-    /** Writes a number of either sign as a zigzag varint, which is short for small magnitudes. */
+    /** Writes a signed number as a zigzag varint, which is short for small magnitudes. */
     BinaryWriter writeSignedVarint(long value) {
         return writeVarint(value << 1 ^ value >> 63);
     }
 
-    /** Writes eight bytes, the highest first. */
+    /** Writes eight bytes in big-endian order. */
     BinaryWriter writeLong(long value) {
         ensureCapacity(Long.BYTES);
         for (int shift = Long.SIZE - Byte.SIZE; shift >= 0; shift -= Byte.SIZE) {
@@ -70,7 +72,7 @@
         return this;
     }
 
-    /** Writes four bytes, the highest first. */
+    /** Writes four bytes in big-endian order. */
     BinaryWriter writeInt(int value) {
         ensureCapacity(Integer.BYTES);
         for (int shift = Integer.SIZE - Byte.SIZE; shift >= 0; shift -= Byte.SIZE) {
@@ -79,7 +81,7 @@
         return this;
     }
 
-    /** Writes a text as its length in bytes and its UTF-8 encoding. */
+    /** Writes the length of the UTF-8 encoding in bytes, followed by the encoding. */
     BinaryWriter writeString(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return writeVarint(bytes.length).writeBytes(bytes, bytes.length);
@@ -93,9 +95,9 @@
     }
 
     /**
-     * Begins a block that is preceded by its length.
+     * Begins a length-prefixed block.
      *
-     * @return the block's position, to be given to {@link #endBlock}
+     * @return the position of the block's content, to be passed to {@link #endBlock}
      */
     int beginBlock() {
         writeByte(0);
@@ -103,8 +105,8 @@
     }
 
     /**
-     * Ends a block and writes its length. Most lengths fit the one byte that {@link #beginBlock}
-     * left free; for longer ones the block is moved up.
+     * Ends a block and writes its length. Most lengths fit into the one byte that {@link
+     * #beginBlock} reserved; for longer blocks the content is moved to make room.
      */
     void endBlock(int start) {
         int length = size - start;
--- a/core/src/main/java/sorrelhoist/core/record/ChunkCodec.java
+++ b/core/src/main/java/sorrelhoist/core/record/ChunkCodec.java
@@ -3,33 +3,32 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * The form of a record segment: a file header, then chunks. A chunk is its length, a checksum, the
- * number of its first entry, the {@link RecordEntry.Header} and entries; texts that recur in it are
- * written once. As each chunk stands alone, a file may be cut anywhere, a damaged chunk loses
- * itself alone, and missing entries show by the numbers.
+ * The format of a segment file: a file header, followed by chunks. A chunk consists of its length,
+ * a checksum, the number of its first entry, the {@link RecordEntry.Header}, and entries; {@link
+ * StringTable} replaces recurring texts of a chunk with references. Each chunk is decoded on its
+ * own, so a file may be truncated at any byte, a damaged chunk affects no other chunk, and missing
+ * entries are detected from gaps in the entry numbers.
  */
 public final class ChunkCodec {
-    /** The last byte is the version of the form. */
+    /** Start of every segment file; the last byte is the version of the format. */
     private static final byte[] FILE_HEADER = {'S', 'R', 'L', 'R', 'E', 'C', '0', '1'};
 
-    /** Bytes before a chunk's content: its length and its checksum. */
+    /** Bytes that precede a chunk's content: its length and its checksum. */
     static final int FRAME_HEADER_BYTES = Integer.BYTES + Long.BYTES;
 
-    /** Bytes that a chunk's content may have. */
+    /** Maximum size of a chunk's content, in bytes. */
     static final int MAX_CHUNK_BYTES = 64 << 20;
 
     private static final LongHashFunction XXH3 = LongHashFunction.xx3();
 
     private ChunkCodec() {}
 
-    /** {@return the bytes that a segment file begins with} */
+    /** {@return the bytes at the start of every segment file, as a copy} */
     public static byte[] fileHeader() {
         return FILE_HEADER.clone();
     }
 
-    /**
-     * {@return a 64-bit hash (XXH3) by which texts are told apart that are not stored themselves}
-     */
+    /** {@return a 64-bit hash (XXH3) that identifies a text that is not stored itself} */
     static long textHash(String text) {
         return XXH3.hashChars(text);
     }
--- a/core/src/main/java/sorrelhoist/core/record/ChunkWriter.java
+++ b/core/src/main/java/sorrelhoist/core/record/ChunkWriter.java
@@ -4,17 +4,17 @@
 import sorrelhoist.routing.RoutingActions;
 import sorrelhoist.routing.RoutingEvents;
 
-/** Encodes one chunk after the other; see {@link ChunkCodec} for their form. */
+/** Encodes one chunk after another in the format of {@link ChunkCodec}. */
 final class ChunkWriter {
     private final StringTable strings = new StringTable();
     private final BinaryWriter out = new BinaryWriter();
     private int entries;
 
     /**
-     * Begins a chunk.
+     * Begins a chunk and discards the content of the previous one.
      *
-     * @param firstNumber number of its first entry
-     * @param header of the recording
+     * @param firstNumber number of the chunk's first entry
+     * @param header header of the recording
      */
     void begin(long firstNumber, RecordEntry.Header header) {
         out.truncate(0);
@@ -24,17 +24,20 @@
         entries = 0;
     }
 
-    /** {@return bytes that the chunk has so far} */
+    /** {@return the size of the current chunk's content, in bytes} */
     int size() {
         return out.size();
     }
 
-    /** {@return entries that the chunk has so far, its header not counted} */
+    /** {@return the number of entries in the current chunk, without its header} */
     int entryCount() {
         return entries;
     }
 
-    /** Writes a {@link RecordEntry.Decision} without making one: this is by far the commonest. */
+    /**
+     * Writes a {@link RecordEntry.Decision} without allocating one, as decisions are by far the
+     * most frequent entries.
+     */
     void writeDecision(long at, RoutingEvents.Event event, List<RoutingActions.Action> actions) {
         out.writeByte(EntryTags.DECISION);
         int start = out.beginBlock();
@@ -65,7 +68,10 @@
         out.endBlock(start);
     }
 
-    /** Ends the chunk. {@return its bytes, as they are appended to a file} */
+    /**
+     * Ends the chunk. {@return the chunk with its length and checksum, ready to be appended to a
+     * file}
+     */
     byte[] end() {
         int length = out.size();
         return new BinaryWriter()
@@ -75,7 +81,10 @@
                 .toByteArray();
     }
 
-    /** {@return the bytes of one event or action, which are equal where a record holds equals} */
+    /**
+     * {@return the stored form of one event or action, outside of a chunk; values that differ only
+     * in details that a record does not store have equal bytes}
+     */
     static byte[] encode(Record value) {
         ChunkWriter writer = new ChunkWriter();
         writer.writeTagged(value);
--- a/core/src/main/java/sorrelhoist/core/record/ComponentAccessors.java
+++ b/core/src/main/java/sorrelhoist/core/record/ComponentAccessors.java
@@ -11,14 +11,14 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Accessors of record components as plain functions: recording runs on the thread that decides, and
- * reflective calls cost several times as much there.
+ * Creates accessors of record components as plain functions. Recording runs on the router's thread,
+ * where reflective calls would cost several times as much.
  */
 final class ComponentAccessors {
     private ComponentAccessors() {}
 
     /** {@return the accessor of a {@code long} or {@code int} component} */
-    @SuppressWarnings("unchecked") // the interface that is asked for
+    @SuppressWarnings("unchecked") // accessor() returns the requested interface
     static ToLongFunction<Object> toLong(MethodHandles.Lookup lookup, RecordComponent component)
             throws ReflectiveOperationException {
         MethodType erased = MethodType.methodType(long.class, Object.class);
@@ -26,15 +26,15 @@
     }
 
     /** {@return the accessor of a {@code double} component} */
-    @SuppressWarnings("unchecked") // the interface that is asked for
+    @SuppressWarnings("unchecked") // accessor() returns the requested interface
     static ToDoubleFunction<Object> toDouble(MethodHandles.Lookup lookup, RecordComponent component)
             throws ReflectiveOperationException {
         MethodType erased = MethodType.methodType(double.class, Object.class);
         return accessor(lookup, component, ToDoubleFunction.class, "applyAsDouble", erased);
     }
 
-    /** {@return the accessor of a component that is no number} */
-    @SuppressWarnings("unchecked") // the interface that is asked for
+    /** {@return the accessor of a component that is not numeric} */
+    @SuppressWarnings("unchecked") // accessor() returns the requested interface
     static Function<Object, Object> toObject(MethodHandles.Lookup lookup, RecordComponent component)
             throws ReflectiveOperationException {
         if (component.getType() == boolean.class) {
@@ -46,7 +46,7 @@
         return accessor(lookup, component, Function.class, "apply", erased);
     }
 
-    @SuppressWarnings("unchecked") // the metafactory makes an instance of the interface
+    @SuppressWarnings("unchecked") // the metafactory creates an instance of functionType
     private static <F> F accessor(
             MethodHandles.Lookup lookup,
             RecordComponent component,
@@ -70,8 +70,8 @@
                                     handle.type().changeReturnType(result))
                             .getTarget()
                             .invoke();
-        } catch (Throwable e) { // what the method handle declares
-            throw new ReflectiveOperationException("no accessor of " + component, e);
+        } catch (Throwable e) { // declared by MethodHandle.invoke
+            throw new ReflectiveOperationException("cannot create an accessor of " + component, e);
         }
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/ComponentCodec.java
+++ b/core/src/main/java/sorrelhoist/core/record/ComponentCodec.java
@@ -7,28 +7,28 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Writes and reads one component of a record. Numbers have codecs of their own, so that writing
- * them makes no objects.
+ * Writes and reads one component of a record. Numeric components have codecs of their own, so that
+ * writing them allocates no objects.
  */
 interface ComponentCodec {
     /**
      * Writes the component.
      *
-     * @param owner the record that it belongs to
+     * @param owner the record that contains the component
      */
     void write(BinaryWriter out, Object owner, StringCodec strings);
 
     Object read(BinaryReader in, StringCodec strings) throws CorruptRecordException;
 
-    /** {@return the value where a record was written without this component} */
+    /** {@return the value of the component if a stored record lacks it} */
     Object defaultValue();
 
     /**
      * {@return the codec of a component}
      *
-     * @param lookup with access to its record
-     * @param component the component
-     * @param rounded whether fractions are stored as the nearest whole number
+     * @param lookup lookup with access to the record that declares the component
+     * @param component the component to be stored
+     * @param rounded whether fractions are rounded to the nearest whole number
      */
     static ComponentCodec of(
             MethodHandles.Lookup lookup, RecordComponent component, boolean rounded)
@@ -72,7 +72,7 @@
         }
     }
 
-    /** A {@code double}, exact unless it is rounded. */
+    /** A {@code double}, stored exactly unless {@code rounded} is set. */
     record FractionComponent(ToDoubleFunction<Object> getter, boolean rounded)
             implements ComponentCodec {
         private static final int NOT_A_NUMBER = 0;
@@ -93,7 +93,10 @@
             }
         }
 
-        /** Negative zero is not: a whole number would lose its sign. */
+        /**
+         * {@return whether a value can be stored as a whole number; negative zero cannot, as it
+         * would lose its sign}
+         */
         private static boolean isWhole(double value) {
             return value == Math.rint(value)
                     && Math.abs(value) < MAX_WHOLE
@@ -107,7 +110,8 @@
                 case NOT_A_NUMBER -> Double.NaN;
                 case WHOLE -> (double) in.readSignedVarint();
                 case EXACT -> Double.longBitsToDouble(in.readLong());
-                default -> throw new CorruptRecordException("a fraction of kind " + kind);
+                default ->
+                        throw new CorruptRecordException("unknown encoding of a fraction: " + kind);
             };
         }
 
@@ -117,7 +121,7 @@
         }
     }
 
-    /** Any other value. */
+    /** A component of any other type. */
     record ObjectComponent(Function<Object, Object> getter, ValueCodec codec)
             implements ComponentCodec {
         @Override
--- a/core/src/main/java/sorrelhoist/core/record/DecisionListener.java
+++ b/core/src/main/java/sorrelhoist/core/record/DecisionListener.java
@@ -6,39 +6,40 @@
 import sorrelhoist.routing.RoutingEvents.Event;
 
 /**
- * Is notified of all that a router's decisions are given and answer, on the router's thread. A
- * listener must not block or change anything.
+ * Is notified of a router's decisions and of everything that they depend on, on the router's
+ * thread. Times are on the router's clock. A listener must neither block nor change anything.
  */
 public interface DecisionListener {
-    /** Ignores everything. */
+    /** Ignores all notifications. */
     DecisionListener NONE = new DecisionListener() {};
 
     /**
-     * An event was decided.
+     * Called after the routing policy decided on an event.
      *
-     * @param at when, in microseconds
-     * @param event what was decided about
-     * @param actions what was decided, in order
+     * @param at time of the decision, in microseconds
+     * @param event the event
+     * @param actions the decided actions, in order
      */
     default void onDecision(long at, Event event, List<Action> actions) {}
 
     /**
-     * Knowledge of another router, or of an earlier start, was adopted.
+     * Called after knowledge of another router, or of an earlier start, was adopted.
      *
-     * @param at when, in microseconds
-     * @param age how old it was then, in microseconds
-     * @param knowledge what was adopted
+     * @param at time of the adoption, in microseconds
+     * @param age age of the knowledge at that time, in microseconds
+     * @param knowledge the adopted knowledge
      */
     default void onKnowledgeAdopted(long at, long age, Knowledge knowledge) {}
 
     /**
-     * A request was submitted to the routing policy.
+     * Called when a request is submitted to the routing policy.
      *
-     * @param request who asked, with a prompt hash of 0
-     * @param prompt its text, which is given for its hash alone and must not be kept
+     * @param request the request, with a prompt hash of 0
+     * @param prompt the prompt's text, from which only the hash may be computed; it must not be
+     *     stored
      */
     default void onRequestSubmitted(RecordEntry.RequestSubmitted request, String prompt) {}
 
-    /** A client got its final answer, or disconnected. */
+    /** Called when a client got its final answer or disconnected. */
     default void onRequestCompleted(RecordEntry.RequestCompleted completion) {}
 }
--- a/core/src/main/java/sorrelhoist/core/record/DecodedSegment.java
+++ b/core/src/main/java/sorrelhoist/core/record/DecodedSegment.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a segment file holds.
+ * The content of a segment file.
  *
- * @param chunks the sound ones, in their order
- * @param faults what is wrong with the others, in plain words; a cut tail is no fault
- * @param foreign whether it is no record of this program at all
+ * @param chunks the valid chunks, in their order
+ * @param faults descriptions of what is wrong with the rest; a truncated end is not a fault
+ * @param foreign whether the file is not a record of this program
  */
 record DecodedSegment(List<Chunk> chunks, List<String> faults, boolean foreign) {
     static DecodedSegment rejected(String fault, boolean foreign) {
--- a/core/src/main/java/sorrelhoist/core/record/EntryTags.java
+++ b/core/src/main/java/sorrelhoist/core/record/EntryTags.java
@@ -7,8 +7,8 @@
 import sorrelhoist.routing.RoutingEvents;
 
 /**
- * The numbers by which entries, events and actions are stored: their places in these lists. A
- * number, once given, is never given again: new types come last, and none is removed.
+ * Assigns the tags under which types of entries, events and actions are stored: their indexes in
+ * these lists. A tag is never reused: new types are appended at the end, and none is removed.
  */
 final class EntryTags {
     static final List<Class<? extends RecordEntry>> ENTRIES =
@@ -52,7 +52,7 @@
                     RoutingActions.CloseIdle.class,
                     RoutingActions.Log.class);
 
-    /** The tag of {@link RecordEntry.Decision}, whose events and actions are tagged themselves. */
+    /** The tag of {@link RecordEntry.Decision}, whose events and actions have tags of their own. */
     static final int DECISION = 1;
 
     private static final Map<Class<?>, Integer> TAGS = new HashMap<>();
@@ -67,7 +67,7 @@
 
     private EntryTags() {}
 
-    /** {@return the tag of an entry's, an event's or an action's type} */
+    /** {@return the tag of the type of an entry, event or action} */
     static int of(Class<?> type) {
         return TAGS.get(type);
     }
--- a/core/src/main/java/sorrelhoist/core/record/RecordCodec.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordCodec.java
@@ -11,14 +11,15 @@
 import sorrelhoist.routing.Reason;
 
 /**
- * Writes and reads any Java record made of integers, fractions, flags, texts, enums, records and
- * lists of them: its components one after the other, in their order of declaration. Names are not
- * stored, so components and enum constants may be renamed, but never reordered or removed.
+ * Writes and reads any Java record that consists of integers, fractions, booleans, texts, enums,
+ * records, and lists of them. Components are stored one after another in their order of
+ * declaration. Names are not stored, so components and enum constants may be renamed, but never
+ * reordered or removed.
  *
- * <p>Nested records are preceded by their length. So a build that knows a component less passes
- * over it, and one that knows a component more takes a default: 0, NaN, false, null or an empty
- * list. New components therefore come last; a component whose type changes needs a new tag for its
- * record.
+ * <p>Nested records are preceded by their length. A build that lacks a component skips it, and a
+ * build with an additional component uses a default for it: 0, NaN, false, null, an empty list, the
+ * first constant of an enum, or {@link Reason#UNKNOWN}. New components therefore have to come last.
+ * A component whose type changes requires a new tag for its record.
  *
  * @param <R> the record's type
  */
@@ -36,6 +37,7 @@
                     MethodHandles.privateLookupIn(type, MethodHandles.lookup());
             for (int i = 0; i < declared.length; i++) {
                 componentTypes[i] = declared[i].getType();
+                // Figures of reasons only explain decisions, so they are rounded.
                 components.add(ComponentCodec.of(lookup, declared[i], type == Reason.class));
             }
             constructor =
@@ -47,10 +49,10 @@
         }
     }
 
-    /** {@return the codec of a record type, made once} */
-    @SuppressWarnings("unchecked") // the map holds the codec of each type under that type
+    /** {@return the codec of a record type, which is created on first use} */
+    @SuppressWarnings("unchecked") // each type maps to its own codec
     static <R> RecordCodec<R> of(Class<R> type) {
-        // Codecs of nested types are made meanwhile, so this is no computeIfAbsent.
+        // The constructor adds codecs of nested types, which computeIfAbsent does not allow.
         RecordCodec<?> codec = CODECS.get(type);
         if (codec == null) {
             codec = new RecordCodec<>(type);
@@ -65,7 +67,7 @@
         }
     }
 
-    @SuppressWarnings("unchecked") // the constructor is that of R
+    @SuppressWarnings("unchecked") // the handle is a constructor of R
     R read(BinaryReader in, StringCodec strings) throws CorruptRecordException {
         Object[] values = new Object[components.size()];
         for (int i = 0; i < values.length; i++) {
@@ -74,8 +76,9 @@
         }
         try {
             return (R) constructor.invokeExact(values);
-        } catch (Throwable e) { // whatever a constructor throws, and what the handle declares
-            throw new CorruptRecordException("values that make no event: " + e.getMessage());
+        } catch (Throwable e) { // thrown by the constructor, or declared by the handle
+            throw new CorruptRecordException(
+                    "stored values do not form a valid record: " + e.getMessage());
         }
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordEntry.java
@@ -8,28 +8,28 @@
 import sorrelhoist.routing.RoutingSettings;
 
 /**
- * One entry of a record, in the order in which things happened. Times are microseconds on the
- * router's clock. Components and constants are stored by their order: new ones come last.
+ * One entry of a record; entries are in chronological order. Times are microseconds on the router's
+ * clock. Components and enum constants are stored by their order: new ones are added at the end.
  */
 public sealed interface RecordEntry {
     /**
-     * How the router was built and configured; every chunk begins with it.
+     * Build and configuration of the router; every chunk begins with it.
      *
-     * @param build the program's version
+     * @param build version of the program
      * @param name the router's name
-     * @param incarnation of its process; a later start has a higher one
-     * @param settings of the decisions
-     * @param seed of all randomness
+     * @param incarnation number of the router's process; a later start has a higher one
+     * @param settings settings of the routing policy
+     * @param seed seed of all randomness
      */
     record Header(String build, String name, long incarnation, RoutingSettings settings, long seed)
             implements RecordEntry {}
 
     /**
-     * An event and what was decided about it.
+     * An event and the actions that the routing policy decided on it.
      *
-     * @param at when
-     * @param event what was decided about
-     * @param actions what was decided, in order
+     * @param at time of the decision
+     * @param event the event
+     * @param actions the decided actions, in order
      */
     record Decision(long at, RoutingEvents.Event event, List<RoutingActions.Action> actions)
             implements RecordEntry {}
@@ -37,24 +37,24 @@
     /**
      * Knowledge of another router, or of an earlier start, was adopted.
      *
-     * @param at when
-     * @param age how old it was then, in microseconds
-     * @param knowledge what was adopted
+     * @param at time of the adoption
+     * @param age age of the knowledge at that time, in microseconds
+     * @param knowledge the adopted knowledge
      */
     record KnowledgeAdopted(long at, long age, Knowledge knowledge) implements RecordEntry {}
 
     /**
-     * A client's request, or the rest of one whose stream broke, was submitted to the routing
-     * policy. No text of it is recorded.
+     * A client's request, or the remainder of one whose stream broke, was submitted to the routing
+     * policy. The text of the request is not recorded.
      *
-     * @param at when
-     * @param id its number at the routing policy
-     * @param client its client's number at the router
-     * @param name its name at engines
-     * @param clientId the name that its client gave it; may be empty
-     * @param promptHash 64 bits (XXH3) of the prompt's text, by which equal prompts are found
-     * @param timeoutMicros until the client gives up on the whole answer; 0 where it did not say
-     * @param fromToken tokens that the client has already
+     * @param at time of the submission
+     * @param id number by which the routing policy identifies the request
+     * @param client number by which the router identifies the client
+     * @param name name by which engines identify the request
+     * @param clientId id that the client gave the request; may be empty
+     * @param promptHash 64-bit hash (XXH3) of the prompt's text, to find equal prompts
+     * @param timeoutMicros the client's timeout for the whole answer; 0 if it gave none
+     * @param fromToken number of tokens that the client already has
      */
     record RequestSubmitted(
             long at,
@@ -70,12 +70,13 @@
     /**
      * A client got its final answer, or disconnected.
      *
-     * @param at when
-     * @param client its number at the router
-     * @param how what it got
-     * @param tokens that it got
-     * @param leftMicros of its timeout; Long.MAX_VALUE where it gave none
-     * @param why the reason that was decided, or {@link Reason#UNKNOWN}
+     * @param at time of the completion
+     * @param client number by which the router identifies the client
+     * @param how how the request ended for the client
+     * @param tokens number of tokens that the client got
+     * @param leftMicros time until the client's timeout, negative after it; Long.MAX_VALUE if the
+     *     client gave none
+     * @param why reason of a rejection or failure; {@link Reason#UNKNOWN} if none was decided
      */
     record RequestCompleted(
             long at, long client, Completion how, int tokens, long leftMicros, Reason why)
@@ -83,30 +84,31 @@
 
     /** How a request ended for its client. */
     enum Completion {
-        /** It got its whole answer. */
+        /** The client got the whole answer. */
         SERVED,
-        /** It was rejected, and a retry is harmless. */
+        /** The request was rejected, and a retry is safe. */
         REFUSED,
-        /** It failed, and nothing is promised about a retry. */
+        /** The request failed, and a retry is not known to be safe. */
         FAILED,
-        /** Its client took nothing of the answer, and was given up. */
+        /** The client stopped reading the answer, and the router ended the request. */
         STALLED,
-        /** Its client disconnected. */
+        /** The client disconnected. */
         LEFT
     }
 
     /**
-     * Entries were dropped under pressure; a replay cannot go on past this.
+     * Entries were dropped because the recorder's sink had no room; beyond this entry, a replay may
+     * differ from the recording.
      *
-     * @param entries how many
+     * @param entries number of dropped entries
      */
     record EntriesDropped(long entries) implements RecordEntry {}
 
     /**
-     * A note that somebody may search for.
+     * A note for later searches.
      *
-     * @param at when
-     * @param text the note
+     * @param at time of the note
+     * @param text text of the note
      */
     record Marker(long at, String text) implements RecordEntry {}
 }
--- a/core/src/main/java/sorrelhoist/core/record/Recorder.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recorder.java
@@ -7,17 +7,18 @@
 import sorrelhoist.routing.RoutingEvents.Event;
 
 /**
- * Encodes what it is notified of into chunks, at once and in memory, and hands each chunk on when
- * it is full or old. Where the sink has no room, the chunk is dropped, its entries are counted, and
- * the next chunk begins with their number: recording never waits for a disk, and a gap always
- * shows. For one thread.
+ * Encodes notifications into chunks immediately and in memory, and passes each chunk to a sink when
+ * it is full or old. If the sink has no room, the chunk is dropped, its entries are counted, and
+ * the next chunk begins with their number, an {@link RecordEntry.EntriesDropped}. Recording
+ * therefore never waits for a disk, and every gap is visible. Not thread-safe.
  */
 public final class Recorder implements DecisionListener {
-    /** Bytes after which a chunk is handed on. */
+    /** Size at which a chunk is passed to the sink. */
     static final int CHUNK_BYTES = 64 << 10;
 
     /**
-     * After which a chunk is handed on: a killed process loses this and what the sink still has.
+     * Age at which a chunk is passed to the sink. A killed process loses the entries of up to this
+     * time, and those that the sink has not written yet.
      */
     private static final long MAX_CHUNK_AGE_MICROS = 500_000;
 
@@ -33,8 +34,8 @@
     /**
      * Creates a recorder.
      *
-     * @param header how the router was built and configured
-     * @param sink takes chunks; false where it has no room
+     * @param header build and configuration of the router
+     * @param sink takes a chunk and returns true, or returns false if it has no room
      */
     public Recorder(RecordEntry.Header header, Predicate<byte[]> sink) {
         this.header = header;
@@ -74,10 +75,10 @@
     }
 
     /**
-     * Adds a note that somebody may search for.
+     * Adds a note for later searches.
      *
-     * @param at when, in microseconds
-     * @param text the note
+     * @param at time of the note, in microseconds
+     * @param text text of the note
      */
     public void addMarker(long at, String text) {
         add(at, new RecordEntry.Marker(at, text));
@@ -106,24 +107,27 @@
         }
     }
 
-    /** Hands on the chunk that is being filled, if there is one. */
+    /** Passes the current chunk, if there is one, to the sink. */
     public void flush() {
         if (chunkBegunAt == NO_CHUNK) {
             return;
         }
-        // The entry that counts dropped ones has no number of its own.
+        // EntriesDropped itself has no number.
         int numbered = chunk.entryCount() - (droppedEntries > 0 ? 1 : 0);
         nextNumber += numbered;
         droppedEntries = sink.test(chunk.end()) ? 0 : droppedEntries + numbered;
         chunkBegunAt = NO_CHUNK;
     }
 
-    /** {@return when {@link #flush} is due by age, in microseconds; Long.MAX_VALUE for never} */
+    /**
+     * {@return the time at which the current chunk's age requires a {@link #flush}, in
+     * microseconds; Long.MAX_VALUE if there is no chunk}
+     */
     public long flushDueAt() {
         return chunkBegunAt == NO_CHUNK ? Long.MAX_VALUE : chunkBegunAt + MAX_CHUNK_AGE_MICROS;
     }
 
-    /** {@return entries that were dropped since the last chunk that the sink took} */
+    /** {@return the number of entries dropped since the sink last accepted a chunk} */
     public long droppedEntries() {
         return droppedEntries;
     }
--- a/core/src/main/java/sorrelhoist/core/record/Recording.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recording.java
@@ -3,21 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The entries of one start of one router, in order, and where some are missing. Immutable. */
+/** The entries of one start of one router, in order, with the gaps between them. Immutable. */
 public final class Recording {
     /**
      * An entry with its number.
      *
-     * @param number counted from the router's start, from 0
+     * @param number position of the entry since the router's start, from 0
      * @param entry the entry
      */
     public record NumberedEntry(long number, RecordEntry entry) {}
 
     /**
-     * Entries that are missing.
+     * A range of missing entries.
      *
-     * @param firstMissing number of the first of them
-     * @param nextPresent number of the entry after the last of them
+     * @param firstMissing number of the first missing entry
+     * @param nextPresent number of the first entry after the gap
      */
     public record Gap(long firstMissing, long nextPresent) {}
 
@@ -38,12 +38,12 @@
     }
 
     /**
-     * Reads segment files and puts their entries together. Of several routers or starts, the newest
-     * start is taken, and that there are others is named as a fault.
+     * Reads segment files and combines their entries. If the files are from several routers or
+     * starts, only the newest start is read, and a fault reports the others.
      *
-     * @param files whole files, in any order
+     * @param files contents of whole files, in any order
      * @return the recording
-     * @throws CorruptRecordException where no sound chunk is found
+     * @throws CorruptRecordException if the files contain no valid chunk
      */
     public static Recording of(List<byte[]> files) throws CorruptRecordException {
         RecordingAssembler assembler = new RecordingAssembler();
@@ -51,14 +51,14 @@
         return assembler.assemble();
     }
 
-    /** {@return a recording of these entries, numbered anew} */
+    /** {@return a recording of these entries, renumbered from 0} */
     public static Recording of(RecordEntry.Header header, List<RecordEntry> entries) {
         List<NumberedEntry> numbered = new ArrayList<>();
         entries.forEach(entry -> numbered.add(new NumberedEntry(numbered.size(), entry)));
         return new Recording(header, numbered, List.of(), List.of());
     }
 
-    /** {@return how the router was built and configured} */
+    /** {@return the router's build and configuration} */
     public RecordEntry.Header header() {
         return header;
     }
@@ -68,32 +68,32 @@
         return entries;
     }
 
-    /** {@return what could not be read, in plain words} */
+    /** {@return descriptions of what could not be read, for operators} */
     public List<String> faults() {
         return faults;
     }
 
-    /** {@return where entries are missing} */
+    /** {@return the ranges of missing entries, in order} */
     public List<Gap> gaps() {
         return gaps;
     }
 
     /**
-     * {@return whether it reaches back to the router's start without a gap, so that a replay must
-     * be exact}
+     * {@return whether the recording begins at the router's start and has no gap, so that a replay
+     * must be exact}
      */
     public boolean isComplete() {
         return gaps.isEmpty();
     }
 
-    /** {@return the recording as one segment file} */
+    /** {@return the recording encoded as a single segment file} */
     public byte[] toFileBytes() {
         byte[] fileHeader = ChunkCodec.fileHeader();
         BinaryWriter out = new BinaryWriter().writeBytes(fileHeader, fileHeader.length);
         ChunkWriter chunk = new ChunkWriter();
         long nextNumber = -1;
         for (NumberedEntry numbered : entries) {
-            // A chunk numbers its entries from its first one on, so each gap begins another.
+            // Entries in a chunk have consecutive numbers, so a gap requires a new chunk.
             if (numbered.number() != nextNumber || chunk.size() > Recorder.CHUNK_BYTES) {
                 append(chunk, nextNumber, out);
                 chunk.begin(numbered.number(), header);
--- a/core/src/main/java/sorrelhoist/core/record/RecordingAnonymizer.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingAnonymizer.java
@@ -15,10 +15,11 @@
 import sorrelhoist.routing.RoutingEvents.StreamStarted;
 
 /**
- * Replaces the names in a recording by neutral ones, so that it can be given to others: those of
- * servers, sessions, shared prefixes, requests and the router. Equal names stay equal. As servers
- * are also chosen by hashes of names, the anonymized recording may decide otherwise; its actions
- * are those of this build.
+ * Replaces the names of engines, sessions, shared prefixes and the router in a recording with
+ * neutral ones, so that the recording can be shared. Equal names stay equal. Only decisions are
+ * kept, without those on messages of peers: client requests with their names, adopted knowledge and
+ * notes are removed. Because hashes of names also influence which engines are selected, the
+ * anonymized recording may contain other actions; they are those of this build.
  */
 public final class RecordingAnonymizer {
     private static final String ROUTER_NAME = "router";
@@ -29,8 +30,8 @@
     private RecordingAnonymizer() {}
 
     /**
-     * {@return the recording under neutral names, without the names of requests and the messages of
-     * peers}
+     * {@return the decisions of a recording with neutral names and the actions of this build,
+     * without decisions on messages of peers}
      */
     public static Recording anonymize(Recording recording) {
         RecordingAnonymizer anonymizer = new RecordingAnonymizer();
--- a/core/src/main/java/sorrelhoist/core/record/RecordingAssembler.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingAssembler.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Puts the chunks of several segment files together: one start of one router, in order. */
+/** Combines the chunks of several segment files into the recording of one start of one router. */
 final class RecordingAssembler {
     private final List<Chunk> chunks = new ArrayList<>();
     private final List<String> faults = new ArrayList<>();
@@ -12,14 +12,14 @@
     private final List<Recording.Gap> gaps = new ArrayList<>();
     private long nextNumber;
 
-    /** Adds a segment file, in any order. */
+    /** Adds the content of a segment file; files may be added in any order. */
     void add(byte[] file) {
         DecodedSegment segment = SegmentReader.read(file);
         chunks.addAll(segment.chunks());
         faults.addAll(segment.faults());
     }
 
-    /** {@return the recording of the newest start; called once} */
+    /** {@return the recording of the newest start; must be called only once} */
     Recording assemble() throws CorruptRecordException {
         if (chunks.isEmpty()) {
             throw new CorruptRecordException(
@@ -39,10 +39,7 @@
     private void keepOnly(RecordEntry.Header header) {
         long others = chunks.stream().filter(chunk -> !chunk.header().equals(header)).count();
         if (others > 0) {
-            faults.add(
-                    others
-                            + " chunks are of another router or an earlier start, and are passed"
-                            + " over");
+            faults.add(others + " chunks of another router or an earlier start were ignored");
         }
         chunks.removeIf(chunk -> !chunk.header().equals(header));
     }
@@ -54,9 +51,9 @@
         long number = chunk.firstNumber();
         for (RecordEntry entry : chunk.entries()) {
             if (entry instanceof RecordEntry.EntriesDropped) {
-                continue; // has no number; the gap shows by the numbers of the others
+                continue; // has no number; the gap is found by the numbers of other entries
             }
-            // A chunk that was preserved and is found twice counts once.
+            // A preserved chunk may occur in two files; its entries are added once.
             if (number >= nextNumber) {
                 entries.add(new Recording.NumberedEntry(number, entry));
                 nextNumber = number + 1;
--- a/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
@@ -10,13 +10,16 @@
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 /**
- * Shortens a recording to few events that still show something, by delta debugging (Zeller and
+ * Reduces a recording to a few events that still meet a condition, by delta debugging (Zeller and
  * Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002): whole requests are
- * dropped first, then single events. The condition is checked on a replay, so that what is left
- * shows the same under this build.
+ * removed first, then single events. The condition is tested on a replay, so the reduced recording
+ * meets it under this build.
  */
 public final class RecordingMinimizer {
-    /** Timer tokens from here on belong to the router, lower ones are numbers of requests. */
+    /**
+     * Timer tokens from this value on belong to timers of the routing policy itself; lower ones are
+     * request numbers.
+     */
     private static final long FIRST_ROUTER_TIMER_TOKEN = 1L << 60;
 
     private final RecordEntry.Header header;
@@ -27,9 +30,9 @@
     /**
      * Creates a minimizer.
      *
-     * @param header of the recording
-     * @param condition what a shorter recording must still show
-     * @param maxReplays after which the shortest recording so far is taken
+     * @param header header of the recording
+     * @param condition condition that a reduced recording has to meet
+     * @param maxReplays number of replays after which the shortest recording found so far is used
      */
     public RecordingMinimizer(
             RecordEntry.Header header, Predicate<Recording> condition, int maxReplays) {
@@ -38,7 +41,7 @@
         this.maxReplays = maxReplays;
     }
 
-    /** {@return replays that were made} */
+    /** {@return the number of replays on which the condition was tested so far} */
     public int replayCount() {
         return replayCount;
     }
@@ -51,7 +54,10 @@
         return replayed(minimal(singles));
     }
 
-    /** Groups the replayable entries by request; what belongs to none stands alone. */
+    /**
+     * Groups the replayable entries by request; an entry without a request forms a group of its
+     * own.
+     */
     private static List<List<Recording.NumberedEntry>> groupByRequest(Recording recording) {
         Map<Long, List<Recording.NumberedEntry>> groups = new LinkedHashMap<>();
         long ungrouped = 0;
@@ -74,7 +80,7 @@
                 : RequestIds.of(event);
     }
 
-    /** Drops ever smaller parts as long as what is left meets the condition. */
+    /** Removes ever smaller parts as long as the remaining groups meet the condition. */
     private List<List<Recording.NumberedEntry>> minimal(List<List<Recording.NumberedEntry>> from) {
         List<List<Recording.NumberedEntry>> best = from;
         int parts = 2;
@@ -93,7 +99,10 @@
         return best;
     }
 
-    /** {@return the groups without the first part that can be dropped, or null} */
+    /**
+     * {@return the groups without the first part that can be removed; null if no part was found, or
+     * the number of replays is used up}
+     */
     private List<List<Recording.NumberedEntry>> withoutOnePart(
             List<List<Recording.NumberedEntry>> groups, int partSize) {
         for (int at = 0; at < groups.size() && replayCount < maxReplays; at += partSize) {
--- a/core/src/main/java/sorrelhoist/core/record/Replay.java
+++ b/core/src/main/java/sorrelhoist/core/record/Replay.java
@@ -10,25 +10,25 @@
 import sorrelhoist.routing.RoutingSettings;
 
 /**
- * Feeds a recording's events to a new {@link RoutingPolicy} and compares its actions with those
- * that were recorded.
+ * Feeds a recording's events to a new {@link RoutingPolicy} and compares its actions with the
+ * recorded ones.
  *
- * <p>The name of this class and {@link #again(byte[])} are a contract between builds: {@code record
- * diff --build} and {@code record cut --build} look them up in the jar of another build. Neither
- * may be renamed or moved.
+ * <p>The name of this class and {@link #again(byte[])} are an interface between builds: {@code
+ * record diff --build} and {@code record cut --build} look them up in the jar of another build.
+ * Neither may be renamed or moved.
  */
 public final class Replay {
     /**
-     * An action that differs.
+     * An action that differs between the recording and its replay.
      *
-     * @param entry the decision it belongs to
-     * @param actionIndex of the action within the decision, from 0
-     * @param recorded the recorded action; null where there is none
-     * @param replayed the action now; null where there is none
+     * @param entry the decision that the action belongs to
+     * @param actionIndex index of the action within the decision, from 0
+     * @param recorded the recorded action; null if the recording has fewer actions
+     * @param replayed the replayed action; null if the replay has fewer actions
      */
     public record Difference(
             Recording.NumberedEntry entry, int actionIndex, Action recorded, Action replayed) {
-        /** {@return it in plain words} */
+        /** {@return a description of the difference, for operators} */
         public String describe() {
             RecordEntry.Decision decision = (RecordEntry.Decision) entry.entry();
             return "entry "
@@ -40,22 +40,25 @@
                     + ": action "
                     + actionIndex
                     + " was "
-                    + (recorded == null ? "no more" : recorded)
+                    + (recorded == null ? "absent" : recorded)
                     + " and is now "
-                    + (replayed == null ? "no more" : replayed);
+                    + (replayed == null ? "absent" : replayed);
         }
     }
 
     /**
-     * How a replay went.
+     * The result of a replay.
      *
-     * @param events that were replayed
-     * @param actions that were compared
-     * @param firstDifference or null
-     * @param fault what stopped the replay, or null
+     * @param events number of recorded events that were replayed
+     * @param actions number of recorded actions of these events
+     * @param firstDifference the first difference, or null
+     * @param fault the error that ended the replay, or null
      */
     public record Result(long events, long actions, Difference firstDifference, String fault) {
-        /** {@return whether every action was the same to the last byte} */
+        /**
+         * {@return whether the replay had no error and every action has the same stored form as
+         * recorded}
+         */
         public boolean isIdentical() {
             return firstDifference == null && fault == null;
         }
@@ -73,7 +76,10 @@
         this.listener = listener;
     }
 
-    /** {@return the result of replaying a recording with its own settings and seed} */
+    /**
+     * {@return the result of replaying a recording with its own settings and seed, up to the first
+     * difference}
+     */
     public static Result run(Recording recording) {
         return run(recording, recording.header().settings(), true, (entry, actions) -> {});
     }
@@ -81,11 +87,12 @@
     /**
      * Replays a recording.
      *
-     * @param recording complete, or from a gap on as far as it goes
-     * @param settings in place of the recording's own
-     * @param stopsAtDifference whether it stops at the first difference
-     * @param listener is notified of each decision and of the actions now
-     * @return how it went
+     * @param recording the recording; if it is incomplete, actions may differ after a gap, and an
+     *     entry that cannot be replayed ends the replay
+     * @param settings settings that replace those of the recording
+     * @param stopsAtDifference whether to stop at the first difference
+     * @param listener receives each decision with the replayed actions
+     * @return the result of the replay
      */
     public static Result run(
             Recording recording,
@@ -101,7 +108,7 @@
             try {
                 replay(numbered, policy);
             } catch (RuntimeException e) {
-                String fault = "entry " + numbered.number() + " cannot be played: " + e;
+                String fault = "entry " + numbered.number() + " cannot be replayed: " + e;
                 return new Result(events, actions, firstDifference, fault);
             }
             if (firstDifference != null && stopsAtDifference) {
@@ -137,7 +144,10 @@
         return null;
     }
 
-    /** Reasons' figures are recorded as whole microseconds, so what counts is the stored form. */
+    /**
+     * Compares the stored forms of two actions, because figures of reasons are recorded as whole
+     * numbers.
+     */
     private static boolean isSame(Action first, Action second) {
         if (first.equals(second)) {
             return true;
@@ -147,7 +157,7 @@
                         ChunkWriter.encode((Record) first), ChunkWriter.encode((Record) second));
     }
 
-    /** {@return the same recording with the actions of this build in place of its own} */
+    /** {@return the recording with the actions of this build in place of the recorded ones} */
     public static Recording withReplayedActions(Recording recording) {
         Map<Long, List<Action>> replayed = new HashMap<>();
         run(
@@ -174,12 +184,12 @@
     }
 
     /**
-     * Does the same as {@link #withReplayedActions} for another build of this program, which has
-     * only bytes in common with this one.
+     * Does the same as {@link #withReplayedActions} for another build of this program, whose types
+     * differ from those of this build, so that only bytes can be exchanged.
      *
-     * @param file a segment file
-     * @return a segment file with the actions of this build
-     * @throws CorruptRecordException where the bytes are no segment file
+     * @param file content of a segment file
+     * @return content of a segment file with the actions of this build
+     * @throws CorruptRecordException if the file contains no valid chunk
      */
     public static byte[] again(byte[] file) throws CorruptRecordException {
         return withReplayedActions(Recording.of(List.of(file))).toFileBytes();
--- a/core/src/main/java/sorrelhoist/core/record/ReplayComparison.java
+++ b/core/src/main/java/sorrelhoist/core/record/ReplayComparison.java
@@ -16,26 +16,30 @@
 import sorrelhoist.routing.RoutingSettings;
 
 /**
- * Compares what was decided in a recording with what another build, or other settings, would have
- * decided at the same places. Outcomes stay those of the recording, so a request is compared up to
- * its first decision that differs and no further; what another engine would have meant for it is
- * estimated by what the recording shows of that engine at that time.
+ * Compares the decisions of a recording with those that another build, or other settings, would
+ * have made on the same events. The outcomes of attempts stay those of the recording, so each
+ * request is compared only up to its first decision that differs. The effect of selecting another
+ * engine is estimated from what the recording shows of that engine at that time.
  */
 public final class ReplayComparison {
     /**
-     * What changed.
+     * The result of a comparison.
      *
-     * @param requests that arrived
-     * @param unchanged requests with equal decisions to their ends
-     * @param newlyRejected requests that were sent before and are refused or failed now, by reason
-     * @param newlyForwarded requests that were refused or failed before and are sent now, by the
-     *     reason before
-     * @param rerouted requests that are sent to another engine
-     * @param weightNewlyRejected sum of their priority weights
-     * @param weightNewlyForwarded sum of their priority weights
-     * @param savedPrefillMicros the prefill times at the engines before less those at the engines
-     *     now, as recorded, summed over rerouted requests with known times at both
-     * @param reroutedWithTimes how many requests those are
+     * @param requests number of requests that arrived
+     * @param unchanged number of requests that are sent to the same engines, or refused or failed,
+     *     on the same events; reasons are not compared
+     * @param newlyRejected number of requests that are not sent now at the first difference, by the
+     *     reason of the refusal or failure now, or by {@link Reason.Kind#UNKNOWN} if there is none
+     * @param newlyForwarded number of requests that are sent now and were not sent before at the
+     *     first difference, by the reason before, or by {@link Reason.Kind#UNKNOWN} if there was
+     *     none
+     * @param rerouted number of requests that are sent to another engine at the first difference
+     * @param weightNewlyRejected sum of the priority weights of newly rejected requests
+     * @param weightNewlyForwarded sum of the priority weights of newly forwarded requests
+     * @param savedPrefillMicros estimated prefill time that rerouting saves, in microseconds: the
+     *     moving average of recorded times at the engine before minus that at the engine now,
+     *     summed over rerouted requests for which both averages are known
+     * @param reroutedWithTimes number of rerouted requests for which both averages are known
      */
     public record Report(
             int requests,
@@ -71,8 +75,8 @@
     /**
      * Compares a recording with its replay.
      *
-     * @param recording what was decided
-     * @param settings of the replay; with the recording's own, builds are compared
+     * @param recording the recorded decisions
+     * @param settings settings of the replay; to compare builds, those of the recording
      * @return what changed
      */
     public static Report compare(Recording recording, RoutingSettings settings) {
@@ -124,7 +128,7 @@
                 });
     }
 
-    /** {@return for each request the last action that sends or ends it, in their order} */
+    /** {@return by request the last action that sends, refuses or fails it, in order} */
     private static Map<Long, Action> decisiveActions(List<Action> actions) {
         Map<Long, Action> decisive = new LinkedHashMap<>();
         for (Action action : actions) {
--- a/core/src/main/java/sorrelhoist/core/record/RequestIds.java
+++ b/core/src/main/java/sorrelhoist/core/record/RequestIds.java
@@ -18,14 +18,17 @@
 import sorrelhoist.routing.RoutingEvents.StreamStarted;
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 
-/** Finds the request that an event or an action is about, by its number at the routing policy. */
+/** Finds the routing policy's number of the request that an event or an action refers to. */
 final class RequestIds {
-    /** Stands for no request. */
+    /** Returned if an event or an action refers to no request. */
     static final long NONE = -1;
 
     private RequestIds() {}
 
-    /** {@return the request's number, or {@link #NONE}; timers carry it as their token} */
+    /**
+     * {@return the request's number, or {@link #NONE}; for a timer its token, which is the number
+     * of the request unless the timer belongs to the routing policy itself}
+     */
     static long of(Event event) {
         if (event instanceof Arrived arrived) {
             return arrived.id();
@@ -45,7 +48,10 @@
         return NONE;
     }
 
-    /** {@return the request's number, or {@link #NONE}; timers carry it as their token} */
+    /**
+     * {@return the request's number, or {@link #NONE}; for a timer its token, which is the number
+     * of the request unless the timer belongs to the routing policy itself}
+     */
     static long of(Action action) {
         if (action instanceof Send send) {
             return send.id();
--- a/core/src/main/java/sorrelhoist/core/record/RequestTimeline.java
+++ b/core/src/main/java/sorrelhoist/core/record/RequestTimeline.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 import sorrelhoist.routing.RoutingActions.Action;
 
-/** Everything that a recording holds of one client's request, as lines of text. */
+/** Formats everything that a recording contains about one client's request as lines of text. */
 public final class RequestTimeline {
     private static final Pattern REQUEST_NUMBER = Pattern.compile("[0-9]{1,18}");
 
@@ -19,15 +19,16 @@
     }
 
     /**
-     * Finds a request and describes what became of it.
+     * Finds a request and describes what happened to it.
      *
-     * @param request its name at engines, the name that its client gave it, or its number
-     * @return lines; empty where the recording does not hold it
+     * @param request name by which engines identify the request, the id that its client gave it, or
+     *     its number in the routing policy
+     * @return lines of text; empty if the recording does not contain the request
      */
     public List<String> describe(String request) {
         List<String> lines = new Timeline(recording).ofClients(clientsOf(request));
         if (lines.isEmpty() && REQUEST_NUMBER.matcher(request).matches()) {
-            // A record without clients, as a simulated day's: the number is all there is.
+            // A record without client requests, such as one of a simulated day, has only numbers.
             return new Timeline(recording).ofDecisions(Long.parseLong(request));
         }
         return lines;
@@ -46,7 +47,7 @@
         return clients;
     }
 
-    /** The lines of one request while the recording is gone through. */
+    /** Collects the lines of one request in one pass over the recording. */
     private static final class Timeline {
         private final Recording recording;
         private final List<String> lines = new ArrayList<>();
--- a/core/src/main/java/sorrelhoist/core/record/SegmentReader.java
+++ b/core/src/main/java/sorrelhoist/core/record/SegmentReader.java
@@ -5,7 +5,7 @@
 import sorrelhoist.routing.RoutingActions;
 import sorrelhoist.routing.RoutingEvents;
 
-/** Decodes segment files; see {@link ChunkCodec} for their form. */
+/** Decodes segment files, whose format {@link ChunkCodec} describes. */
 final class SegmentReader {
     private final byte[] file;
     private final BinaryReader in;
@@ -17,7 +17,7 @@
         this.in = new BinaryReader(file, from, file.length);
     }
 
-    /** Decodes a file. Never fails: what cannot be read is named among the faults. */
+    /** Decodes a file. Invalid content causes no exception but is reported in the faults. */
     static DecodedSegment read(byte[] file) {
         byte[] header = ChunkCodec.fileHeader();
         int common = Math.min(file.length, header.length);
@@ -25,8 +25,8 @@
             if (file[i] != header[i]) {
                 boolean otherVersion = i == header.length - 1;
                 return otherVersion
-                        ? DecodedSegment.rejected("a record of another version of the form", false)
-                        : DecodedSegment.rejected("no record of this program", true);
+                        ? DecodedSegment.rejected("unsupported version of the record format", false)
+                        : DecodedSegment.rejected("not a record of this program", true);
             }
         }
         SegmentReader reader = new SegmentReader(file, header.length);
@@ -37,25 +37,25 @@
     private void readChunks() {
         try {
             while (in.remaining() >= ChunkCodec.FRAME_HEADER_BYTES && readFrame()) {
-                // To the end, or to what cannot be passed over.
+                // Reads up to the end, or up to a frame that cannot be skipped.
             }
         } catch (CorruptRecordException e) {
             faults.add(e.getMessage());
         }
     }
 
-    /** Reads one chunk with its frame. {@return whether the next one can be found} */
+    /** Reads one chunk with its frame header. {@return whether the next frame can be located} */
     private boolean readFrame() throws CorruptRecordException {
         int start = in.position();
         int length = in.readInt();
         long checksum = in.readLong();
         if (length <= 0 || length > ChunkCodec.MAX_CHUNK_BYTES) {
             faults.add(
-                    "a chunk of "
+                    "invalid chunk length "
                             + length
-                            + " bytes at byte "
+                            + " at offset "
                             + start
-                            + "; nothing after it can be found");
+                            + "; the rest of the file cannot be read");
             return false;
         }
         if (length > in.remaining()) {
@@ -64,13 +64,13 @@
         int from = in.position();
         BinaryReader content = in.slice(length);
         if (ChunkCodec.checksum(file, from, length) != checksum) {
-            faults.add("a damaged chunk of " + length + " bytes at byte " + start);
+            faults.add("checksum mismatch in a chunk of " + length + " bytes at offset " + start);
             return true;
         }
         try {
             chunks.add(readChunk(content));
         } catch (CorruptRecordException e) {
-            faults.add("the chunk at byte " + start + ": " + e.getMessage());
+            faults.add("the chunk at offset " + start + ": " + e.getMessage());
         }
         return true;
     }
@@ -87,12 +87,11 @@
             } else if (entry instanceof RecordEntry.Header first) {
                 header = first;
             } else {
-                throw new CorruptRecordException(
-                        "it does not begin with what the router was made of");
+                throw new CorruptRecordException("its first entry is not a header");
             }
         }
         if (header == null) {
-            throw new CorruptRecordException("it is empty");
+            throw new CorruptRecordException("it contains no entries");
         }
         return new Chunk(firstNumber, header, entries);
     }
@@ -124,7 +123,7 @@
             throws CorruptRecordException {
         if (tag >= types.size()) {
             throw new CorruptRecordException(
-                    "an entry of kind " + tag + ", which this build does not know");
+                    "tag " + tag + " of an entry, event or action is unknown to this build");
         }
         return RecordCodec.of(types.get(tag)).read(in, strings);
     }
--- a/core/src/main/java/sorrelhoist/core/record/SegmentRetention.java
+++ b/core/src/main/java/sorrelhoist/core/record/SegmentRetention.java
@@ -8,59 +8,62 @@
 
 /**
  * Decides to which segment file a chunk is appended, which files are deleted, and which are
- * preserved for somebody who asks why. It does no I/O: names and times come in, file operations go
- * out, and its caller carries them out.
+ * preserved for an investigation. It does no I/O: the caller passes names and times and carries out
+ * the returned file operations.
  */
 public final class SegmentRetention {
-    /** What to do, in order. */
+    /** A file operation; the caller carries out a list of operations in order. */
     public sealed interface FileOperation {}
 
     /**
-     * Append a chunk to a file, which is created with a file header if it is new.
+     * Append the chunk to a file. A file that does not exist is created with a file header.
      *
-     * @param name the file's
+     * @param name name of the file
      */
     public record Append(String name) implements FileOperation {}
 
     /**
-     * Force a file that gets no more chunks to the disk.
+     * Force the content of a file to disk. The file receives no more chunks.
      *
-     * @param name the file's
+     * @param name name of the file
      */
     public record Close(String name) implements FileOperation {}
 
     /**
      * Delete a file.
      *
-     * @param name the file's
+     * @param name name of the file
      */
     public record Delete(String name) implements FileOperation {}
 
     /**
      * Rename a file.
      *
-     * @param from its name
-     * @param to its new one
+     * @param from current name
+     * @param to new name
      */
     public record Rename(String from, String to) implements FileOperation {}
 
     /**
-     * How much may be stored.
+     * Limits on the stored files.
      *
-     * @param segmentBytes after which a file gets no more chunks
-     * @param maxBytes of all files that are not preserved
-     * @param maxAgeMicros after which a file that is not preserved is deleted
-     * @param preservedBytes of all preserved files; the oldest are deleted
+     * @param segmentBytes maximum bytes of chunks in a file; only a file with a single chunk may be
+     *     larger
+     * @param maxBytes maximum total size of files that are not preserved, in bytes
+     * @param maxAgeMicros time after its last write at which a file that is not preserved is
+     *     deleted
+     * @param preservedBytes maximum total size of preserved files, in bytes; the oldest are deleted
+     *     first
      */
     public record Limits(
             long segmentBytes, long maxBytes, long maxAgeMicros, long preservedBytes) {}
 
     /**
-     * A file that exists at the start.
+     * A file that exists at startup.
      *
-     * @param name its name
-     * @param bytes its length
-     * @param writtenAt when it was last written to, microseconds since 1970
+     * @param name name of the file
+     * @param bytes size of the file, in bytes
+     * @param writtenAt time of the last write, in microseconds since 1970
      */
     public record ExistingFile(String name, long bytes, long writtenAt) {}
 
@@ -76,7 +79,7 @@
         }
     }
 
-    /** What names of segment files end with. */
+    /** Suffix of the names of segment files. */
     public static final String FILE_SUFFIX = ".rec";
 
     private static final String PRESERVED_PREFIX = "kept-";
@@ -90,11 +93,13 @@
     private long created;
 
     /**
-     * Creates the retention of one folder.
+     * Creates the retention for one folder.
      *
-     * @param limits how much may be stored
-     * @param incarnation of the router's process, so that no name is used twice
-     * @param existing files in the folder, in any order; those that are no segments are ignored
+     * @param limits limits on the stored files
+     * @param incarnation number of the router's process; it is part of file names, so that no name
+     *     is used twice
+     * @param existing files in the folder, in any order; those that are not segment files are
+     *     ignored
      */
     public SegmentRetention(Limits limits, long incarnation, List<ExistingFile> existing) {
         this.limits = limits;
@@ -114,11 +119,11 @@
     }
 
     /**
-     * Takes a chunk.
+     * Assigns a chunk to a segment file.
      *
-     * @param now microseconds since 1970
-     * @param bytes the chunk's length
-     * @return what to do with it
+     * @param now current time, in microseconds since 1970
+     * @param bytes size of the chunk, in bytes
+     * @return the file operations to carry out
      */
     public List<FileOperation> appendChunk(long now, int bytes) {
         List<FileOperation> operations = new ArrayList<>();
@@ -138,10 +143,10 @@
     }
 
     /**
-     * Preserves everything that is recorded now, up to the limit of what is preserved.
+     * Preserves everything recorded so far, up to the size limit of preserved files.
      *
-     * @param now microseconds since 1970
-     * @return what to do for that
+     * @param now current time, in microseconds since 1970
+     * @return the file operations to carry out
      */
     public List<FileOperation> preserveAll(long now) {
         List<FileOperation> operations = new ArrayList<>();
@@ -163,13 +168,16 @@
         open = null;
     }
 
-    /** An operation failed: the open file may end in half a chunk, and gets no more. */
+    /**
+     * Handles a failed operation: the open file may end with an incomplete chunk, so no more chunks
+     * are appended to it.
+     */
     public void writeFailed() {
         open = null;
     }
 
     private void deleteBeyondLimits(long now, List<FileOperation> operations) {
-        // The newest file stays whatever its size and age.
+        // The newest file of each list is kept regardless of its size and age.
         while (segments.size() > 1 && isBeyondLimits(segments.peek(), now)) {
             operations.add(new Delete(segments.remove().name));
         }
--- a/core/src/main/java/sorrelhoist/core/record/StringCodec.java
+++ b/core/src/main/java/sorrelhoist/core/record/StringCodec.java
@@ -1,6 +1,9 @@
 package sorrelhoist.core.record;
 
-/** Writes and reads the texts of a record; the chunk codec shares those that recur. */
+/**
+ * Writes and reads the texts of a record. {@link StringTable}, the implementation for chunks,
+ * writes recurring texts as references.
+ */
 interface StringCodec {
     /** Writes a text, which may be null. */
     void write(BinaryWriter out, String text);
--- a/core/src/main/java/sorrelhoist/core/record/StringTable.java
+++ b/core/src/main/java/sorrelhoist/core/record/StringTable.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * The texts of one chunk: written in full the first time, and as a reference from then on. A table
- * is used either for writing or for reading.
+ * Stores the texts of one chunk: the first occurrence of a text is written in full, later ones as
+ * references. Once the table is full, texts that it lacks are always written in full. A table is
+ * used either for writing or for reading.
  */
 final class StringTable implements StringCodec {
     private static final int MAX_ENTRIES = 4096;
@@ -18,7 +19,7 @@
     private final Map<String, Integer> indexes = new HashMap<>();
     private final List<String> texts = new ArrayList<>();
 
-    /** Forgets what was written, as a new chunk begins. */
+    /** Removes all texts from a table for writing, before a new chunk begins. */
     void clear() {
         indexes.clear();
     }
@@ -54,7 +55,7 @@
             return text;
         }
         if (code < 0 || code - FIRST_REFERENCE >= texts.size()) {
-            throw new CorruptRecordException("a name that was not given before");
+            throw new CorruptRecordException("reference to a text that was not written before");
         }
         return texts.get((int) (code - FIRST_REFERENCE));
     }
--- a/core/src/main/java/sorrelhoist/core/record/TimelineText.java
+++ b/core/src/main/java/sorrelhoist/core/record/TimelineText.java
@@ -19,7 +19,10 @@
 import sorrelhoist.routing.RoutingEvents.StreamStarted;
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 
-/** The texts of a request's timeline; operators read them, and docs/ops quotes some. */
+/**
+ * Formats the entries of a request's timeline. Operators read these texts, and docs/ops quotes
+ * some.
+ */
 final class TimelineText {
     private static final double MICROS_PER_MILLI = 1000;
 
@@ -28,17 +31,17 @@
     static String submitted(RecordEntry.RequestSubmitted request) {
         StringBuilder text = new StringBuilder();
         if (request.fromToken() > 0) {
-            text.append("went on from token ").append(request.fromToken()).append(" as ");
+            text.append("resumed from token ").append(request.fromToken()).append(" as ");
         } else {
-            text.append("asked, as ");
+            text.append("submitted as ");
         }
         text.append(request.name());
         if (!request.clientId().isEmpty()) {
-            text.append(", its client's ").append(request.clientId());
+            text.append(", client id ").append(request.clientId());
         }
-        text.append(", prompt ").append(Long.toHexString(request.promptHash()));
+        text.append(", prompt hash ").append(Long.toHexString(request.promptHash()));
         if (request.timeoutMicros() > 0) {
-            text.append(", its client waits ").append(millis(request.timeoutMicros()));
+            text.append(", client timeout ").append(millis(request.timeoutMicros()));
         }
         return text.toString();
     }
@@ -48,17 +51,17 @@
         String remaining =
                 completion.leftMicros() == Long.MAX_VALUE
                         ? ""
-                        : ", " + millis(completion.leftMicros()) + " before its time was up";
+                        : ", " + millis(completion.leftMicros()) + " before the client's timeout";
         return switch (completion.how()) {
             case SERVED -> "answered: served, " + tokens + " tokens" + remaining;
-            case REFUSED -> "answered: refused, as " + failure(completion) + remaining;
+            case REFUSED -> "answered: refused: " + failure(completion) + remaining;
             case FAILED ->
                     "answered: failed after "
                             + tokens
-                            + " tokens, as "
+                            + " tokens: "
                             + failure(completion)
                             + remaining;
-            case STALLED -> "given up: its client took nothing of its answer";
+            case STALLED -> "given up: the client stopped reading the answer";
             case LEFT -> "its client left after " + tokens + " tokens";
         };
     }
@@ -67,7 +70,7 @@
         return ReasonFormatter.describeFailure(completion.why());
     }
 
-    /** {@return the text of an event, or nothing for timers} */
+    /** {@return the text of an event, or empty for timers} */
     static Optional<String> event(Event event) {
         if (event instanceof TimerFired) {
             return Optional.empty();
@@ -83,7 +86,7 @@
         } else if (event instanceof DeliveryUnconfirmed unconfirmed) {
             return Optional.of(
                     attempt(unconfirmed.attempt(), unconfirmed.server())
-                            + ": nothing shows that it arrived");
+                            + ": delivery unconfirmed");
         } else if (event instanceof ClientGone) {
             return Optional.of("the client left");
         }
@@ -101,7 +104,7 @@
                 + arrived.prefixTokens()
                 + " shared), up to "
                 + arrived.maxTokens()
-                + " to answer, "
+                + " output tokens, "
                 + millis(arrived.budgetMicros())
                 + " to the first token";
     }
@@ -121,7 +124,7 @@
         return "attempt " + number + " at " + server;
     }
 
-    /** {@return the text of an action, or nothing for timers} */
+    /** {@return the text of an action, or empty for timers} */
     static Optional<String> action(Action action) {
         if (action instanceof Timer) {
             return Optional.empty();
@@ -142,7 +145,7 @@
                             + ": "
                             + ReasonFormatter.describeFailure(cancel.why()));
         } else if (action instanceof Release) {
-            return Optional.of("let go of what is held");
+            return Optional.of("release the reservations of the request");
         }
         return Optional.of(action.getClass().getSimpleName());
     }
--- a/core/src/main/java/sorrelhoist/core/record/ValueCodec.java
+++ b/core/src/main/java/sorrelhoist/core/record/ValueCodec.java
@@ -6,13 +6,16 @@
 import java.util.List;
 import sorrelhoist.routing.Reason;
 
-/** Writes and reads one value that is no plain number: the kinds that records are made of. */
+/**
+ * Writes and reads values of the types that record components may have, other than primitive
+ * numbers.
+ */
 interface ValueCodec {
     void write(BinaryWriter out, Object value, StringCodec strings);
 
     Object read(BinaryReader in, StringCodec strings) throws CorruptRecordException;
 
-    /** {@return the value where a record was written without it} */
+    /** {@return the value of a component of this type if a stored record lacks the component} */
     Object defaultValue();
 
     /** {@return the codec of a type} */
@@ -55,7 +58,7 @@
         }
     }
 
-    /** A boxed integer, as in lists. */
+    /** A boxed long, as an element of a list. */
     record LongCodec() implements ValueCodec {
         @Override
         public void write(BinaryWriter out, Object value, StringCodec strings) {
@@ -91,7 +94,7 @@
         }
     }
 
-    /** A constant of an enum, by its ordinal. */
+    /** An enum constant, stored by its ordinal. */
     record EnumCodec(Object[] constants) implements ValueCodec {
         @Override
         public void write(BinaryWriter out, Object value, StringCodec strings) {
@@ -104,12 +107,15 @@
             if (ordinal >= 0 && ordinal < constants.length) {
                 return constants[(int) ordinal];
             }
-            // A reason that a later build added.
+            // A kind of reason that a later build added is read as UNKNOWN.
             if (constants[0] == Reason.Kind.UNKNOWN) {
                 return constants[0];
             }
             throw new CorruptRecordException(
-                    "number " + ordinal + " of " + constants[0].getClass().getSimpleName());
+                    "unknown ordinal "
+                            + ordinal
+                            + " of "
+                            + constants[0].getClass().getSimpleName());
         }
 
         @Override
@@ -118,7 +124,7 @@
         }
     }
 
-    /** A record within a record, with its length. */
+    /** A nested record, preceded by its length. */
     record NestedRecordCodec(RecordCodec<?> codec, Object missing) implements ValueCodec {
         @Override
         public void write(BinaryWriter out, Object value, StringCodec strings) {
@@ -138,7 +144,7 @@
         }
     }
 
-    /** A list, with its size. */
+    /** A list, preceded by its size. */
     record ListCodec(ValueCodec item) implements ValueCodec {
         private static final int MAX_INITIAL_CAPACITY = 1000;
 
--- a/core/src/main/java/sorrelhoist/core/statetransfer/DonorSelection.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/DonorSelection.java
@@ -7,17 +7,17 @@
 import java.util.Optional;
 
 /**
- * Decides which routers a starting one asks for a snapshot: those of its own zone first, as they
- * use the same engines; each a second time if its transfer broke off, and no more than a few in
- * all. What is not transferred is learned again.
+ * Selects the routers that a starting router asks for a snapshot. Routers of its own zone come
+ * first, as they use the same engines. A donor whose transfer broke off is asked at most once more,
+ * and the total number of transfers is limited. Knowledge that is not transferred is learned again.
  */
 public final class DonorSelection {
     /**
-     * A router that could be asked.
+     * A router that can be asked for a snapshot.
      *
-     * @param edge its name
-     * @param zone its zone
-     * @param address where it is reached, host:port
+     * @param edge the router's name
+     * @param zone the router's zone
+     * @param address address of the router, host:port
      */
     public record Donor(String edge, String zone, String address) {}
 
@@ -30,12 +30,15 @@
     private int transfers;
     private int completedTransfers;
 
-    /** Creates the selection of a router in this zone. */
+    /** Creates the selection for a router in this zone. */
     public DonorSelection(String zone) {
         this.zone = zone;
     }
 
-    /** {@return which of these to ask next, or null for none} */
+    /**
+     * Selects the next router to ask and counts the attempt. {@return the router; null if there is
+     * none, or no further transfer is allowed}
+     */
     public Donor nextDonor(List<Donor> donors) {
         if (completedTransfers >= MAX_COMPLETED_TRANSFERS || transfers >= MAX_TRANSFERS) {
             return null;
@@ -59,7 +62,7 @@
         return attempts.getOrDefault(donor.edge(), 0);
     }
 
-    /** A transfer was completed: this donor is not asked again. */
+    /** Registers a completed transfer, so that this donor is not asked again. */
     public void transferCompleted(Donor donor) {
         attempts.put(donor.edge(), MAX_ATTEMPTS_PER_DONOR);
         completedTransfers++;
--- a/core/src/main/java/sorrelhoist/core/statetransfer/KeyDigest.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KeyDigest.java
@@ -7,12 +7,12 @@
 import sorrelhoist.routing.Knowledge;
 
 /**
- * The keys that a receiving router has already, as a hash of four bytes each. Where two keys have
- * one hash, one is not transferred, which costs locality and nothing else. A transfer that broke
- * off is resumed by asking again with a larger digest.
+ * Digest of the keys that a receiving router already has: a hash of four bytes for each key. If two
+ * keys have the same hash, a missing one counts as present and is not transferred, which only costs
+ * locality. A transfer that broke off is resumed with another request that has a larger digest.
  */
 public final class KeyDigest {
-    /** Keys that a digest holds at most. */
+    /** Maximum number of keys in a digest. */
     public static final int MAX_KEYS = 50_000;
 
     private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
@@ -24,7 +24,9 @@
         this.hashes = hashes;
     }
 
-    /** {@return the digest of what is known; of too many keys, that of the newest} */
+    /**
+     * {@return the digest of the known keys; if there are too many, of the most recently used ones}
+     */
     public static byte[] encode(Knowledge known) {
         List<Knowledge.PrefixEntry> keys = known.keys();
         int count = Math.min(MAX_KEYS, keys.size());
@@ -35,7 +37,10 @@
         return bytes.array();
     }
 
-    /** {@return the digest of these bytes; what is beyond the limit or cut is passed over} */
+    /**
+     * {@return the digest that these bytes encode; hashes beyond the limit and an incomplete last
+     * hash are ignored}
+     */
     public static KeyDigest decode(byte[] bytes) {
         Set<Integer> hashes = new HashSet<>();
         ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -45,12 +50,15 @@
         return new KeyDigest(hashes);
     }
 
-    /** {@return whether the receiving router seems to have this key} */
+    /** {@return whether the receiving router probably has this key} */
     public boolean contains(String key) {
         return hashes.contains(hash(key));
     }
 
-    /** FNV-1a over UTF-16 units, folded; routers of all versions have to agree on it. */
+    /**
+     * FNV-1a over UTF-16 code units, with the high bits folded into the low ones; it has to be the
+     * same in all versions of the router.
+     */
     private static int hash(String name) {
         int hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < name.length(); i++) {
--- a/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeCodec.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeCodec.java
@@ -4,15 +4,16 @@
 import sorrelhoist.routing.Knowledge.RegressionSums;
 
 /**
- * The form of a snapshot: a magic byte and a version, then sections with their lengths, so that a
- * reader passes over sections that it does not know and neighbouring versions read each other.
+ * The format of a snapshot: a magic byte and a version, followed by length-prefixed sections. A
+ * reader skips sections that it does not know, so neighbouring versions can read each other's
+ * snapshots.
  */
 public final class KnowledgeCodec {
-    /** Bytes that are no snapshot, or a damaged one; the message says what was found. */
+    /** Thrown if bytes are damaged or are not a snapshot; the message says what was found. */
     public static final class CorruptKnowledgeException extends Exception {
         private static final long serialVersionUID = 1;
 
-        // No stack trace: damaged input is expected, and the message says all.
+        // No stack trace: damaged input is expected, and the message is sufficient.
         CorruptKnowledgeException(String message) {
             super(message, null, false, false);
         }
@@ -25,10 +26,10 @@
     static final int HEALTH_SECTION = 2;
     static final int REGRESSIONS_SECTION = 3;
 
-    /** Bytes that a name may have. */
+    /** Maximum length of a name, in bytes. */
     static final int MAX_NAME_BYTES = 1024;
 
-    /** Stands for a regression that has learned nothing. */
+    /** The sums of a regression without samples. */
     static final RegressionSums NO_SUMS = new RegressionSums(0, 0, 0, 0, 0);
 
     private KnowledgeCodec() {}
@@ -36,10 +37,11 @@
     /**
      * Encodes knowledge.
      *
-     * @param knowledge what to encode; health and regressions always go in, as they are few
-     * @param maxKeyBytes that keys may take; the most valuable go in, the least recently used of
-     *     them first
-     * @return its bytes
+     * @param knowledge knowledge to encode; the health of engines and the regressions are always
+     *     included completely, as they are few
+     * @param maxKeyBytes maximum bytes of keys; the most valuable keys that fit are included, from
+     *     the least to the most recently used
+     * @return the encoded snapshot
      */
     public static byte[] encode(Knowledge knowledge, int maxKeyBytes) {
         return KnowledgeEncoder.encode(knowledge, maxKeyBytes);
@@ -48,10 +50,10 @@
     /**
      * Decodes knowledge.
      *
-     * @param bytes as encoded by this version or a neighbouring one
-     * @return what they hold
-     * @throws CorruptKnowledgeException where they are foreign, cut short, or larger than anything
-     *     this program encodes
+     * @param bytes snapshot encoded by this version or a neighbouring one
+     * @return the decoded knowledge
+     * @throws CorruptKnowledgeException if the bytes are not a snapshot, are truncated, or exceed
+     *     the limits of what this program encodes
      */
     public static Knowledge decode(byte[] bytes) throws CorruptKnowledgeException {
         return new KnowledgeDecoder().decode(bytes);
--- a/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeDecoder.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeDecoder.java
@@ -15,7 +15,7 @@
 import sorrelhoist.routing.Knowledge.RegressionSums;
 import sorrelhoist.routing.Knowledge.ServerHealth;
 
-/** Decodes one snapshot; see {@link KnowledgeCodec} for its form. */
+/** Decodes one snapshot, whose format {@link KnowledgeCodec} describes. */
 final class KnowledgeDecoder {
     private static final int MAX_HOLDERS = 1000;
     private static final int MAX_REGRESSIONS = 1000;
@@ -32,12 +32,13 @@
                 readSection(in);
             }
         } catch (EOFException e) {
-            throw new CorruptKnowledgeException("cut short");
+            throw new CorruptKnowledgeException("data ends in the middle of a value");
         } catch (IOException e) {
             throw new UncheckedIOException("reading from memory failed", e);
         }
         if (regressions.size() > MAX_REGRESSIONS) {
-            throw new CorruptKnowledgeException(regressions.size() + " lines");
+            throw new CorruptKnowledgeException(
+                    regressions.size() + " regressions exceed the limit");
         }
         if (regressions.isEmpty()) {
             return new Knowledge(keys, health, List.of(), KnowledgeCodec.NO_SUMS);
@@ -49,15 +50,15 @@
     private static void checkHeader(DataInputStream in)
             throws IOException, CorruptKnowledgeException {
         if (in.readUnsignedByte() != KnowledgeCodec.MAGIC) {
-            throw new CorruptKnowledgeException("no knowledge of this program");
+            throw new CorruptKnowledgeException("not a snapshot of this program");
         }
         int version = in.readUnsignedByte();
         int next = KnowledgeCodec.VERSION + 1;
         if (version < KnowledgeCodec.VERSION || version > next) {
             throw new CorruptKnowledgeException(
-                    "version "
+                    "snapshot format version "
                             + version
-                            + " of the form; this program reads "
+                            + " is not supported; this program reads "
                             + KnowledgeCodec.VERSION
                             + " and "
                             + next);
@@ -68,16 +69,17 @@
         int tag = in.readUnsignedByte();
         int length = in.readInt();
         if (length < Integer.BYTES || length > in.available()) {
-            throw new CorruptKnowledgeException("a section is longer than its message");
+            throw new CorruptKnowledgeException(
+                    "section length is too small or exceeds the remaining bytes");
         }
         DataInputStream section =
                 new DataInputStream(new ByteArrayInputStream(in.readNBytes(length)));
         int count = section.readInt();
         if (count < 0 || count > length) {
             throw new CorruptKnowledgeException(
-                    "a section with " + count + " items in " + length + " bytes");
+                    "invalid item count " + count + " in a section of " + length + " bytes");
         }
-        // A section with a higher tag is a later version's, and passed over.
+        // A section with a higher tag was written by a later version and is skipped.
         for (int i = 0; i < count && tag <= KnowledgeCodec.REGRESSIONS_SECTION; i++) {
             readItem(tag, section);
         }
@@ -99,7 +101,7 @@
         int uses = in.readInt();
         int holderCount = in.readUnsignedShort();
         if (holderCount > MAX_HOLDERS) {
-            throw new CorruptKnowledgeException(holderCount + " holders of a key");
+            throw new CorruptKnowledgeException(holderCount + " holders of a key exceed the limit");
         }
         List<PrefixHolder> holders = new ArrayList<>();
         for (int i = 0; i < holderCount; i++) {
@@ -127,7 +129,7 @@
             throws IOException, CorruptKnowledgeException {
         int length = in.readUnsignedShort();
         if (length > KnowledgeCodec.MAX_NAME_BYTES) {
-            throw new CorruptKnowledgeException("a name of " + length + " bytes");
+            throw new CorruptKnowledgeException("name of " + length + " bytes exceeds the limit");
         }
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length) {
--- a/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeEncoder.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/KnowledgeEncoder.java
@@ -14,12 +14,12 @@
 import sorrelhoist.routing.Knowledge.RegressionSums;
 import sorrelhoist.routing.Knowledge.ServerHealth;
 
-/** Encodes snapshots; see {@link KnowledgeCodec} for their form. */
+/** Encodes snapshots in the format that {@link KnowledgeCodec} describes. */
 final class KnowledgeEncoder {
-    /** A use that long ago is worth half a use now. */
+    /** Age at which a key has half the value of an equal key that is used now. */
     private static final double HALF_VALUE_AGE_MICROS = 20_000_000;
 
-    /** A character takes up to so many bytes. */
+    /** Upper bound of the length of a character in UTF-8. */
     private static final int MAX_BYTES_PER_CHAR = 4;
 
     private static final int MAX_NAME_CHARS = KnowledgeCodec.MAX_NAME_BYTES / MAX_BYTES_PER_CHAR;
@@ -66,7 +66,7 @@
         return selected.stream().map(EncodedKey::bytes).toList();
     }
 
-    /** Grows with uses and falls with age. */
+    /** {@return the value of a key, which increases with uses and decreases with age} */
     private static double value(PrefixEntry key) {
         return (1 + key.uses()) / (1 + key.ageMicros() / HALF_VALUE_AGE_MICROS);
     }
--- a/core/src/main/java/sorrelhoist/core/statetransfer/MessageAuthenticator.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/MessageAuthenticator.java
@@ -11,11 +11,13 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Authenticates the messages of transfers between routers: HMAC-SHA256 (RFC 2104) over sender,
- * recipient, the transfer's number, the message's place in it, and its content.
+ * Authenticates the messages of transfers between routers with HMAC-SHA256 (RFC 2104) over the
+ * sender, the recipient, the number of the transfer, the index of the message in the transfer, and
+ * the content.
  *
- * <p>Keys rotate: the first of the list signs, all of it verify. A new key is added last at every
- * router, then moved to the front, then the old one is removed.
+ * <p>Keys can be rotated: the first configured key signs, and every configured key verifies. A new
+ * key is appended at every router, then moved to the front at every router, then the old key is
+ * removed.
  */
 public final class MessageAuthenticator {
     private static final String ALGORITHM = "HmacSHA256";
@@ -27,15 +29,16 @@
     /**
      * Creates an authenticator.
      *
-     * @param secrets by key id, the signing one first
-     * @throws IllegalArgumentException where there is none, or one is shorter than 16 bytes
+     * @param secrets secrets by key id, the signing key first
+     * @throws IllegalArgumentException if there is no secret, or one is shorter than 16 bytes
      */
     public MessageAuthenticator(Map<String, String> secrets) {
         secrets.forEach((id, secret) -> keys.put(id, key(id, secret)));
         signingKeyId =
                 keys.keySet().stream()
                         .findFirst()
-                        .orElseThrow(() -> new IllegalArgumentException("give one key at least"));
+                        .orElseThrow(
+                                () -> new IllegalArgumentException("at least one key is required"));
     }
 
     private static SecretKeySpec key(String id, String secret) {
@@ -46,14 +49,14 @@
                             + id
                             + "\" has "
                             + bytes.length
-                            + " bytes: give "
+                            + " bytes; at least "
                             + MIN_KEY_BYTES
-                            + " or more");
+                            + " are required");
         }
         return new SecretKeySpec(bytes, ALGORITHM);
     }
 
-    /** {@return the id of the key that signs} */
+    /** {@return the id of the signing key} */
     public String signingKeyId() {
         return signingKeyId;
     }
@@ -63,26 +66,26 @@
      *
      * @param from the sender's name
      * @param to the recipient's name
-     * @param exchange the transfer's number
-     * @param index the message's place in the transfer, from 0
-     * @param piece its content
-     * @return its tag
+     * @param exchange number of the transfer
+     * @param index index of the message in the transfer, from 0
+     * @param piece content of the message
+     * @return the message's authentication tag
      */
     public byte[] sign(String from, String to, long exchange, int index, byte[] piece) {
         return tag(keys.get(signingKeyId), from, to, exchange, index, piece);
     }
 
     /**
-     * Verifies a message, in a time that does not depend on where its tag differs.
+     * Verifies a message. The time of the comparison does not depend on where the tags differ.
      *
-     * @param keyId of the key that signed it
-     * @param tag as received
+     * @param keyId id of the key that signed the message
+     * @param tag the received authentication tag
      * @param from the sender's name
      * @param to the recipient's name
-     * @param exchange the transfer's number
-     * @param index the message's place in the transfer, from 0
-     * @param piece its content
-     * @return whether the tag is right
+     * @param exchange number of the transfer
+     * @param index index of the message in the transfer, from 0
+     * @param piece content of the message
+     * @return whether the key is known and the tag is correct
      */
     public boolean verify(
             String keyId,
@@ -112,11 +115,12 @@
                             .flip());
             return mac.doFinal(piece);
         } catch (NoSuchAlgorithmException | InvalidKeyException e) {
-            throw new IllegalStateException("every JDK has " + ALGORITHM, e);
+            // Every JDK provides the algorithm, and any key is valid for it.
+            throw new IllegalStateException("cannot compute " + ALGORITHM, e);
         }
     }
 
-    /** The length goes first, so that no two pairs of names give the same bytes. */
+    /** Includes the name's length, so that no two pairs of names result in the same bytes. */
     private static void updateWithName(Mac mac, String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         mac.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).flip());
--- a/core/src/main/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslator.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslator.java
@@ -8,16 +8,16 @@
 import sorrelhoist.routing.Knowledge.ServerHealth;
 
 /**
- * Names the processes of engines alike at all routers. The routing policy knows a process by its
- * start on this router's own clock; other routers, and later starts of this one, know it by the
- * incarnation that the engine registered. What is known of a process that runs no longer is left
- * out.
+ * Translates the identities of engine processes in knowledge, so that all routers can use it. The
+ * routing policy identifies a process by its start time on this router's own clock; snapshots for
+ * other routers and for later starts of this one identify it by the incarnation that the engine
+ * registered. Knowledge of a process that no longer runs is omitted.
  */
 public final class ProcessIdentityTranslator {
-    /** Stands for a process that is not the one this router knows. */
+    /** Marks a process that is not the one that this router knows. */
     private static final long UNKNOWN_PROCESS = -1;
 
-    /** Translates what identifies a server's process. */
+    /** Translates the identity of an engine's process. */
     private interface Translation {
         long apply(String server, long process);
     }
@@ -28,7 +28,7 @@
         this.translation = translation;
     }
 
-    /** {@return the same with incarnations in place of this router's start times} */
+    /** {@return the knowledge with incarnations in place of this router's start times} */
     public static Knowledge toIncarnations(Knowledge knowledge, EngineTable engines) {
         return new ProcessIdentityTranslator(
                         (server, startedAt) ->
@@ -38,7 +38,7 @@
                 .translate(knowledge);
     }
 
-    /** {@return the same with this router's start times in place of incarnations} */
+    /** {@return the knowledge with this router's start times in place of incarnations} */
     public static Knowledge toLocalStartTimes(Knowledge knowledge, EngineTable engines) {
         return new ProcessIdentityTranslator(
                         (server, incarnation) ->
--- a/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotLog.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotLog.java
@@ -7,38 +7,40 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of a router's snapshots on disk: a file header, then frames that each carry their
- * length, a checksum (CRC32C) and when they were written. A process killed at any byte leaves whole
- * frames and a tail that shows as cut; damaged or foreign bytes are never taken for a frame.
+ * The format of a router's snapshot files: a file header, followed by frames. Each frame has its
+ * length, a checksum (CRC32C) and the time when it was written. A process that is killed at any
+ * byte leaves whole frames and a tail that is recognized as truncated; damaged or foreign bytes are
+ * never accepted as a frame.
  */
 public final class SnapshotLog {
     /**
      * One frame.
      *
-     * @param savedAt when it was written, microseconds since 1970
-     * @param payload its content
+     * @param savedAt time when it was written, in microseconds since 1970
+     * @param payload content of the frame
      */
     public record Frame(long savedAt, byte[] payload) {}
 
     /**
-     * What a file holds.
+     * The content of a file.
      *
      * @param frames whole frames, in their order
-     * @param validBytes up to where it is sound; a writer goes on from there
-     * @param fault what is wrong after that, or null; a cut tail is no fault
-     * @param foreign whether it is no file of this program at all
+     * @param validBytes length of the valid beginning of the file; a writer continues there
+     * @param fault description of what is wrong after that, or null; a truncated tail is not a
+     *     fault
+     * @param foreign whether the file was not written by this program
      */
     public record ReadResult(List<Frame> frames, int validBytes, String fault, boolean foreign) {}
 
     private static final byte[] FILE_HEADER = {'S', 'R', 'L', 'P', 'A', 'S', 'T', '1'};
     private static final int FRAME_HEADER_BYTES = Integer.BYTES + Integer.BYTES + Long.BYTES;
 
-    /** Bytes that a frame's content may have. */
+    /** Maximum size of a frame's content, in bytes. */
     public static final int MAX_PAYLOAD_BYTES = 64 << 20;
 
     private SnapshotLog() {}
 
-    /** {@return what a new file begins with} */
+    /** {@return the file header, as a copy} */
     public static byte[] header() {
         return FILE_HEADER.clone();
     }
@@ -46,9 +48,9 @@
     /**
      * Encodes a frame.
      *
-     * @param savedAt when it is written, microseconds since 1970
-     * @param payload its content
-     * @return its bytes
+     * @param savedAt time of the write, in microseconds since 1970
+     * @param payload content of the frame
+     * @return the encoded frame
      */
     public static byte[] encodeFrame(long savedAt, byte[] payload) {
         return ByteBuffer.allocate(FRAME_HEADER_BYTES + payload.length)
@@ -70,11 +72,14 @@
         return (int) crc.getValue();
     }
 
-    /** Reads a file's bytes. Never fails: what cannot be read is reported as the fault. */
+    /**
+     * Reads the content of a file. Invalid content never causes an exception: it is reported as the
+     * fault.
+     */
     public static ReadResult read(byte[] file) {
         int common = Math.min(file.length, FILE_HEADER.length);
         if (!Arrays.equals(file, 0, common, FILE_HEADER, 0, common)) {
-            return new ReadResult(List.of(), 0, "not a past of this program", true);
+            return new ReadResult(List.of(), 0, "not a snapshot file of this program", true);
         }
         if (file.length < FILE_HEADER.length) {
             return new ReadResult(List.of(), 0, null, false);
@@ -90,7 +95,7 @@
             int checksum = in.getInt();
             long savedAt = in.getLong();
             if (length < 0 || length > MAX_PAYLOAD_BYTES) {
-                String fault = "a frame's length of " + length + " at byte " + validBytes;
+                String fault = "invalid frame length " + length + " at offset " + validBytes;
                 return new ReadResult(frames, validBytes, fault, false);
             }
             if (length > in.remaining()) {
@@ -99,7 +104,7 @@
             byte[] payload = new byte[length];
             in.get(payload);
             if (checksum(savedAt, payload) != checksum) {
-                String fault = "a frame's checksum at byte " + validBytes;
+                String fault = "frame checksum mismatch at offset " + validBytes;
                 return new ReadResult(frames, validBytes, fault, false);
             }
             frames.add(new Frame(savedAt, payload));
--- a/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotPolicy.java
@@ -8,45 +8,48 @@
 import sorrelhoist.routing.Knowledge;
 
 /**
- * Decides when a router writes snapshots, and which of them are still worth restoring. Between full
- * snapshots, incremental ones of what was used lately are appended; a restart restores the newest
- * first, as later imports do not replace what is known already.
+ * Decides when a router writes snapshots, and selects those that are restored. Between full
+ * snapshots, incremental snapshots of recently used keys are appended to a log. A restart restores
+ * the newest snapshot first, as later imports do not replace existing knowledge.
  */
 public final class SnapshotPolicy {
-    /** What to write now. */
+    /** The kind of snapshot to write. */
     public enum SnapshotKind {
-        /** Nothing is due. */
+        /** No snapshot is due. */
         NONE,
-        /** What was used lately, to be appended to the log. */
+        /** Recently used keys, to be appended to the log. */
         INCREMENTAL,
-        /** Everything, in place of what is on disk. */
+        /** All knowledge, to replace what is on disk. */
         FULL
     }
 
     /**
-     * Knowledge that was read back.
+     * Knowledge that was read from a snapshot.
      *
-     * @param knowledge what was known
-     * @param ageMicros how long ago that was, in microseconds
+     * @param knowledge the knowledge
+     * @param ageMicros age of the snapshot, in microseconds
      */
     public record RestoredSnapshot(Knowledge knowledge, long ageMicros) {}
 
     /**
-     * Bytes of keys in an incremental snapshot: keys that were used since the one before are few,
-     * and the most recent matter most.
+     * Maximum bytes of keys in an incremental snapshot. Few keys are used between two snapshots,
+     * and the most recently used ones matter most.
      */
     public static final int MAX_INCREMENTAL_BYTES = 64 << 10;
 
-    /** Bytes of keys in a full snapshot. */
+    /** Maximum bytes of keys in a full snapshot. */
     public static final int MAX_FULL_BYTES = 8 << 20;
 
     private static final long INCREMENTAL_INTERVAL_MICROS = 5_000_000;
     private static final long FULL_INTERVAL_MICROS = 60_000_000;
 
-    /** Bytes of incremental snapshots after which a full one is due. */
+    /** Bytes of incremental snapshots at which a full snapshot is due. */
     private static final long MAX_LOG_BYTES = 4 << 20;
 
-    /** Half an hour: by then the fleet is no longer the one that was learned. */
+    /**
+     * Maximum age of a snapshot that is restored: half an hour, after which the fleet differs too
+     * much from the one that was learned.
+     */
     private static final long MAX_AGE_MICROS = 1_800_000_000;
 
     private long lastWrittenAt;
@@ -54,9 +57,10 @@
     private long logBytes;
 
     /**
-     * Creates a policy that has written nothing; the first snapshot is due after its interval.
+     * Creates a policy for a router that has written no snapshot since its start; the first one is
+     * due after its interval.
      *
-     * @param now microseconds
+     * @param now current time, in microseconds
      */
     public SnapshotPolicy(long now) {
         lastWrittenAt = now;
@@ -64,9 +68,9 @@
     }
 
     /**
-     * {@return what is due}
+     * {@return the kind of snapshot that is due}
      *
-     * @param now microseconds
+     * @param now current time, in microseconds
      */
     public SnapshotKind kindDue(long now) {
         if (now - lastFullAt >= FULL_INTERVAL_MICROS || logBytes >= MAX_LOG_BYTES) {
@@ -77,18 +81,19 @@
                 : SnapshotKind.NONE;
     }
 
-    /** {@return when something is due next, in microseconds} */
+    /** {@return the time when the next snapshot is due by its interval, in microseconds} */
     public long nextDueAt() {
         return Math.min(
                 lastWrittenAt + INCREMENTAL_INTERVAL_MICROS, lastFullAt + FULL_INTERVAL_MICROS);
     }
 
     /**
-     * A snapshot was written, or could not be: either way the next is due after its interval.
+     * Registers that a snapshot was written, or that writing it failed; in both cases the next one
+     * is due after its interval.
      *
-     * @param now microseconds
-     * @param kind what was written
-     * @param bytes that an incremental one added to the log
+     * @param now current time, in microseconds
+     * @param kind kind of the snapshot
+     * @param bytes number of bytes that an incremental snapshot added to the log
      */
     public void snapshotWritten(long now, SnapshotKind kind, long bytes) {
         lastWrittenAt = now;
@@ -101,12 +106,12 @@
     }
 
     /**
-     * Selects what is worth restoring.
+     * Selects the snapshots to be restored.
      *
-     * @param now microseconds since 1970
-     * @param frames of snapshot and log, in any order
-     * @return what is not too old and can be read, the newest first; frames of the future count as
-     *     just written, as the clock was set back
+     * @param now current time, in microseconds since 1970
+     * @param frames frames of the snapshot file and the log, in any order
+     * @return the snapshots that are recent enough and can be decoded, the newest first; frames
+     *     with a time in the future count as just written, as the clock must have been set back
      */
     public static List<RestoredSnapshot> selectRestorable(
             long now, List<SnapshotLog.Frame> frames) {
@@ -126,7 +131,7 @@
         try {
             return Optional.of(KnowledgeCodec.decode(frame.payload()));
         } catch (CorruptKnowledgeException e) {
-            // Whole by its checksum, but of a version that is too far away.
+            // The checksum is valid, but the version is not supported.
             return Optional.empty();
         }
     }
--- a/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotTransfer.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/SnapshotTransfer.java
@@ -6,13 +6,17 @@
 import sorrelhoist.routing.Knowledge.PrefixEntry;
 
 /**
- * A donor's side of one transfer: cuts a snapshot into chunks. The first carries health and
- * regressions, all of them keys that the receiving router lacks, the newest first, so that a
- * transfer that breaks off has given the best. It is bounded, and made from a copy, so that the
- * donor goes on learning meanwhile.
+ * The donor's side of one transfer: splits a snapshot into chunks. The first chunk contains the
+ * health of all engines and all regressions; every chunk contains keys that the receiving router
+ * lacks. The most recently used keys are sent first, so that a transfer that breaks off has
+ * delivered the most valuable ones. A transfer is limited in size and works on a copy, so that the
+ * donor can continue to learn meanwhile.
  */
 public final class SnapshotTransfer {
-    /** Bytes of keys in one chunk. */
+    /**
+     * Maximum bytes of keys in one chunk. If the keys of a chunk need more, the least valuable ones
+     * are not transferred.
+     */
     public static final int MAX_CHUNK_KEY_BYTES = 32 << 10;
 
     private static final int KEYS_PER_CHUNK = 400;
@@ -28,10 +32,10 @@
     /**
      * Creates a transfer.
      *
-     * @param known what the donor knows
-     * @param digest of the keys that the receiving router has
-     * @param maxBytes that the whole transfer may take
-     * @param now microseconds
+     * @param known the donor's knowledge
+     * @param digest digest of the keys that the receiving router has
+     * @param maxBytes number of sent bytes at which the transfer ends
+     * @param now current time, in microseconds
      */
     public SnapshotTransfer(Knowledge known, KeyDigest digest, int maxBytes, long now) {
         this.known = known;
@@ -45,9 +49,9 @@
     }
 
     /**
-     * {@return the next chunk, its ages as of now; null at the end}
+     * {@return the next chunk, with ages as of {@code now}; null at the end}
      *
-     * @param now microseconds
+     * @param now current time, in microseconds
      */
     public byte[] nextChunk(long now) {
         boolean first = sentChunks == 0;
@@ -69,7 +73,10 @@
         return chunk;
     }
 
-    /** {@return the next keys, so much older than at the start, the least recently used first} */
+    /**
+     * {@return the next keys, the least recently used first, with the elapsed time added to their
+     * ages}
+     */
     private List<PrefixEntry> nextKeys(long elapsedMicros) {
         List<PrefixEntry> keys = new ArrayList<>();
         int end = Math.min(missingKeys.size(), nextKey + KEYS_PER_CHUNK);
@@ -81,7 +88,7 @@
         return keys;
     }
 
-    /** {@return how many keys there are to transfer} */
+    /** {@return the number of keys that the receiving router lacks} */
     public int keyCount() {
         return missingKeys.size();
     }
--- a/core/src/main/java/sorrelhoist/core/text/TokenEstimator.java
+++ b/core/src/main/java/sorrelhoist/core/text/TokenEstimator.java
@@ -1,9 +1,9 @@
 package sorrelhoist.core.text;
 
 /**
- * Estimates how many tokens a text has: one for each four bytes of UTF-8, rounded up. Deadlines and
- * costs grow with this number, so it has to be proportional rather than exact; the routing policy's
- * regressions learn the factor.
+ * Estimates the number of tokens of a text: one for every four bytes of UTF-8, rounded up.
+ * Deadlines and costs grow with this number, so it has to be proportional rather than exact; the
+ * routing policy's regressions learn the factor.
  */
 public final class TokenEstimator {
     private static final int BYTES_PER_TOKEN = 4;
@@ -13,7 +13,7 @@
 
     private TokenEstimator() {}
 
-    /** {@return tokens of this text; 0 for an empty one} */
+    /** {@return the estimated number of tokens of a text; 0 if it is empty} */
     public static int estimate(String text) {
         int bytes = 0;
         for (int i = 0; i < text.length(); i++) {
@@ -26,7 +26,7 @@
         if (c < FIRST_TWO_BYTE_CHAR) {
             return 1;
         }
-        // Two surrogates make one character of four bytes.
+        // A surrogate pair encodes one character of four bytes.
         return c < FIRST_THREE_BYTE_CHAR || Character.isSurrogate(c) ? 2 : 3;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/text/package-info.java
+++ b/core/src/main/java/sorrelhoist/core/text/package-info.java
@@ -1,2 +1,2 @@
-/** Estimates about the texts of requests. Without state. */
+/** Estimates properties of request texts. Stateless. */
 package sorrelhoist.core.text;
--- a/core/src/test/java/sorrelhoist/core/explain/ReasonFormatterTest.java
+++ b/core/src/test/java/sorrelhoist/core/explain/ReasonFormatterTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.routing.Reason;
 
-/** The sentences that clients and operators read. */
+/** Descriptions of reasons as clients and operators read them. */
 class ReasonFormatterTest {
     private static final double UNKNOWN = Double.NaN;
 
--- a/core/src/test/java/sorrelhoist/core/record/AnomalyTriggerTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/AnomalyTriggerTest.java
@@ -16,7 +16,7 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 
-/** What is reported as an anomaly: close to the limit of a rule, and once an incident. */
+/** Reports of anomalies: values close to the limit of a rule, and one report per incident. */
 class AnomalyTriggerTest {
     private static final long RESERVATION_LIMIT = 500_000;
     private static final long MINUTE = 60_000_000;
@@ -94,6 +94,6 @@
                     MINUTE,
                     Reason.Kind.REPEAT_UNSAFE);
         }
-        assertEquals(2, reported.size(), "spread over three seconds they are no incident");
+        assertEquals(2, reported.size(), "failures spread over three seconds are not an incident");
     }
 }
--- a/core/src/test/java/sorrelhoist/core/record/RecordCodecTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordCodecTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.routing.Reason;
 
-/** Records as bytes, between builds that know more or fewer components. */
+/** Encoded records that are exchanged between builds with more or fewer components. */
 class RecordCodecTest {
     record Before(long a, String b) {}
 
--- a/core/src/test/java/sorrelhoist/core/record/RecordFixtures.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordFixtures.java
@@ -105,7 +105,7 @@
 
     private RecordFixtures() {}
 
-    /** {@return a segment file of {@link #ENTRIES}, with so many in each chunk} */
+    /** {@return a segment file of {@link #ENTRIES} with this number of entries in each chunk} */
     static byte[] file(int entriesPerChunk) {
         List<byte[]> chunks = new ArrayList<>();
         ChunkWriter writer = new ChunkWriter();
--- a/core/src/test/java/sorrelhoist/core/record/RecordedFailuresTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordedFailuresTest.java
@@ -16,9 +16,9 @@
 import sorrelhoist.routing.RoutingActions.Refuse;
 
 /**
- * Past failures as recordings: each was shortened by {@code record cut --build} from what a router
- * recorded, and holds what the build before its fix decided. A request that was rejected or failed
- * there for want of capacity has to be forwarded now.
+ * Replays recordings of past failures. Each recording was reduced by {@code record cut --build}
+ * from a router's record and contains the decisions of the build before the fix. At least one
+ * request that was rejected or failed there for lack of capacity has to be forwarded now.
  */
 class RecordedFailuresTest {
     private static final Path RECORDS = Path.of("src/test/resources/records");
@@ -49,8 +49,8 @@
             throws IOException, CorruptRecordException {
         Recording before = Recording.of(List.of(Files.readAllBytes(record)));
         Set<Long> ended = ended(before);
-        assertFalse(ended.isEmpty(), record + " holds no failure");
+        assertFalse(ended.isEmpty(), record + " contains no rejected or failed request");
         ended.removeAll(ended(Replay.withReplayedActions(before)));
-        assertTrue(!ended.isEmpty(), record + ": the same requests end as before");
+        assertTrue(!ended.isEmpty(), record + ": no rejected or failed request is forwarded now");
     }
 }
--- a/core/src/test/java/sorrelhoist/core/record/RecorderTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecorderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a recorder hands on, and what it says of what it could not. */
+/** Chunks that a recorder passes to its sink, and its reports of dropped entries. */
 class RecorderTest {
     @Test
     void droppedEntriesAreCountedAndShowAsAGap() throws CorruptRecordException {
--- a/core/src/test/java/sorrelhoist/core/record/RecordingTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordingTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Recordings put together from segment files, and written as one. */
+/** Recordings that are combined from segment files and written as a single file. */
 class RecordingTest {
     @Test
     void entriesAreReadAsTheyWereWritten() throws CorruptRecordException {
--- a/core/src/test/java/sorrelhoist/core/record/RequestTimelineTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RequestTimelineTest.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A request's timeline, found by any of its names. */
+/** The timeline of a request that is found by name, client id or number. */
 class RequestTimelineTest {
     private static final List<String> LINES =
             List.of(
-                    "       0.0 ms  asked, as edge-1.x.5, its client's mine, prompt 1234567890,"
-                            + " its client waits 4000.0 ms",
+                    "       0.0 ms  submitted as edge-1.x.5, client id mine, prompt hash"
+                            + " 1234567890, client timeout 4000.0 ms",
                     "       0.0 ms  arrived: class 0, tenant 0, 100 prompt tokens (0 shared),"
-                            + " up to 20 to answer, 4000.0 ms to the first token",
+                            + " up to 20 output tokens, 4000.0 ms to the first token",
                     "       0.0 ms    send to r1: by hash, as the beginning was never seen,"
                             + " 25.0 ms against 26.0 ms at r2; due at 30.0 ms of an aim of 1004 ms",
-                    "       0.0 ms  answered: refused, as an engine failed, and the budget of"
-                            + " repeats is spent, 0.1 ms before its time was up");
+                    "       0.0 ms  answered: refused: an engine failed, and the budget of"
+                            + " repeats is spent, 0.1 ms before the client's timeout");
 
     private final RequestTimeline timeline =
             new RequestTimeline(Recording.of(RecordFixtures.HEADER, RecordFixtures.ENTRIES));
--- a/core/src/test/java/sorrelhoist/core/record/SegmentReaderTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/SegmentReaderTest.java
@@ -11,7 +11,7 @@
 import net.openhft.hashing.LongHashFunction;
 import org.junit.jupiter.api.Test;
 
-/** Segment files that were cut, damaged, or are not this program's. */
+/** Segment files that are truncated, damaged, or written by other programs or versions. */
 class SegmentReaderTest {
     private static final int CHUNKS = 4;
     private static final int FRAME_HEADER_BYTES = 12;
@@ -22,8 +22,8 @@
         int most = 0;
         for (int length = 0; length <= file.length; length++) {
             DecodedSegment segment = SegmentReader.read(Arrays.copyOf(file, length));
-            assertEquals(List.of(), segment.faults(), "at " + length);
-            assertTrue(segment.chunks().size() >= most, "at " + length);
+            assertEquals(List.of(), segment.faults(), "truncated to " + length);
+            assertTrue(segment.chunks().size() >= most, "truncated to " + length);
             most = segment.chunks().size();
         }
         assertEquals(CHUNKS, most);
@@ -36,9 +36,9 @@
             byte[] damaged = file.clone();
             damaged[at] ^= 0x10;
             DecodedSegment segment = SegmentReader.read(damaged);
-            assertTrue(segment.chunks().size() < CHUNKS, "at " + at);
+            assertTrue(segment.chunks().size() < CHUNKS, "damaged at offset " + at);
             if (segment.chunks().size() == 3 && segment.chunks().get(2).firstNumber() == 6) {
-                assertFalse(Recording.of(List.of(damaged)).isComplete(), "at " + at);
+                assertFalse(Recording.of(List.of(damaged)).isComplete(), "damaged at offset " + at);
                 assertFalse(segment.faults().isEmpty());
             }
         }
@@ -52,13 +52,13 @@
         byte[] otherVersion = RecordFixtures.file(2);
         otherVersion[7] = '9';
         assertEquals(
-                "a record of another version of the form",
+                "unsupported version of the record format",
                 SegmentReader.read(otherVersion).faults().get(0));
         assertThrows(
                 CorruptRecordException.class, () -> Recording.of(List.of(ChunkCodec.fileHeader())));
     }
 
-    /** Reading ends whatever the bytes are, and costs no more than their length. */
+    /** Decoding terminates for any bytes, and its cost is limited by their length. */
     @Test
     void noiseBehindARightChecksumIsRejected() {
         SplittableRandom random = new SplittableRandom(4);
@@ -79,6 +79,6 @@
             byte[] file = RecordFixtures.file(List.of(chunk));
             rejected += SegmentReader.read(file).faults().isEmpty() ? 0 : 1;
         }
-        assertTrue(rejected > 1000, rejected + " rejected");
+        assertTrue(rejected > 1000, rejected + " files rejected");
     }
 }
--- a/core/src/test/java/sorrelhoist/core/record/SegmentRetentionTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/SegmentRetentionTest.java
@@ -11,7 +11,7 @@
 import sorrelhoist.core.record.SegmentRetention.Limits;
 import sorrelhoist.core.record.SegmentRetention.Rename;
 
-/** Which file a chunk goes to, and which files go. */
+/** Which file a chunk is appended to, and which files are preserved or deleted. */
 class SegmentRetentionTest {
     private static final Limits LIMITS = new Limits(100, 250, 1000, 150);
     private static final List<ExistingFile> NONE = List.of();
--- a/core/src/test/java/sorrelhoist/core/record/StoredRecordTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/StoredRecordTest.java
@@ -53,10 +53,10 @@
 import sorrelhoist.routing.RoutingSettings.Tenant;
 
 /**
- * Reads a record segment that was written by commit 40a42e7, before types and components were
- * renamed. It holds every kind of entry, event and action and every constant of every enum.
- * Constants are spelt out here, never taken from {@code values()}: they are stored by their order,
- * and this test has to fail where that order changes.
+ * Reads a segment file that was written by commit 40a42e7, before types and components were
+ * renamed. It contains every kind of entry, event and action and every constant of every enum that
+ * existed then. Constants are listed explicitly, never taken from {@code values()}: they are stored
+ * by their order, and this test has to fail if that order changes.
  */
 class StoredRecordTest {
     private static final Path FILE = Path.of("src/test/resources/stored/segment.rec");
--- a/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
@@ -128,7 +128,7 @@
             for (Recording.NumberedEntry l : tape.entries()) {
                 if (l.entry() instanceof RecordEntry.RequestSubmitted a && a.fromToken() == 0) {
                     List<String> story = new RequestTimeline(tape).describe(a.name());
-                    assertTrue(story.get(0).contains("asked, as " + a.name()), story.toString());
+                    assertTrue(story.get(0).contains("submitted as " + a.name()), story.toString());
                     boolean ended =
                             tape.entries().stream()
                                     .anyMatch(
--- a/core/src/test/java/sorrelhoist/core/statetransfer/DonorSelectionTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/DonorSelectionTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.statetransfer.DonorSelection.Donor;
 
-/** Which routers are asked, in which order, and how often. */
+/** Which routers are asked for a snapshot, in which order, and how often. */
 class DonorSelectionTest {
     private static final Donor FAR = new Donor("a", "far", "h:1");
     private static final Donor NEAR = new Donor("c", "near", "h:2");
@@ -21,7 +21,7 @@
         assertEquals(NEAR, selection.nextDonor(ALL));
         assertEquals(NEAR_TOO, selection.nextDonor(ALL));
         assertEquals(NEAR, selection.nextDonor(ALL));
-        assertNull(selection.nextDonor(ALL), "four transfers in all");
+        assertNull(selection.nextDonor(ALL), "at most four transfers are made");
     }
 
     @Test
--- a/core/src/test/java/sorrelhoist/core/statetransfer/KnowledgeCodecTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/KnowledgeCodecTest.java
@@ -12,7 +12,7 @@
 import sorrelhoist.core.statetransfer.KnowledgeCodec.CorruptKnowledgeException;
 import sorrelhoist.routing.Knowledge;
 
-/** Snapshots as bytes: whole, within a budget, of other versions, and damaged. */
+/** Encoded snapshots: complete, with a size limit, of other versions, and damaged. */
 class KnowledgeCodecTest {
     @Test
     void knowledgeIsDecodedAsItWasEncoded() throws CorruptKnowledgeException {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/MessageAuthenticatorTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/MessageAuthenticatorTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Tags of messages, through a rotation of keys. */
+/** Authentication tags of messages, also during a rotation of keys. */
 class MessageAuthenticatorTest {
     @Test
     void tagsHoldThroughARotationAndForNoOtherMessage() {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslatorTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/ProcessIdentityTranslatorTest.java
@@ -13,7 +13,7 @@
 import sorrelhoist.routing.Knowledge.RegressionSums;
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
-/** Processes of engines between routers with clocks of their own. */
+/** Identities of engine processes between routers whose clocks differ. */
 class ProcessIdentityTranslatorTest {
     private static ListedEngine engine(String id, long incarnation, long uptimeMicros) {
         return new ListedEngine(
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotFixtures.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotFixtures.java
@@ -8,13 +8,13 @@
 import sorrelhoist.routing.Knowledge.RegressionSums;
 import sorrelhoist.routing.Knowledge.ServerHealth;
 
-/** Knowledge for the tests of this package. */
+/** Knowledge as test data for this package. */
 final class SnapshotFixtures {
     static final long SECOND = 1_000_000;
 
     private SnapshotFixtures() {}
 
-    /** {@return knowledge with so many keys, the newest of them used now} */
+    /** {@return knowledge with this number of keys, the most recently used last} */
     static Knowledge knowledge(int keys) {
         List<PrefixEntry> entries = new ArrayList<>();
         for (int i = 0; i < keys; i++) {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotLogTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotLogTest.java
@@ -10,7 +10,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Snapshot files that were cut or damaged at any byte. */
+/** Snapshot files that are truncated or damaged at any byte. */
 class SnapshotLogTest {
     private static byte[] file(int frames) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -28,7 +28,7 @@
         int framesBefore = 0;
         for (int cut = 0; cut <= whole.length; cut++) {
             SnapshotLog.ReadResult result = SnapshotLog.read(Arrays.copyOf(whole, cut));
-            assertNull(result.fault(), "cut at " + cut);
+            assertNull(result.fault(), "truncated to " + cut);
             assertTrue(result.frames().size() >= framesBefore && result.validBytes() <= cut);
             framesBefore = result.frames().size();
         }
@@ -42,7 +42,7 @@
             byte[] damaged = whole.clone();
             damaged[at] ^= 0x40;
             SnapshotLog.ReadResult result = SnapshotLog.read(damaged);
-            assertTrue(result.validBytes() <= at, "damage at " + at);
+            assertTrue(result.validBytes() <= at, "damaged at offset " + at);
             assertEquals(at < 8, result.foreign());
             for (int i = 0; i < result.frames().size(); i++) {
                 assertEquals(i * SECOND, result.frames().get(i).savedAt());
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotPolicyTest.java
@@ -9,7 +9,7 @@
 import sorrelhoist.core.statetransfer.SnapshotPolicy.RestoredSnapshot;
 import sorrelhoist.core.statetransfer.SnapshotPolicy.SnapshotKind;
 
-/** When snapshots are written, and which are restored. */
+/** When snapshots are due, and which are restored. */
 class SnapshotPolicyTest {
     @Test
     void theNewestIsRestoredFirstAndWhatIsTooOldOrUnreadableNotAtAll() {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotTransferTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotTransferTest.java
@@ -13,7 +13,7 @@
 import sorrelhoist.routing.Knowledge.RegressionSums;
 import sorrelhoist.routing.Knowledge.ServerHealth;
 
-/** Transfers in chunks, and what a digest saves. */
+/** Transfers in chunks, and the keys that a digest excludes from them. */
 class SnapshotTransferTest {
     private static final RegressionSums SUMS = new RegressionSums(5, 10, 10, 20, 20);
     private static final KeyDigest NO_KEYS = KeyDigest.decode(new byte[0]);
--- a/core/src/test/java/sorrelhoist/core/statetransfer/StoredSnapshotTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/StoredSnapshotTest.java
@@ -16,9 +16,9 @@
 import sorrelhoist.routing.Knowledge;
 
 /**
- * Reads what was written by commit 40a42e7, before types and components were renamed: a snapshot, a
- * snapshot log, a digest of keys, and a transfer's chunk with its authentication tag. The last two
- * are not stored, but go between routers of different versions.
+ * Reads data that was written by commit 40a42e7, before types and components were renamed: a
+ * snapshot, a snapshot log, a digest of keys, and a transfer's chunk with its authentication tag.
+ * The last two are not stored, but exchanged between routers of different versions.
  */
 class StoredSnapshotTest {
     private static final Path FOLDER = Path.of("src/test/resources/stored");
--- a/core/src/test/java/sorrelhoist/core/text/TokenEstimatorTest.java
+++ b/core/src/test/java/sorrelhoist/core/text/TokenEstimatorTest.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Tokens by the bytes of a text in UTF-8. */
+/** Estimated tokens by the UTF-8 length of a text. */
 class TokenEstimatorTest {
     @Test
     void fourBytesOfUtf8AreOneToken() {
