--- a/adapter/src/main/java/sorrelhoist/adapter/ActionEncoder.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/ActionEncoder.java
@@ -25,8 +25,8 @@
 import sorrelhoist.routing.RoutingActions.Timer;
 
 /**
- * Encodes the actions of one round into one reply line. The line is buffered, so that a round that
- * fails leaves nothing of its reply on the wire.
+ * Encodes the actions of one round into one reply line. The line is buffered, so that no part of
+ * the reply is written if the round fails.
  */
 final class ActionEncoder {
     private static final JsonFactory JSON = new JsonFactory();
@@ -34,7 +34,7 @@
     private final StringWriter buffer = new StringWriter();
     private final JsonGenerator json;
 
-    /** Begins the reply to a round. */
+    /** Starts the reply to a round. */
     ActionEncoder(long round) {
         try {
             json = JSON.createGenerator(buffer);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Adds a router's actions, in their order. */
+    /** Appends a router's actions to the reply, in the given order. */
     void add(long routerId, List<Action> actions) {
         try {
             for (Action action : actions) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Ends the reply. {@return it, with a line feed} */
+    /** Completes the reply. {@return the reply line, terminated by a line feed} */
     String finish() {
         try {
             json.writeEndArray();
@@ -73,7 +73,7 @@
         return buffer + "\n";
     }
 
-    /** Writes an action that concerns one request. {@return false if it concerns none} */
+    /** Writes an action of one request. {@return false if the action belongs to no request} */
     private boolean writeRequestAction(long routerId, Action action) throws IOException {
         if (action instanceof Send send) {
             writeHead(Sent.SEND_ATTEMPT, routerId, send.id(), send.server());
--- a/adapter/src/main/java/sorrelhoist/adapter/EventDecoder.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/EventDecoder.java
@@ -23,7 +23,7 @@
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 import sorrelhoist.routing.RoutingSettings;
 
-/** Decodes the simulator's messages to one router into events of its routing policy. */
+/** Decodes the simulator's messages to one router into events for its routing policy. */
 final class EventDecoder {
     private static final long REQUEST_ID_LIMIT = 1L << 52;
     private static final long RESERVATION_GRANTED = 1;
@@ -60,15 +60,15 @@
     /**
      * Creates a decoder for one router.
      *
-     * @param settings the router's settings; they bound indices
-     * @param endpointLists the lists that were defined, by number; only read
+     * @param settings the router's settings; the sizes of their lists limit indices in messages
+     * @param endpointLists the endpoint lists that the simulator defined, by number; not modified
      */
     EventDecoder(RoutingSettings settings, Map<Long, JsonObject> endpointLists) {
         this.settings = settings;
         this.endpointLists = endpointLists;
     }
 
-    /** {@return the event that a message tells of} */
+    /** {@return the event that a message describes} */
     Event decode(String operation, JsonObject message) throws InvalidMessageException {
         return switch (operation) {
             case Received.ENDPOINTS_UPDATED -> endpointsUpdated(message);
@@ -170,7 +170,7 @@
                 loadReport(message));
     }
 
-    /** {@return the load that a server reported; NaN for what it did not say} */
+    /** {@return the load that a server reported; NaN for each value that is missing} */
     private static ServerLoad loadReport(JsonObject message) throws InvalidMessageException {
         Map<String, Double> values = message.getObject(Field.LOAD_REPORT).toDoubles();
         return new ServerLoad(
--- a/adapter/src/main/java/sorrelhoist/adapter/InvalidMessageException.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/InvalidMessageException.java
@@ -3,8 +3,9 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 
 /**
- * A message that breaks the protocol: malformed JSON, a missing or mistyped field, a value out of
- * range, an unknown word. The message is one plain line that names the field and the place.
+ * Thrown for a message that violates the protocol: malformed JSON, a missing or mistyped field, a
+ * value out of range, an unknown string in an enumerated field. The exception message is one line
+ * that names the field and its position.
  */
 public final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -12,7 +13,7 @@
     /**
      * Creates an exception.
      *
-     * @param message what is wrong, in one line
+     * @param message a one-line description of the violation
      */
     public InvalidMessageException(String message) {
         super(message);
@@ -48,7 +49,7 @@
                 "field \"" + field + "\": unknown word \"" + word + "\"");
     }
 
-    /** {@return the same problem, with the place where it stands put before it} */
+    /** {@return an exception for the same violation, with a position prepended to its message} */
     InvalidMessageException at(String place) {
         return new InvalidMessageException(place + ": " + getMessage(), this);
     }
--- a/adapter/src/main/java/sorrelhoist/adapter/JsonObject.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/JsonObject.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 
 /**
- * An immutable JSON object with typed access to its fields. A field that is missing, mistyped or
- * out of range leads to an {@link InvalidMessageException} that names it; JSON's null counts as
- * absent.
+ * An immutable JSON object with typed access to its fields. A getter throws an {@link
+ * InvalidMessageException} that names the field if it is missing, mistyped or out of range. A field
+ * whose value is JSON null counts as absent.
  */
 public final class JsonObject {
     private static final JsonFactory JSON = new JsonFactory();
@@ -26,11 +26,11 @@
     }
 
     /**
-     * Parses a text that has to hold exactly one object.
+     * Parses a text that consists of exactly one JSON object.
      *
      * @param json the text
-     * @return the object
-     * @throws InvalidMessageException if it is not JSON, or not one object
+     * @return the parsed object
+     * @throws InvalidMessageException if the text is not valid JSON, or not exactly one object
      */
     public static JsonObject parse(String json) throws InvalidMessageException {
         try (JsonParser parser = JSON.createParser(json)) {
@@ -129,7 +129,7 @@
      *
      * @param name the field
      * @param min the least value that is in range
-     * @param defaultValue the value if the field is absent; it need not be in range
+     * @param defaultValue the value if the field is absent; not checked against {@code min}
      */
     public long getLong(String name, long min, long defaultValue) throws InvalidMessageException {
         double exact = getDouble(name, defaultValue);
@@ -142,12 +142,12 @@
         return whole;
     }
 
-    /** {@return a required index, from 0 and below a size} */
+    /** {@return a required index, at least 0 and less than a size} */
     int getIndex(String name, int size) throws InvalidMessageException {
         return checkIndex(name, size, getLong(name, 0));
     }
 
-    /** {@return an optional index, from 0 and below a size; 0 if absent} */
+    /** {@return an optional index, at least 0 and less than a size; 0 if absent} */
     int getIndexOrZero(String name, int size) throws InvalidMessageException {
         return checkIndex(name, size, getLong(name, 0, 0));
     }
@@ -188,7 +188,7 @@
     }
 
     /**
-     * {@return an optional nested object, without fields if absent}
+     * {@return an optional nested object, an empty object if absent}
      *
      * @param name the field
      */
@@ -202,7 +202,7 @@
         return getObject(name);
     }
 
-    @SuppressWarnings("unchecked") // the maps in fields are made here and in JsonObjectReader
+    @SuppressWarnings("unchecked") // nested maps are created only here and in JsonObjectReader
     private static JsonObject toObject(String name, Object value) throws InvalidMessageException {
         if (value == null) {
             return new JsonObject(Map.of());
@@ -240,7 +240,7 @@
     }
 
     /**
-     * {@return whether a field is there and not null}
+     * {@return whether a field is present and not null}
      *
      * @param name the field
      */
@@ -248,7 +248,7 @@
         return fields.get(name) != null;
     }
 
-    /** {@return all fields by name; each has to be a number} */
+    /** {@return the values of all fields by name; every field has to be a number} */
     Map<String, Double> toDoubles() throws InvalidMessageException {
         Map<String, Double> doubles = new LinkedHashMap<>();
         for (String name : fields.keySet()) {
--- a/adapter/src/main/java/sorrelhoist/adapter/JsonObjectReader.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/JsonObjectReader.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * An incremental reader of concatenated JSON objects, independent of white space and of where the
- * byte stream is cut. Not thread-safe.
+ * An incremental reader of concatenated JSON objects. White space between objects is optional, and
+ * the byte stream may be split into chunks at any position. Not thread-safe.
  */
 public final class JsonObjectReader {
     private static final int MAX_DEPTH = 64;
@@ -34,7 +34,7 @@
     private final Deque<OpenContainer> openContainers = new ArrayDeque<>();
     private int bytesSinceLastObject;
 
-    /** An object or an array whose end has not been read; exactly one of the two is not null. */
+    /** An incomplete object or array; exactly one of the two components is not null. */
     private record OpenContainer(String name, Map<String, Object> fields, List<Object> elements) {
         static OpenContainer object(String name) {
             return new OpenContainer(name, new LinkedHashMap<>(), null);
@@ -74,7 +74,7 @@
     /**
      * Feeds bytes. Call {@link #next} until it returns null before feeding more.
      *
-     * @param bytes the bytes that were received; not referenced after {@code next} returned null
+     * @param bytes the bytes received; the reader keeps no reference once {@code next} returns null
      * @throws InvalidMessageException if an object is larger than the limit
      */
     public void feed(byte[] bytes) throws InvalidMessageException {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** {@return whether the reader stands between two objects, with none begun} */
+    /** {@return whether the reader is between objects, with no object partially read} */
     public boolean isBetweenObjects() {
         return openContainers.isEmpty();
     }
@@ -100,7 +100,7 @@
      * Reads the next object.
      *
      * @return the next complete object, or null if more bytes are needed
-     * @throws InvalidMessageException if the bytes are not JSON, or not an object
+     * @throws InvalidMessageException if the bytes are not valid JSON, or the value is no object
      */
     public JsonObject next() throws InvalidMessageException {
         try {
@@ -121,7 +121,7 @@
         }
     }
 
-    /** {@return the fields of the outermost object if this token completes it, else null} */
+    /** {@return the fields of the outermost object if this token ends it, else null} */
     private Map<String, Object> accept(JsonToken token)
             throws IOException, InvalidMessageException {
         if (openContainers.isEmpty() && token != JsonToken.START_OBJECT) {
@@ -141,7 +141,7 @@
                 openContainers.peek().add(ended.name(), ended.value());
             }
             case FIELD_NAME -> {
-                // The parser keeps the name until the value comes.
+                // The parser keeps the field name until it reads the value.
             }
             default ->
                     openContainers.peek().add(parser.currentName(), JsonObject.readScalar(parser));
--- a/adapter/src/main/java/sorrelhoist/adapter/Main.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/Main.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 
-/** The entry point of the adapter's own small jar. */
+/** The entry point of the small jar that contains only the adapter. */
 public final class Main {
     private static final int EXIT_USAGE = 2;
     private static final String COMMAND = "simulator-adapter";
@@ -15,9 +15,9 @@
     private Main() {}
 
     /**
-     * Serves the simulator on standard input and output, and exits with the status.
+     * Serves the simulator on standard input and output, and exits with the adapter's exit status.
      *
-     * @param args exactly one word, {@code simulator-adapter}
+     * @param args exactly one argument, {@code simulator-adapter} or its former name
      */
     public static void main(String[] args) {
         if (args.length != 1 || !COMMANDS.contains(args[0])) {
--- a/adapter/src/main/java/sorrelhoist/adapter/SettingsDecoder.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/SettingsDecoder.java
@@ -15,7 +15,7 @@
 import sorrelhoist.routing.RoutingSettings.ServerLimits;
 import sorrelhoist.routing.RoutingSettings.Tenant;
 
-/** Decodes a router's settings. */
+/** Decodes a router's settings from their JSON form. */
 public final class SettingsDecoder {
     private static final String DISCOVERY_ON_REQUEST = "ask";
     private static final String DISCOVERY_PUSHED = "push";
@@ -43,10 +43,10 @@
     private SettingsDecoder() {}
 
     /**
-     * Decodes a router's settings. The platform's configuration holds the same object under the
-     * same names.
+     * Decodes a router's settings. The platform's configuration contains the same object with the
+     * same field names.
      *
-     * @param settings the object that holds them
+     * @param settings the JSON object with the settings
      * @return the settings of the routing policy
      * @throws InvalidMessageException if a field is missing, mistyped or out of range
      */
@@ -144,7 +144,7 @@
         return kinds;
     }
 
-    /** {@return the number at an index; 0 behind the list's end} */
+    /** {@return the number at an index of a list; 0 if the list is shorter} */
     private static double numberAt(List<?> values, int index, String field)
             throws InvalidMessageException {
         Object value = index < values.size() ? values.get(index) : Double.valueOf(0);
--- a/adapter/src/main/java/sorrelhoist/adapter/SimulatorAdapter.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/SimulatorAdapter.java
@@ -19,34 +19,34 @@
 
 /**
  * Hosts any number of {@link RoutingPolicy} instances behind the simulator's line protocol: one
- * JSON object a line, one reply for each batch. Not thread-safe.
+ * JSON object per line, one reply line per batch. Not thread-safe.
  */
 public final class SimulatorAdapter {
     private static final int EXIT_OK = 0;
     private static final int EXIT_FAILURE = 1;
     private static final int MAX_ENDPOINT_LISTS = 16;
 
-    /** Observes the hosted policies' decisions; changes nothing. */
+    /** Observes the hosted policies' decisions without affecting them. */
     public interface DecisionListener {
-        /** A listener that does nothing. */
+        /** A listener that ignores all calls. */
         DecisionListener NONE = new DecisionListener() {};
 
         /**
-         * A router was started.
+         * Called when a router was started.
          *
          * @param routerId the router
          * @param settings its settings
-         * @param seed of its randomness
+         * @param seed the seed of its random numbers
          */
         default void onRouterStarted(long routerId, RoutingSettings settings, long seed) {}
 
         /**
-         * A router took an event.
+         * Called when a router has handled an event.
          *
          * @param routerId the router
          * @param nowMicros the time of the event, in microseconds
          * @param event the event
-         * @param actions what the router decided upon it
+         * @param actions the actions that the router decided on in response
          */
         default void onDecision(long routerId, long nowMicros, Event event, List<Action> actions) {}
     }
@@ -65,7 +65,7 @@
     /**
      * Creates an adapter without routers; the simulator starts them.
      *
-     * @param listener observes all decisions
+     * @param listener receives the decisions of all routers
      */
     public SimulatorAdapter(DecisionListener listener) {
         this.listener = listener;
@@ -74,9 +74,9 @@
     /**
      * Serves batches until the input ends or a batch is invalid.
      *
-     * @param in batches, one a line
-     * @param out receives a reply a line, each flushed
-     * @param err receives one plain line if a batch was invalid or the input could not be read
+     * @param in the batches, one per line
+     * @param out receives one reply line per batch, flushed after each
+     * @param err receives a one-line message if a batch was invalid, or reading or writing failed
      * @return the exit status: 0 at the end of the input, 1 after an error
      */
     public int run(InputStream in, OutputStream out, PrintStream err) {
@@ -93,7 +93,7 @@
         } catch (InvalidMessageException e) {
             err.println(e.getMessage());
         } catch (IOException e) {
-            err.println("line " + lineNumber + ": the pipe failed: " + e.getMessage());
+            err.println("line " + lineNumber + ": input or output failed: " + e.getMessage());
         }
         return EXIT_FAILURE;
     }
@@ -124,7 +124,7 @@
             } catch (InvalidMessageException e) {
                 throw e.at("message " + i);
             } catch (IllegalArgumentException e) {
-                // The policy's own complaint about its input, a clock that goes back for one.
+                // The policy rejected its input, for example a time before that of the last event.
                 throw new InvalidMessageException(e.getMessage()).at("message " + i);
             }
         }
@@ -150,7 +150,7 @@
     }
 
     private void defineEndpointList(JsonObject message) throws InvalidMessageException {
-        message.getList(Field.LIST_ROWS); // its rows are read where the list is used
+        message.getList(Field.LIST_ROWS); // checks the type only; the rows are decoded on use
         endpointLists.put((long) message.getIndex(Field.LIST_NUMBER, MAX_ENDPOINT_LISTS), message);
     }
 
--- a/adapter/src/main/java/sorrelhoist/adapter/SimulatorProtocol.java
+++ b/adapter/src/main/java/sorrelhoist/adapter/SimulatorProtocol.java
@@ -1,6 +1,6 @@
 package sorrelhoist.adapter;
 
-/** The words of the simulator's line protocol, each named once by our term for it. */
+/** The strings of the simulator's line protocol, as constants named by this project's terms. */
 final class SimulatorProtocol {
     private SimulatorProtocol() {}
 
@@ -107,10 +107,10 @@
 
     /** Names of the values of a load report. */
     static final class LoadField {
-        /** At this family of services, the share of memory that is in use. */
+        /** The share of a server's memory that is in use, at the simulated family of services. */
         static final String MEMORY_SHARE = "x0";
 
-        /** At this family of services, thousands of tokens that wait. */
+        /** Queued tokens, in thousands, at the simulated family of services. */
         static final String WAITING_KILOTOKENS = "x1";
 
         static final String IN_FLIGHT = "concurrent";
--- a/app/src/main/java/sorrelhoist/app/config/Config.java
+++ b/app/src/main/java/sorrelhoist/app/config/Config.java
@@ -14,7 +14,7 @@
 import sorrelhoist.standin.engine.EngineSettings;
 import sorrelhoist.standin.registry.RegistryStandIn;
 
-/** Loads settings files: Jsonnet templates, validated as a whole before anything starts. */
+/** Loads settings files: Jsonnet, validated completely before a program starts. */
 public final class Config {
     /** Kinds of settings, as {@code config check} prints them. */
     public enum Kind {
@@ -40,7 +40,7 @@
      * {@return the settings of an edge}
      *
      * @param file the settings file
-     * @throws InvalidSettingsException if they cannot be used
+     * @throws InvalidSettingsException if the settings are invalid
      */
     public static EdgeSettings edge(Path file) throws InvalidSettingsException {
         return load(file, EdgeSettings.class, EdgeSettingsValidator::validate);
@@ -50,7 +50,7 @@
      * {@return the settings of a planner}
      *
      * @param file the settings file
-     * @throws InvalidSettingsException if they cannot be used
+     * @throws InvalidSettingsException if the settings are invalid
      */
     public static PlannerSettings planner(Path file) throws InvalidSettingsException {
         return load(file, PlannerSettings.class, PlannerSettingsValidator::validate);
@@ -60,7 +60,7 @@
      * {@return the settings of a stand-in engine}
      *
      * @param file the settings file
-     * @throws InvalidSettingsException if they cannot be used
+     * @throws InvalidSettingsException if the settings are invalid
      */
     public static EngineSettings engine(Path file) throws InvalidSettingsException {
         return load(file, EngineSettings.class, StandInSettingsValidator::validate);
@@ -70,17 +70,17 @@
      * {@return the settings of a stand-in registry}
      *
      * @param file the settings file
-     * @throws InvalidSettingsException if they cannot be used
+     * @throws InvalidSettingsException if the settings are invalid
      */
     public static RegistryStandIn.Settings registry(Path file) throws InvalidSettingsException {
         return load(file, RegistryStandIn.Settings.class, StandInSettingsValidator::validate);
     }
 
     /**
-     * {@return the kind of settings that a file holds, judged by keys that only one kind has}
+     * {@return the kind of settings in a file, determined by keys that only one kind has}
      *
      * @param file the settings file
-     * @throws InvalidSettingsException if it cannot be evaluated
+     * @throws InvalidSettingsException if the file cannot be evaluated
      */
     public static Kind kind(Path file) throws InvalidSettingsException {
         JsonNode settings = evaluate(file);
@@ -93,11 +93,11 @@
     }
 
     /**
-     * Checks a file of any kind.
+     * Checks a settings file of any kind.
      *
      * @param file the settings file
-     * @return its kind
-     * @throws InvalidSettingsException if the settings cannot be used
+     * @return the kind of its settings
+     * @throws InvalidSettingsException if the settings are invalid
      */
     public static Kind check(Path file) throws InvalidSettingsException {
         Kind kind = kind(file);
@@ -133,10 +133,10 @@
     }
 
     /**
-     * Writes the templates on which settings build.
+     * Writes the templates that settings files import.
      *
-     * @param folder where to; created if missing
-     * @throws IOException if they cannot be written
+     * @param folder the target folder; created if missing
+     * @throws IOException if the templates cannot be written
      */
     public static void writeTemplates(Path folder) throws IOException {
         Files.createDirectories(folder);
--- a/app/src/main/java/sorrelhoist/app/config/EdgeSettingsValidator.java
+++ b/app/src/main/java/sorrelhoist/app/config/EdgeSettingsValidator.java
@@ -6,7 +6,10 @@
 import java.util.Set;
 import sorrelhoist.edge.EdgeSettings;
 
-/** What the types of an edge's settings do not say: ranges, words, and what has to fit together. */
+/**
+ * Validates the constraints on an edge's settings that their types do not express: ranges, allowed
+ * strings, and consistency between settings.
+ */
 final class EdgeSettingsValidator {
     private static final long HOUR_MILLIS = 3_600_000;
     private static final long DAY_MILLIS = 86_400_000;
@@ -36,7 +39,7 @@
         errors.requireAddress("planner", s.planner());
         errors.requireNotEmpty("model", s.model());
         errors.requireRange("routers", s.routers(), 1, 10_000);
-        errors.require(!s.classes().isEmpty(), "classes", "needs one class at least");
+        errors.require(!s.classes().isEmpty(), "classes", "at least one class is required");
         errors.requireDistinctNames("classes", s.classes(), EdgeSettings.ClassSettings::name);
         errors.requireDistinctNames("tenants", s.tenants(), EdgeSettings.TenantSettings::name);
         errors.requireDistinctNames("kinds", s.kinds(), EdgeSettings.KindSettings::name);
@@ -57,7 +60,7 @@
         errors.requireRange(path + "aimMsPer1000", c.aimMsPer1000(), 0, HOUR_MILLIS);
         errors.requireRange(path + "deadlineMs", c.deadlineMs(), 1, HOUR_MILLIS);
         errors.require(
-                c.deadlineMs() >= c.aimMs(), path + "deadlineMs", "may not come before aimMs");
+                c.deadlineMs() >= c.aimMs(), path + "deadlineMs", "must not be less than aimMs");
         errors.requireRange(path + "deadlineMsPer1000", c.deadlineMsPer1000(), 0, HOUR_MILLIS);
         errors.requireRange(path + "worth", c.worth(), 0, 1e9);
         errors.requireWord(path + "repeat", c.repeat(), Set.of("safe", "keyed", "unsafe"));
@@ -77,7 +80,7 @@
         errors.require(
                 roles.contains(BOTH) || roles.containsAll(Set.of(READ, WRITE)),
                 "kinds",
-                "need one that reads and one that writes, or one that does both");
+                "at least one kind has to read and one to write, or one to do both");
     }
 
     private void validateKeys(List<EdgeSettings.KeySettings> keys) {
@@ -87,7 +90,7 @@
             errors.require(
                     length >= MIN_SECRET_BYTES,
                     "teachKeys[" + i + "].secret",
-                    "needs " + MIN_SECRET_BYTES + " bytes or more");
+                    "must have at least " + MIN_SECRET_BYTES + " bytes");
         }
     }
 
--- a/app/src/main/java/sorrelhoist/app/config/InvalidSettingsException.java
+++ b/app/src/main/java/sorrelhoist/app/config/InvalidSettingsException.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Settings that cannot be used, with all that is wrong with them. */
+/** Thrown for invalid settings, with all errors that were found in them. */
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -14,7 +14,7 @@
         this.errors = List.copyOf(errors);
     }
 
-    /** {@return the errors, each as the path of a setting and what is wrong there} */
+    /** {@return the errors, each with the path of its setting and a description} */
     public List<String> errors() {
         return errors;
     }
--- a/app/src/main/java/sorrelhoist/app/config/Jsonnet.java
+++ b/app/src/main/java/sorrelhoist/app/config/Jsonnet.java
@@ -18,15 +18,16 @@
     private Jsonnet() {}
 
     /**
-     * Evaluates a file and what it imports.
+     * Evaluates a file with its imports.
      *
      * @param file a Jsonnet file
-     * @return the value
-     * @throws IOException with the template's own words where it cannot be evaluated
+     * @return the value of the file's expression
+     * @throws IOException if the file cannot be evaluated; its message contains the texts of the
+     *     template's own {@code error} expressions
      */
     static JsonNode evaluate(Path file) throws IOException {
         if (!Files.isReadable(file)) {
-            throw new IOException(file + ": no such file, or it may not be read");
+            throw new IOException(file + ": no such file, or the file is not readable");
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
--- a/app/src/main/java/sorrelhoist/app/config/PlannerSettingsValidator.java
+++ b/app/src/main/java/sorrelhoist/app/config/PlannerSettingsValidator.java
@@ -2,7 +2,7 @@
 
 import sorrelhoist.planner.PlannerSettings;
 
-/** What the types of a planner's settings do not say. */
+/** Validates the constraints on a planner's settings that their types do not express. */
 final class PlannerSettingsValidator {
     private static final long MINUTE_MILLIS = 60_000;
     private static final long HOUR_MILLIS = 3_600_000;
--- a/app/src/main/java/sorrelhoist/app/config/RecordReader.java
+++ b/app/src/main/java/sorrelhoist/app/config/RecordReader.java
@@ -12,14 +12,14 @@
 import java.util.Locale;
 
 /**
- * Reads JSON objects into records, whose components are the schema: the name of a component is the
- * key. Each key has to be there with its component's type, and no other key may be. All errors are
- * collected, each with its path.
+ * Reads JSON objects into records. The record type is the schema: each component is a required key
+ * of the component's name and type, and no other keys are allowed. All errors are collected, each
+ * with its path.
  */
 final class RecordReader {
     private static final int MAX_QUOTED_LENGTH = 40;
 
-    /** A key at this edit distance, or farther, is not suggested. */
+    /** Keys at this edit distance or more from an unknown key are not suggested. */
     private static final int SUGGESTION_DISTANCE = 3;
 
     private final List<String> errors;
@@ -27,16 +27,16 @@
     /**
      * Creates a reader.
      *
-     * @param errors where errors are added
+     * @param errors the list to which errors are added
      */
     RecordReader(List<String> errors) {
         this.errors = errors;
     }
 
-    /** {@return the record; null if anything in the object is wrong} */
+    /** {@return the record; null if the object contains an error} */
     <T> T read(JsonNode node, Class<T> type, String path) {
         if (!node.isObject()) {
-            errors.add(prefix(path) + "an object is needed");
+            errors.add(prefix(path) + "expected an object");
             return null;
         }
         int errorsBefore = errors.size();
@@ -54,7 +54,7 @@
             String key = keys.next();
             if (Arrays.stream(components).noneMatch(c -> c.getName().equals(key))) {
                 errors.add(
-                        prefix(join(path, key)) + "not known here" + suggestion(key, components));
+                        prefix(join(path, key)) + "unknown setting" + suggestion(key, components));
             }
         }
     }
@@ -78,27 +78,27 @@
                 | InstantiationException
                 | IllegalAccessException
                 | InvocationTargetException e) {
-            throw new IllegalStateException(type + " cannot be made", e);
+            throw new IllegalStateException(type + " cannot be instantiated", e);
         }
     }
 
     private Object readValue(JsonNode node, Type type, String path) {
         if (type == String.class) {
-            return node.isTextual() ? node.asText() : error(path, "a text is needed", node);
+            return node.isTextual() ? node.asText() : error(path, "expected a string", node);
         } else if (type == boolean.class) {
             return node.isBoolean()
                     ? node.asBoolean()
-                    : error(path, "true or false is needed", node);
+                    : error(path, "expected true or false", node);
         } else if (type == double.class) {
-            return node.isNumber() ? node.asDouble() : error(path, "a number is needed", node);
+            return node.isNumber() ? node.asDouble() : error(path, "expected a number", node);
         } else if (type == int.class) {
             return node.isNumber() && node.asDouble() == node.asInt()
                     ? node.asInt()
-                    : error(path, "a whole number is needed", node);
+                    : error(path, "expected a whole number", node);
         } else if (type == long.class) {
             return node.isNumber() && node.asDouble() == node.asLong()
                     ? node.asLong()
-                    : error(path, "a whole number is needed", node);
+                    : error(path, "expected a whole number", node);
         } else if (type instanceof ParameterizedType list) {
             return readList(node, list.getActualTypeArguments()[0], path);
         }
@@ -107,7 +107,7 @@
 
     private Object readList(JsonNode node, Type elementType, String path) {
         if (!node.isArray()) {
-            return error(path, "a list is needed", node);
+            return error(path, "expected a list", node);
         }
         List<Object> elements = new ArrayList<>();
         for (int i = 0; i < node.size(); i++) {
@@ -116,7 +116,7 @@
         return elements.contains(null) ? null : List.copyOf(elements);
     }
 
-    /** Adds an error. {@return null, in place of the value} */
+    /** Adds an error. {@return null, for use as the value that could not be read} */
     private Object error(String path, String expected, JsonNode found) {
         String text = found.toString();
         String quoted =
@@ -127,7 +127,7 @@
         return null;
     }
 
-    /** {@return the question whether the nearest key was meant; empty if none is near} */
+    /** {@return a suggestion of the most similar key; empty if no key is similar enough} */
     private static String suggestion(String key, RecordComponent[] components) {
         String nearest = null;
         int leastDistance = SUGGESTION_DISTANCE;
@@ -141,7 +141,7 @@
                 nearest = component.getName();
             }
         }
-        return nearest == null ? "" : "; is " + nearest + " meant?";
+        return nearest == null ? "" : "; did you mean " + nearest + "?";
     }
 
     /** {@return the Levenshtein distance} */
--- a/app/src/main/java/sorrelhoist/app/config/SettingsErrors.java
+++ b/app/src/main/java/sorrelhoist/app/config/SettingsErrors.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 import sorrelhoist.protocol.net.LoopbackTransport;
 
-/** Collects what is wrong with settings, each error with the path of its setting. */
+/** Collects the errors in settings, each with the path of the setting. */
 final class SettingsErrors {
     private static final int MAX_PORT = 65_535;
     private static final double MAX_PLAIN_INTEGER = 1e15;
@@ -16,30 +16,30 @@
     /**
      * Creates a collector.
      *
-     * @param errors where errors are added
+     * @param errors the list to which errors are added
      */
     SettingsErrors(List<String> errors) {
         this.errors = errors;
     }
 
-    /** Adds an error unless a condition holds. */
+    /** Adds an error if a condition is false. */
     void require(boolean condition, String path, String error) {
         if (!condition) {
             errors.add(path + ": " + error);
         }
     }
 
-    /** Requires a text that is not empty. */
+    /** Requires a string that is not empty. */
     void requireNotEmpty(String path, String value) {
-        require(!value.isEmpty(), path, "may not be empty");
+        require(!value.isEmpty(), path, "must not be empty");
     }
 
-    /** Requires a number within a range, its ends included. */
+    /** Requires a number within a range, bounds included. */
     void requireRange(String path, double value, double min, double max) {
         require(
                 value >= min && value <= max,
                 path,
-                "has to be from " + plain(min) + " to " + plain(max) + ", not " + plain(value));
+                "must be from " + plain(min) + " to " + plain(max) + ", not " + plain(value));
     }
 
     /** Requires a port to listen on, or 0. */
@@ -53,15 +53,15 @@
                 : Double.toString(value);
     }
 
-    /** Requires one of some words. */
+    /** Requires one of several strings. */
     void requireWord(String path, String value, Set<String> words) {
         require(
                 words.contains(value),
                 path,
-                "has to be one of " + words.stream().sorted().toList() + ", not \"" + value + "\"");
+                "must be one of " + words.stream().sorted().toList() + ", not \"" + value + "\"");
     }
 
-    /** Requires an address of host and port. */
+    /** Requires an address of the form host:port. */
     void requireAddress(String path, String value) {
         try {
             LoopbackTransport.parseAddress(value);
@@ -70,14 +70,14 @@
         }
     }
 
-    /** Requires that all elements of a list have names, each its own. */
+    /** Requires that the names of a list's elements are unique and not empty. */
     <T> void requireDistinctNames(String path, List<T> elements, Function<T, String> name) {
         Set<String> seen = new HashSet<>();
         for (int i = 0; i < elements.size(); i++) {
             String elementName = name.apply(elements.get(i));
             String elementPath = path + "[" + i + "].name";
             requireNotEmpty(elementPath, elementName);
-            require(seen.add(elementName), elementPath, "\"" + elementName + "\" is there twice");
+            require(seen.add(elementName), elementPath, "\"" + elementName + "\" is used twice");
         }
     }
 }
--- a/app/src/main/java/sorrelhoist/app/config/StandInSettingsValidator.java
+++ b/app/src/main/java/sorrelhoist/app/config/StandInSettingsValidator.java
@@ -4,7 +4,7 @@
 import sorrelhoist.standin.engine.EngineSettings;
 import sorrelhoist.standin.registry.RegistryStandIn;
 
-/** What the types of the stand-ins' settings do not say. */
+/** Validates the constraints on the stand-ins' settings that their types do not express. */
 final class StandInSettingsValidator {
     private static final double HOUR_MICROS = 3.6e9;
 
--- a/app/src/main/java/sorrelhoist/app/config/package-info.java
+++ b/app/src/main/java/sorrelhoist/app/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings files: evaluated as Jsonnet, read into the records of the programs that they configure
- * (the names of record components are the keys), and validated as a whole before anything starts.
+ * Settings files: they are evaluated as Jsonnet, read into the settings records of the programs
+ * (the names of record components are the keys), and validated completely before a program starts.
  */
 package sorrelhoist.app.config;
--- a/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
+++ b/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Templates make good settings; every fault is told with its path. */
+/** The templates yield valid settings, and every error in settings is reported with its path. */
 class ConfigTest {
     private static final String EDGE =
             "(import 'edge.libsonnet') + { name: 'e', zone: 'a', planner: '127.0.0.1:9' }";
@@ -62,11 +62,11 @@
                         EDGE
                                 + " + { port: 'x', serving+: { maxOpen: -1, drainsMs: 5 }, limits+:"
                                 + " { cancel: 1 } }");
-        assertTrue(all.contains("port: a whole number is needed, not \"x\""), all.toString());
+        assertTrue(all.contains("port: expected a whole number, not \"x\""), all.toString());
         assertTrue(
-                all.contains("serving.drainsMs: not known here; is drainMs meant?"),
+                all.contains("serving.drainsMs: unknown setting; did you mean drainMs?"),
                 all.toString());
-        assertTrue(all.contains("limits.cancel: true or false is needed, not 1"), all.toString());
+        assertTrue(all.contains("limits.cancel: expected true or false, not 1"), all.toString());
         List<String> ranges =
                 errors(
                         EDGE
@@ -75,8 +75,7 @@
                                 + " aimMs: 5, aimMsPer1000: 0, deadlineMs: 4, deadlineMsPer1000: 0,"
                                 + " worth: 1, repeat: 'often', scope: 'all', repeatWindowMs: 0 }]"
                                 + " }");
-        assertTrue(
-                ranges.contains("port: has to be from 0 to 65535, not 70000"), ranges.toString());
+        assertTrue(ranges.contains("port: must be from 0 to 65535, not 70000"), ranges.toString());
         assertTrue(
                 ranges.stream().anyMatch(f -> f.startsWith("zone: \"b\" is not among zones")),
                 ranges.toString());
@@ -85,10 +84,10 @@
                 ranges.toString());
         assertTrue(
                 ranges.contains(
-                        "classes[0].repeat: has to be one of [keyed, safe, unsafe], not"
+                        "classes[0].repeat: must be one of [keyed, safe, unsafe], not"
                                 + " \"often\""));
         assertTrue(
-                ranges.contains("classes[0].deadlineMs: may not come before aimMs"),
+                ranges.contains("classes[0].deadlineMs: must not be less than aimMs"),
                 ranges.toString());
         assertTrue(
                 ranges.stream().anyMatch(f -> f.startsWith("rules.coldFrom")), ranges.toString());
