--- a/app/src/main/java/sorrelhoist/app/LogSpanExporter.java
+++ b/app/src/main/java/sorrelhoist/app/LogSpanExporter.java
@@ -16,7 +16,7 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Exports trace spans as lines of the log, until there is a collector to send them to. */
+/** Exports trace spans as log lines, as long as there is no trace collector. */
 public final class LogSpanExporter implements SpanExporter {
     private static final Logger LOG = LoggerFactory.getLogger(LogSpanExporter.class);
 
@@ -25,8 +25,8 @@
     /**
      * Creates an edge's telemetry.
      *
-     * @param sampledShare share of requests, 0 to 1, that are traced though their clients did not
-     *     decide
+     * @param sampledShare the share, 0 to 1, of the requests without a sampling decision by the
+     *     client that are traced
      * @return the telemetry; null if the share is 0
      */
     public static OpenTelemetry telemetry(double sampledShare) {
--- a/app/src/main/java/sorrelhoist/app/Main.java
+++ b/app/src/main/java/sorrelhoist/app/Main.java
@@ -16,7 +16,7 @@
 import sorrelhoist.app.command.UpCommand;
 import sorrelhoist.platform.Platform;
 
-/** The command line. */
+/** The entry point of the command line. */
 @Command(
         name = "sorrelhoist",
         mixinStandardHelpOptions = true,
@@ -47,22 +47,22 @@
     private Main() {}
 
     /**
-     * Runs a command and exits with its status.
+     * Runs a command and exits with its exit status.
      *
-     * @param args sub-command and options
+     * @param args the subcommand and its options
      * @throws IOException if the platform's router cannot be started
      */
     public static void main(String[] args) throws IOException {
         if (args.length == 1 && args[0].equals(PlatformCommand.NAME)) {
-            // A machine with part of a core and tens of megabytes: nothing of the command tree is
-            // loaded there.
+            // The platform's machines have a fraction of a core and tens of megabytes of memory, so
+            // the classes of the command tree are not loaded there.
             System.exit(Platform.run(System.getenv()));
         }
         CommandLine line = commandLine();
         System.exit(args.length == 0 ? printUsage(line) : line.execute(args));
     }
 
-    /** {@return the command tree} */
+    /** {@return a new command tree with all subcommands} */
     static CommandLine commandLine() {
         CommandLine line = new CommandLine(new Main());
         addFormerName(line, "ask", new RequestCommand());
@@ -76,7 +76,7 @@
         return line;
     }
 
-    /** Accepts a command under its former name too, for one release; help does not show it. */
+    /** Also accepts a command's former name, for one release; the help text does not list it. */
     private static void addFormerName(CommandLine line, String formerName, Object command) {
         CommandLine former = new CommandLine(command);
         former.getCommandSpec().usageMessage().hidden(true);
--- a/app/src/main/java/sorrelhoist/app/command/AnswerPrinter.java
+++ b/app/src/main/java/sorrelhoist/app/command/AnswerPrinter.java
@@ -4,14 +4,14 @@
 import sorrelhoist.lab.load.InferenceClient;
 import sorrelhoist.lab.load.ScriptedRequest;
 
-/** Streams answers to the terminal. */
+/** Prints answers to the terminal as they are streamed. */
 final class AnswerPrinter {
     private static final long TIMEOUT_MICROS = 10_000_000;
     private static final double MICROS_PER_MILLI = 1000.0;
 
     private AnswerPrinter() {}
 
-    /** Sends a prompt, and prints its answer as it comes. {@return whether it was served} */
+    /** Sends a prompt and prints the answer as it arrives. {@return whether it was served} */
     static boolean print(InferenceClient client, String prompt, int maxTokens) {
         System.out.println("> " + prompt);
         System.out.print("  ");
@@ -46,7 +46,7 @@
         }
         String hint =
                 result.retryAfterMillis() > 0
-                        ? " (come back in " + result.retryAfterMillis() + " ms)"
+                        ? " (retry in " + result.retryAfterMillis() + " ms)"
                         : "";
         System.out.println("  " + result.status().code() + ": " + result.status().message() + hint);
     }
--- a/app/src/main/java/sorrelhoist/app/command/ConfigCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/ConfigCommand.java
@@ -8,18 +8,18 @@
 import sorrelhoist.app.config.Config;
 import sorrelhoist.app.config.InvalidSettingsException;
 
-/** Works on settings. */
+/** Checks settings files and writes their templates. */
 @Command(
         name = "config",
-        description = "Checks settings, or writes the templates that they build on.")
+        description = "Checks settings files, or writes the templates that they import.")
 public final class ConfigCommand {
-    @Command(name = "check", description = "Checks a settings file; says each fault with its path.")
+    @Command(name = "check", description = "Checks a settings file; prints errors with paths.")
     int check(@Parameters(paramLabel = "FILE") Path file) {
         try {
             Config.Kind kind = Config.check(file);
             System.out.println(
                     file
-                            + ": good settings of a"
+                            + ": valid settings of a"
                             + (kind == Config.Kind.EDGE || kind == Config.Kind.ENGINE ? "n " : " ")
                             + kind.name().toLowerCase(Locale.ROOT));
             return 0;
--- a/app/src/main/java/sorrelhoist/app/command/DemoCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/DemoCommand.java
@@ -8,10 +8,10 @@
 import sorrelhoist.lab.fleet.ProcessFleet;
 import sorrelhoist.lab.scenario.Scenario;
 
-/** Starts a fleet, streams some prompts, and runs the scenario that comes with the program. */
+/** Starts a fleet, streams some prompts and runs the built-in scenario. */
 @Command(
         name = "demo",
-        description = "Starts a fleet, streams some prompts, plays a short bad day, and judges it.")
+        description = "Starts a fleet, streams some prompts, runs and judges a short scenario.")
 public final class DemoCommand implements Callable<Integer> {
     private static final String[] PROMPTS = {
         "Where is the pallet for dock seven?",
@@ -20,7 +20,7 @@
     };
     private static final int MAX_TOKENS = 24;
 
-    @Option(names = "--seed", description = "the day's seed (default: the day's own)")
+    @Option(names = "--seed", description = "replaces the scenario's seed")
     Long seed;
 
     @Override
--- a/app/src/main/java/sorrelhoist/app/command/ExternalBuild.java
+++ b/app/src/main/java/sorrelhoist/app/command/ExternalBuild.java
@@ -13,8 +13,8 @@
 import sorrelhoist.core.record.Replay;
 
 /**
- * Another build of this program, loaded from its jar: replays recordings as that build decides. The
- * two builds share no classes and exchange bytes alone.
+ * Another build of this program, loaded from its jar, to replay recordings with that build's
+ * decisions. The two builds share no classes and exchange only bytes.
  */
 final class ExternalBuild implements AutoCloseable {
     private static final String REPLAY_METHOD = "again";
@@ -25,12 +25,12 @@
     /**
      * Loads a build.
      *
-     * @param jar the whole program, as bin/sorrelhoist builds it
-     * @throws IOException if that is no jar, or holds no build that replays
+     * @param jar the jar of the complete program, as built by bin/sorrelhoist
+     * @throws IOException if the file is no jar, or contains no build that can replay recordings
      */
     ExternalBuild(Path jar) throws IOException {
         if (!Files.isRegularFile(jar)) {
-            throw new IOException("--build: no jar there");
+            throw new IOException("--build: no such jar file");
         }
         loader =
                 new URLClassLoader(
@@ -41,11 +41,11 @@
         } catch (ReflectiveOperationException e) {
             loader.close();
             throw new IOException(
-                    "--build: that jar holds no build that replays: " + e.getMessage(), e);
+                    "--build: the jar contains no build that can replay: " + e.getMessage(), e);
         }
     }
 
-    /** {@return the same events with the actions that the other build decides} */
+    /** {@return a recording of the same events with the other build's actions} */
     Recording replay(Recording recording) throws IOException {
         try {
             byte[] replayed = (byte[]) replayMethod.invoke(null, recording.toFileBytes());
--- a/app/src/main/java/sorrelhoist/app/command/LocalFleets.java
+++ b/app/src/main/java/sorrelhoist/app/command/LocalFleets.java
@@ -16,9 +16,9 @@
 import sorrelhoist.lab.scenario.Scenario;
 import sorrelhoist.lab.scenario.ScenarioParser;
 
-/** Fleets of processes of this very program, and the scenarios that are run on them. */
+/** Creates fleets of processes of this program, and runs scenarios on them. */
 final class LocalFleets {
-    /** The scenario that comes with the program. */
+    /** The resource path of the built-in scenario. */
     static final String BUILT_IN_SCENARIO = "/days/bad.day";
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -29,13 +29,14 @@
     private LocalFleets() {}
 
     /**
-     * {@return a fleet for a scenario, not started, with files in a folder and ports of its own}
+     * {@return a new fleet for a scenario, not started, with its files in a folder and ports that the
+     * system selects}
      */
     static ProcessFleet create(Scenario scenario, Path folder) throws IOException {
         return new ProcessFleet(scenario, folder, programCommand(), 0, Map.of());
     }
 
-    /** {@return the command that starts this program again} */
+    /** {@return the command that starts another process of this program} */
     static List<String> programCommand() {
         try {
             Path jar =
@@ -52,23 +53,23 @@
         }
     }
 
-    /** {@return a new temporary folder with the settings' templates} */
+    /** {@return a new temporary folder that contains the settings templates} */
     static Path newFolder(String name) throws IOException {
         Path folder = Files.createTempDirectory("sorrelhoist-" + name + "-");
         Config.writeTemplates(folder);
         return folder;
     }
 
-    /** {@return the scenario that comes with the program} */
+    /** {@return the built-in scenario} */
     static Scenario builtInScenario() throws IOException {
         try (InputStream in = LocalFleets.class.getResourceAsStream(BUILT_IN_SCENARIO)) {
             return ScenarioParser.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8));
         } catch (ScenarioParser.InvalidScenarioException e) {
-            throw new IOException("the scenario that comes with the program: " + e.getMessage(), e);
+            throw new IOException("the built-in scenario: " + e.getMessage(), e);
         }
     }
 
-    /** {@return a scenario with a seed in place of its own; its own if null} */
+    /** {@return a scenario with its seed replaced; the same scenario if the seed is null} */
     static Scenario withSeed(Scenario scenario, Long seed) {
         return seed == null
                 ? scenario
@@ -82,9 +83,9 @@
     }
 
     /**
-     * Runs a scenario on a fleet that was started, and prints the judge's table.
+     * Runs a scenario on a started fleet and prints the judge's table.
      *
-     * @return whether no rule was broken
+     * @return whether the judge found no violation
      */
     static boolean run(Scenario scenario, ProcessFleet fleet) throws IOException {
         System.out.println(
--- a/app/src/main/java/sorrelhoist/app/command/MeasureCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/MeasureCommand.java
@@ -22,13 +22,13 @@
     @Option(
             names = "--requests",
             defaultValue = "100000",
-            description = "for throughput and memory")
+            description = "number of requests for the throughput and memory measurements")
     int requests;
 
-    @Option(names = "--concurrency", defaultValue = "64", description = "requests at once")
+    @Option(names = "--concurrency", defaultValue = "64", description = "concurrent requests")
     int concurrency;
 
-    @Option(names = "--tokens", defaultValue = "8", description = "that each may answer")
+    @Option(names = "--tokens", defaultValue = "8", description = "tokens per answer")
     int tokens;
 
     @Command(
@@ -44,7 +44,7 @@
             @Option(
                             names = "--slow",
                             defaultValue = "0",
-                            description = "share of clients that read slowly")
+                            description = "share of clients that read slowly, 0 to 1")
                     double slow)
             throws IOException {
         try (ProcessFleet fleet =
@@ -63,7 +63,7 @@
     @Command(
             name = "fleet",
             description =
-                    "The demo's fleet beside a plain client: steady rates and bursts, by turns.")
+                    "Compares the demo's fleet with a plain client at steady rates and bursts.")
     int fleet(
             @Option(
                             names = "--rates",
@@ -71,7 +71,7 @@
                             defaultValue = "20,100,300,600,1000,1600",
                             description = "requests a second")
                     int[] rates,
-            @Option(names = "--seconds", defaultValue = "8", description = "of each stretch")
+            @Option(names = "--seconds", defaultValue = "8", description = "of each load")
                     int seconds,
             @Option(names = "--burst", defaultValue = "300", description = "requests at once")
                     int burst,
@@ -106,7 +106,7 @@
     @Command(
             name = "door",
             description =
-                    "Studies in virtual time what becomes of bursts that engines have room for.")
+                    "Simulates bursts that the engines have capacity for, in virtual time.")
     int door(
             @Option(
                             names = "--edges",
@@ -114,7 +114,7 @@
                             defaultValue = "2,10,50",
                             description = "sizes of fleets")
                     int[] sizes,
-            @Option(names = "--seeds", defaultValue = "3", description = "runs of each case")
+            @Option(names = "--seeds", defaultValue = "3", description = "runs per case")
                     int seeds,
             @Option(names = "--table", paramLabel = "FILE", description = "for the figures, as CSV")
                     Path table)
@@ -130,11 +130,11 @@
     @Command(
             name = "recorder",
             description =
-                    "What recording costs: one edge that does beside one that does not, by turns.")
+                    "Measures the cost of recording: alternates edges with and without it.")
     int recorder(
-            @Option(names = "--requests", defaultValue = "20000", description = "of each turn")
+            @Option(names = "--requests", defaultValue = "20000", description = "per turn")
                     int requests,
-            @Option(names = "--turns", defaultValue = "6", description = "of each edge") int turns)
+            @Option(names = "--turns", defaultValue = "6", description = "per edge") int turns)
             throws IOException {
         if (requests < 1 || turns < 1) {
             System.err.println("--requests and --turns from 1");
@@ -156,7 +156,7 @@
 
     @Command(
             name = "knowledge",
-            description = "Studies in virtual time what teaching a new router is worth.")
+            description = "Simulates the benefit of teaching a new router, in virtual time.")
     int knowledge(
             @Option(
                             names = "--routers",
@@ -164,13 +164,13 @@
                             defaultValue = "3,50,150",
                             description = "sizes of fleets")
                     int[] sizes,
-            @Option(names = "--seeds", defaultValue = "10", description = "runs of each kind")
+            @Option(names = "--seeds", defaultValue = "10", description = "runs per variant")
                     int seeds,
             @Option(
                             names = "--out",
                             required = true,
                             paramLabel = "FOLDER",
-                            description = "for table and charts")
+                            description = "folder for the table and the charts")
                     Path out)
             throws IOException {
         new StateTransferStudy(seeds, System.out::println).run(sizes, out);
--- a/app/src/main/java/sorrelhoist/app/command/PlatformCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/PlatformCommand.java
@@ -9,9 +9,9 @@
 @Command(
         name = PlatformCommand.NAME,
         description =
-                "Runs one router on the operators' platform, as LB_CONFIG and its kin tell it.")
+                "Runs one router on the operators' platform; reads LB_CONFIG and similar variables.")
 public final class PlatformCommand implements Callable<Integer> {
-    /** The command's name. */
+    /** The command's name on the command line. */
     public static final String NAME = "platform";
 
     @Override
--- a/app/src/main/java/sorrelhoist/app/command/ProgramCommands.java
+++ b/app/src/main/java/sorrelhoist/app/command/ProgramCommands.java
@@ -19,8 +19,8 @@
 import sorrelhoist.standin.registry.RegistryStandIn;
 
 /**
- * The programs that serve until they receive a signal to shut down. Each prints one line when it is
- * ready.
+ * The commands of the server programs, which run until they receive a signal to shut down. Each
+ * prints one line when it is ready.
  */
 public final class ProgramCommands {
     private ProgramCommands() {}
@@ -30,10 +30,10 @@
                 names = "--config",
                 required = true,
                 paramLabel = "FILE",
-                description = "its settings, in Jsonnet")
+                description = "settings file, in Jsonnet")
         Path config;
 
-        /** Starts the program, waits for the signal to shut down and stops it. */
+        /** Starts the program, waits for a signal to shut down, then stops the program. */
         abstract void run() throws IOException, InvalidSettingsException;
 
         @Override
@@ -48,10 +48,10 @@
         }
     }
 
-    /** An edge. */
+    /** Runs an edge. */
     @Command(
             name = "edge",
-            description = "Serves clients: holds their streams and routes their requests.")
+            description = "Serves clients: keeps their streams and routes their requests.")
     public static final class EdgeCommand extends ProgramCommand {
         @Override
         void run() throws IOException, InvalidSettingsException {
@@ -65,10 +65,10 @@
         }
     }
 
-    /** A planner. */
+    /** Runs a planner. */
     @Command(
             name = "planner",
-            description = "Reads the registry, and tells the edges what they need to know.")
+            description = "Reads the registry and sends routing information to the edges.")
     public static final class PlannerCommand extends ProgramCommand {
         @Override
         void run() throws IOException, InvalidSettingsException {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** A stand-in engine. */
+    /** Runs a stand-in engine. */
     @Command(
             name = "engine",
             description = "A stand-in for an engine: reads prompts or writes answers.")
@@ -98,7 +98,7 @@
         }
     }
 
-    /** A stand-in registry. */
+    /** Runs a stand-in registry. */
     @Command(name = "registry", description = "A stand-in for a Eureka registry.")
     public static final class RegistryCommand extends ProgramCommand {
         @Override
--- a/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
@@ -19,7 +19,7 @@
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.RoutingSettings;
 
-/** Works on the record of an edge's decisions. */
+/** The commands that process the record of an edge's decisions. */
 @Command(
         name = "record",
         description =
@@ -30,12 +30,12 @@
     private static final int EXIT_USAGE = 2;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** What a subcommand does with a recording. */
+    /** A subcommand's operation on a recording. */
     private interface RecordingTask {
         int run(Recording recording) throws RecordCommandException, IOException;
     }
 
-    /** Reads a recording and runs a task on it. {@return the exit status} */
+    /** Loads a recording and runs a task on it. {@return the exit status} */
     private static int withRecording(Path location, RecordingTask task) {
         try {
             return task.run(RecordingLoader.load(location));
@@ -55,13 +55,13 @@
 
     @Command(
             name = "show",
-            description = "Sums up a record: what was asked, what became of it, and why.")
+            description = "Summarizes a record: requests, their results and the reasons.")
     int show(
             @Parameters(paramLabel = "RECORD") Path location,
             @Option(names = "--entries", description = "print every entry") boolean entries,
             @Option(
                             names = "--kind",
-                            description = "list the requests that ended for this kind of reason")
+                            description = "list all requests that ended for this kind of reason")
                     Reason.Kind kind) {
         return withRecording(
                 location,
@@ -77,12 +77,12 @@
                 });
     }
 
-    @Command(name = "why", description = "Tells one request's whole story.")
+    @Command(name = "why", description = "Prints the timeline of one request.")
     int why(
             @Parameters(paramLabel = "RECORD") Path location,
             @Parameters(
                             paramLabel = "REQUEST",
-                            description = "its name at engines, its client's id, or its number")
+                            description = "its name at engines, its client's id or its number")
                     String request) {
         return withRecording(
                 location,
@@ -92,7 +92,7 @@
                         throw new RecordCommandException(
                                 "no request \""
                                         + request
-                                        + "\" here: see 'record show' for names, or look at another"
+                                        + "\" in it: see 'record show' for names, or try another"
                                         + " edge's record");
                     }
                     timeline.forEach(System.out::println);
@@ -100,7 +100,7 @@
                 });
     }
 
-    @Command(name = "replay", description = "Plays a record again and compares every action.")
+    @Command(name = "replay", description = "Replays a record and compares every action.")
     int replay(@Parameters(paramLabel = "RECORD") Path location) {
         return withRecording(location, RecordCommand::replay);
     }
@@ -108,8 +108,8 @@
     private static int replay(Recording recording) {
         if (!recording.isComplete()) {
             System.err.println(
-                    "note: the record does not reach back to the start, so a difference"
-                            + " proves nothing");
+                    "note: the record is incomplete, so a difference does not"
+                            + " prove a fault");
         }
         long startNanos = System.nanoTime();
         Replay.Result result = Replay.run(recording);
@@ -126,7 +126,7 @@
 
     private static String describe(Replay.Result result) {
         if (result.isIdentical()) {
-            return "every action is the same";
+            return "all actions are identical";
         }
         return result.firstDifference() != null
                 ? "first difference: " + result.firstDifference().describe()
@@ -135,20 +135,20 @@
 
     @Command(
             name = "diff",
-            description = "Says what other settings, or this build, would have decided.")
+            description = "Shows the decisions that other settings or this build would make.")
     int diff(
             @Parameters(paramLabel = "RECORD") Path location,
             @Option(
                             names = "--config",
                             paramLabel = "FILE",
-                            description = "an edge's settings in place of the record's")
+                            description = "edge settings that replace the record's")
                     Path config,
             @Option(
                             names = "--build",
                             paramLabel = "JAR",
                             description =
-                                    "what this build decides against what"
-                                            + " that one does, in place of the record's own")
+                                    "compares with the decisions of this"
+                                            + " build instead of the recorded ones")
                     Path build) {
         return withRecording(
                 location,
@@ -165,7 +165,7 @@
         }
     }
 
-    /** {@return the settings of a file, or the recording's own if there is none} */
+    /** {@return the settings from a file, or those of the recording if the file is null} */
     private static RoutingSettings settings(Recording recording, Path config)
             throws RecordCommandException {
         if (config == null) {
@@ -181,7 +181,7 @@
     private static void print(ReplayComparison.Report report) {
         System.out.printf(
                 Locale.ROOT,
-                "%d requests, %d decided alike%n",
+                "%d requests, %d with the same decision%n",
                 report.requests(),
                 report.unchanged());
         System.out.printf(
@@ -207,14 +207,14 @@
 
     @Command(
             name = "cut",
-            description = "Shrinks a record to few events that still show something.")
+            description = "Reduces a record to few events that still show a given result.")
     int cut(
             @Parameters(paramLabel = "RECORD") Path location,
             @Option(
                             names = "--shows",
                             required = true,
                             description =
-                                    "a request that is refused or failed for this kind of "
+                                    "a request that is rejected or failed for this kind of "
                                             + "reason: ${COMPLETION-CANDIDATES}")
                     Reason.Kind kind,
             @Option(
@@ -222,21 +222,21 @@
                             defaultValue = "0",
                             paramLabel = "N",
                             description =
-                                    "reads whose ends stay in it, so "
-                                            + "that what was learnt of them still stands")
+                                    "number of prefill ends to keep, so "
+                                            + "that what was learnt from them is kept")
                     int learnt,
             @Option(
                             names = "--build",
                             paramLabel = "JAR",
-                            description = "that build shows it, and this one does not")
+                            description = "a build that shows the result, unlike this one")
                     Path build,
-            @Option(names = "--rename", description = "under neutral names, to be shown to others")
+            @Option(names = "--rename", description = "replace names, to share the record")
                     boolean rename,
             @Option(
                             names = "--out",
                             required = true,
                             paramLabel = "FILE",
-                            description = "the short record")
+                            description = "file for the reduced record")
                     Path out) {
         return withRecording(
                 location,
@@ -246,7 +246,7 @@
                 });
     }
 
-    @Command(name = "keep", description = "Asks a running edge to keep what it has recorded.")
+    @Command(name = "keep", description = "Asks a running edge to preserve its record.")
     int keep(
             @Parameters(paramLabel = "FOLDER", description = "the edge's record.folder")
                     Path folder)
@@ -258,8 +258,8 @@
         }
         Files.write(folder.resolve(RecordDirectory.PRESERVE_REQUEST_FILE), new byte[0]);
         System.out.println(
-                "asked: the edge keeps its record with its next write, within a second while it"
-                        + " runs");
+                "requested: a running edge preserves its record at its next write, within a"
+                        + " second");
         return EXIT_OK;
     }
 }
--- a/app/src/main/java/sorrelhoist/app/command/RecordingCutter.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordingCutter.java
@@ -19,7 +19,10 @@
 import sorrelhoist.routing.RoutingActions;
 import sorrelhoist.routing.RoutingEvents;
 
-/** Cuts a recording down to few events that still show a request that ends for a kind of reason. */
+/**
+ * Reduces a recording to few events that still contain a request that is rejected or failed for a
+ * given kind of reason.
+ */
 final class RecordingCutter {
     private static final int MAX_REPLAYS = 5000;
 
@@ -31,10 +34,10 @@
     /**
      * Creates a cutter.
      *
-     * @param kind the kind of reason that the result has to show
-     * @param minPrefills how many prefills have to end in the result
-     * @param anonymize whether names are replaced
-     * @param out the file for the result
+     * @param kind the kind of reason for which a request has to end in the result
+     * @param minPrefills the least number of prefills that have to end in the result
+     * @param anonymize whether names are replaced by neutral ones
+     * @param out the file to which the result is written
      */
     RecordingCutter(Reason.Kind kind, int minPrefills, boolean anonymize, Path out) {
         this.kind = kind;
@@ -44,11 +47,11 @@
     }
 
     /**
-     * Cuts a recording, and writes the result.
+     * Reduces a recording and writes the result.
      *
      * @param recorded the recording
-     * @param build the jar of a build that shows the reason where this build does not; null if this
-     *     build shows it
+     * @param build the jar of another build, in which a request has to end for the reason while
+     *     this build sends it to an engine; null if it has to end so in this build
      */
     void cut(Recording recorded, Path build) throws RecordCommandException, IOException {
         Recording recording = anonymize ? RecordingAnonymizer.anonymize(recorded) : recorded;
@@ -68,7 +71,7 @@
         return prefillCount(candidate) >= minPrefills && !endedRequests(candidate).isEmpty();
     }
 
-    /** {@return whether a request ends so in the other build, and is sent to an engine in this} */
+    /** {@return whether the other build ends a request for the reason and this build sends it} */
     private boolean showsDifference(Recording candidate, ExternalBuild other) {
         if (prefillCount(candidate) < minPrefills) {
             return false;
@@ -84,7 +87,7 @@
             throw new RecordCommandException(
                     "no request of this record ends as "
                             + kind
-                            + " there: see 'record show' for what does");
+                            + " there: see 'record show' for the reasons in it");
         }
         RecordingMinimizer minimizer =
                 new RecordingMinimizer(recording.header(), shows, MAX_REPLAYS);
@@ -103,7 +106,7 @@
         }
     }
 
-    /** {@return the requests that are rejected or failed for the kind of reason} */
+    /** {@return the ids of the requests that are rejected or failed for the kind of reason} */
     private Set<Long> endedRequests(Recording recording) {
         return requestIds(recording, this::endedRequest);
     }
--- a/app/src/main/java/sorrelhoist/app/command/RecordingLoader.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordingLoader.java
@@ -15,9 +15,9 @@
     private RecordingLoader() {}
 
     /**
-     * Loads a recording, and prints what is wrong with its files.
+     * Loads a recording and prints the faults that are found in its files to standard error.
      *
-     * @param location a record file, or a folder of them
+     * @param location a record file or a folder of record files
      */
     static Recording load(Path location) throws IOException, CorruptRecordException {
         List<byte[]> files = new ArrayList<>();
--- a/app/src/main/java/sorrelhoist/app/command/RecordingSummary.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordingSummary.java
@@ -11,11 +11,14 @@
 import sorrelhoist.routing.Reason;
 import sorrelhoist.routing.RoutingActions;
 
-/** Sums up a recording: counts of events, actions and results, and why requests were not served. */
+/**
+ * Summarizes a recording: the counts of events, actions and results, and the reasons why requests
+ * were not served.
+ */
 final class RecordingSummary {
     private static final int SAMPLES = 3;
     private static final int INCARNATION_RADIX = 36;
-    private static final String UNNAMED_REQUEST = "(at the door of the router)";
+    private static final String UNNAMED_REQUEST = "(no name recorded)";
 
     private final Recording recording;
     private final Map<String, Integer> counts = new TreeMap<>();
@@ -81,8 +84,9 @@
     /**
      * Prints the summary.
      *
-     * @param out where to
-     * @param kind the kind of reason of which all requests are listed; null for a few of each
+     * @param out the stream to print to
+     * @param kind the kind of reason for which all requests are listed, instead of only the first
+     *     few; null for none
      */
     void print(PrintStream out, Reason.Kind kind) {
         printHeader(out);
@@ -109,7 +113,7 @@
                 "entries %d%s%n",
                 recording.entries().size(),
                 recording.isComplete()
-                        ? ", from the start and without a gap"
+                        ? ", complete from the start"
                         : ", with gaps: a replay cannot be exact");
         recording
                 .gaps()
--- a/app/src/main/java/sorrelhoist/app/command/RequestCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/RequestCommand.java
@@ -9,7 +9,7 @@
 import sorrelhoist.protocol.net.LoopbackTransport;
 
 /** Sends one request to an edge. */
-@Command(name = "request", description = "Streams one answer to the terminal.")
+@Command(name = "request", description = "Sends one request and prints the answer.")
 public final class RequestCommand implements Callable<Integer> {
     private static final int EXIT_USAGE = 2;
 
@@ -19,7 +19,7 @@
     @Option(
             names = "--max-tokens",
             defaultValue = "64",
-            description = "the most that may be answered")
+            description = "maximum number of answer tokens")
     int maxTokens;
 
     @Option(names = "--model", defaultValue = ProcessFleet.MODEL, description = "the model's name")
--- a/app/src/main/java/sorrelhoist/app/command/ScenarioCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/ScenarioCommand.java
@@ -11,15 +11,15 @@
 import sorrelhoist.lab.scenario.Scenario;
 import sorrelhoist.lab.scenario.ScenarioParser;
 
-/** Runs scenario files: scripted load and faults on a fleet, judged by the traffic. */
-@Command(name = "scenario", description = "Works on scripted scenarios of load and faults.")
+/** Runs scenario files: scripted load and faults on a fleet, with a verdict from its traffic. */
+@Command(name = "scenario", description = "Runs or prints scripted scenarios of load and faults.")
 public final class ScenarioCommand {
     private static final int EXIT_USAGE = 2;
 
-    @Command(name = "run", description = "Runs a scenario on a fleet of its own and judges it.")
+    @Command(name = "run", description = "Runs a scenario on a new fleet and judges the traffic.")
     int run(
             @Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--seed", description = "in place of the scenario's own") Long seed)
+            @Option(names = "--seed", description = "replaces the scenario's seed") Long seed)
             throws IOException {
         Scenario parsed;
         try {
@@ -41,7 +41,7 @@
     @Command(
             name = "show",
             description =
-                    "Prints the scenario that comes with the program, to start one's own from.")
+                    "Prints the built-in scenario, as a starting point for other scenarios.")
     int show() throws IOException {
         try (InputStream in =
                 ScenarioCommand.class.getResourceAsStream(LocalFleets.BUILT_IN_SCENARIO)) {
--- a/app/src/main/java/sorrelhoist/app/command/ShutdownSignal.java
+++ b/app/src/main/java/sorrelhoist/app/command/ShutdownSignal.java
@@ -5,8 +5,8 @@
 import sun.misc.Signal;
 
 /**
- * SIGTERM and SIGINT: the first signal asks a program to shut down gracefully, a second one to
- * hurry.
+ * Handles SIGTERM and SIGINT: the first signal requests a graceful shutdown, a second one a faster
+ * shutdown.
  */
 final class ShutdownSignal {
     private static final String[] SIGNALS = {"TERM", "INT"};
@@ -14,7 +14,7 @@
     private final CountDownLatch received = new CountDownLatch(1);
     private final AtomicInteger count = new AtomicInteger();
 
-    /** Handles the signals from now on. */
+    /** Installs the signal handlers. */
     ShutdownSignal() {
         for (String name : SIGNALS) {
             Signal.handle(new Signal(name), this::handle);
@@ -26,7 +26,7 @@
         received.countDown();
     }
 
-    /** Waits for the first signal. */
+    /** Blocks until the first signal, or until the thread is interrupted. */
     void await() {
         try {
             received.await();
@@ -35,7 +35,7 @@
         }
     }
 
-    /** {@return whether a second signal has come} */
+    /** {@return whether a second signal was received} */
     boolean isHurried() {
         return count.get() > 1;
     }
--- a/app/src/main/java/sorrelhoist/app/command/SimulatorAdapterCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/SimulatorAdapterCommand.java
@@ -15,7 +15,7 @@
     @Option(
             names = "--record",
             paramLabel = "FOLDER",
-            description = "records each instance's decisions there")
+            description = "folder for records of each instance's decisions")
     Path folder;
 
     @Override
--- a/app/src/main/java/sorrelhoist/app/command/SimulatorRecorder.java
+++ b/app/src/main/java/sorrelhoist/app/command/SimulatorRecorder.java
@@ -21,9 +21,9 @@
 import sorrelhoist.routing.RoutingSettings;
 
 /**
- * Records what the routers behind the simulator's line protocol decide, a file each, in the form of
- * an edge's record. A simulator may host routers in several processes and start one again in
- * another, so file names hold the process id.
+ * Records the decisions of the routers behind the simulator's line protocol, one file per router,
+ * in the format of an edge's record. File names contain the process id, since a simulator may host
+ * routers in several processes and restart a router in another process.
  */
 final class SimulatorRecorder implements SimulatorAdapter.DecisionListener, AutoCloseable {
     private record RouterRecord(Recorder recorder, OutputStream file) {}
@@ -33,10 +33,10 @@
     private long starts;
 
     /**
-     * Opens a folder for records.
+     * Creates a recorder that writes to a folder.
      *
      * @param folder the folder; created if missing
-     * @throws IOException if it cannot be created
+     * @throws IOException if the folder cannot be created
      */
     SimulatorRecorder(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
--- a/app/src/main/java/sorrelhoist/app/command/SoakCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/SoakCommand.java
@@ -15,31 +15,31 @@
 import sorrelhoist.lab.soak.SoakRunner;
 import sorrelhoist.lab.soak.SystemCallFaults;
 
-/** Plays overlapping faults, drawn from a seed, on platform routers that run as processes. */
+/** Injects overlapping faults, scheduled from a seed, into processes of the platform's router. */
 @Command(
         name = "soak",
         description =
-                "Plays overlapping faults on router processes and judges what clients and workers"
-                        + " saw.")
+                "Injects overlapping faults into router processes and judges what clients and"
+                        + " workers observed.")
 public final class SoakCommand implements Callable<Integer> {
     private static final int MOST_ROUTERS = 40;
     private static final int FAILED = 1;
     private static final int USAGE = 2;
     private static final int SHOWN = 20;
 
-    @Option(names = "--seed", defaultValue = "1", description = "of the schedule and the traffic")
+    @Option(names = "--seed", defaultValue = "1", description = "seed of faults and traffic")
     long seed;
 
-    @Option(names = "--seconds", defaultValue = "40", description = "of traffic")
+    @Option(names = "--seconds", defaultValue = "40", description = "duration of the traffic")
     int seconds;
 
-    @Option(names = "--routers", defaultValue = "10", description = "processes, 1 to 40")
+    @Option(names = "--routers", defaultValue = "10", description = "router processes, 1 to 40")
     int routers;
 
     @Option(
             names = "--workers",
             defaultValue = "12",
-            description = "stand-ins, half of them readers")
+            description = "stand-in workers, half of them for prefill")
     int workers;
 
     @Option(names = "--rate", defaultValue = "150", description = "requests a second")
@@ -52,7 +52,7 @@
             description = "kinds of faults, or all")
     List<String> faults;
 
-    @Option(names = "--folder", description = "for logs; a temporary one unless it is given")
+    @Option(names = "--folder", description = "for logs (default: a temporary one)")
     Path folder;
 
     @Option(names = "--root", defaultValue = ".", description = "the project's folder, built")
@@ -60,7 +60,7 @@
 
     @Option(
             names = "--shrink",
-            description = "after a failure, leave out faults that it does not need")
+            description = "after a failure, remove faults that are not needed to reproduce it")
     boolean shrink;
 
     @Override
@@ -69,7 +69,7 @@
         try {
             kinds = ScheduledFault.Kind.parse(faults);
         } catch (IllegalArgumentException e) {
-            System.err.println("--faults: all, or some of " + Set.of(ScheduledFault.Kind.values()));
+            System.err.println("--faults: all, or any of " + Set.of(ScheduledFault.Kind.values()));
             return USAGE;
         }
         if (routers < 1 || routers > MOST_ROUTERS || workers < 4 || seconds < 8 || rate <= 0) {
@@ -100,7 +100,7 @@
         if (library == null) {
             kinds.removeIf(ScheduledFault.Kind::needsLibrary);
             System.out.println(
-                    "no system-call and clock faults: they are not asked for, or there is no C"
+                    "no system-call and clock faults: they are not selected, or there is no C"
                             + " compiler");
         }
         return new SoakPlan(
@@ -124,7 +124,7 @@
         System.out.println(
                 "served "
                         + result.served()
-                        + ", excused as the harness was late: "
+                        + ", excused because the harness was late: "
                         + result.excused());
         if (!result.passed()) {
             plan.faults().forEach(trouble -> System.out.println("    " + trouble));
--- a/app/src/main/java/sorrelhoist/app/command/UpCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/UpCommand.java
@@ -8,8 +8,8 @@
 import picocli.CommandLine.Option;
 import sorrelhoist.lab.fleet.ProcessFleet;
 
-/** Starts the demo's fleet, and keeps it until a signal to shut down. */
-@Command(name = "up", description = "Starts the demo's fleet and keeps it until SIGTERM.")
+/** Starts the demo's fleet and keeps it running until a signal to shut down. */
+@Command(name = "up", description = "Starts the demo's fleet; runs it until SIGTERM.")
 public final class UpCommand implements Callable<Integer> {
     private static final int MAX_PORT_BASE = 65_000;
     private static final int EXIT_USAGE = 2;
@@ -19,13 +19,13 @@
             paramLabel = "N",
             defaultValue = "0",
             description =
-                    "first port: edges, then planner and registry (default: the system picks)")
+                    "first port: edges, then planner and registry (default: any free ports)")
     int portBase;
 
     @Override
     public Integer call() throws IOException {
         if (portBase < 0 || portBase > MAX_PORT_BASE) {
-            System.err.println("--port-base: give 1 to " + MAX_PORT_BASE + ", or leave it out");
+            System.err.println("--port-base: give 1 to " + MAX_PORT_BASE + ", or omit it");
             return EXIT_USAGE;
         }
         ShutdownSignal shutdown = new ShutdownSignal();
--- a/app/src/main/java/sorrelhoist/app/package-info.java
+++ b/app/src/main/java/sorrelhoist/app/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The command line: one runnable jar with all programs and tools. {@link sorrelhoist.app.Main}
- * assembles the commands; it owns no state.
+ * assembles the commands and keeps no state.
  */
 package sorrelhoist.app;
