--- a/adapter/src/test/java/sorrelhoist/adapter/JsonObjectReaderTest.java
+++ b/adapter/src/test/java/sorrelhoist/adapter/JsonObjectReaderTest.java
@@ -34,7 +34,7 @@
                     seen.add(f);
                 }
             }
-            assertEquals(2, seen.size(), "pieces of " + size);
+            assertEquals(2, seen.size(), "chunk size " + size);
             assertEquals(41, seen.get(0).getLong("rev", 0));
             assertEquals("s-\u00e9", seen.get(0).getObjects("targets").get(0).getString("uid"));
             assertEquals(0.5, seen.get(0).getObjects("targets").get(0).getDouble("load", 0));
--- a/adapter/src/test/java/sorrelhoist/adapter/SimulatorAdapterTest.java
+++ b/adapter/src/test/java/sorrelhoist/adapter/SimulatorAdapterTest.java
@@ -38,7 +38,7 @@
         return exit;
     }
 
-    /** Notes what it is told, a line each. */
+    /** Records each call as one line. */
     private static final class NotingListener implements SimulatorAdapter.DecisionListener {
         final List<String> notes = new ArrayList<>();
 
@@ -109,7 +109,7 @@
 
     private void assertRejected(String line, String... words) {
         assertEquals(1, run(batch(1, 10, START, LIST, MEMBERS), line), line);
-        assertEquals(1, out.split("\n").length, "no half reply: " + out);
+        assertEquals(1, out.split("\n").length, "expected no partial reply: " + out);
         assertEquals(1, err.split("\n").length, "one line: " + err);
         for (String word : words) {
             assertTrue(err.contains(word), word + " in " + err);
--- a/adapter/src/test/java/sorrelhoist/adapter/SimulatorMessages.java
+++ b/adapter/src/test/java/sorrelhoist/adapter/SimulatorMessages.java
@@ -1,6 +1,6 @@
 package sorrelhoist.adapter;
 
-/** Messages of the simulator, as its protocol writes them. */
+/** Messages of the simulator, in the JSON form of its protocol. */
 final class SimulatorMessages {
     /** A router's settings. */
     static final String SETTINGS =
@@ -24,14 +24,14 @@
     /** Stops router 3. */
     static final String STOP = "{\"op\":\"teardown\",\"router-id\":3}";
 
-    /** Defines list 0: a server that prefills and one that decodes. */
+    /** Defines endpoint list 0 with a prefill server and a decode server. */
     static final String LIST =
             """
             {"op":"list","buffer":0,"rows-in":[{"worker":"r","state":"in_service","group":1},\
             {"worker":"w","kind":1,"group":1,"state":"in_service","since-us":6}]}\
             """;
 
-    /** Gives router 3 the servers of list 0. */
+    /** Updates router 3 to the servers of endpoint list 0. */
     static final String MEMBERS =
             "{\"op\":\"members\",\"router-id\":3,\"buffer\":0,\"form\":\"restored\"}";
 
--- a/app/src/main/java/sorrelhoist/app/command/LocalFleets.java
+++ b/app/src/main/java/sorrelhoist/app/command/LocalFleets.java
@@ -29,8 +29,8 @@
     private LocalFleets() {}
 
     /**
-     * {@return a new fleet for a scenario, not started, with its files in a folder and ports that the
-     * system selects}
+     * {@return a new fleet for a scenario, not started, with its files in a folder and with ports
+     * that the system selects}
      */
     static ProcessFleet create(Scenario scenario, Path folder) throws IOException {
         return new ProcessFleet(scenario, folder, programCommand(), 0, Map.of());
--- a/app/src/main/resources/templates/edge.libsonnet
+++ b/app/src/main/resources/templates/edge.libsonnet
@@ -1,12 +1,13 @@
-// An edge. Times in milliseconds. Give at least name, zone, zones, port, planner and routers.
+// Settings of an edge. Times are in milliseconds. Set at least name, zone, zones, port, planner and
+// routers.
 {
-  name: error 'name: give this edge a name of its own, the same after a restart',
-  zone: error 'zone: say in which of zones this edge stands',
+  name: error 'name: give this edge a unique name that stays the same after a restart',
+  zone: error 'zone: set the zone of this edge, one of zones',
   zones: [self.zone],
   port: 0,
-  planner: error 'planner: give the address of the planner, 127.0.0.1:PORT',
+  planner: error 'planner: set the address of the planner, 127.0.0.1:PORT',
   model: 'sorrel',
-  routers: 1,  // edges that the deployment is to have
+  routers: 1,  // number of edges in the deployment
   classes: [
     { name: 'chat', aimMs: 1000, aimMsPer1000: 40, deadlineMs: 4000, deadlineMsPer1000: 80, worth: 1,
       repeat: 'safe', scope: 'all', repeatWindowMs: 0 },
@@ -33,9 +34,9 @@
   },
   rules: { coldFrom: 0.26, coldMs: 12000, fallMultiple: 3, fallMs: 3000, releaseMs: 500 },
   serving: {
-    marginMs: 20,  // answers come before a client's time is up by this much
+    marginMs: 20,  // answers are sent this long before the client's deadline
     resumes: true,
-    stallMs: 10000,  // a client that takes nothing of its answer for so long is given up
+    stallMs: 10000,  // the longest time that a client may read nothing of its answer
     maxOpen: 10000,
     defaultMaxTokens: 256,
     mostMaxTokens: 4096,
@@ -47,14 +48,14 @@
     streamsPerConnection: 1000,
     drainMs: 10000,
   },
-  traceShare: 0,  // of requests whose spans go to the log; those that clients sample come on top
-  pastFolder: '',  // where it keeps what it knows for its next life; one folder for each edge
-  teachKeys: [],  // { id: 'k1', secret: '16 bytes or more' }: edges with a common key teach new ones
+  traceShare: 0,  // share of requests whose spans are logged, besides those that clients sample
+  pastFolder: '',  // for state that is kept across restarts; one folder for each edge
+  teachKeys: [],  // { id: 'k1', secret: '16 bytes or more' }: edges that share a key teach new ones
   record: {
-    folder: '',  // where its decisions are recorded, one folder for each edge; empty for none
-    megabytes: 64,  // the window that is always there: some 250,000 requests
+    folder: '',  // for the record of decisions, one folder for each edge; empty for no record
+    megabytes: 64,  // size of the window that is always kept: about 250,000 requests
     minutes: 60,
-    keptMegabytes: 256,  // of what is kept as a rule was in danger or somebody asked
+    keptMegabytes: 256,  // size of the records preserved after an anomaly or on request
   },
   seed: 1,
 }
--- a/app/src/main/resources/templates/engine.libsonnet
+++ b/app/src/main/resources/templates/engine.libsonnet
@@ -1,10 +1,11 @@
-// A stand-in engine. Times in microseconds. Give at least id, role, kind, zone, rack and registry.
+// Settings of a stand-in engine. Times are in microseconds. Set at least id, role, kind, zone, rack
+// and registry.
 {
-  id: error 'id: give this engine a name of its own, the same after a restart',
-  kind: error 'kind: say which of the edges\' kinds it is',
-  role: error 'role: give read, write or both',
-  zone: error 'zone: say where it stands',
-  rack: error 'rack: say where it stands',
+  id: error 'id: give this engine a unique id that stays the same after a restart',
+  kind: error 'kind: set one of the kinds in the edges\' settings',
+  role: error 'role: set read, write or both',
+  zone: error 'zone: set the zone of this engine',
+  rack: error 'rack: set the rack of this engine',
   port: 0,
   registry: '',
   renewMicros: 500000,
--- a/app/src/main/resources/templates/registry.libsonnet
+++ b/app/src/main/resources/templates/registry.libsonnet
@@ -1,4 +1,4 @@
-// A stand-in Eureka registry. Times in microseconds.
+// Settings of a stand-in Eureka registry. Times are in microseconds.
 {
   port: 0,
   evictMicros: 500000,
--- a/app/src/test/java/sorrelhoist/app/CommandNamesTest.java
+++ b/app/src/test/java/sorrelhoist/app/CommandNamesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** Commands under their names, and for one release under their former ones too. */
+/** Commands are accepted under their names, and for one release under their former names. */
 class CommandNamesTest {
     private final CommandLine line = Main.commandLine();
 
--- a/app/src/test/java/sorrelhoist/app/DeployTest.java
+++ b/app/src/test/java/sorrelhoist/app/DeployTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What `run` of deploy/balancer.toml starts: a shell that may use nothing but itself, and ends as
- * the router.
+ * Tests the `run` command of deploy/balancer.toml: a shell script that may use only shell built-ins
+ * and finally replaces itself with the router process.
  */
 class DeployTest {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
     @TempDir private Path folder;
 
     /**
-     * The only program on the path is a java that says how it was called, and under which process
-     * number.
+     * Installs a fake java, the only program on the path, that prints its arguments and its process
+     * id.
      */
     @BeforeEach
     void onlyJava() throws IOException {
@@ -48,20 +48,20 @@
                                 + "  }\n"
                                 + "}\n")
                         .contains("-Xmx48m"));
-        assertTrue(run("{\n\"memory_mb\":160}").contains("-Xms48m"), "a last line without its end");
+        assertTrue(run("{\n\"memory_mb\":160}").contains("-Xms48m"), "no line feed at the end");
     }
 
     @Test
     void theHeapIsBoundedAndHasADefault() throws Exception {
         assertTrue(run("{\"limits\":{\"memory_mb\":16}}").contains("-Xmx12m"));
         assertTrue(run("{\"limits\":{\"memory_mb\":2048}}").contains("-Xmx64m"));
-        assertTrue(run("{\"limits\":{}}").contains("-Xmx38m"), "128 MB where nothing is said");
+        assertTrue(run("{\"limits\":{}}").contains("-Xmx38m"), "128 MB if memory_mb is missing");
         assertTrue(run("").contains("-Xmx38m"));
     }
 
     /**
-     * A start that computes for long without waiting is a crash on the platform; the limit is of
-     * processor time.
+     * The platform treats a start that computes for long without waiting as a crash, so the test
+     * limits the processor time of the start.
      */
     @Test
     void aListOfManyWorkersInOneLineCostsTheShellNextToNothing() throws Exception {
@@ -81,13 +81,13 @@
     }
 
     /**
-     * Where a hundred routers start at once, each of these calls costs the machine more than the
-     * work between them.
+     * When a hundred routers start at once, each system call costs the machine more than the work
+     * between the calls.
      */
     @Test
     void aListOfManyWorkersIsReadInFewSystemCalls() throws Exception {
         Path java = folder.resolve("bin").resolve("java");
-        // The same process as the script's, by exec: its count of reads is still there.
+        // exec keeps the script's process, so its number of read calls is still available.
         Files.writeString(
                 java,
                 "#!/bin/sh\n"
@@ -138,7 +138,7 @@
         assertEquals(
                 "pid=" + shell.pid(),
                 said.get(said.size() - 1),
-                "started by exec, in the shell's own process");
+                "java has to be started by exec, in the shell's process");
         return said;
     }
 }
--- a/app/src/test/java/sorrelhoist/app/GrpcJavaTest.java
+++ b/app/src/test/java/sorrelhoist/app/GrpcJavaTest.java
@@ -40,7 +40,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** The edge against grpc-java and the published messages, neither of which this project wrote. */
+/** Tests the edge with grpc-java and the published messages, both written by other projects. */
 class GrpcJavaTest {
     private static final String SERVICE = "inference.GRPCInferenceService/";
     private static final MethodDescriptor<ModelInferRequest, ModelStreamInferResponse> STREAM =
@@ -76,9 +76,8 @@
     static void start() throws Exception {
         fleet = new LocalFleet(2, 2, 1);
         channel = NettyChannelBuilder.forTarget(fleet.address(0)).usePlaintext().build();
-        // grpc-java writes grpc-timeout before it connects, and counts the connecting: a test of
-        // deadlines needs the
-        // connection to be there.
+        // grpc-java computes grpc-timeout before it connects, and the time for connecting counts
+        // towards the deadline. Tests of deadlines therefore need an open connection.
         assertTrue(
                 ClientCalls.blockingUnaryCall(
                                 channel,
@@ -115,7 +114,7 @@
                                                                 "Grüße: what about dock seven?"))));
     }
 
-    /** What a streaming call saw. */
+    /** Records the messages and the status of a streaming call. */
     private static final class Seen extends ClientCall.Listener<ModelStreamInferResponse> {
         final List<ModelStreamInferResponse> messages = new ArrayList<>();
         final CompletableFuture<Status> status = new CompletableFuture<>();
@@ -250,7 +249,7 @@
                         CallOptions.DEFAULT.withDeadlineAfter(2, TimeUnit.SECONDS));
         assertEquals(Status.Code.DEADLINE_EXCEEDED, seen.status.get(5, TimeUnit.SECONDS).getCode());
         assertTrue(seen.messages.size() > 3);
-        // The edge's own word, not the client's: grpc-java says so otherwise.
+        // This text comes from the edge; grpc-java reports its own timeouts with another text.
         assertEquals(
                 "the answer did not end within the client's time",
                 seen.status.get().getDescription());
--- a/app/src/test/java/sorrelhoist/app/HardCasesTest.java
+++ b/app/src/test/java/sorrelhoist/app/HardCasesTest.java
@@ -18,7 +18,7 @@
 import sorrelhoist.planner.Planner;
 import sorrelhoist.protocol.net.LoopbackTransport;
 
-/** What goes wrong when several things happen at once. */
+/** Tests faults that occur together or under load, and malformed input. */
 class HardCasesTest {
     @org.junit.jupiter.api.io.TempDir java.nio.file.Path traces;
     private LocalFleet fleet;
@@ -60,7 +60,7 @@
             try {
                 again = new Planner(fleet.plannerSettings(fleet.plannerPort)).start();
             } catch (java.io.IOException e) {
-                assertTrue(i < 200, "the planner's port was not free again");
+                assertTrue(i < 200, "the planner's port is still in use");
                 Thread.sleep(10);
             }
         }
@@ -85,7 +85,7 @@
         fleet = new LocalFleet(1, 2, 2);
         fleet.tell("w1", "drain");
         LocalFleet.await(
-                "both edges to have heard",
+                "both edges to know of the drain",
                 () ->
                         fleet.edges.stream()
                                 .allMatch(
@@ -126,8 +126,8 @@
             assertTrue(f.get(6, TimeUnit.SECONDS).rejected());
         }
         long sends = reads() - before;
-        // 25 saved, 0.3 for each arrival, and the last fraction of a permit; without a budget it
-        // would be five each.
+        // The retry budget has 25 saved permits, 0.3 for each arrival, and a last fraction of a
+        // permit; without a budget each request would be retried five times.
         assertTrue(
                 sends <= asked + 25 + 0.3 * asked + 1, sends + " sends for " + asked + " requests");
         fleet.nothingLeft(0);
@@ -139,7 +139,7 @@
                 .count();
     }
 
-    /** Sends bytes, and waits until the other side has hung up or answered. */
+    /** Sends bytes and waits until the other side has closed the connection. */
     private void send(int port, byte[] bytes) throws Exception {
         CompletableFuture<Void> over = new CompletableFuture<>();
         var channel =
--- a/app/src/test/java/sorrelhoist/app/InferenceProbe.java
+++ b/app/src/test/java/sorrelhoist/app/InferenceProbe.java
@@ -4,7 +4,7 @@
 import sorrelhoist.lab.load.InferenceClient;
 import sorrelhoist.lab.load.ScriptedRequest;
 
-/** Asks an edge for a short answer. */
+/** Sends an edge a request for a short answer. */
 final class InferenceProbe {
     private InferenceProbe() {}
 
--- a/app/src/test/java/sorrelhoist/app/LocalFleet.java
+++ b/app/src/test/java/sorrelhoist/app/LocalFleet.java
@@ -27,13 +27,13 @@
 import sorrelhoist.standin.registry.RegistryStandIn;
 
 /**
- * A whole fleet inside the test's process, its parts talking over loopback sockets as they do
- * apart.
+ * A complete fleet inside the test's process. Its parts communicate over loopback sockets, as they
+ * do in separate processes.
  */
 final class LocalFleet implements AutoCloseable {
     static final String MODEL = "sorrel";
     private static final long LOOK =
-            1_000_000; // nanoseconds between looks: a spinning test starves what it waits for
+            1_000_000; // nanoseconds between polls: busy waiting would starve the awaited code
     private static final long BOUND = 60_000;
     final EventLoopGroup loops = LoopbackTransport.newEventLoops(2, "fleet");
     private final Path traces;
@@ -188,7 +188,7 @@
         return new InferenceClient(loops.next(), address(edge), MODEL);
     }
 
-    /** Tells an engine what to suffer. */
+    /** Sends a fault command to an engine and waits until the engine has confirmed it. */
     void tell(String engine, String command) {
         GrpcChannel channel =
                 new GrpcChannel(
@@ -228,16 +228,16 @@
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BOUND);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("waited too long for " + what);
+                throw new AssertionError("timed out waiting for " + what);
             }
             LockSupport.parkNanos(LOOK);
         }
     }
 
-    /** Waits until an edge holds nothing: no requests, attempts, states or calls. */
+    /** Waits until an edge is idle: without requests, attempts, states or calls. */
     void nothingLeft(int edge) {
         await(
-                "edge " + edge + " to hold nothing",
+                "edge " + edge + " to be idle",
                 () -> edges.get(edge).usage().join().equals(Edge.Usage.IDLE));
     }
 
--- a/app/src/test/java/sorrelhoist/app/PathTest.java
+++ b/app/src/test/java/sorrelhoist/app/PathTest.java
@@ -12,8 +12,8 @@
 import sorrelhoist.protocol.grpc.StatusCode;
 
 /**
- * The whole path: a client, an edge, a planner, a reader, a writer, tokens back; and what breaks on
- * the way.
+ * Tests the complete path of a request, from a client through an edge with a planner to prefill and
+ * decode engines and back, and failures along the path.
  */
 class PathTest {
     private LocalFleet fleet;
@@ -55,7 +55,7 @@
                             }
                         });
         LocalFleet.await("tokens", () -> killed[0]);
-        // Whichever writes is told to die; the other goes on.
+        // Kills w1; if it serves the stream, w2 continues it.
         fleet.engines.get("w1").kill();
         InferenceClient.Result r = asked.get(15, TimeUnit.SECONDS);
         assertTrue(r.served(), r.toString());
--- a/app/src/test/java/sorrelhoist/app/StormTest.java
+++ b/app/src/test/java/sorrelhoist/app/StormTest.java
@@ -25,9 +25,10 @@
 import sorrelhoist.lab.scenario.Scenario;
 
 /**
- * A thousand streams with cancels, stalls, errors, lost answers and deaths mixed by seed, judged by
- * their traffic. Their rate is a fraction of what two cores carry: clients, edge and engines share
- * one process, and a process without CPU answers nobody in time.
+ * Runs more than a thousand streams with cancellations, stalls, errors, lost answers and engine
+ * crashes drawn from a seed, and judges their traffic. The rate is a fraction of what two cores can
+ * serve, because clients, edge and engines share one process, and answers miss their deadlines when
+ * that process gets no CPU time.
  */
 class StormTest {
     @TempDir Path traces;
@@ -87,11 +88,11 @@
         assertEquals(List.of(), v.violations(), v.table());
         assertEquals(
                 plan.size(), v.served() + v.rejected() + v.failed() + v.cancelled(), v.table());
-        // Most clients that leave at once are counted whatever the fleet does; how many are served
-        // is a matter of speed.
+        // Most clients that cancel at once are counted as cancelled regardless of the fleet's
+        // behavior; the number of served requests depends on the machine's speed.
         long atOnce = plan.stream().filter(p -> p.cancelsAtToken() == 0).count();
         assertTrue(atOnce > 5 && v.cancelled() >= atOnce, atOnce + " left at once: " + v.table());
-        assertTrue(v.cancelled() > atOnce, "nobody left in mid-answer: " + v.table());
+        assertTrue(v.cancelled() > atOnce, "no client cancelled in mid-answer: " + v.table());
         assertTrue(v.served() > 100, v.table());
         for (int i = 0; i < 3; i++) {
             System.gc();
--- a/app/src/test/java/sorrelhoist/app/StreamsTest.java
+++ b/app/src/test/java/sorrelhoist/app/StreamsTest.java
@@ -27,7 +27,10 @@
 import sorrelhoist.protocol.inference.Parameter;
 import sorrelhoist.protocol.inference.Tensor;
 
-/** Streams whose clients read slowly or not at all, the end of an edge in good order, and spans. */
+/**
+ * Tests streams whose clients read slowly or not at all, the graceful shutdown and the restart of
+ * an edge, state transfers, records and spans.
+ */
 class StreamsTest {
     private LocalFleet fleet;
 
@@ -38,7 +41,7 @@
         }
     }
 
-    /** A client that takes nothing until it is told to. */
+    /** A client that reads nothing until {@link #take} is called. */
     private static final class Idle implements ClientCall.Listener {
         final AtomicInteger messages = new AtomicInteger();
         final CompletableFuture<Status> closed = new CompletableFuture<>();
@@ -102,7 +105,7 @@
         }
         Status status = idle.closed.get(10, TimeUnit.SECONDS);
         assertFalse(status.isOk());
-        assertTrue(idle.messages.get() < 40, "it was given " + idle.messages.get());
+        assertTrue(idle.messages.get() < 40, "messages received: " + idle.messages.get());
         fleet.nothingLeft(0);
     }
 
@@ -180,13 +183,14 @@
                         .orElseThrow();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!remembers(folder, "session-7")) {
-            assertTrue(System.nanoTime() < end, "nothing was written");
+            assertTrue(System.nanoTime() < end, "the state was not written in time");
             Thread.sleep(50);
         }
-        // Not stopped: the new one starts beside it from what is on disk, as after a kill.
+        // The first edge is not stopped: the new one starts from the state on disk, as after a
+        // kill.
         fleet.edges.add(new sorrelhoist.edge.Edge(fleet.edgeSettings("edge-1", true)).start());
         LocalFleet.await(
-                "the new edge to remember",
+                "the new edge to load the state",
                 () ->
                         fleet.edges.get(1).knowledge().join().keys().stream()
                                 .anyMatch(k -> k.name().equals("session-7")));
--- a/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
+++ b/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
@@ -98,7 +98,7 @@
         assertTrue(
                 errors("(import 'edge.libsonnet') + { zone: 'a', planner: '127.0.0.1:9' }")
                         .get(0)
-                        .contains("give this edge a name of its own"));
+                        .contains("give this edge a unique name that stays the same"));
         assertTrue(errors("{ broken ").size() > 0);
         Path missing = folder.resolve("missing.jsonnet");
         assertTrue(
--- a/app/src/test/java/sorrelhoist/edge/TracingBench.java
+++ b/app/src/test/java/sorrelhoist/edge/TracingBench.java
@@ -20,7 +20,8 @@
 import sorrelhoist.routing.Reason;
 
 /**
- * What the spans of one request and its two attempts cost: off, on but not sampled, and sampled.
+ * Measures the cost of the spans of one request and its two attempts: with tracing off, with
+ * tracing on but the request not sampled, and with the request sampled.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -70,25 +71,25 @@
                 Reason.UNKNOWN);
     }
 
-    /** Off. */
+    /** Tracing is off. */
     @Benchmark
     public int off() {
         return request(off);
     }
 
-    /** On, and this request is not sampled. */
+    /** Tracing is on, and the request is not sampled. */
     @Benchmark
     public int unsampled() {
         return request(unsampled);
     }
 
-    /** On, and this request is sampled. */
+    /** Tracing is on, and the request is sampled. */
     @Benchmark
     public int sampled() {
         return request(sampled);
     }
 
-    /** Runs it. */
+    /** Runs the benchmark with the allocation profiler. */
     public static void main(String[] args) throws Exception {
         org.openjdk.jmh.Main.main(new String[] {"TracingBench", "-prof", "gc"});
     }
--- a/app/src/test/java/sorrelhoist/lab/soak/MemoryTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/MemoryTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A router process with the memory of a small machine, under more content than fits into it. */
+/** Tests a router process with little memory, which receives more content than fits into it. */
 class MemoryTest {
-    private static final int LARGE = 240 << 10; // just below what the protocol allows
-    private static final int CLIENTS = 90; // together more than the heap of this process
+    private static final int LARGE = 240 << 10; // bytes, just below the protocol's limit
+    private static final int CLIENTS = 90; // their requests exceed the router's heap together
     @TempDir private Path folder;
 
-    /** As deploy/platform starts it where it is granted 64 MB. */
+    /** The router starts with the options that deploy/platform uses for a limit of 64 MB. */
     @Test
     void largeRequestsThatDoNotFitAreAnsweredAndTheRouterLivesOn() throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
@@ -48,13 +48,13 @@
             assertEquals(
                     List.of(),
                     fixture.router.process.log().lines().filter(l -> !isEvent(l)).toList(),
-                    "no fault of its own is met on the way");
+                    "the router logs only events of requests, no internal error");
         } finally {
             clients.shutdownNow();
         }
     }
 
-    /** {@return whether a line tells of what requests met, such as a rejection} */
+    /** {@return whether a log line reports an event of requests, such as a rejection} */
     private static boolean isEvent(String line) {
         return line.contains(" event=") && !line.contains("violat");
     }
--- a/app/src/test/java/sorrelhoist/lab/soak/RouterFixture.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/RouterFixture.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One router process with a reader and a writer, and clients on plain sockets. Every wait has a
- * bound.
+ * One router process with a prefill and a decode worker, and clients on plain sockets. Every wait
+ * has a time limit.
  */
 final class RouterFixture implements AutoCloseable {
     static final int BOUND_MILLIS = 20_000;
@@ -28,11 +28,11 @@
     private final AtomicInteger sentRequests = new AtomicInteger();
 
     /**
-     * Starts it.
+     * Starts the router and the workers.
      *
-     * @param folder for its files
-     * @param library of system-call faults, or null
-     * @param options of its JVM
+     * @param folder the folder for the fleet's files
+     * @param library the library that injects system-call faults, or null for none
+     * @param options the JVM options of the router
      */
     RouterFixture(Path folder, Path library, String... options) throws Exception {
         List<String> command = new ArrayList<>();
@@ -56,8 +56,7 @@
                                 folder.resolve("fleet"),
                                 library,
                                 1));
-        // What is timed here is the router, not the queues and streams of workers or the links to
-        // them.
+        // The tests time only the router, so the workers and links add no delays.
         for (WorkerNode worker : fleet.workers) {
             fleet.runOnLoop(() -> worker.standIn.setMaxQueueMillis(0));
             fleet.runOnLoop(() -> worker.standIn.setMaxEvents(1));
@@ -91,7 +90,7 @@
         return send(socket, 0).answer();
     }
 
-    /** Sends a request with so many characters in its content. */
+    /** Sends a request whose content has the given number of characters. */
     Sent send(Socket socket, int characters) throws Exception {
         RequestTrace trace =
                 new RequestTrace(
@@ -119,10 +118,11 @@
         return new Sent(socket, trace);
     }
 
-    /** A request that was sent. */
+    /** A request that has been sent. */
     record Sent(Socket socket, RequestTrace trace) {
         /**
-         * {@return the status of its answer, read to its end; NOTHING_CAME in its time, or CLOSED}
+         * {@return the status of the answer, which is read to its end; NOTHING_CAME if none arrives
+         * in time; CLOSED if the connection ends without one}
          */
         int answer() throws IOException {
             try {
--- a/app/src/test/java/sorrelhoist/lab/soak/SoakTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/SoakTest.java
@@ -15,8 +15,8 @@
 import sorrelhoist.lab.soak.WorkerEntry.Role;
 
 /**
- * The oracle sees each planted fault; schedules are their seeds' alone; and one short seed is
- * played.
+ * Tests that the oracle detects each planted violation, that a schedule depends only on its seed,
+ * and that short soaks keep every invariant.
  */
 class SoakTest {
     private static final long SECOND = 1_000_000_000;
@@ -323,7 +323,7 @@
         Path library = SystemCallFaults.build(folder);
         if (library == null) {
             System.out.println(
-                    "no C compiler on this machine: the soak is played without system-call faults");
+                    "no C compiler on this machine: the soak runs without system-call faults");
             kinds.removeIf(Kind::needsLibrary);
         }
         assertKeepsEveryInvariant(SEED, kinds, library);
@@ -335,7 +335,7 @@
                 HANGS_SEED, EnumSet.of(Kind.WORKER_HANGS, Kind.LINK_SILENT), null);
     }
 
-    /** A decode that was given up stands in a full worker's queue and keeps its state. */
+    /** An abandoned decode stays in a full worker's queue and keeps its state reserved. */
     @Test
     void aShortSeedOfFullWorkersLeavesNoStateReservedForLongerThanItsLimit() throws Exception {
         Set<Kind> kinds = EnumSet.of(Kind.WORKER_MISBEHAVES, Kind.LINK_RESET);
--- a/app/src/test/java/sorrelhoist/lab/soak/SystemCallFaultsTest.java
+++ b/app/src/test/java/sorrelhoist/lab/soak/SystemCallFaultsTest.java
@@ -18,8 +18,8 @@
 import sorrelhoist.lab.soak.SystemCallFaults.SystemCall;
 
 /**
- * A router process whose system calls fail: it answers what it took, and is whole again as soon as
- * they work.
+ * Tests a router process whose system calls fail: it answers the requests that it has accepted, and
+ * serves normally as soon as the calls succeed again.
  */
 class SystemCallFaultsTest {
     private static final long WHOLE_AGAIN_MILLIS = 500;
@@ -75,19 +75,19 @@
             assertTrue(
                     status == 502 || status == 503,
                     "answered " + status + ": " + router.process.log());
-            // A connection that cannot even be tried is an outcome at once; nothing is to be waited
-            // for.
+            // An attempt fails at once if its connection cannot be started; the router has nothing
+            // to wait for.
             long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
             assertTrue(took < AT_ONCE_MILLIS, "answered after " + took + " ms");
         }
-        assertTrue(faults.failures(call) > 0, "the fault was never met");
+        assertTrue(faults.failures(call) > 0, "the fault was never triggered");
         faults.clear(call);
         assertServedAgain();
     }
 
     /**
-     * As a process finds it whose limit of descriptors is used up: no file can be opened either,
-     * not even by a log.
+     * Simulates a process that has reached its limit of descriptors: it can open no sockets and no
+     * files either, not even log files.
      */
     @Test
     void aMomentWithoutDescriptorsIsSurvived() throws Exception {
@@ -103,10 +103,10 @@
                 awaitFailures(SystemCall.ACCEPT);
                 needing.forEach(faults::clear);
                 assertServedAgain();
-                assertEquals(200, fixture.requestStatus(waiting), "what waited in the queue");
+                assertEquals(200, fixture.requestStatus(waiting), "waited in the accept queue");
             }
         }
-        assertTrue(faults.failures(SystemCall.SOCKET) > 0, "the fault was never met");
+        assertTrue(faults.failures(SystemCall.SOCKET) > 0, "the fault was never triggered");
     }
 
     @ParameterizedTest
@@ -118,7 +118,7 @@
             awaitFailures(SystemCall.ACCEPT);
             faults.clear(SystemCall.ACCEPT);
             assertServedAgain();
-            assertEquals(200, fixture.requestStatus(waiting), "what waited in the queue");
+            assertEquals(200, fixture.requestStatus(waiting), "waited in the accept queue");
         }
     }
 
@@ -139,7 +139,7 @@
                             - TimeUnit.NANOSECONDS.toMillis(write.arrivedAt - sentAt);
             assertTrue(
                     write.budgetMillis <= left + SLACK_MILLIS,
-                    "told " + write.budgetMillis + " of " + left + " ms");
+                    "budget of " + write.budgetMillis + " of " + left + " ms");
         }
     }
 
@@ -161,7 +161,7 @@
         while (faults.failures(call) == 0 && System.nanoTime() < bound) {
             Thread.sleep(1);
         }
-        assertTrue(faults.failures(call) > 0, "the fault was never met");
+        assertTrue(faults.failures(call) > 0, "the fault was never triggered");
     }
 
     private void assertServedAgain() throws Exception {
