--- a/app/src/main/java/sorrelhoist/app/command/PlatformCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/PlatformCommand.java
@@ -9,7 +9,7 @@
 @Command(
         name = PlatformCommand.NAME,
         description =
-                "Runs one router on the operators' platform; reads LB_CONFIG and similar settings.")
+                "Runs one router on the operators' platform; LB_CONFIG names its settings file.")
 public final class PlatformCommand implements Callable<Integer> {
     /** The command's name on the command line. */
     public static final String NAME = "platform";
