--- a/app/src/main/java/sorrelhoist/app/command/MeasureCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/MeasureCommand.java
@@ -105,8 +105,7 @@
 
     @Command(
             name = "door",
-            description =
-                    "Simulates bursts that the engines have capacity for, in virtual time.")
+            description = "Simulates bursts that the engines have capacity for, in virtual time.")
     int door(
             @Option(
                             names = "--edges",
@@ -114,8 +113,7 @@
                             defaultValue = "2,10,50",
                             description = "sizes of fleets")
                     int[] sizes,
-            @Option(names = "--seeds", defaultValue = "3", description = "runs per case")
-                    int seeds,
+            @Option(names = "--seeds", defaultValue = "3", description = "runs per case") int seeds,
             @Option(names = "--table", paramLabel = "FILE", description = "for the figures, as CSV")
                     Path table)
             throws IOException {
@@ -129,8 +127,7 @@
 
     @Command(
             name = "recorder",
-            description =
-                    "Measures the cost of recording: alternates edges with and without it.")
+            description = "Measures the cost of recording: alternates edges with and without it.")
     int recorder(
             @Option(names = "--requests", defaultValue = "20000", description = "per turn")
                     int requests,
--- a/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/RecordCommand.java
@@ -108,8 +108,7 @@
     private static int replay(Recording recording) {
         if (!recording.isComplete()) {
             System.err.println(
-                    "note: the record is incomplete, so a difference does not"
-                            + " prove a fault");
+                    "note: the record is incomplete, so a difference does not" + " prove a fault");
         }
         long startNanos = System.nanoTime();
         Replay.Result result = Replay.run(recording);
--- a/app/src/main/java/sorrelhoist/app/command/ScenarioCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/ScenarioCommand.java
@@ -40,8 +40,7 @@
 
     @Command(
             name = "show",
-            description =
-                    "Prints the built-in scenario, as a starting point for other scenarios.")
+            description = "Prints the built-in scenario, as a starting point for other scenarios.")
     int show() throws IOException {
         try (InputStream in =
                 ScenarioCommand.class.getResourceAsStream(LocalFleets.BUILT_IN_SCENARIO)) {
--- a/app/src/main/java/sorrelhoist/app/command/UpCommand.java
+++ b/app/src/main/java/sorrelhoist/app/command/UpCommand.java
@@ -18,8 +18,7 @@
             names = "--port-base",
             paramLabel = "N",
             defaultValue = "0",
-            description =
-                    "first port: edges, then planner and registry (default: any free ports)")
+            description = "first port: edges, then planner and registry (default: any free ports)")
     int portBase;
 
     @Override
