--- a/edge/src/main/java/sorrelhoist/edge/AttemptListener.java
+++ b/edge/src/main/java/sorrelhoist/edge/AttemptListener.java
@@ -11,11 +11,11 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
- * Listens to an engine's answer to an attempt, on the connection's thread, and reports the end of
- * the attempt to the router. Subclasses read the messages.
+ * Handles an engine's response to an attempt, on the connection's network thread, and reports the
+ * end of the attempt to the router. Subclasses parse the response messages.
  */
 abstract class AttemptListener implements ClientCall.Listener {
-    /** The detail of an outcome that tells that the engine found no state to fetch. */
+    /** Outcome detail: the engine did not find the prefill state that it was to fetch. */
     private static final int DETAIL_STATE_MISSING = 1;
 
     private static final int NO_DETAIL = 0;
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Reports a complete answer to the router, on the router's thread.
+     * Reports a complete response to the router. Called on the router's thread.
      *
-     * @return false if the answer is not complete though the call ended well
+     * @return false if the response is incomplete although the call ended with status OK
      */
     abstract boolean reportCompleted(Router r, ServerLoad load);
 
@@ -41,7 +41,7 @@
     public void onClose(
             ClientCall call, Status status, Headers trailers, ClientCall.Termination termination) {
         if (termination == ClientCall.Termination.CANCELLED) {
-            return; // the router cancelled it, and knows
+            return; // cancelled by the router, which needs no report
         }
         ServerLoad load = serverLoad(trailers);
         router.execute(r -> reportEnd(r, status, termination, load));
@@ -69,7 +69,10 @@
                 load);
     }
 
-    /** Gives up on an engine that sent a malformed message. The attempt may have run there. */
+    /**
+     * Cancels a call whose engine sent a malformed message, and fails the attempt with {@link
+     * Outcome#ERROR}: the engine may have executed it.
+     */
     final void malformedMessage(ClientCall call) {
         call.cancel();
         router.execute(
--- a/edge/src/main/java/sorrelhoist/edge/AttemptOutcomes.java
+++ b/edge/src/main/java/sorrelhoist/edge/AttemptOutcomes.java
@@ -6,13 +6,13 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /**
- * Maps the end of a call to an engine to the outcome of the attempt. An attempt counts as never
- * executed only where the end of the call proves it.
+ * Maps the end of a call to an engine to the outcome of the attempt. An attempt is reported as
+ * never executed only if the end of the call proves that the engine did not process it.
  */
 final class AttemptOutcomes {
     private AttemptOutcomes() {}
 
-    /** {@return the outcome of an attempt whose call did not succeed} */
+    /** Returns the outcome of an attempt whose call did not succeed. */
     static Outcome of(Status status, ClientCall.Termination termination) {
         return switch (termination) {
             case NOT_SENT, UNPROCESSED -> Outcome.CONNECT_FAILED;
@@ -30,7 +30,10 @@
         };
     }
 
-    /** {@return whether the engine did not find the prefill state that it was to fetch} */
+    /**
+     * Returns true if the engine reported that it did not find the prefill state to fetch. Only a
+     * status that the engine sent counts, not a call that broke off.
+     */
     static boolean isStateMissing(Status status, ClientCall.Termination termination) {
         return termination == ClientCall.Termination.STATUS
                 && status.code() == StatusCode.FAILED_PRECONDITION;
--- a/edge/src/main/java/sorrelhoist/edge/BackgroundJobs.java
+++ b/edge/src/main/java/sorrelhoist/edge/BackgroundJobs.java
@@ -10,13 +10,13 @@
 import sorrelhoist.core.scheduling.BackgroundScheduler;
 
 /**
- * Runs background jobs in slices on the router's thread, within a budget, while no event waits. Its
- * state belongs to that thread.
+ * Runs background jobs in slices on the router's thread, within a CPU budget and while no event is
+ * queued. Its state belongs to that thread.
  */
 final class BackgroundJobs {
     private static final Logger LOG = LoggerFactory.getLogger(BackgroundJobs.class);
 
-    /** A tenth of the thread, in microseconds of CPU time a second. */
+    /** Budget of all jobs: a tenth of the thread, in microseconds of CPU time per second. */
     private static final long CPU_MICROS_PER_SECOND = 100_000;
 
     private static final long MIN_DELAY_MICROS = 1000;
@@ -35,11 +35,12 @@
     }
 
     /**
-     * Adds a job; may be called on any thread.
+     * Adds a job and makes it due now. May be called on any thread.
      *
-     * @param job its name, rank and budget
-     * @param slice runs one slice: takes the time, returns when the next is due, both in
-     *     microseconds; Long.MAX_VALUE for when {@link #schedule} says so
+     * @param job the job's name, priority and budget
+     * @param slice runs one slice; takes the current time and returns the time at which the next
+     *     slice is due, both in microseconds, or Long.MAX_VALUE if the job waits for {@link
+     *     #schedule}
      */
     void add(BackgroundScheduler.Job job, LongUnaryOperator slice) {
         thread.execute(
@@ -50,13 +51,13 @@
                 });
     }
 
-    /** Makes a job due now. */
+    /** Makes a job due now. Called on the router's thread. */
     void schedule(BackgroundScheduler.Job job) {
         scheduler.schedule(job, clock.now(), Long.MAX_VALUE);
         wakeForNextSlice();
     }
 
-    /** Counts bytes that the running slice has moved against its job's budget. */
+    /** Charges bytes that the running slice has read or written to its job's budget. */
     void countBytes(long bytes) {
         bytesOfSlice += bytes;
     }
@@ -87,11 +88,11 @@
         try {
             return slices.get(job).applyAsLong(clock.now());
         } catch (RuntimeException | Error e) {
-            // A job that fails must not end the thread that serves all requests.
+            // A failing job must not end the thread that serves all requests.
             LOG.atError()
                     .setCause(e)
                     .addKeyValue("event", "background_job_failed")
-                    .log("{} failed", job.name());
+                    .log("background job {} failed", job.name());
             return retryAt;
         }
     }
--- a/edge/src/main/java/sorrelhoist/edge/CallMetadata.java
+++ b/edge/src/main/java/sorrelhoist/edge/CallMetadata.java
@@ -3,12 +3,12 @@
 import sorrelhoist.protocol.grpc.GrpcTimeout;
 import sorrelhoist.protocol.hpack.Headers;
 
-/** The gRPC metadata of calls to engines, and what is read of a client's. */
+/** gRPC metadata of calls to engines, and names of the metadata of clients' calls. */
 final class CallMetadata {
-    /** How often the client's library has tried before. */
+    /** Number of attempts that the client's gRPC library has made before this one. */
     static final String PREVIOUS_ATTEMPTS = "grpc-previous-rpc-attempts";
 
-    /** When the client may retry, in milliseconds. */
+    /** Delay after which the client may retry, in milliseconds. */
     static final String RETRY_PUSHBACK_MILLIS = "grpc-retry-pushback-ms";
 
     private static final String TIMEOUT = "grpc-timeout";
@@ -18,10 +18,11 @@
     private CallMetadata() {}
 
     /**
-     * {@return the metadata of a call that has to end by a deadline}
+     * Returns the metadata of a call with a deadline. The timeout is at least a microsecond, and an
+     * hour if there is no deadline.
      *
-     * @param deadlineMicros the deadline; Long.MAX_VALUE for none
-     * @param nowMicros the time on the same clock
+     * @param deadlineMicros the deadline, in microseconds; Long.MAX_VALUE for none
+     * @param nowMicros the current time of the same clock, in microseconds
      */
     static Headers withDeadline(long deadlineMicros, long nowMicros) {
         long timeoutMicros =
--- a/edge/src/main/java/sorrelhoist/edge/DecodeListener.java
+++ b/edge/src/main/java/sorrelhoist/edge/DecodeListener.java
@@ -11,9 +11,9 @@
 import sorrelhoist.protocol.protobuf.ProtoException;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
-/** Listens to an engine's answer to a decode attempt: tokens, then one finish event. */
+/** Handles an engine's response to a decode attempt: tokens, then one finish event. */
 final class DecodeListener extends AttemptListener {
-    /** Flow-control credit is returned in pieces of at least this many bytes. */
+    /** Flow-control credit is returned to the engine in batches of at least this many bytes. */
     private static final int MIN_CREDIT_BYTES = 8 << 10;
 
     private final EventLoop network;
@@ -36,7 +36,7 @@
             return;
         }
         if (finish != null) {
-            malformedMessage(call); // nothing may follow the finish event
+            malformedMessage(call); // the finish event has to be the last
         } else if (event.finish() != null) {
             call.consumeBytes(wireBytes);
             finish = event.finish();
@@ -52,7 +52,10 @@
                                 router.now(), attempt, token.index(), token.text(), onConsumed));
     }
 
-    /** The client has taken a token: its bytes may be sent again. May run on any thread. */
+    /**
+     * Returns the flow-control credit of a token that the client has consumed. May run on any
+     * thread.
+     */
     private void tokenConsumed(ClientCall call, int wireBytes) {
         if (consumedBytes.addAndGet(wireBytes) >= MIN_CREDIT_BYTES) {
             network.execute(() -> call.consumeBytes(consumedBytes.getAndSet(0)));
--- a/edge/src/main/java/sorrelhoist/edge/Edge.java
+++ b/edge/src/main/java/sorrelhoist/edge/Edge.java
@@ -25,8 +25,8 @@
 import sorrelhoist.routing.Knowledge;
 
 /**
- * An edge: the client listener, the router's event loop, the connections to engines, the stream to
- * the planner and the background tasks, put together. Thread-safe.
+ * An edge process: wires up the client listener, the router's event loop, the connections to
+ * engines, the stream to the planner and the background tasks. Thread-safe.
  */
 public final class Edge implements Http2Connection.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Edge.class);
@@ -54,19 +54,19 @@
     private volatile boolean draining;
 
     /**
-     * Creates an edge that traces nothing; {@link #start} starts it.
+     * Creates an edge without tracing. {@link #start} starts it.
      *
-     * @param settings its settings
+     * @param settings the edge's settings
      */
     public Edge(EdgeSettings settings) {
         this(settings, null);
     }
 
     /**
-     * Creates an edge; {@link #start} starts it.
+     * Creates an edge. {@link #start} starts it.
      *
-     * @param settings its settings
-     * @param telemetry takes its trace spans; null for none
+     * @param settings the edge's settings
+     * @param telemetry receives the trace spans; null to disable tracing
      */
     public Edge(EdgeSettings settings, OpenTelemetry telemetry) {
         this.settings = settings;
@@ -114,17 +114,20 @@
                 Http2Limits.CLIENT);
     }
 
-    /** What is known of engines can only be taken once the engines are; on the router's thread. */
+    /**
+     * Starts the tasks that import knowledge about engines, which requires that the engines are
+     * listed. Called on the router's thread after the first endpoint list with engines.
+     */
     private void enginesListed() {
         persistence.ifPresent(PersistenceTask::restoreAndStart);
         stateTransfer.ifPresent(StateTransferTask::ready);
     }
 
     /**
-     * Listens for clients, and connects to the planner.
+     * Starts to listen for clients, and connects to the planner.
      *
      * @return this
-     * @throws IOException if the port cannot be listened on
+     * @throws IOException if listening on the port fails
      */
     public Edge start() throws IOException {
         InferenceService service =
@@ -146,27 +149,30 @@
                 .addKeyValue("event", "started")
                 .addKeyValue("edge", settings.name())
                 .addKeyValue("port", port())
-                .log("edge listens");
+                .log("edge is listening for clients");
         return this;
     }
 
-    /** {@return the port on which clients are served} */
+    /** Returns the port on which the edge serves clients. */
     public int port() {
         return LoopbackTransport.localPort(listener);
     }
 
-    /** {@return the number of requests without a final result, a moment ago} */
+    /**
+     * Returns the number of requests without a final result, as of the last event that the router
+     * handled.
+     */
     public int openRequests() {
         return router.openRequests();
     }
 
-    /** {@return whether an endpoint list was received} */
+    /** Returns true once an endpoint list has been received. */
     public boolean isReady() {
         return router.isReady();
     }
 
     /**
-     * {@return whether an engine serves, as this edge was last told}
+     * Returns whether an engine accepts requests, according to the latest endpoint list.
      *
      * @param engine the engine's id
      */
@@ -174,7 +180,9 @@
         return router.servingState(engine);
     }
 
-    /** {@return what this edge knows of engines and prefixes} */
+    /**
+     * Returns this edge's knowledge about engines and prefixes, exported on the router's thread.
+     */
     public CompletableFuture<Knowledge> knowledge() {
         CompletableFuture<Knowledge> result = new CompletableFuture<>();
         router.execute(r -> result.complete(router.knowledge(Integer.MAX_VALUE)));
@@ -182,13 +190,13 @@
     }
 
     /**
-     * What an edge holds at a moment.
+     * Numbers of requests, attempts and reservations that an edge holds at one moment.
      *
      * @param openRequests requests without a final result
-     * @param knownRequests requests of which anything is known, ended ones too
+     * @param knownRequests requests that the routing policy tracks, including ended ones
      * @param runningAttempts attempts without an outcome
-     * @param wantedReservations reservations that are not released
-     * @param attemptsInFlight calls to engines for attempts
+     * @param wantedReservations reservations that have not been released
+     * @param attemptsInFlight calls to engines for attempts whose end has not been seen
      */
     public record Usage(
             int openRequests,
@@ -196,11 +204,11 @@
             int runningAttempts,
             int wantedReservations,
             int attemptsInFlight) {
-        /** What an idle edge holds. */
+        /** The usage of an idle edge. */
         public static final Usage IDLE = new Usage(0, 0, 0, 0, 0);
     }
 
-    /** {@return what this edge holds, for tests} */
+    /** Returns this edge's current usage, for tests. */
     public CompletableFuture<Usage> usage() {
         CompletableFuture<Usage> result = new CompletableFuture<>();
         router.execute(
@@ -225,21 +233,21 @@
         clients.remove(connection);
         LOG.atDebug()
                 .addKeyValue("event", "client_closed")
-                .log("a client's connection ended: {}", reason);
+                .log("client connection closed: {}", reason);
     }
 
     /**
-     * Shuts down gracefully: takes no new requests, lets running answers end within their time,
-     * then stops. Blocks.
+     * Shuts down gracefully: rejects new requests, waits up to the drain time for running
+     * responses, fails the requests that are left, then stops. Blocks.
      *
-     * @param hurry polled meanwhile; true ends the wait
+     * @param hurry polled during the wait; true ends the wait for running responses
      */
     public void drain(BooleanSupplier hurry) {
         draining = true;
         LOG.atInfo()
                 .addKeyValue("event", "draining")
                 .addKeyValue("open", openRequests())
-                .log("edge drains");
+                .log("edge is draining");
         router.execute(Router::startDraining);
         clients.forEach(c -> c.executor().execute(c::shutdownGracefully));
         awaitUntil(
@@ -261,7 +269,7 @@
         }
     }
 
-    /** Stops at once. */
+    /** Stops immediately, without waiting for running responses. Later calls have no effect. */
     public void stop() {
         if (stopped.getAndSet(true)) {
             return;
--- a/edge/src/main/java/sorrelhoist/edge/EngineAttempt.java
+++ b/edge/src/main/java/sorrelhoist/edge/EngineAttempt.java
@@ -8,13 +8,13 @@
 /**
  * One attempt of a request at one engine.
  *
- * @param phase what the engine is to do
- * @param id names the attempt
+ * @param phase the work that the engine is to do
+ * @param id the attempt's id
  * @param engine the engine's id
- * @param requestName the request's name at engines
- * @param request what the client asked for
- * @param deadlineMicros when the attempt is cancelled; Long.MAX_VALUE for never
- * @param reason why this engine was selected
+ * @param requestName the name by which engines know the request
+ * @param request the client's request
+ * @param deadlineMicros the deadline of the attempt, in microseconds; Long.MAX_VALUE for none
+ * @param reason the reason for the selection of this engine
  */
 record EngineAttempt(
         Phase phase,
@@ -24,7 +24,7 @@
         InferenceRequest request,
         long deadlineMicros,
         Reason reason) {
-    /** The two phases of a request. */
+    /** The phases of a request, each of which is a method of the engine. */
     enum Phase {
         PREFILL(EngineApi.PREFILL, "prefill"),
         DECODE(EngineApi.DECODE, "decode");
@@ -37,12 +37,12 @@
             this.spanName = spanName;
         }
 
-        /** {@return the path of the engine's method} */
+        /** Returns the gRPC path of the engine's method. */
         String path() {
             return path;
         }
 
-        /** {@return the name of the attempt's trace span} */
+        /** Returns the name of the attempt's trace span. */
         String spanName() {
             return spanName;
         }
--- a/edge/src/main/java/sorrelhoist/edge/EngineAttempts.java
+++ b/edge/src/main/java/sorrelhoist/edge/EngineAttempts.java
@@ -13,15 +13,15 @@
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
 /**
- * The attempts in flight: their calls and their trace spans. Its state belongs to the router's
+ * Tracks the attempts in flight with their calls and trace spans. Its state belongs to the router's
  * thread.
  */
 final class EngineAttempts {
     /**
      * An attempt whose end has not been seen.
      *
-     * @param call its call
-     * @param span its trace span; null if the request is not traced
+     * @param call the call to the engine
+     * @param span the attempt's trace span; null if the request is not traced
      */
     record InFlight(EngineCall call, Span span) {}
 
@@ -37,12 +37,13 @@
     }
 
     /**
-     * Starts an attempt.
+     * Starts an attempt. An attempt at an engine without a channel fails with {@link
+     * Outcome#CONNECT_FAILED}.
      *
      * @param attempt the attempt
-     * @param message its request message
-     * @param listenerFactory makes the listener to the engine's answer, given the thread of the
-     *     connection
+     * @param message the encoded request message
+     * @param listenerFactory creates the listener for the engine's response, given the network
+     *     thread of the connection
      */
     void start(
             EngineAttempt attempt,
@@ -74,7 +75,7 @@
         engineCall.start(message);
     }
 
-    /** Cancels an attempt, if it is in flight. */
+    /** Cancels an attempt. Does nothing if the attempt is not in flight. */
     void cancel(AttemptId id) {
         InFlight attempt = remove(id);
         if (attempt != null) {
@@ -83,7 +84,10 @@
         }
     }
 
-    /** {@return the attempt, in flight no more; null if it was not, and its end does not matter} */
+    /**
+     * Removes an attempt and returns it; null if it was not in flight, in which case its end has to
+     * be ignored.
+     */
     InFlight remove(AttemptId id) {
         return inFlight.remove(id);
     }
@@ -93,7 +97,7 @@
         tracing.attemptEnded(attempt.span(), outcome);
     }
 
-    /** {@return the number of attempts in flight} */
+    /** Returns the number of attempts in flight. */
     int count() {
         return inFlight.size();
     }
--- a/edge/src/main/java/sorrelhoist/edge/EngineCall.java
+++ b/edge/src/main/java/sorrelhoist/edge/EngineCall.java
@@ -7,16 +7,16 @@
 import sorrelhoist.protocol.grpc.GrpcChannel;
 
 /**
- * A call to an engine. Its methods are called on the router's thread and take effect on the
- * channel's.
+ * A call to an engine. Its methods are called on the router's thread and run on the channel's
+ * network thread.
  *
- * @param channel the channel that carries it
- * @param call the call
+ * @param channel the channel that carries the call
+ * @param call the underlying gRPC call
  */
 record EngineCall(GrpcChannel channel, ClientCall call) {
     private static final Logger LOG = LoggerFactory.getLogger(EngineCall.class);
 
-    /** Starts the call with its only request message. */
+    /** Sends the only request message and starts the call. */
     void start(byte[] request) {
         call.sendLast(request);
         executeOnNetwork(channel, () -> channel.start(call));
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Runs a task on a channel's thread, unless that thread has ended: while the edge stops,
-     * releases may still be due.
+     * Runs a task on a channel's network thread. Drops the task if that thread is shutting down:
+     * reservations may still be released while the edge stops.
      */
     static void executeOnNetwork(GrpcChannel channel, Runnable task) {
         if (channel.loop().isShuttingDown()) {
@@ -37,7 +37,7 @@
         try {
             channel.loop().execute(task);
         } catch (RejectedExecutionException e) {
-            LOG.debug("the network has ended", e);
+            LOG.debug("network thread is shut down; task dropped", e);
         }
     }
 }
--- a/edge/src/main/java/sorrelhoist/edge/EngineCommandHandler.java
+++ b/edge/src/main/java/sorrelhoist/edge/EngineCommandHandler.java
@@ -6,7 +6,7 @@
 import sorrelhoist.protocol.engine.DecodeRequest;
 import sorrelhoist.protocol.engine.PrefillRequest;
 
-/** Carries out the router's commands to engines. Called on the router's thread. */
+/** Executes the router's commands to engines. Called on the router's thread. */
 final class EngineCommandHandler implements EngineCommands {
     private static final String NONE = "";
 
@@ -111,17 +111,19 @@
     }
 
     /**
-     * Never commanded: gRPC calls are not reported as written, so they count as delivered, and
-     * their channels notice dead connections by themselves.
+     * Never called: an edge reports no written requests to the router, so a sent gRPC call counts
+     * as delivered, and the gRPC channels detect dead connections themselves.
      */
     @Override
     public void checkReachability(Command.CheckReachability command) {
-        throw new UnsupportedOperationException("an edge does not ask engines");
+        throw new UnsupportedOperationException(
+                "an edge does not check the reachability of engines");
     }
 
     @Override
     public void reportDelivery(Command.ReportDelivery command) {
-        throw new UnsupportedOperationException("an edge takes what it sends for delivered");
+        throw new UnsupportedOperationException(
+                "an edge does not track deliveries: each sent call counts as delivered");
     }
 
     @Override
@@ -139,7 +141,9 @@
         connections.closeIdle(command.engine());
     }
 
-    /** {@return the number of attempts in flight, for tests and logs; on the router's thread} */
+    /**
+     * Returns the number of attempts in flight, for tests and logs. Called on the router's thread.
+     */
     int attemptsInFlight() {
         return attempts.count();
     }
--- a/edge/src/main/java/sorrelhoist/edge/EngineConnections.java
+++ b/edge/src/main/java/sorrelhoist/edge/EngineConnections.java
@@ -9,7 +9,7 @@
 import sorrelhoist.protocol.grpc.GrpcChannel;
 
 /**
- * The channels to engines, one for each, opened when first needed and replaced when an engine's
+ * Manages one channel per engine, which is opened on first use and replaced when the engine's
  * address changes. Its state belongs to the router's thread.
  */
 final class EngineConnections {
@@ -26,7 +26,9 @@
         this.options = options;
     }
 
-    /** {@return the channel to an engine; null if no usable address of it is known} */
+    /**
+     * Returns the channel to an engine; null if no channel is open and no usable address is known.
+     */
     GrpcChannel channelTo(String engine) {
         String address = engines.address(engine);
         GrpcChannel current = channels.get(engine);
@@ -53,17 +55,17 @@
         }
     }
 
-    /** {@return the address of an engine; null if none is known} */
+    /** Returns the address of an engine; null if it is unknown. */
     String address(String engine) {
         return engines.address(engine);
     }
 
-    /** {@return the time that a connection may take to be established, in microseconds} */
+    /** Returns the timeout for establishing a connection, in microseconds. */
     long connectTimeoutMicros() {
         return options.connectTimeoutMicros();
     }
 
-    /** Closes the idle connections to an engine. */
+    /** Closes the idle connections to an engine, on its network thread. */
     void closeIdle(String engine) {
         GrpcChannel channel = channelTo(engine);
         if (channel != null) {
--- a/edge/src/main/java/sorrelhoist/edge/EngineServingState.java
+++ b/edge/src/main/java/sorrelhoist/edge/EngineServingState.java
@@ -1,13 +1,16 @@
 package sorrelhoist.edge;
 
-/** Whether an engine serves, as an edge was last told. */
+/** Whether an engine accepts requests, according to the latest endpoint list of an edge. */
 public enum EngineServingState {
-    /** The engine is not listed. */
+    /** The endpoint list has never contained the engine. */
     UNKNOWN,
 
-    /** The engine is listed, and takes no new requests. */
+    /**
+     * The engine accepts no new requests: it drains, is gone, or is missing from the latest
+     * complete list.
+     */
     NOT_SERVING,
 
-    /** The engine takes requests. */
+    /** The engine accepts requests. */
     SERVING
 }
--- a/edge/src/main/java/sorrelhoist/edge/HealthWatch.java
+++ b/edge/src/main/java/sorrelhoist/edge/HealthWatch.java
@@ -6,8 +6,9 @@
 import sorrelhoist.protocol.inference.ModelMessages;
 
 /**
- * A client's watch of the health: sends the status at once and whenever it has changed. The status
- * is polled once a second, which is soon enough for a load balancer. On the call's thread.
+ * Serves a client's health Watch call: sends the status immediately and again whenever it has
+ * changed. Polls the status once a second, which is often enough for a load balancer. Runs on the
+ * call's network thread.
  */
 final class HealthWatch implements ServerCall.Listener {
     private static final int NOTHING_SENT = -1;
--- a/edge/src/main/java/sorrelhoist/edge/InferenceCall.java
+++ b/edge/src/main/java/sorrelhoist/edge/InferenceCall.java
@@ -17,8 +17,9 @@
 import sorrelhoist.routing.Reason;
 
 /**
- * A client's call of an inference method. Its state belongs to the call's network thread; what
- * comes from the router's thread is passed to it. Subclasses send the answer in their form.
+ * A client's call of an inference method. Its state belongs to the call's network thread, to which
+ * tokens and results from the router's thread are handed over. Subclasses send the response as one
+ * message or as a stream.
  */
 abstract class InferenceCall implements ServerCall.Listener, ResponseListener {
     private static final Pattern ATTEMPT_COUNT = Pattern.compile("[0-9]{1,6}");
@@ -42,13 +43,13 @@
         this.model = parser.model();
     }
 
-    /** Sends a piece of the answer, or keeps it for the end. */
+    /** Sends a piece of the response text, or buffers it until the end. */
     abstract void sendText(String text, Runnable onConsumed);
 
-    /** Sends what ends a complete answer. */
+    /** Sends the message that ends a complete response. */
     abstract void sendEnd(int tokens);
 
-    /** {@return the client's own id of the request; may be empty} */
+    /** Returns the client's id of the request; empty if it gave none. */
     final String requestId() {
         return requestId;
     }
@@ -76,7 +77,9 @@
         }
     }
 
-    /** {@return how often the client's library has tried before, where it says so} */
+    /**
+     * Returns the number of attempts that the client's gRPC library has made before; 0 if unknown.
+     */
     private int previousAttempts() {
         String count = call.headers().get(CallMetadata.PREVIOUS_ATTEMPTS, "0");
         return ATTEMPT_COUNT.matcher(count).matches() ? Integer.parseInt(count) : 0;
@@ -167,7 +170,7 @@
         }
     }
 
-    /** {@return the parameters of the response that ends an answer} */
+    /** Returns the parameters of the message that ends a complete response. */
     static Map<String, Parameter> finalParameters(int tokens) {
         Map<String, Parameter> parameters = new LinkedHashMap<>();
         parameters.put(InferResponse.FINAL_RESPONSE, new Parameter(true));
--- a/edge/src/main/java/sorrelhoist/edge/InferenceService.java
+++ b/edge/src/main/java/sorrelhoist/edge/InferenceService.java
@@ -9,7 +9,8 @@
 import sorrelhoist.protocol.protobuf.ProtoException;
 
 /**
- * The methods that clients call: the Open Inference Protocol's and those of gRPC's health protocol.
+ * The gRPC methods that clients call: those of the Open Inference Protocol and of gRPC health
+ * checking.
  */
 final class InferenceService {
     private static final String SERVER_NAME = "sorrelhoist";
@@ -25,9 +26,9 @@
      * Creates the service.
      *
      * @param settings the edge's settings
-     * @param router takes the requests
-     * @param tracing traces them
-     * @param serving whether the edge takes requests at present
+     * @param router the router that handles the requests
+     * @param tracing the tracing of the requests
+     * @param serving whether the edge currently accepts requests
      */
     InferenceService(
             EdgeSettings settings,
@@ -41,7 +42,7 @@
         this.serving = serving;
     }
 
-    /** {@return a server of these methods that takes messages of at most so many bytes} */
+    /** Returns a server of these methods that accepts messages of up to the given size in bytes. */
     GrpcServer server(int maxMessageBytes) {
         String inference = ModelMessages.SERVICE;
         String health = ModelMessages.HEALTH;
--- a/edge/src/main/java/sorrelhoist/edge/MonotonicClock.java
+++ b/edge/src/main/java/sorrelhoist/edge/MonotonicClock.java
@@ -3,8 +3,8 @@
 import java.time.Instant;
 
 /**
- * Microseconds since 1970 that never go back: read once from the system clock, then carried on by
- * the monotonic clock. Thread-safe.
+ * A clock of microseconds since 1970 that never goes backwards: reads the system clock once and
+ * advances by {@link System#nanoTime}. Thread-safe.
  */
 final class MonotonicClock {
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -19,7 +19,7 @@
                 start.getEpochSecond() * MICROS_PER_SECOND + start.getNano() / NANOS_PER_MICRO;
     }
 
-    /** {@return microseconds since 1970} */
+    /** Returns the current time in microseconds since 1970. */
     long now() {
         return startMicros + (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
     }
--- a/edge/src/main/java/sorrelhoist/edge/OpenRequests.java
+++ b/edge/src/main/java/sorrelhoist/edge/OpenRequests.java
@@ -5,21 +5,23 @@
 import java.util.function.LongSupplier;
 
 /**
- * The open requests: the router's number of each and the listener to its response. Its state
- * belongs to the router's thread.
+ * Maps each open request's number in the router to the listener for its response, and back. Its
+ * state belongs to the router's thread.
  */
 final class OpenRequests {
     private final Map<Long, ResponseListener> listeners = new HashMap<>();
     private final Map<ResponseListener, Long> numbers = new HashMap<>();
 
-    /** The listener of a request that the router is taking, before the request has a number. */
+    /**
+     * The listener of the request that is being submitted and has no number yet; null otherwise.
+     */
     private ResponseListener arriving;
 
     /**
-     * Adds a request, unless the router ends it while taking it.
+     * Submits a request and adds it, unless the router ends it during the submission.
      *
-     * @param listener the listener to its response
-     * @param submission hands the request to the router; returns the router's number of it
+     * @param listener the listener for the response
+     * @param submission submits the request to the router and returns its number
      */
     void add(ResponseListener listener, LongSupplier submission) {
         arriving = listener;
@@ -31,17 +33,17 @@
         }
     }
 
-    /** {@return the listener of an open request; null if it is not open} */
+    /** Returns the listener of a request; null if the request is not open. */
     ResponseListener listener(long number) {
         return listeners.get(number);
     }
 
-    /** {@return the number of the open request of a listener; null if it is not open} */
+    /** Returns the number of a listener's request; null if the request is not open. */
     Long number(ResponseListener listener) {
         return numbers.get(listener);
     }
 
-    /** Removes the request of a listener. {@return its number; null if it is not open} */
+    /** Removes a listener's request and returns its number; null if the request is not open. */
     Long remove(ResponseListener listener) {
         Long number = numbers.remove(listener);
         if (number != null) {
@@ -50,7 +52,10 @@
         return number;
     }
 
-    /** Removes a request that ends. {@return its listener, also if it is just arriving} */
+    /**
+     * Removes a request that ends and returns its listener, also if the request ends during its
+     * submission.
+     */
     ResponseListener removeEnded(long number) {
         ResponseListener listener = listeners.remove(number);
         if (listener == null) {
--- a/edge/src/main/java/sorrelhoist/edge/PersistenceTask.java
+++ b/edge/src/main/java/sorrelhoist/edge/PersistenceTask.java
@@ -12,7 +12,7 @@
 import sorrelhoist.edge.persistence.KnowledgePersistence;
 import sorrelhoist.routing.Knowledge;
 
-/** The persistence of an edge's knowledge, as a background job of its router. */
+/** Persists an edge's knowledge as a background job of its router. */
 final class PersistenceTask {
     private static final Logger LOG = LoggerFactory.getLogger(PersistenceTask.class);
     private static final BackgroundScheduler.Job JOB =
@@ -29,7 +29,10 @@
         this.engines = engines;
     }
 
-    /** Opens the storage. {@return its task; empty if none is configured or it cannot be used} */
+    /**
+     * Opens the directory for snapshots. Returns empty if none is configured or it cannot be used;
+     * the latter is logged.
+     */
     static Optional<PersistenceTask> open(
             String folder, RouterEventLoop router, EngineTable engines) {
         if (folder.isEmpty()) {
@@ -43,12 +46,18 @@
         } catch (IOException e) {
             LOG.atWarn()
                     .addKeyValue("event", "snapshots_unreadable")
-                    .log("pastFolder {} cannot be used: {}", folder, e.toString());
+                    .log(
+                            "failed to open pastFolder {}, so no snapshots are written: {}",
+                            folder,
+                            e.toString());
             return Optional.empty();
         }
     }
 
-    /** Restores what was persisted, and persists from then on; on the router's thread. */
+    /**
+     * Imports the persisted knowledge, and starts to persist snapshots. Called on the router's
+     * thread.
+     */
     void restoreAndStart() {
         persistence
                 .restore(router.now())
@@ -70,7 +79,7 @@
         return persistence.nextDueAt();
     }
 
-    /** Finishes the writes that are under way. */
+    /** Finishes the pending writes. Blocks for a limited time. */
     void stop() {
         persistence.stop();
     }
--- a/edge/src/main/java/sorrelhoist/edge/PlanEventHandler.java
+++ b/edge/src/main/java/sorrelhoist/edge/PlanEventHandler.java
@@ -19,18 +19,18 @@
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
- * Translates what the planner sends into events of the router. Called on the planner stream's
- * thread; the endpoint list is taken on the router's.
+ * Translates events from the planner into events of the router. Called on the network thread of the
+ * planner stream; endpoint lists are processed on the router's thread.
  */
 final class PlanEventHandler {
     private static final Logger LOG = LoggerFactory.getLogger(PlanEventHandler.class);
 
-    /** Server states by their number on the wire. */
+    /** Server states, indexed by their number on the wire. */
     private static final ServerState[] STATES = {
         ServerState.SERVING, ServerState.DRAINING, ServerState.GONE
     };
 
-    /** Kinds of lists by their number on the wire. */
+    /** Kinds of endpoint lists, indexed by their number on the wire. */
     private static final ListUpdateKind[] UPDATE_KINDS = {
         ListUpdateKind.UPDATE, ListUpdateKind.COMPLETE, ListUpdateKind.UNAVAILABLE
     };
@@ -43,10 +43,11 @@
     /**
      * Creates a handler.
      *
-     * @param router takes the events
-     * @param engines takes the listed engines; used on the router's thread
-     * @param onFirstRoster run once, on the router's thread, after the first list with engines
-     * @param onPeers takes the other edges whenever they change
+     * @param router the event loop that receives the events
+     * @param engines the table of listed engines; used on the router's thread
+     * @param onFirstRoster run once, on the router's thread, after the first endpoint list that
+     *     contains engines
+     * @param onPeers receives the list of the other edges whenever it changes
      */
     PlanEventHandler(
             RouterEventLoop router,
--- a/edge/src/main/java/sorrelhoist/edge/PlannerClient.java
+++ b/edge/src/main/java/sorrelhoist/edge/PlannerClient.java
@@ -18,8 +18,9 @@
 import sorrelhoist.protocol.protobuf.ProtoException;
 
 /**
- * The edge's stream to its planner, opened again with backoff whenever it ends. While there is
- * none, the edge goes on with what it was last told. Its state belongs to its channel's thread.
+ * The edge's stream to its planner, which is reopened with backoff whenever it ends. While there is
+ * no stream, the edge continues with the latest data that it received. Its state belongs to the
+ * channel's network thread.
  */
 final class PlannerClient implements ClientCall.Listener, PlannerCommands {
     private static final Logger LOG = LoggerFactory.getLogger(PlannerClient.class);
@@ -36,12 +37,12 @@
     private boolean stopped;
 
     /**
-     * Creates a client; {@link #start} opens the stream.
+     * Creates a client. {@link #start} opens the stream.
      *
      * @param settings the edge's settings
      * @param incarnation the edge's incarnation
-     * @param network the thread of the channel
-     * @param eventHandler takes what the planner sends
+     * @param network the network thread of the channel
+     * @param eventHandler handles the planner's events
      */
     PlannerClient(
             EdgeSettings settings,
@@ -56,7 +57,7 @@
                 new Backoff(MIN_BACKOFF_MICROS, MAX_BACKOFF_MICROS, settings.seed() ^ incarnation);
     }
 
-    /** Opens the stream. */
+    /** Opens the stream, and announces the address at which this edge serves clients and peers. */
     void start(int clientPort) {
         String address = LoopbackTransport.LOOPBACK + ":" + clientPort;
         hello = new Hello(settings.name(), settings.zone(), incarnation, address);
@@ -71,7 +72,7 @@
         }
     }
 
-    /** Closes the stream for good. */
+    /** Closes the stream and does not reopen it. */
     void stop() {
         channel.loop()
                 .execute(
@@ -96,7 +97,10 @@
         send(new EdgeMessage.RosterRequest());
     }
 
-    /** Sends a message if there is a stream; what is lost otherwise is asked for again. */
+    /**
+     * Sends a message, or drops it if there is no open stream: the router asks again for what it
+     * still needs.
+     */
     private void send(EdgeMessage message) {
         channel.loop()
                 .execute(
@@ -116,7 +120,7 @@
         } catch (ProtoException e) {
             LOG.atWarn()
                     .addKeyValue("event", "malformed_plan_event")
-                    .log("the planner sent a malformed message: {}", e.getMessage());
+                    .log("received a malformed message from the planner: {}", e.getMessage());
             c.cancel();
         }
     }
@@ -131,7 +135,7 @@
         LOG.atWarn()
                 .addKeyValue("event", "planner_disconnected")
                 .addKeyValue("retry_us", delayMicros)
-                .log("no stream to the planner: {}", status.message());
+                .log("planner stream ended or could not be opened, retrying: {}", status.message());
         channel.loop().schedule(this::openStream, delayMicros, TimeUnit.MICROSECONDS);
     }
 }
--- a/edge/src/main/java/sorrelhoist/edge/PrefillListener.java
+++ b/edge/src/main/java/sorrelhoist/edge/PrefillListener.java
@@ -7,7 +7,9 @@
 import sorrelhoist.protocol.protobuf.ProtoException;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
-/** Listens to an engine's answer to a prefill attempt: one reply that names the state. */
+/**
+ * Handles an engine's response to a prefill attempt: one reply with the id of the prefill state.
+ */
 final class PrefillListener extends AttemptListener {
     private PrefillReply reply;
 
--- a/edge/src/main/java/sorrelhoist/edge/RecordingTask.java
+++ b/edge/src/main/java/sorrelhoist/edge/RecordingTask.java
@@ -13,13 +13,13 @@
 import sorrelhoist.edge.record.RecordDirectory;
 import sorrelhoist.edge.record.RecordWriter;
 
-/** The recording of an edge's decisions, as a background job of its router. */
+/** Records an edge's decisions as a background job of its router. */
 final class RecordingTask {
     private static final Logger LOG = LoggerFactory.getLogger(RecordingTask.class);
     private static final BackgroundScheduler.Job JOB =
             new BackgroundScheduler.Job("record", 3, 50_000, 64 << 20, 100_000);
 
-    /** A record has this many segments, of which the oldest is deleted as a whole. */
+    /** Number of segments of a record. The oldest segment is deleted as a whole. */
     private static final int SEGMENTS = 8;
 
     private static final long MIN_SEGMENT_BYTES = 1 << 20;
@@ -30,7 +30,10 @@
         this.writer = writer;
     }
 
-    /** Opens the record. {@return its task; empty if none is configured or it cannot be written} */
+    /**
+     * Opens the directory of the record. Returns empty if none is configured or it cannot be used;
+     * the latter is logged.
+     */
     static Optional<RecordingTask> open(
             EdgeSettings.RecordSettings settings, RouterSettings router) {
         if (settings.folder().isEmpty()) {
@@ -44,7 +47,7 @@
             LOG.atWarn()
                     .addKeyValue("event", "record_write_failed")
                     .log(
-                            "record.folder {} cannot be used, so nothing is recorded: {}",
+                            "failed to open record.folder {}, so no decisions are recorded: {}",
                             settings.folder(),
                             e.toString());
             return Optional.empty();
@@ -64,19 +67,19 @@
         return (long) count << 20;
     }
 
-    /** {@return the listener to the router's decisions} */
+    /** Returns the listener that records the router's decisions. */
     DecisionListener decisionListener() {
         return writer.decisionListener();
     }
 
-    /** Adds the background job to the router's. */
+    /** Adds the background job to the router, and schedules it whenever a chunk is ready. */
     void start(RouterEventLoop router) {
         router.addBackgroundJob(
                 JOB, now -> writer.runSlice(router::countBackgroundBytes) ? now : Long.MAX_VALUE);
         router.execute(r -> writer.onChunk(() -> router.scheduleBackgroundJob(JOB)));
     }
 
-    /** Writes what is left; on the router's thread. */
+    /** Writes the remaining chunks. Called on the router's thread. */
     void stop(long nowMicros) {
         writer.stop(nowMicros);
     }
--- a/edge/src/main/java/sorrelhoist/edge/RejectionLog.java
+++ b/edge/src/main/java/sorrelhoist/edge/RejectionLog.java
@@ -9,9 +9,9 @@
 import sorrelhoist.routing.Reason;
 
 /**
- * Logs why requests were not served: one line a second at most, with the count of each kind of
- * reason and an explanation of the latest of the most frequent kind. An overload must not drown the
- * log that explains it. Its state belongs to the router's thread.
+ * Logs why requests were not served: at most one line per second, with the count of each kind of
+ * reason and a description of the latest reason of the most frequent kind. The limit keeps the log
+ * readable during an overload. Its state belongs to the router's thread.
  */
 final class RejectionLog {
     private static final Logger LOG = LoggerFactory.getLogger(RejectionLog.class);
@@ -22,7 +22,9 @@
     private final Map<Reason.Kind, Reason> latest = new EnumMap<>(Reason.Kind.class);
     private long loggedAt = NEVER;
 
-    /** Counts a result if the request was not served, and logs what is due. */
+    /**
+     * Counts a result if the request was rejected or failed, and logs the counts if a line is due.
+     */
     void requestEnded(long now, RequestResult result) {
         if (result instanceof RequestResult.Refused || result instanceof RequestResult.Failed) {
             Reason reason = result.reason();
@@ -32,7 +34,7 @@
         }
     }
 
-    /** Logs the counts, if there are any and the last line is old enough. */
+    /** Logs and resets the counts if there are any and the last line is at least a second old. */
     void logIfDue(long now) {
         if (counts.isEmpty() || now - loggedAt < INTERVAL_MICROS) {
             return;
@@ -43,7 +45,8 @@
                 .addKeyValue("event", "not_served")
                 .addKeyValue("counts", counts.toString())
                 .log(
-                        "not served since the last line: {}; mostly as {}",
+                        "requests not served since the last line: {}; latest of the most frequent"
+                                + " kind: {}",
                         counts,
                         ReasonFormatter.describeFailure(latest.get(mostFrequent)));
         loggedAt = now;
--- a/edge/src/main/java/sorrelhoist/edge/RequestParser.java
+++ b/edge/src/main/java/sorrelhoist/edge/RequestParser.java
@@ -13,12 +13,14 @@
 import sorrelhoist.protocol.inference.Tensor;
 import sorrelhoist.protocol.protobuf.ProtoException;
 
-/** Turns a client's message into a request, or says what the client has to correct. */
+/**
+ * Parses and validates a client's request message. Error messages tell the client what to correct.
+ */
 final class RequestParser {
     private static final int MAX_NAME_LENGTH = 256;
     private static final int MAX_QUOTED_LENGTH = 40;
 
-    // parameters that clients may give
+    // Names of the optional request parameters.
     private static final String MAX_TOKENS = "max_tokens";
     private static final String CLASS = "class";
     private static final String TENANT = "tenant";
@@ -38,7 +40,7 @@
                 settings.tenants().stream().map(EdgeSettings.TenantSettings::name).toList();
     }
 
-    /** {@return the name of the model that is served} */
+    /** Returns the name of the model that the edge serves. */
     String model() {
         return settings.model();
     }
@@ -46,12 +48,12 @@
     /**
      * Parses a request.
      *
-     * @param message the client's message
-     * @param timeoutMicros the client's timeout, in microseconds; 0 or less if it gave none
-     * @param previousAttempts how often the client's library has tried before
+     * @param message the client's request message
+     * @param timeoutMicros the client's timeout, in microseconds; 0 or less if the client gave none
+     * @param previousAttempts the number of attempts that the client's gRPC library has made before
      * @param trace the request's trace context
      * @return the request
-     * @throws InvalidRequestException if the client has to correct something
+     * @throws InvalidRequestException if the request is invalid
      */
     InferenceRequest parse(
             InferRequest message, long timeoutMicros, int previousAttempts, RequestTrace trace)
@@ -106,7 +108,7 @@
         }
     }
 
-    /** {@return the one element of the input tensor that holds the prompt} */
+    /** Returns the only element of the input tensor that holds the prompt. */
     private static byte[] promptBytes(InferRequest message) throws InvalidRequestException {
         int index = promptIndex(message);
         Tensor tensor = message.inputs().get(index);
@@ -137,7 +139,7 @@
         return elements.get(0);
     }
 
-    /** {@return the index of the last input tensor that is named as the prompt's} */
+    /** Returns the index of the last input tensor that has the name of the prompt tensor. */
     private static int promptIndex(InferRequest message) throws InvalidRequestException {
         for (int i = message.inputs().size() - 1; i >= 0; i--) {
             if (message.inputs().get(i).name().equals(InferRequest.TEXT_INPUT)) {
@@ -148,7 +150,7 @@
                 "input \"text_input\" is missing: give the prompt as a BYTES tensor of that name");
     }
 
-    /** {@return an integer parameter, or the default if it is absent} */
+    /** Returns an integer parameter; the default value if it is absent. */
     private static long integer(
             Map<String, Parameter> parameters, String name, long defaultValue, long min, long max)
             throws InvalidRequestException {
@@ -163,7 +165,7 @@
         return value;
     }
 
-    /** {@return a string parameter; null if it is absent or empty} */
+    /** Returns a string parameter; null if it is absent or empty. */
     private static String string(Map<String, Parameter> parameters, String name)
             throws InvalidRequestException {
         Parameter parameter = parameters.get(name);
@@ -181,7 +183,9 @@
         return value.isEmpty() ? null : value;
     }
 
-    /** {@return the index of the name that a parameter gives; 0 if it is absent} */
+    /**
+     * Returns the index in a list of names of a parameter's value; 0 if the parameter is absent.
+     */
     private static int indexOfName(
             Map<String, Parameter> parameters, String parameter, List<String> names)
             throws InvalidRequestException {
--- a/edge/src/main/java/sorrelhoist/edge/ReservationCalls.java
+++ b/edge/src/main/java/sorrelhoist/edge/ReservationCalls.java
@@ -17,13 +17,13 @@
 import sorrelhoist.protocol.protobuf.ProtoException;
 
 /**
- * The calls that reserve decode slots at engines, and that release what is reserved. Its state
- * belongs to the router's thread.
+ * Calls engines to reserve decode slots and to release reservations. Its state belongs to the
+ * router's thread.
  */
 final class ReservationCalls {
     private static final Logger LOG = LoggerFactory.getLogger(ReservationCalls.class);
 
-    /** A release may take this multiple of the time that a connection may take. */
+    /** Timeout of a release, as a multiple of the timeout for establishing a connection. */
     private static final int RELEASE_TIMEOUT_FACTOR = 4;
 
     private final RouterEventLoop router;
@@ -35,7 +35,7 @@
         this.connections = connections;
     }
 
-    /** Reserves a decode slot; an engine that cannot be reached is not reported. */
+    /** Reserves a decode slot. Nothing is reported if the engine cannot be reached. */
     void reserve(Command.ReserveDecodeSlot command) {
         GrpcChannel channel = connections.channelTo(command.engine());
         if (channel == null) {
@@ -52,7 +52,7 @@
         new EngineCall(channel, call).start(request.toByteArray());
     }
 
-    /** Releases what is reserved for a request; the end of the call is reported. */
+    /** Releases the reservations of a request, and reports the end of the call to the router. */
     void release(Command.ReleaseReservation command) {
         GrpcChannel channel = connections.channelTo(command.engine());
         if (channel == null) {
@@ -74,7 +74,7 @@
         engineCall.start(request.toByteArray());
     }
 
-    /** Cancels a release, if it is in flight. */
+    /** Cancels the call of a release. Does nothing if the release is not in flight. */
     void abandonRelease(long releaseId) {
         EngineCall call = releasesInFlight.remove(releaseId);
         if (call != null) {
@@ -82,24 +82,24 @@
         }
     }
 
-    /** Logs that no engine has confirmed the release of a reservation in time. */
+    /** Logs that the release of a reservation was not confirmed in time. */
     void logExpiredRelease(Command.ReportExpiredRelease command) {
         LOG.atWarn()
                 .addKeyValue("event", "release_expired")
                 .addKeyValue("request", command.requestName())
                 .addKeyValue("engine", command.engine())
                 .addKeyValue("calls", command.releaseCalls())
-                .log("the reservation of a request was not released in time");
+                .log("release of a reservation was not confirmed in time");
     }
 
-    /** Logs what became of a reservation that was not taken in the ordinary way. */
+    /** Logs the state of a reservation that no decode attempt has consumed. */
     void logReservation(ReservationReport report) {
         LOG.atInfo()
                 .addKeyValue("event", "reservation")
                 .addKeyValue("request", report.requestName())
                 .addKeyValue("state", report.state())
                 .addKeyValue("history", report.history())
-                .log("what was reserved for a request was not taken by its decode");
+                .log("reservation was not consumed by a decode attempt");
     }
 
     private Headers deadlineIn(long micros) {
@@ -107,7 +107,7 @@
         return CallMetadata.withDeadline(now + micros, now);
     }
 
-    /** Reports whether an engine has reserved a slot. */
+    /** Reports to the router whether an engine has reserved a slot. */
     private final class ReserveListener implements ClientCall.Listener {
         private final Command.ReserveDecodeSlot command;
 
@@ -138,11 +138,11 @@
                 Status status,
                 Headers trailers,
                 ClientCall.Termination termination) {
-            // Nothing waits for an engine that does not answer.
+            // The router does not wait for the reply, so a failed call needs no report.
         }
     }
 
-    /** Reports the end of a release. */
+    /** Reports the end of a release to the router. */
     private final class ReleaseListener implements ClientCall.Listener {
         private final long releaseId;
 
--- a/edge/src/main/java/sorrelhoist/edge/ResponseListener.java
+++ b/edge/src/main/java/sorrelhoist/edge/ResponseListener.java
@@ -2,17 +2,17 @@
 
 import sorrelhoist.core.request.RequestResult;
 
-/** Receives the response to a client's request, on the router's thread. */
+/** Receives the response to a client's request. Called on the router's thread. */
 interface ResponseListener {
     /**
-     * A token of the answer.
+     * Receives a token of the response.
      *
-     * @param index from 0
-     * @param text the token
-     * @param onConsumed to be run when the client has taken it; may be run on any thread
+     * @param index the token's index, from 0
+     * @param text the token's text
+     * @param onConsumed to be run once the client has consumed the token; may be run on any thread
      */
     void onToken(int index, String text, Runnable onConsumed);
 
-    /** The one final result; nothing follows it. */
+    /** Receives the final result. Called once, and last. */
     void onResult(RequestResult result);
 }
--- a/edge/src/main/java/sorrelhoist/edge/RouterCommandHandler.java
+++ b/edge/src/main/java/sorrelhoist/edge/RouterCommandHandler.java
@@ -8,8 +8,8 @@
 import sorrelhoist.core.request.PlannerCommands;
 
 /**
- * Carries out the router's commands that concern clients and the log, and dispatches the others.
- * Called on the router's thread.
+ * Executes the router's commands that concern clients and the log, and passes the others on to the
+ * handlers for engines and for the planner. Called on the router's thread.
  */
 final class RouterCommandHandler implements CommandHandler {
     private static final Logger LOG = LoggerFactory.getLogger(RouterCommandHandler.class);
--- a/edge/src/main/java/sorrelhoist/edge/RouterEventLoop.java
+++ b/edge/src/main/java/sorrelhoist/edge/RouterEventLoop.java
@@ -24,8 +24,8 @@
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /**
- * The one thread on which a router decides, fed by a queue. Network threads hand in what they
- * parsed; the router's commands go back to them. It decides nothing itself.
+ * Runs a router on a single thread with a task queue. Network threads enqueue the events that they
+ * parse, and the router's commands are handed back to them. This class makes no decisions itself.
  */
 final class RouterEventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(RouterEventLoop.class);
@@ -48,7 +48,10 @@
         this.router = new Router(settings, this::carryOut, listener);
     }
 
-    /** Sets who carries out commands to engines and to the planner; once, before all else. */
+    /**
+     * Sets the handlers of commands to engines and to the planner. Has to be called once, before
+     * any event is submitted.
+     */
     void connect(EngineCommands engines, PlannerCommands planner) {
         commandHandler = new RouterCommandHandler(requests, rejections, clock, engines, planner);
     }
@@ -57,22 +60,25 @@
         command.accept(commandHandler);
     }
 
-    /** {@return microseconds since 1970 that never go back} */
+    /** Returns the current time in microseconds since 1970, which never goes backwards. */
     long now() {
         return clock.now();
     }
 
-    /** {@return the number of requests without a result, a moment ago} */
+    /**
+     * Returns the number of requests without a final result, as of the last event that was handled.
+     * May be called on any thread.
+     */
     int openRequests() {
         return openRequests;
     }
 
-    /** {@return whether an endpoint list was received} */
+    /** Returns true once an endpoint list has been received. May be called on any thread. */
     boolean isReady() {
         return ready;
     }
 
-    /** Runs a task with the router on its thread, after the timers that are due. */
+    /** Runs the due timers and then a task on the router's thread. May be called on any thread. */
     void execute(Consumer<Router> task) {
         thread.execute(
                 () -> {
@@ -80,11 +86,11 @@
                         router.advance(clock.now());
                         task.accept(router);
                     } catch (RuntimeException | Error e) {
-                        // One event that fails must not end the thread that serves all requests.
+                        // A failing event must not end the thread that serves all requests.
                         LOG.atError()
                                 .setCause(e)
                                 .addKeyValue("event", "router_error")
-                                .log("an event could not be handled");
+                                .log("failed to handle an event on the router's thread");
                     }
                     rejections.logIfDue(clock.now());
                     openRequests = router.metrics().openRequests();
@@ -111,7 +117,7 @@
         execute(r -> requests.add(listener, () -> r.requestArrived(clock.now(), request)));
     }
 
-    /** The client of a request has disconnected or cancelled. */
+    /** Reports that the client of a request has disconnected or cancelled the call. */
     void clientDisconnected(ResponseListener listener) {
         execute(
                 r -> {
@@ -122,7 +128,7 @@
                 });
     }
 
-    /** The client of a request takes nothing at present, or takes more again. */
+    /** Reports that the client of a request has stopped or resumed reading its response. */
     void clientBackpressureChanged(ResponseListener listener, boolean blocked) {
         execute(
                 r -> {
@@ -133,7 +139,7 @@
                 });
     }
 
-    /** Takes an endpoint list or an update of it; on the router's thread. */
+    /** Applies an endpoint list or an update of it. Called on the router's thread. */
     void updateEndpoints(ListUpdateKind kind, List<Server> servers) {
         if (kind == ListUpdateKind.COMPLETE) {
             serving.replaceAll((engine, isServing) -> false);
@@ -143,7 +149,10 @@
         ready |= kind != ListUpdateKind.UNAVAILABLE;
     }
 
-    /** {@return the state of an engine as it was last listed} */
+    /**
+     * Returns the state of an engine according to the latest endpoint list. May be called on any
+     * thread.
+     */
     EngineServingState servingState(String engine) {
         Boolean isServing = serving.get(engine);
         if (isServing == null) {
@@ -152,16 +161,19 @@
         return isServing ? EngineServingState.SERVING : EngineServingState.NOT_SERVING;
     }
 
-    /** {@return what the router knows, with at most so many prefixes; on the router's thread} */
+    /**
+     * Exports the router's knowledge with at most the given number of prefixes. Called on the
+     * router's thread.
+     */
     Knowledge knowledge(int maxPrefixes) {
         return router.exportKnowledge(clock.now(), maxPrefixes);
     }
 
     /**
-     * Takes what was known elsewhere or before; on the router's thread.
+     * Imports knowledge of another edge or of a former incarnation. Called on the router's thread.
      *
-     * @param knowledge what was known
-     * @param ageMicros how old it is
+     * @param knowledge the knowledge to import
+     * @param ageMicros the age of the knowledge, in microseconds
      */
     void importKnowledge(Knowledge knowledge, long ageMicros) {
         router.importKnowledge(clock.now(), knowledge, ageMicros);
@@ -170,30 +182,36 @@
     /**
      * Adds a background job.
      *
-     * @param job its name, rank and budget
-     * @param slice runs one slice on the router's thread: takes the time, returns when the next is
-     *     due, both in microseconds
+     * @param job the job's name, priority and budget
+     * @param slice runs one slice on the router's thread; takes the current time and returns the
+     *     time at which the next slice is due, both in microseconds, or Long.MAX_VALUE if the job
+     *     waits for {@link #scheduleBackgroundJob}
      */
     void addBackgroundJob(BackgroundScheduler.Job job, LongUnaryOperator slice) {
         backgroundJobs.add(job, slice);
     }
 
-    /** Makes a background job due now; on the router's thread. */
+    /** Makes a background job due now. Called on the router's thread. */
     void scheduleBackgroundJob(BackgroundScheduler.Job job) {
         backgroundJobs.schedule(job);
     }
 
-    /** Counts bytes that the running background slice has moved; on the router's thread. */
+    /**
+     * Charges bytes that the running background slice has read or written to its job's budget.
+     * Called on the router's thread.
+     */
     void countBackgroundBytes(long bytes) {
         backgroundJobs.countBytes(bytes);
     }
 
-    /** Runs a task on the router's thread, and waits for it for a limited time. */
+    /**
+     * Runs a task on the router's thread, and waits up to {@link #STOP_TIMEOUT_MILLIS} for its end.
+     */
     void executeAndWait(Runnable task) {
         thread.submit(task).awaitUninterruptibly(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends the thread. */
+    /** Shuts down the router's thread. */
     void stop() {
         thread.shutdownGracefully(0, STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/edge/src/main/java/sorrelhoist/edge/RouterSettingsFactory.java
+++ b/edge/src/main/java/sorrelhoist/edge/RouterSettingsFactory.java
@@ -9,16 +9,16 @@
 import sorrelhoist.core.reservation.ReleaseReach;
 import sorrelhoist.routing.RoutingSettings;
 
-/** Translates an edge's settings into its router's. Milliseconds become microseconds. */
+/** Converts an edge's settings to the settings of its router, and milliseconds to microseconds. */
 final class RouterSettingsFactory {
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** The index that a router assumes among the edges until its planner tells it. */
+    /** The index among the edges that a router uses until the planner assigns one. */
     private static final int INITIAL_SELF = 0;
 
     private RouterSettingsFactory() {}
 
-    /** {@return the router's settings} */
+    /** Returns the settings of an edge's router. */
     static RouterSettings create(EdgeSettings edge, long incarnation) {
         List<EdgeSettings.ClassSettings> classes = edge.classes();
         EdgeSettings.ServingSettings serving = edge.serving();
--- a/edge/src/main/java/sorrelhoist/edge/StateTransferTask.java
+++ b/edge/src/main/java/sorrelhoist/edge/StateTransferTask.java
@@ -17,7 +17,10 @@
 import sorrelhoist.protocol.grpc.GrpcServer;
 import sorrelhoist.routing.Knowledge;
 
-/** The transfer of knowledge between edges: the two sides of it, put together for one edge. */
+/**
+ * Runs both sides of the knowledge transfer between edges for one edge: the client, and the server
+ * as a background job of the router.
+ */
 final class StateTransferTask {
     private static final BackgroundScheduler.Job JOB =
             new BackgroundScheduler.Job("state-transfer", 2, 30_000, 4 << 20, 5_000_000);
@@ -53,7 +56,7 @@
                         knowledge -> router.execute(r -> importKnowledge(knowledge, engines)));
     }
 
-    /** {@return the task; empty if the edges share no keys} */
+    /** Creates the task. Returns empty if no keys for state transfers are configured. */
     static Optional<StateTransferTask> create(
             EdgeSettings settings,
             RouterEventLoop router,
@@ -76,7 +79,7 @@
         router.importKnowledge(ProcessIdentityTranslator.toLocalStartTimes(knowledge, engines), 0);
     }
 
-    /** Serves other edges. */
+    /** Starts to serve other edges' transfer requests. */
     void start(GrpcServer grpcServer) {
         grpcServer.addMethod(SnapshotServer.METHOD_PATH, server::accept);
         router.addBackgroundJob(
@@ -87,17 +90,20 @@
                 });
     }
 
-    /** The other edges have changed. */
+    /** Passes the changed list of the other edges to the client. */
     void donorsChanged(List<DonorSelection.Donor> donors) {
         client.donorsChanged(donors);
     }
 
-    /** The engines are listed and the own snapshots restored: other edges may be asked. */
+    /**
+     * Allows the client to ask other edges. Called once the engines are listed and the own
+     * snapshots are restored.
+     */
     void ready() {
         client.ready();
     }
 
-    /** Asks no other edge any more. */
+    /** Stops the client, which then asks no other edges. */
     void stop() {
         client.stop();
     }
--- a/edge/src/main/java/sorrelhoist/edge/StreamingInferenceCall.java
+++ b/edge/src/main/java/sorrelhoist/edge/StreamingInferenceCall.java
@@ -6,9 +6,11 @@
 import sorrelhoist.protocol.grpc.ServerCall;
 import sorrelhoist.protocol.inference.InferResponse;
 
-/** ModelStreamInfer: a message for each token, and a last one that is marked. */
+/**
+ * A ModelStreamInfer call: sends a message per token, and a final message with a marker parameter.
+ */
 final class StreamingInferenceCall extends InferenceCall {
-    /** Unsent bytes of a call above which its engine gets no more flow-control credit. */
+    /** Number of unsent bytes of a call above which its engine gets no more flow-control credit. */
     private static final int HIGH_WATER_MARK_BYTES = 16 << 10;
 
     private final Queue<Runnable> withheldCredit = new ArrayDeque<>();
@@ -25,7 +27,7 @@
             onConsumed.run();
             return;
         }
-        // A slow reader: its engine gets no more credit, so that what waits here stays bounded.
+        // The client reads slowly: withholding the engine's credit bounds the bytes buffered here.
         if (withheldCredit.isEmpty()) {
             router.clientBackpressureChanged(this, true);
         }
--- a/edge/src/main/java/sorrelhoist/edge/Tracing.java
+++ b/edge/src/main/java/sorrelhoist/edge/Tracing.java
@@ -16,9 +16,9 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /**
- * A span for each request and one for each of its attempts, under the client's own trace (W3C Trace
- * Context). While tracing is off, the client's header is passed on as it came and nothing else is
- * done. Thread-safe.
+ * Creates a span for each request and for each of its attempts, as children of the client's trace
+ * (W3C Trace Context). If tracing is disabled, only forwards the client's traceparent header
+ * unchanged. Thread-safe.
  */
 final class Tracing {
     /** The outcome of a request that was served. */
@@ -30,7 +30,7 @@
     /** The outcome of a request whose client read nothing for too long. */
     static final String REQUEST_STALLED = "Stalled";
 
-    /** The outcome of an attempt whose answer was complete. */
+    /** The outcome of an attempt whose response was complete. */
     static final String ATTEMPT_DONE = "DONE";
 
     /** The outcome of an attempt that the router cancelled. */
@@ -62,13 +62,13 @@
     /**
      * Creates the tracing of an edge.
      *
-     * @param telemetry takes the spans; null for none
+     * @param telemetry receives the spans; null to disable tracing
      */
     Tracing(OpenTelemetry telemetry) {
         this.tracer = telemetry == null ? null : telemetry.getTracer(INSTRUMENTATION);
     }
 
-    /** Starts a request's span. {@return its trace context} */
+    /** Starts a request's span and returns the request's trace context, never null. */
     RequestTrace startRequest(Headers headers, int previousAttempts) {
         if (tracer == null) {
             String traceparent = headers.get(TRACEPARENT);
@@ -90,8 +90,9 @@
      * Ends a request's span.
      *
      * @param request the request's trace context
-     * @param outcome how it ended
-     * @param reason the routing policy's reason; null if it ended without one
+     * @param outcome the request's outcome: {@link #REQUEST_SERVED}, which counts as success,
+     *     {@link #REQUEST_CANCELLED}, {@link #REQUEST_STALLED} or a status code
+     * @param reason the routing policy's reason; null if there is none
      */
     void requestEnded(RequestTrace request, String outcome, Reason reason) {
         if (request.context() == null) {
@@ -106,9 +107,9 @@
     }
 
     /**
-     * Starts an attempt's span, and puts its trace context into the metadata of its call.
+     * Starts an attempt's span, and adds its trace context to the metadata of the call.
      *
-     * @return the span; null if the request is not traced here
+     * @return the span; null if tracing is disabled
      */
     Span startAttempt(EngineAttempt attempt, Headers metadata) {
         RequestTrace request = (RequestTrace) attempt.request().attachment();
@@ -141,8 +142,8 @@
     /**
      * Ends an attempt's span.
      *
-     * @param span the span; may be null
-     * @param outcome how the attempt ended
+     * @param span the attempt's span; null if tracing is disabled
+     * @param outcome the attempt's outcome
      */
     void attemptEnded(Span span, String outcome) {
         if (span != null) {
@@ -160,7 +161,7 @@
         span.end();
     }
 
-    /** Reads a client's trace context from its headers. */
+    /** Reads a client's trace context from the request headers. */
     private enum HeadersGetter implements TextMapGetter<Headers> {
         INSTANCE;
 
--- a/edge/src/main/java/sorrelhoist/edge/UnaryInferenceCall.java
+++ b/edge/src/main/java/sorrelhoist/edge/UnaryInferenceCall.java
@@ -5,7 +5,7 @@
 import sorrelhoist.protocol.inference.InferResponse;
 import sorrelhoist.protocol.inference.Tensor;
 
-/** ModelInfer: the whole answer in one message. */
+/** A ModelInfer call: sends the whole response in one message. */
 final class UnaryInferenceCall extends InferenceCall {
     private final StringBuilder answer = new StringBuilder();
 
--- a/edge/src/main/java/sorrelhoist/edge/persistence/DirectoryStorage.java
+++ b/edge/src/main/java/sorrelhoist/edge/persistence/DirectoryStorage.java
@@ -8,15 +8,15 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** Storage in a directory of the file system. */
+/** Stores files in a directory of the file system. */
 public final class DirectoryStorage implements SnapshotStorage {
     private final Path directory;
 
     /**
-     * Opens a directory.
+     * Opens a directory, and creates it if it is missing.
      *
-     * @param directory the directory; created if missing
-     * @throws IOException if it cannot be created
+     * @param directory the directory that holds the files
+     * @throws IOException if the directory cannot be created
      */
     public DirectoryStorage(Path directory) throws IOException {
         this.directory = Files.createDirectories(directory);
@@ -61,7 +61,7 @@
                 directory.resolve(to),
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
-        // The new name is durable only once the directory itself is on the device.
+        // The new name is durable only after the directory itself is synced to the device.
         force(directory, StandardOpenOption.READ);
     }
 
--- a/edge/src/main/java/sorrelhoist/edge/persistence/KnowledgePersistence.java
+++ b/edge/src/main/java/sorrelhoist/edge/persistence/KnowledgePersistence.java
@@ -13,8 +13,8 @@
 import sorrelhoist.routing.Knowledge;
 
 /**
- * Restores a router's knowledge at its start, and persists it while it runs. Called on the router's
- * thread; a thread of its own writes to storage.
+ * Restores a router's knowledge when it starts, and persists it while it runs. Called on the
+ * router's thread; a separate thread writes to storage.
  */
 public final class KnowledgePersistence {
     private static final Logger LOG = LoggerFactory.getLogger(KnowledgePersistence.class);
@@ -33,14 +33,14 @@
                         return thread;
                     });
 
-    /** Whether the last write failed; on the writer's thread. */
+    /** Whether the last write failed; accessed on the writer's thread only. */
     private boolean writeFailing;
 
     /**
-     * Creates it; reads nothing yet.
+     * Creates a persistence without reading from storage.
      *
-     * @param storage where snapshots lie
-     * @param nowMicros microseconds since 1970
+     * @param storage the storage of the snapshots
+     * @param nowMicros the current time, in microseconds since 1970
      */
     public KnowledgePersistence(SnapshotStorage storage, long nowMicros) {
         this.store = new SnapshotStore(storage);
@@ -48,11 +48,11 @@
     }
 
     /**
-     * Restores what was persisted.
+     * Reads the persisted snapshots.
      *
-     * @param nowMicros microseconds since 1970
-     * @return the snapshots that are still of use, the newest first; empty if there are none or
-     *     they cannot be read
+     * @param nowMicros the current time, in microseconds since 1970
+     * @return the snapshots that are still useful, the newest first; empty if there are none or
+     *     they cannot be read, which is logged
      */
     public List<SnapshotPolicy.RestoredSnapshot> restore(long nowMicros) {
         try {
@@ -63,20 +63,20 @@
                     .addKeyValue("event", "snapshots_restored")
                     .addKeyValue("frames", frames.size())
                     .addKeyValue("restorable", restorable.size())
-                    .log("own snapshots read");
+                    .log("own snapshots restored");
             return restorable;
         } catch (IOException e) {
             LOG.atWarn()
                     .addKeyValue("event", "snapshots_unreadable")
-                    .log("own snapshots cannot be read: {}", e.toString());
+                    .log("failed to read own snapshots: {}", e.toString());
             return List.of();
         }
     }
 
     /**
-     * {@return how many prefixes the snapshot that is due may hold; 0 if none is due}
+     * Returns the maximum number of prefixes in the snapshot that is due; 0 if none is due.
      *
-     * @param nowMicros microseconds since 1970
+     * @param nowMicros the current time, in microseconds since 1970
      */
     public int maxPrefixesDue(long nowMicros) {
         return switch (policy.kindDue(nowMicros)) {
@@ -86,16 +86,16 @@
         };
     }
 
-    /** {@return when the next snapshot is due, in microseconds since 1970} */
+    /** Returns the time at which the next snapshot is due, in microseconds since 1970. */
     public long nextDueAt() {
         return policy.nextDueAt();
     }
 
     /**
-     * Writes the snapshot that is due, in the background.
+     * Writes the snapshot that is due on the writer's thread. Failures are logged.
      *
-     * @param nowMicros microseconds since 1970
-     * @param knowledge what the router knows
+     * @param nowMicros the current time, in microseconds since 1970
+     * @param knowledge the router's knowledge
      */
     public void write(long nowMicros, Knowledge knowledge) {
         SnapshotPolicy.SnapshotKind kind = policy.kindDue(nowMicros);
@@ -120,12 +120,12 @@
                 writeFailing = true;
                 LOG.atWarn()
                         .addKeyValue("event", "snapshot_write_failed")
-                        .log("a snapshot cannot be written: {}", e.toString());
+                        .log("failed to write a snapshot: {}", e.toString());
             }
         }
     }
 
-    /** Finishes the writes that are under way, and ends. Blocks for a limited time. */
+    /** Finishes the pending writes, and stops the writer's thread. Blocks for a limited time. */
     public void stop() {
         writer.shutdown();
         try {
--- a/edge/src/main/java/sorrelhoist/edge/persistence/SnapshotStorage.java
+++ b/edge/src/main/java/sorrelhoist/edge/persistence/SnapshotStorage.java
@@ -3,45 +3,45 @@
 import java.io.IOException;
 
 /**
- * The few operations on files that a {@link SnapshotStore} needs; an interface, so that tests can
- * let each of them fail. File names are relative to the storage.
+ * File operations that a {@link SnapshotStore} needs. An interface, so that tests can make each
+ * operation fail. File names are relative to the storage.
  */
 public interface SnapshotStorage {
     /**
-     * {@return a file's bytes, or null if there is no such file}
+     * Returns a file's content; null if the file does not exist.
      *
-     * @param name the file
+     * @param name the file's name
      */
     byte[] read(String name) throws IOException;
 
     /**
-     * Writes a file, replacing what it held.
+     * Writes a file, replacing its former content.
      *
-     * @param name the file
-     * @param bytes its content
+     * @param name the file's name
+     * @param bytes the new content
      */
     void write(String name, byte[] bytes) throws IOException;
 
     /**
      * Appends to a file.
      *
-     * @param name the file
-     * @param bytes what is added at its end
+     * @param name the file's name
+     * @param bytes the bytes to append
      */
     void append(String name, byte[] bytes) throws IOException;
 
     /**
-     * Cuts a file.
+     * Truncates a file.
      *
-     * @param name the file
-     * @param length its new length, in bytes
+     * @param name the file's name
+     * @param length the new length, in bytes
      */
     void truncate(String name, long length) throws IOException;
 
     /**
-     * Forces a file's content to the device, so that it survives a loss of power.
+     * Syncs a file's content to the device, so that it survives a power loss.
      *
-     * @param name the file
+     * @param name the file's name
      */
     void sync(String name) throws IOException;
 
--- a/edge/src/main/java/sorrelhoist/edge/persistence/SnapshotStore.java
+++ b/edge/src/main/java/sorrelhoist/edge/persistence/SnapshotStore.java
@@ -9,15 +9,15 @@
 import sorrelhoist.core.statetransfer.SnapshotLog;
 
 /**
- * A router's snapshots in storage: a full one, and a log of the incremental ones since. Each file
- * is durable before the next step begins, so that a kill between any two steps leaves both
- * readable. A file that is damaged or foreign is set aside under another name, and its valid
- * beginning used where it has one. Not thread-safe.
+ * Stores a router's snapshots: the latest full snapshot, and a log of the incremental snapshots
+ * since then. Each file is durable before the next step begins, so that both files stay readable if
+ * the process is killed between any two steps. A file that is corrupt or of another format is
+ * renamed, and its valid frames are still used if it has any. Not thread-safe.
  */
 public final class SnapshotStore {
     private static final Logger LOG = LoggerFactory.getLogger(SnapshotStore.class);
 
-    // Names of files on disk: they stay, so that older versions' files are found.
+    // Names of files on disk. They must not change, so that files of older versions are found.
     private static final String SNAPSHOT_FILE = "past.snapshot";
     private static final String LOG_FILE = "past.log";
     private static final String TEMPORARY_FILE = "past.new";
@@ -25,22 +25,24 @@
 
     private final SnapshotStorage storage;
 
-    /** Whether the log has a valid header and ends with a whole frame. */
+    /** Whether the log has a valid header and ends with a complete frame. */
     private boolean logAppendable;
 
     /**
-     * Creates a store; reads nothing yet.
+     * Creates a store without reading from storage.
      *
-     * @param storage where the files lie
+     * @param storage the storage of the files
      */
     public SnapshotStore(SnapshotStorage storage) {
         this.storage = storage;
     }
 
     /**
-     * Reads all that is stored.
+     * Reads all stored snapshots. Renames corrupt files, and truncates an incomplete frame at the
+     * end of the log.
      *
-     * @return the valid frames of the full snapshot and of the log, in the order of writing
+     * @return the valid frames of the full snapshot and of the log, in the order in which they were
+     *     written
      * @throws IOException if a file cannot be read, renamed or truncated
      */
     public List<SnapshotLog.Frame> restore() throws IOException {
@@ -60,7 +62,7 @@
         } else if (name.equals(LOG_FILE)) {
             logAppendable = result.validBytes() > 0;
             if (result.validBytes() < bytes.length) {
-                // The tail of a write that a kill cut short.
+                // The incomplete last frame is a write that a kill interrupted.
                 storage.truncate(name, result.validBytes());
             }
         }
@@ -73,16 +75,16 @@
                 .addKeyValue("event", "snapshot_set_aside")
                 .addKeyValue("file", name + SET_ASIDE_SUFFIX)
                 .addKeyValue("frames_used", result.frames().size())
-                .log("{}: {}; the file is set aside", name, result.fault());
+                .log("{}: {}; file renamed, its valid frames are used", name, result.fault());
     }
 
     /**
      * Appends an incremental snapshot to the log.
      *
-     * @param savedAtMicros when it was taken, in microseconds since 1970
-     * @param payload its content
-     * @return bytes written
-     * @throws IOException if it cannot be written durably
+     * @param savedAtMicros the time of the snapshot, in microseconds since 1970
+     * @param payload the encoded snapshot
+     * @return the number of bytes written
+     * @throws IOException if the snapshot cannot be written durably
      */
     public long append(long savedAtMicros, byte[] payload) throws IOException {
         byte[] frame = SnapshotLog.encodeFrame(savedAtMicros, payload);
@@ -93,8 +95,9 @@
             storage.append(LOG_FILE, frame);
             storage.sync(LOG_FILE);
         } catch (IOException e) {
-            // A partial frame may stand there, and nothing may follow it: the next append starts a
-            // new log.
+            // The log may end with a partial frame, after which nothing could be read: the next
+            // append
+            // starts a new log.
             logAppendable = false;
             throw e;
         }
@@ -102,12 +105,12 @@
     }
 
     /**
-     * Replaces all that is stored by a full snapshot and an empty log.
+     * Replaces all stored snapshots with a full snapshot and an empty log.
      *
-     * @param savedAtMicros when it was taken, in microseconds since 1970
-     * @param payload its content
-     * @return bytes written
-     * @throws IOException if it cannot be written durably
+     * @param savedAtMicros the time of the snapshot, in microseconds since 1970
+     * @param payload the encoded snapshot
+     * @return the number of bytes written for the snapshot
+     * @throws IOException if the snapshot or the log cannot be written durably
      */
     public long replaceAll(long savedAtMicros, byte[] payload) throws IOException {
         byte[] frame = SnapshotLog.encodeFrame(savedAtMicros, payload);
@@ -122,7 +125,7 @@
         logAppendable = true;
     }
 
-    /** Writes a file of a header and frames, so that it is there as a whole or not at all. */
+    /** Writes a file with a header and frames atomically and durably. */
     private void writeFile(String name, byte[] frames) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(SnapshotLog.header());
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordDirectory.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordDirectory.java
@@ -14,29 +14,31 @@
 import sorrelhoist.core.record.SegmentRetention;
 
 /**
- * The files of a record in a directory: carries out the operations that {@link SegmentRetention}
- * decides. Used by one thread at a time.
+ * The directory that holds the files of a record. Executes the file operations that {@link
+ * SegmentRetention} decides. Used by one thread at a time.
  */
 public class RecordDirectory {
-    /** A file of this name asks for the files that are there to be preserved. */
+    /**
+     * Name of the file that an operator creates to request that the existing files are preserved.
+     */
     public static final String PRESERVE_REQUEST_FILE = "keep";
 
     private final Path directory;
 
     /**
-     * Opens a directory.
+     * Opens a directory, and creates it if it is missing.
      *
-     * @param directory the directory; created if missing
-     * @throws IOException if it cannot be created
+     * @param directory the directory that holds the record
+     * @throws IOException if the directory cannot be created
      */
     public RecordDirectory(Path directory) throws IOException {
         this.directory = Files.createDirectories(directory);
     }
 
     /**
-     * Lists the directory.
+     * Lists the regular files of the directory.
      *
-     * @return the files that are there
+     * @return the files with their names, sizes and times of last modification
      * @throws IOException if the directory cannot be read
      */
     public List<SegmentRetention.ExistingFile> existingFiles() throws IOException {
@@ -59,12 +61,12 @@
     }
 
     /**
-     * Carries out operations in their order.
+     * Executes file operations in order.
      *
-     * @param operations the operations
-     * @param chunk what an {@link SegmentRetention.Append} among them writes; may be null if there
-     *     is none
-     * @throws IOException if one of them fails; those before it have taken effect
+     * @param operations the operations to execute
+     * @param chunk the bytes that an {@link SegmentRetention.Append} writes; may be null if the
+     *     operations contain none
+     * @throws IOException if an operation fails; the operations before it have taken effect
      */
     public void perform(List<SegmentRetention.FileOperation> operations, byte[] chunk)
             throws IOException {
@@ -82,11 +84,11 @@
     }
 
     /**
-     * Appends to a file, which begins with a header if it is new.
+     * Appends a chunk to a file. A new file starts with a header.
      *
-     * @param name the file
-     * @param chunk what is added
-     * @throws IOException if it cannot be written; a part of it may stand there
+     * @param name the file's name
+     * @param chunk the encoded chunk
+     * @throws IOException if the chunk cannot be written; the file may then end with a part of it
      */
     protected void append(String name, byte[] chunk) throws IOException {
         Path file = directory.resolve(name);
@@ -115,10 +117,10 @@
     }
 
     /**
-     * Takes a request to preserve the files that are there.
+     * Checks for a request to preserve the existing files, and deletes the request file.
      *
-     * @return whether there was one since this was last called
-     * @throws IOException if its file cannot be deleted
+     * @return true if there was a request since the last call
+     * @throws IOException if the request file cannot be deleted
      */
     public boolean takePreserveRequest() throws IOException {
         return Files.deleteIfExists(directory.resolve(PRESERVE_REQUEST_FILE));
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordWriter.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordWriter.java
@@ -19,13 +19,13 @@
 import sorrelhoist.core.request.RouterSettings;
 
 /**
- * Records a router's decisions. Chunks are encoded on the router's thread as things happen, handed
- * on in background slices within a budget of bytes, and written by a thread of their own. A disk
- * that is slow or full costs the record its chunks, which are counted and marked, and costs
- * requests nothing.
+ * Records a router's decisions. Chunks are encoded on the router's thread as decisions are made,
+ * passed on in background slices within a budget of bytes, and written by a separate thread. If the
+ * disk is slow or full, chunks are dropped, and the gap is counted and marked in the record;
+ * requests are not affected.
  */
 public final class RecordWriter {
-    /** The build that records name. */
+    /** The build version in the header of records. */
     public static final String BUILD = "0.2.0";
 
     private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
@@ -51,7 +51,7 @@
     private Runnable onChunk = () -> {};
     private boolean ended;
 
-    /** A step that writes to the directory. */
+    /** A task that writes to the directory. */
     private interface FileTask {
         void run() throws IOException;
     }
@@ -59,8 +59,8 @@
     /**
      * Creates a writer.
      *
-     * @param directory where the record lies
-     * @param limits how much of it stays
+     * @param directory the directory of the record
+     * @param limits the retention limits of the record
      * @param router the settings of the router whose decisions are recorded
      * @throws IOException if the directory cannot be read
      */
@@ -87,21 +87,28 @@
                         this::preserve);
     }
 
-    /** {@return the listener to the router's decisions, to be called on its thread} */
+    /**
+     * Returns the listener that records the router's decisions, to be called on the router's
+     * thread.
+     */
     public DecisionListener decisionListener() {
         return anomalyTrigger;
     }
 
     /**
-     * Sets who is told, on the router's thread, that a chunk waits for {@link #runSlice}.
+     * Sets the listener that is notified, on the router's thread, of chunks that wait for {@link
+     * #runSlice}.
      *
-     * @param listener the listener
+     * @param listener run after each chunk that was added
      */
     public void onChunk(Runnable listener) {
         onChunk = listener;
     }
 
-    /** Takes a chunk from the recorder. {@return false if it has to be dropped} */
+    /**
+     * Queues a chunk of the recorder. Returns false if the chunk is dropped, because too many bytes
+     * are pending or the writer was stopped.
+     */
     private boolean enqueue(byte[] chunk) {
         if (ended || pendingBytes.get() + chunk.length > MAX_PENDING_BYTES) {
             return false;
@@ -113,10 +120,10 @@
     }
 
     /**
-     * Hands some chunks on to the writing thread; on the router's thread.
+     * Passes some chunks on to the writer's thread. Called on the router's thread.
      *
-     * @param onBytes takes the number of bytes handed on
-     * @return whether more chunks wait
+     * @param onBytes receives the size of each chunk that is passed on, in bytes
+     * @return true if more chunks are queued
      */
     public boolean runSlice(LongConsumer onBytes) {
         for (int i = 0; i < CHUNKS_PER_SLICE && !chunks.isEmpty(); i++) {
@@ -135,16 +142,16 @@
     }
 
     /**
-     * Preserves what is recorded so far, so that it is not deleted; on the router's thread.
+     * Preserves everything recorded so far from regular deletion. Called on the router's thread.
      *
-     * @param nowMicros the time, in microseconds
-     * @param reason why, as the record and the log will say
+     * @param nowMicros the current time, in microseconds
+     * @param reason the reason, which is written to the record and to the log
      */
     public void preserve(long nowMicros, String reason) {
         LOG.atWarn()
                 .addKeyValue("event", "record_preserved")
                 .addKeyValue("reason", reason)
-                .log("the record is preserved: {}", reason);
+                .log("preserving the decision record: {}", reason);
         recorder.addMarker(nowMicros, reason);
         recorder.flush();
         handOnAllChunks();
@@ -173,42 +180,43 @@
             preserveFiles();
             LOG.atInfo()
                     .addKeyValue("event", "record_preserved")
-                    .log("the record is preserved, as requested");
+                    .log("preserved the decision record on request");
         }
     }
 
-    /** Runs a step, and logs when steps begin to fail and when they succeed again. */
+    /** Runs a file task, and logs when tasks start to fail and when they succeed again. */
     private void perform(FileTask task) {
         try {
             task.run();
             if (writeFailing.getAndSet(false)) {
                 LOG.atInfo()
                         .addKeyValue("event", "record_write_recovered")
-                        .log("the record can be written again");
+                        .log("writing the decision record succeeds again");
             }
         } catch (IOException e) {
-            // A partial chunk may stand there: nothing may follow it in that file.
+            // The file may end with a partial chunk, so nothing may be appended to it.
             retention.writeFailed();
             if (!writeFailing.getAndSet(true)) {
                 LOG.atWarn()
                         .addKeyValue("event", "record_write_failed")
                         .log(
-                                "the record cannot be written, and has a gap from here on: {}",
+                                "failed to write the decision record, which has a gap from here on:"
+                                        + " {}",
                                 e.toString());
             }
         }
     }
 
-    /** {@return bytes that are recorded and not written yet} */
+    /** Returns the number of recorded bytes that are not written yet. */
     long pendingBytes() {
         return pendingBytes.get();
     }
 
     /**
-     * Writes what is left with a marker at its end, and ends. The last call on the router's thread;
-     * blocks for a limited time.
+     * Writes the remaining chunks and a final marker, and stops the writer's thread. Has to be the
+     * last call on the router's thread. Blocks for a limited time.
      *
-     * @param nowMicros the time, in microseconds
+     * @param nowMicros the current time, in microseconds
      */
     public void stop(long nowMicros) {
         recorder.flush();
@@ -216,7 +224,9 @@
         writer.shutdown();
         try {
             if (writer.awaitTermination(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-                // No other thread writes now; this chunk counts what was dropped just before.
+                // The writer's thread has ended, so this thread may write. The last chunk also
+                // counts
+                // the chunks that were dropped before it.
                 recorder.addMarker(nowMicros, "the edge stopped");
                 recorder.flush();
                 chunks.forEach(this::write);
@@ -224,7 +234,7 @@
             } else {
                 LOG.atWarn()
                         .addKeyValue("event", "record_write_failed")
-                        .log("the end of the record was not written");
+                        .log("timed out writing the end of the decision record");
             }
             ended = true;
         } catch (InterruptedException e) {
--- a/edge/src/main/java/sorrelhoist/edge/statetransfer/SnapshotClient.java
+++ b/edge/src/main/java/sorrelhoist/edge/statetransfer/SnapshotClient.java
@@ -22,8 +22,8 @@
 import sorrelhoist.routing.Knowledge;
 
 /**
- * Asks running edges for what they know while this one starts, one donor at a time. Its state
- * belongs to one network thread.
+ * Fetches knowledge from running edges (donors) while this edge starts, from one donor at a time.
+ * Its state belongs to one network thread.
  */
 public final class SnapshotClient {
     private static final Logger LOG = LoggerFactory.getLogger(SnapshotClient.class);
@@ -42,14 +42,15 @@
     private volatile boolean stopped;
 
     /**
-     * Creates a client; it asks nobody until it is {@link #ready} and knows donors.
+     * Creates a client. It starts no transfer before {@link #ready} and {@link #donorsChanged} were
+     * called.
      *
      * @param edgeName this edge's name
      * @param zone this edge's zone; donors of the same zone are preferred
      * @param authenticator signs requests and verifies chunks
-     * @param network the thread on which it runs
-     * @param ownKnowledge gives what this edge knows already
-     * @param onKnowledge takes what donors know
+     * @param network the network thread of the client
+     * @param ownKnowledge supplies the knowledge that this edge already has
+     * @param onKnowledge receives the donors' knowledge
      */
     public SnapshotClient(
             String edgeName,
@@ -67,7 +68,7 @@
     }
 
     /**
-     * Takes the list of the other edges.
+     * Replaces the list of the other edges.
      *
      * @param all the possible donors
      */
@@ -79,7 +80,10 @@
                 });
     }
 
-    /** The engines are listed and the own snapshots restored: what donors know can be taken. */
+    /**
+     * Allows transfers to start. Called once the engines are listed and the own snapshots are
+     * restored, as donors' knowledge can be imported only then.
+     */
     public void ready() {
         network.execute(
                 () -> {
@@ -88,7 +92,7 @@
                 });
     }
 
-    /** Asks nobody any more. */
+    /** Stops the client: no further transfer is started. */
     public void stop() {
         stopped = true;
     }
@@ -120,7 +124,7 @@
                         SnapshotServer.METHOD_PATH, null, new Transfer(donor, channel, exchangeId));
         call.sendLast(request(donor, exchangeId, KeyDigest.encode(known)).toByteArray());
         channel.start(call);
-        // A donor that is too slow is given up; what it has sent stays.
+        // Cancels the transfer of a donor that is too slow; the chunks received so far are kept.
         network.schedule(call::cancel, TRANSFER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
@@ -134,7 +138,7 @@
                 authenticator.sign(edgeName, donor.edge(), exchangeId, 0, digest));
     }
 
-    /** One donor's answer: chunks in order, the last one marked. */
+    /** Receives one donor's response: chunks in order, of which the last one is marked. */
     private final class Transfer implements ClientCall.Listener {
         private final DonorSelection.Donor donor;
         private final GrpcChannel channel;
@@ -154,7 +158,7 @@
             try {
                 SnapshotChunk chunk = SnapshotChunk.parse(message);
                 if (!isAuthentic(chunk)) {
-                    reject(call, "a chunk's signature or index is not valid");
+                    reject(call, "chunk has an invalid signature or index");
                     return;
                 }
                 nextIndex++;
@@ -163,7 +167,7 @@
                     onKnowledge.accept(KnowledgeCodec.decode(chunk.payload()));
                 }
             } catch (ProtoException | KnowledgeCodec.CorruptKnowledgeException e) {
-                reject(call, "a chunk cannot be read: " + e.getMessage());
+                reject(call, "malformed chunk: " + e.getMessage());
             }
         }
 
--- a/edge/src/main/java/sorrelhoist/edge/statetransfer/SnapshotServer.java
+++ b/edge/src/main/java/sorrelhoist/edge/statetransfer/SnapshotServer.java
@@ -19,12 +19,12 @@
 import sorrelhoist.routing.Knowledge;
 
 /**
- * Sends starting edges what this one knows, one chunk in each slice of background work. Few
- * transfers run at once, each bounded in bytes and time; a recipient that does not read gets
- * nothing more. Its state belongs to the router's thread.
+ * Sends this edge's knowledge to edges that start, one chunk per slice of background work. The
+ * number of concurrent transfers is limited, and so are the bytes and the time of each. A recipient
+ * that does not read gets no further chunks. Its state belongs to the router's thread.
  */
 public final class SnapshotServer {
-    /** Path of the method. */
+    /** gRPC path of the method. */
     public static final String METHOD_PATH = "/sorrelhoist.know.v1.Teacher/Teach";
 
     private static final int MAX_TRANSFERS = 4;
@@ -41,7 +41,7 @@
     private final Runnable onWork;
     private final Queue<Session> sessions = new ArrayDeque<>();
 
-    /** A transfer to one recipient. */
+    /** A running transfer to one recipient. */
     private static final class Session {
         final ServerCall call;
         final SnapshotRequest request;
@@ -62,12 +62,12 @@
             this.deadlineMicros = deadlineMicros;
         }
 
-        /** Ends the call, on its own thread. */
+        /** Ends the call, on the call's network thread. */
         void close(Status status) {
             call.executor().execute(() -> call.close(status, null));
         }
 
-        /** Sends a chunk on the call's own thread, and ends the call after the last one. */
+        /** Sends a chunk on the call's network thread, and ends the call after the last chunk. */
         void send(SnapshotChunk chunk) {
             unsentBytes.addAndGet(chunk.payload().length);
             call.executor()
@@ -87,10 +87,10 @@
      *
      * @param edgeName this edge's name
      * @param authenticator signs chunks and verifies requests
-     * @param knowledge gives what this edge knows, with at most so many prefixes; called on the
-     *     router's thread
+     * @param knowledge supplies this edge's knowledge with at most the given number of prefixes;
+     *     called on the router's thread
      * @param routerThread runs a task on the router's thread
-     * @param onWork told on the router's thread that there is background work
+     * @param onWork run on the router's thread when there is background work
      */
     public SnapshotServer(
             String edgeName,
@@ -108,8 +108,8 @@
     /**
      * Accepts a call.
      *
-     * @param call a recipient's call
-     * @return the listener to the call
+     * @param call the call of a recipient
+     * @return the listener for the call
      */
     public ServerCall.Listener accept(ServerCall call) {
         return new CallListener(call);
@@ -127,7 +127,10 @@
                         request.digest());
     }
 
-    /** Starts a transfer, on the router's thread. {@return its session; null if rejected} */
+    /**
+     * Starts a transfer on the router's thread. Returns null, and ends the call, if too many
+     * transfers are running.
+     */
     private Session startSession(ServerCall call, SnapshotRequest request) {
         if (sessions.size() >= MAX_TRANSFERS) {
             Status busy = new Status(StatusCode.RESOURCE_EXHAUSTED, "other transfers are running");
@@ -150,8 +153,9 @@
     /**
      * Runs one slice on the router's thread: sends one chunk of one transfer.
      *
-     * @param onBytes takes the number of bytes that were sent
-     * @return microseconds until the next slice is due; Long.MAX_VALUE if no transfer runs
+     * @param onBytes receives the number of bytes that were sent
+     * @return the delay until the next slice is due, in microseconds; Long.MAX_VALUE if no transfer
+     *     is running
      */
     public long runSlice(LongConsumer onBytes) {
         Session session = sessions.poll();
@@ -196,7 +200,7 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    /** Listens to a recipient's call, on its network thread. */
+    /** Handles a recipient's call, on the call's network thread. */
     private final class CallListener implements ServerCall.Listener {
         private final ServerCall call;
         private volatile Session session;
--- a/edge/src/test/java/sorrelhoist/edge/persistence/SnapshotStoreTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/persistence/SnapshotStoreTest.java
@@ -15,11 +15,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import sorrelhoist.core.statetransfer.SnapshotLog;
 
-/** A store that is killed at every point of every write, and one that is damaged or foreign. */
+/**
+ * Tests a store whose process is killed at every point of every write, and a store whose files are
+ * corrupt or of another format.
+ */
 class SnapshotStoreTest {
     private static final int STEPS = 12;
 
-    /** Storage in memory that fails after so many bytes and operations. */
+    /** In-memory storage that fails after a given number of written bytes and other operations. */
     private static final class FailingStorage implements SnapshotStorage {
         private final Map<String, byte[]> files;
         private int left;
@@ -29,7 +32,10 @@
             this.left = left;
         }
 
-        /** {@return how much of so much still happens} */
+        /**
+         * Spends the remaining budget on an operation. Returns the part of the amount that the
+         * budget covers.
+         */
         private int spend(int amount) throws IOException {
             if (left <= 0) {
                 throw new IOException("killed");
@@ -87,7 +93,10 @@
         return p;
     }
 
-    /** Writes until it is killed. {@return the last step that was reported as written} */
+    /**
+     * Writes snapshots until the storage fails. Returns the last step whose write succeeded, -1 for
+     * none.
+     */
     private static int writeUntilKilled(SnapshotStore store) {
         for (int step = 0; step < STEPS; step++) {
             try {
@@ -115,11 +124,16 @@
             long newest = frames.stream().mapToLong(SnapshotLog.Frame::savedAt).max().orElse(-1);
             assertTrue(
                     newest >= written,
-                    "killed at " + at + ": step " + written + " is lost, newest " + newest);
+                    "killed at "
+                            + at
+                            + ": lost the written step "
+                            + written
+                            + ", newest restored step is "
+                            + newest);
             frames.forEach(f -> assertArrayEquals(payload((int) f.savedAt()), f.payload()));
             assertTrue(
                     files.keySet().stream().noneMatch(n -> n.endsWith(".aside")),
-                    "killed at " + at);
+                    "renamed a file as corrupt after a kill at " + at);
             store.append(100, payload(3));
             assertEquals(
                     100,
@@ -133,7 +147,7 @@
                 break;
             }
         }
-        assertTrue(kills > 500, "kills " + kills);
+        assertTrue(kills > 500, "too few kill points: " + kills);
     }
 
     @Test
--- a/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
@@ -34,8 +34,8 @@
 import sorrelhoist.routing.RoutingSettings.ServerLimits;
 
 /**
- * A disk that is slow, full or away costs the record its chunks, says so, and costs nobody else
- * anything.
+ * Tests that a slow, full or failing disk makes the record drop chunks, that the dropped chunks are
+ * marked and counted, that the files stay valid, and that the router is not blocked.
  */
 class RecordWriterTest {
     private static final RoutingSettings ROUTING =
@@ -93,7 +93,8 @@
     }
 
     /**
-     * All but the marker at the end, which says by its number that nothing is missing before it.
+     * Checks that each decision has the number at which it was recorded. Ignores the marker at the
+     * end, whose own number shows whether entries before it are missing.
      */
     private static void assertEntriesAreInOrder(Recording recording) {
         for (Recording.NumberedEntry l :
@@ -131,7 +132,7 @@
                             }
                         },
                         LARGE_LIMITS);
-        int told = 600_000; // more than may wait
+        int told = 600_000; // more than the limit of pending bytes
         record(writer, 0, told);
         hangs.countDown();
         while (writer.pendingBytes() > 0) {
@@ -201,8 +202,8 @@
                 }
             }
         }
-        assertTrue(kept > 500_000 && kept <= 900_000, kept + " kept");
-        assertTrue(others > 500_000 && others <= 900_000, others + " others");
+        assertTrue(kept > 500_000 && kept <= 900_000, kept + " bytes preserved");
+        assertTrue(others > 500_000 && others <= 900_000, others + " bytes not preserved");
         assertTrue(
                 recording().entries().stream()
                         .anyMatch(
--- a/planner/src/main/java/sorrelhoist/planner/EdgeSession.java
+++ b/planner/src/main/java/sorrelhoist/planner/EdgeSession.java
@@ -11,7 +11,7 @@
 import sorrelhoist.protocol.plan.PlanEvent;
 import sorrelhoist.protocol.protobuf.ProtoException;
 
-/** The stream to one edge. Its state belongs to the planner's loop. */
+/** The stream to one edge. Its state belongs to the planner's event loop. */
 final class EdgeSession implements ServerCall.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(EdgeSession.class);
     private static final int MAX_UNSENT_BYTES = 4 << 20;
@@ -19,7 +19,7 @@
     private final Planner planner;
     private final ServerCall call;
 
-    /** The edge's name, zone and address; null until it has introduced itself. */
+    /** The edge's name, zone and address; null until the edge has sent its hello message. */
     private Peer peer;
 
     EdgeSession(Planner planner, ServerCall call) {
@@ -27,19 +27,22 @@
         this.call = call;
     }
 
-    /** {@return the edge's name; null until it has introduced itself} */
+    /** Returns the edge's name; null until the edge has sent its hello message. */
     String edge() {
         return peer == null ? null : peer.edge();
     }
 
-    /** {@return the edge as other edges see it; null until it has introduced itself} */
+    /**
+     * Returns the edge as it is announced to other edges; null until the edge has sent its hello
+     * message.
+     */
     Peer peer() {
         return peer;
     }
 
     /**
-     * Sends an event. An edge that does not read is disconnected: it connects again, and gets the
-     * complete list.
+     * Sends an event. An edge that does not read its events is disconnected; it reconnects and then
+     * gets the complete endpoint list.
      */
     void send(PlanEvent event) {
         if (call.pendingBytes() > MAX_UNSENT_BYTES) {
@@ -49,7 +52,7 @@
         }
     }
 
-    /** Ends the stream. */
+    /** Ends the stream with a status, and detaches the edge. */
     void close(Status status) {
         call.close(status, null);
         disconnected(status.message());
--- a/planner/src/main/java/sorrelhoist/planner/EdgeSessions.java
+++ b/planner/src/main/java/sorrelhoist/planner/EdgeSessions.java
@@ -7,26 +7,26 @@
 import sorrelhoist.protocol.plan.Peer;
 import sorrelhoist.protocol.plan.PlanEvent;
 
-/** The streams to edges, one for each edge. Its state belongs to the planner's loop. */
+/** The streams to edges, one for each edge. Its state belongs to the planner's event loop. */
 final class EdgeSessions {
     private final Map<String, EdgeSession> sessions = new LinkedHashMap<>();
 
-    /** Adds an edge's session. {@return the edge's former session; null if it had none} */
+    /** Adds an edge's session and returns the session that it replaces; null if there was none. */
     EdgeSession add(EdgeSession session) {
         return sessions.put(session.edge(), session);
     }
 
-    /** {@return an edge's session; null if it has none} */
+    /** Returns an edge's session; null if the edge has none. */
     EdgeSession of(String edge) {
         return sessions.get(edge);
     }
 
-    /** Removes a session. {@return whether it was its edge's session} */
+    /** Removes a session. Returns false if it was not its edge's current session. */
     boolean remove(EdgeSession session) {
         return sessions.remove(session.edge(), session);
     }
 
-    /** Does something with each session, which may remove sessions. */
+    /** Runs an action for each session. The action may remove sessions. */
     void forEach(Consumer<EdgeSession> action) {
         List.copyOf(sessions.values()).forEach(action);
     }
@@ -36,7 +36,7 @@
         forEach(session -> session.send(event));
     }
 
-    /** {@return the other edges whose addresses are known} */
+    /** Returns the other edges whose addresses are known. */
     List<Peer> peersOf(EdgeSession session) {
         return sessions.values().stream()
                 .filter(other -> other != session)
--- a/planner/src/main/java/sorrelhoist/planner/EngineProber.java
+++ b/planner/src/main/java/sorrelhoist/planner/EngineProber.java
@@ -14,7 +14,10 @@
 import sorrelhoist.protocol.hpack.Headers;
 import sorrelhoist.protocol.plan.ProbeResult;
 
-/** Probes engines for edges, a limited number at once. Its state belongs to the planner's loop. */
+/**
+ * Probes engines on behalf of edges, with a limited number of probes in flight. Its state belongs
+ * to the planner's event loop.
+ */
 final class EngineProber {
     private final EventLoop loop;
     private final EndpointTracker endpoints;
@@ -26,10 +29,10 @@
     /**
      * Creates a prober.
      *
-     * @param loop the planner's loop
-     * @param endpoints knows the engines' addresses
-     * @param timeoutMicros until a probe has failed
-     * @param maxInFlight probes at once; more are answered as failed
+     * @param loop the planner's event loop
+     * @param endpoints the endpoints with the engines' addresses
+     * @param timeoutMicros the timeout of a probe, in microseconds
+     * @param maxInFlight the maximum number of probes in flight; further probes fail immediately
      */
     EngineProber(EventLoop loop, EndpointTracker endpoints, long timeoutMicros, int maxInFlight) {
         this.loop = loop;
@@ -38,7 +41,7 @@
         this.maxInFlight = maxInFlight;
     }
 
-    /** Probes an engine. */
+    /** Probes an engine. A probe without an answer is reported as unanswered. */
     void probe(String engine, Consumer<ProbeResult> onResult) {
         String address = endpoints.address(engine);
         if (address == null || inFlight >= maxInFlight) {
@@ -76,7 +79,7 @@
         channels.values().forEach(GrpcChannel::shutdown);
     }
 
-    /** Listens to an engine's answer, which is the load report in its trailers. */
+    /** Handles an engine's response, which is the load report in its trailers. */
     private final class ProbeListener implements ClientCall.Listener {
         private final String engine;
         private final Consumer<ProbeResult> onResult;
--- a/planner/src/main/java/sorrelhoist/planner/Planner.java
+++ b/planner/src/main/java/sorrelhoist/planner/Planner.java
@@ -24,8 +24,9 @@
 import sorrelhoist.protocol.plan.ReplicaSlot;
 
 /**
- * A planner: reads the registry, assigns replica slots to edges, sends them the endpoint list,
- * probes engines for them and relays their messages. All its state belongs to one event loop.
+ * A planner process: reads the service registry, assigns replica slots to edges, sends them the
+ * endpoint list, probes engines on their behalf and relays their messages to each other. All its
+ * state belongs to one event loop.
  */
 public final class Planner {
     private static final Logger LOG = LoggerFactory.getLogger(Planner.class);
@@ -50,9 +51,9 @@
     private long slotEpoch;
 
     /**
-     * Creates a planner; {@link #start} starts it.
+     * Creates a planner. {@link #start} starts it.
      *
-     * @param settings its settings
+     * @param settings the planner's settings
      */
     public Planner(PlannerSettings settings) {
         this.settings = settings;
@@ -76,10 +77,10 @@
     }
 
     /**
-     * Listens for edges, and reads the registry.
+     * Starts to listen for edges, and to poll the registry.
      *
      * @return this
-     * @throws IOException if the port cannot be listened on
+     * @throws IOException if listening on the port fails
      */
     public Planner start() throws IOException {
         GrpcServer server =
@@ -103,16 +104,16 @@
         LOG.atInfo()
                 .addKeyValue("event", "started")
                 .addKeyValue("port", port())
-                .log("planner listens");
+                .log("planner is listening for edges");
         return this;
     }
 
-    /** {@return the port on which edges are served} */
+    /** Returns the port on which the planner serves edges. */
     public int port() {
         return LoopbackTransport.localPort(listener);
     }
 
-    /** Stops; edges go on with what they were told. */
+    /** Stops the planner. Edges continue with the latest data that they received. */
     public void stop() {
         loop.execute(
                 () -> {
@@ -154,7 +155,7 @@
                 .log("endpoint changed");
     }
 
-    /** An edge has introduced itself. */
+    /** Registers an edge that has sent its hello message, and sends it the current state. */
     void edgeAttached(EdgeSession session) {
         EdgeSession former = edges.add(session);
         if (former != null) {
@@ -167,20 +168,20 @@
                 .addKeyValue("edge", session.edge())
                 .log("edge attached");
         sendSlots();
-        // Before the registry was read there is no list: an empty one would stop every edge.
+        // Until the registry was read there is no list to send. An empty one would stop every edge.
         if (registryRead) {
             sendRoster(session);
         }
     }
 
-    /** An edge's stream has ended. */
+    /** Removes an edge whose stream has ended. */
     void edgeLeft(EdgeSession session) {
         if (edges.remove(session)) {
             slots.leave(nowMicros(), session.edge());
         }
     }
 
-    /** Sends an edge the complete endpoint list. */
+    /** Sends an edge the complete endpoint list, or the notice that the list is unavailable. */
     void sendRoster(EdgeSession session) {
         session.send(
                 registryRead
@@ -206,7 +207,7 @@
                 });
     }
 
-    /** Probes an engine for an edge. */
+    /** Probes an engine on behalf of an edge, and sends it the result. */
     void probe(EdgeSession session, String engine) {
         prober.probe(engine, result -> session.send(PlanEvent.of(result)));
     }
@@ -214,7 +215,7 @@
     /** Relays an edge's message to another edge, or to all others. */
     void relay(EdgeSession sender, EdgeMessage.RelayRequest request) {
         if (request.body().length() > MAX_RELAYED_LENGTH) {
-            return; // no edge of this project sends more
+            return; // edges of this project never send a longer message
         }
         int senderIndex = slots.slotOf(sender.edge()).index();
         PlanEvent message = PlanEvent.of(new PeerMessage(senderIndex, request.body()));
--- a/planner/src/main/java/sorrelhoist/planner/PlannerSettings.java
+++ b/planner/src/main/java/sorrelhoist/planner/PlannerSettings.java
@@ -1,19 +1,20 @@
 package sorrelhoist.planner;
 
 /**
- * A planner's settings, as its settings file holds them: the names of the components are the keys.
- * Times end in Ms, for milliseconds.
+ * A planner's settings. The names of the components are the keys of the settings file; a name that
+ * ends in Ms is a time in milliseconds.
  *
- * @param port to listen on; 0 for one that the system picks
+ * @param port the port to listen on; 0 for one that the operating system picks
  * @param registry the Eureka registry's address
  * @param app the application whose instances are the engines
- * @param edges edges that the deployment is to have
- * @param pollMs the pause between two polls of the registry
- * @param registryTimeoutMs until a fetch has failed
- * @param seatMs the lease of an edge that left on its replica slot
- * @param doubtMs how long it is not believed that half the engines vanished at once
- * @param probeTimeoutMs until a probe has failed
- * @param probesAtOnce probes that may be in flight
+ * @param edges the number of edges that the deployment is to have
+ * @param pollMs the pause between the answer to a poll of the registry and the next poll
+ * @param registryTimeoutMs the timeout of a request to the registry
+ * @param seatMs the lease during which an edge that left keeps its replica slot
+ * @param doubtMs the grace time before engines are removed if half of the engines or more (at least
+ *     two) vanish from the registry at once
+ * @param probeTimeoutMs the timeout of a probe
+ * @param probesAtOnce the maximum number of probes in flight
  */
 public record PlannerSettings(
         int port,
--- a/planner/src/main/java/sorrelhoist/planner/RegistryClient.java
+++ b/planner/src/main/java/sorrelhoist/planner/RegistryClient.java
@@ -14,8 +14,9 @@
 import sorrelhoist.protocol.http1.HttpMessage;
 
 /**
- * Reads a Eureka registry's list over its REST API: all of it at first, then deltas, and all of it
- * again if a delta's hash code shows that something was missed.
+ * Reads the instances of a Eureka registry over its REST API. Fetches the complete list first and
+ * then deltas, and the complete list again if a delta's hash code shows that the local list is out
+ * of date.
  */
 final class RegistryClient {
     private static final String ALL_PATH = "/eureka/apps";
@@ -35,10 +36,10 @@
     /**
      * Creates a client.
      *
-     * @param loop the loop on which it runs
+     * @param loop the event loop of the client
      * @param address the registry's address
      * @param application the application whose instances are the engines
-     * @param timeoutMicros until a request has failed
+     * @param timeoutMicros the timeout of a request, in microseconds
      */
     RegistryClient(EventLoop loop, String address, String application, long timeoutMicros) {
         this.http = new HttpClient(loop, address);
@@ -46,7 +47,9 @@
         this.timeoutMicros = timeoutMicros;
     }
 
-    /** {@return the engines' instances as they are listed now, or why they cannot be fetched} */
+    /**
+     * Returns the engines' instances that the registry lists now; fails if they cannot be fetched.
+     */
     CompletableFuture<List<RegistryView.Instance>> fetch() {
         return (view.isComplete() ? fetchDelta() : fetchAll()).thenApply(this::engines);
     }
@@ -93,17 +96,18 @@
     private JsonNode parse(String path, HttpMessage response) {
         if (response.status() != STATUS_OK) {
             throw new RegistryException(
-                    "the registry answered " + response.status() + " to GET " + path);
+                    "registry returned status " + response.status() + " for GET " + path);
         }
         JsonNode root;
         try {
             root = json.readTree(response.body());
         } catch (IOException e) {
-            throw new RegistryException("the registry's answer to GET " + path + " is no JSON", e);
+            throw new RegistryException(
+                    "registry response to GET " + path + " is not valid JSON", e);
         }
         if (!root.path(APPLICATIONS).isObject()) {
             throw new RegistryException(
-                    "the registry's answer to GET " + path + " holds no applications");
+                    "registry response to GET " + path + " has no \"applications\" object");
         }
         return root;
     }
@@ -116,7 +120,10 @@
         return instances;
     }
 
-    /** {@return a list's elements; a list of one may come as the one itself, as made from XML} */
+    /**
+     * Returns the elements of a list. JSON converted from XML may contain a list with one element
+     * as the element itself.
+     */
     private static List<JsonNode> elements(JsonNode node) {
         List<JsonNode> elements = new ArrayList<>();
         if (node.isArray()) {
--- a/planner/src/main/java/sorrelhoist/planner/RegistryException.java
+++ b/planner/src/main/java/sorrelhoist/planner/RegistryException.java
@@ -1,6 +1,6 @@
 package sorrelhoist.planner;
 
-/** An answer of the registry that cannot be used. */
+/** Thrown if a response of the registry has an error status or invalid content. */
 final class RegistryException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/planner/src/main/java/sorrelhoist/planner/RegistryPoller.java
+++ b/planner/src/main/java/sorrelhoist/planner/RegistryPoller.java
@@ -6,7 +6,10 @@
 import java.util.function.Consumer;
 import sorrelhoist.core.members.RegistryView;
 
-/** Polls the registry, again and again, with a pause after each answer. On the planner's loop. */
+/**
+ * Polls the registry repeatedly, with a pause after each response. Runs on the planner's event
+ * loop.
+ */
 final class RegistryPoller {
     private final EventLoop loop;
     private final RegistryClient registry;
@@ -18,11 +21,11 @@
     /**
      * Creates a poller.
      *
-     * @param loop the planner's loop
-     * @param registry the client to poll with
-     * @param intervalMillis the pause after each answer
-     * @param onInstances takes the engines' instances
-     * @param problems logs that the registry does not answer
+     * @param loop the planner's event loop
+     * @param registry the client of the registry
+     * @param intervalMillis the pause after each response or failure, in milliseconds
+     * @param onInstances receives the engines' instances
+     * @param problems logs failed polls
      */
     RegistryPoller(
             EventLoop loop,
@@ -37,7 +40,7 @@
         this.problems = problems;
     }
 
-    /** Polls at once, and from then on. */
+    /** Polls the registry now, and schedules the next poll after the response. */
     void poll() {
         if (!stopped) {
             registry.fetch().whenComplete(this::answered);
@@ -56,7 +59,7 @@
         }
     }
 
-    /** Polls no more. */
+    /** Stops polling. */
     void stop() {
         stopped = true;
     }
--- a/planner/src/main/java/sorrelhoist/planner/RosterEncoder.java
+++ b/planner/src/main/java/sorrelhoist/planner/RosterEncoder.java
@@ -7,18 +7,18 @@
 import sorrelhoist.protocol.plan.Roster;
 import sorrelhoist.protocol.plan.RosterEntry;
 
-/** Encodes endpoint lists for edges. */
+/** Encodes endpoint lists as events for edges. */
 final class RosterEncoder {
     private static final long MICROS_PER_MILLI = 1000;
 
     private RosterEncoder() {}
 
-    /** {@return the event that tells that the endpoints are not known} */
+    /** Returns the event for an endpoint list that is not available yet. */
     static PlanEvent unavailable() {
         return PlanEvent.of(new Roster(Roster.UNAVAILABLE, List.of(), 0, 0));
     }
 
-    /** {@return the event that lists all endpoints} */
+    /** Returns the event with all endpoints. */
     static PlanEvent complete(EndpointTracker endpoints, long now) {
         return PlanEvent.of(
                 new Roster(
@@ -28,7 +28,7 @@
                         0));
     }
 
-    /** {@return the event that lists changed endpoints, with the age of the latest change} */
+    /** Returns the event with the changed endpoints and the age of the latest change. */
     static PlanEvent update(List<EndpointTracker.TrackedEndpoint> changed, long epoch, long now) {
         long learnedAt =
                 changed.stream()
