--- a/edge/src/main/java/sorrelhoist/edge/RejectionLog.java
+++ b/edge/src/main/java/sorrelhoist/edge/RejectionLog.java
@@ -45,8 +45,7 @@
                 .addKeyValue("event", "not_served")
                 .addKeyValue("counts", counts.toString())
                 .log(
-                        "requests not served since the last line: {}; latest of the most frequent"
-                                + " kind: {}",
+                        "not served since the last line: {}; latest most frequent reason: {}",
                         counts,
                         ReasonFormatter.describeFailure(latest.get(mostFrequent)));
         loggedAt = now;
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordWriter.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordWriter.java
@@ -200,8 +200,7 @@
                 LOG.atWarn()
                         .addKeyValue("event", "record_write_failed")
                         .log(
-                                "failed to write the decision record, which has a gap from here on:"
-                                        + " {}",
+                                "failed to write the decision record; its gap starts here: {}",
                                 e.toString());
             }
         }
