--- a/decide/src/main/java/sorrelhoist/routing/AdmissionController.java
+++ b/decide/src/main/java/sorrelhoist/routing/AdmissionController.java
@@ -16,7 +16,7 @@
      * Share of the objective that a request may use if another class has a higher weight: the rest
      * is capacity for that class.
      */
-    private static final double LESSER_CLASS_SHARE = 0.85;
+    private static final double LOWER_CLASS_SHARE = 0.85;
 
     /**
      * Share of the objective that a request of a tenant over its quota may use: the rest is
@@ -31,7 +31,7 @@
      * Number of waiting requests, over all routers, up to which every request is admitted to learn
      * service times.
      */
-    private static final double ALWAYS_ADMITTED = 12;
+    private static final double ALWAYS_ADMITTED_WAITING = 12;
 
     private final RoutingContext context;
     private final ArrivalRate arrivals;
@@ -76,7 +76,7 @@
             List<Endpoint> decode) {
         boolean overQuota = quota.isExceededBy(request.arrival.tenant());
         double tightest = tightestObjectiveAbove(request.requestClass);
-        boolean lesserClass = tightest < Double.MAX_VALUE;
+        boolean lowerClass = tightest < Double.MAX_VALUE;
         double prefillMicros = prefillMicros(request, prefill, selected);
         double delay = decodeDelay(decode);
         double firstToken = serviceTimes.firstTokenMicros(request.promptTokens());
@@ -84,12 +84,12 @@
         int routers = context.settings().routers();
         double waiting = requests.waiting() - context.random().nextDouble();
         double share =
-                overQuota ? OVER_QUOTA_SHARE : lesserClass ? LESSER_CLASS_SHARE : OBJECTIVE_SHARE;
+                overQuota ? OVER_QUOTA_SHARE : lowerClass ? LOWER_CLASS_SHARE : OBJECTIVE_SHARE;
         double limit = limit(request, share * Math.min(request.latencyObjective, tightest));
-        if (waiting <= ALWAYS_ADMITTED / routers || expected <= limit) {
+        if (waiting <= ALWAYS_ADMITTED_WAITING / routers || expected <= limit) {
             return null;
         }
-        Kind kind = overQuota ? Kind.DOOR_SHARE : lesserClass ? Kind.DOOR_LESS_WORTH : Kind.DOOR;
+        Kind kind = overQuota ? Kind.DOOR_SHARE : lowerClass ? Kind.DOOR_LESS_WORTH : Kind.DOOR;
         return Reason.rejectedOnArrival(kind, expected, limit, prefillMicros, firstToken, delay);
     }
 
@@ -104,17 +104,17 @@
     private double prefillMicros(
             TrackedRequest request, List<Endpoint> prefill, Endpoint selected) {
         boolean dense = arrivals.isDense();
-        double soonest =
+        double earliest =
                 prefill.stream()
                         .mapToDouble(
                                 endpoint ->
                                         dense
-                                                ? completions.pacedCompletion(endpoint, request)
+                                                ? completions.completionByIntervals(endpoint, request)
                                                 : completions.completion(endpoint, request))
                         .min()
                         .orElse(0);
         if (dense || selected == null) {
-            return soonest;
+            return earliest;
         }
         double completion = completions.completion(selected, request);
         return Math.max(
--- a/decide/src/main/java/sorrelhoist/routing/AttemptSender.java
+++ b/decide/src/main/java/sorrelhoist/routing/AttemptSender.java
@@ -72,9 +72,9 @@
         send(request, attempt, selection, timeout(request, service + delays.ofFirstTokens()));
     }
 
-    private long timeout(TrackedRequest request, double presentMicros) {
+    private long timeout(TrackedRequest request, double expectedMicros) {
         double share = TIMEOUT_SHARE * (request.deadline - context.now());
-        return (long) Math.max(share, TIMEOUT_MULTIPLE * presentMicros);
+        return (long) Math.max(share, TIMEOUT_MULTIPLE * expectedMicros);
     }
 
     private void send(
--- a/decide/src/main/java/sorrelhoist/routing/CandidateFilter.java
+++ b/decide/src/main/java/sorrelhoist/routing/CandidateFilter.java
@@ -40,21 +40,21 @@
      */
     List<Endpoint> candidates(Role role, TrackedRequest request) {
         List<Endpoint> all = endpoints.serving(role, endpoint -> allows(request, endpoint));
-        List<Endpoint> fit =
+        List<Endpoint> healthy =
                 new ArrayList<>(all.stream().filter(endpoint -> !endpoint.health.ejected).toList());
-        int floor = Math.max(Math.min(1, all.size()), (int) (MIN_CANDIDATE_SHARE * all.size()));
-        if (fit.size() < floor) {
+        int minCount = Math.max(Math.min(1, all.size()), (int) (MIN_CANDIDATE_SHARE * all.size()));
+        if (healthy.size() < minCount) {
             all.stream()
                     .filter(endpoint -> endpoint.health.ejected)
                     .sorted(Comparator.comparingDouble(endpoint -> endpoint.health.failureRate))
-                    .limit(floor - fit.size())
-                    .forEach(fit::add);
-            fit.sort(Comparator.comparing(endpoint -> endpoint.id));
+                    .limit(minCount - healthy.size())
+                    .forEach(healthy::add);
+            healthy.sort(Comparator.comparing(endpoint -> endpoint.id));
         }
         int key = request.classTenantKey();
         long now = context.now();
         List<Endpoint> reachable =
-                Endpoints.preferring(fit, endpoint -> endpoint.avoidedUntil <= now);
+                Endpoints.preferring(healthy, endpoint -> endpoint.avoidedUntil <= now);
         List<Endpoint> untried =
                 Endpoints.preferring(
                         reachable, endpoint -> !request.failedEndpoints.contains(endpoint));
--- a/decide/src/main/java/sorrelhoist/routing/CompletionEstimator.java
+++ b/decide/src/main/java/sorrelhoist/routing/CompletionEstimator.java
@@ -18,7 +18,7 @@
      */
     double completion(Endpoint endpoint, TrackedRequest request) {
         return endpoint.inFlight.awaitedMicros()
-                + delays.at(endpoint)
+                + delays.ofEndpoint(endpoint)
                 + uncontended(endpoint, request);
     }
 
@@ -37,8 +37,8 @@
      * have capacity for. Drawback: if prefills of other routers happen to run in between, more is
      * admitted than can be processed in time.
      */
-    double pacedCompletion(Endpoint endpoint, TrackedRequest request) {
-        double delay = delays.at(endpoint);
+    double completionByIntervals(Endpoint endpoint, TrackedRequest request) {
+        double delay = delays.ofEndpoint(endpoint);
         long missed = prefixes.missedTokens(endpoint, request);
         return endpoint.inFlight.addAwaited(
                 delay + serviceTimes.prefillIntervalMicros(endpoint, missed),
--- a/decide/src/main/java/sorrelhoist/routing/DecayingDelay.java
+++ b/decide/src/main/java/sorrelhoist/routing/DecayingValue.java
@@ -1,9 +1,9 @@
 package sorrelhoist.routing;
 
 /** A value that decays exponentially from its last update: a delay in microseconds, or a count. */
-final class DecayingDelay {
+final class DecayingValue {
     /** Time constant of the decay: a value decays to 1/e, about a third, within this time. */
-    static final double FADE_MICROS = 1_500_000;
+    static final double DECAY_TIME_MICROS = 1_500_000;
 
     private double value;
     private long updatedAt;
@@ -17,14 +17,14 @@
      * Moves the value towards a sample. The weight of the sample grows with the time since the last
      * update.
      */
-    void approach(double sample, long now) {
-        value += (1 - Math.exp((updatedAt - now) / FADE_MICROS)) * (sample - value);
+    void moveTowards(double sample, long now) {
+        value += (1 - Math.exp((updatedAt - now) / DECAY_TIME_MICROS)) * (sample - value);
         updatedAt = now;
     }
 
     /** Adds one to the decayed value and returns the sum. */
     double increment(long now) {
-        value = 1 + value * Math.exp((updatedAt - now) / FADE_MICROS);
+        value = 1 + value * Math.exp((updatedAt - now) / DECAY_TIME_MICROS);
         updatedAt = now;
         return value;
     }
@@ -35,7 +35,7 @@
     }
 
     /** {@return the decayed value at a time} */
-    double at(long now) {
-        return value == 0 ? 0 : value * Math.exp((updatedAt - now) / FADE_MICROS);
+    double valueAt(long now) {
+        return value == 0 ? 0 : value * Math.exp((updatedAt - now) / DECAY_TIME_MICROS);
     }
 }
--- a/decide/src/main/java/sorrelhoist/routing/DecodeSelector.java
+++ b/decide/src/main/java/sorrelhoist/routing/DecodeSelector.java
@@ -38,21 +38,21 @@
         double linkDelay = delays.ofLinkFrom(cell);
         double lowest = Double.MAX_VALUE;
         for (Endpoint endpoint : candidates) {
-            endpoint.estimatedDelay = delays.at(endpoint) + (endpoint.cell == cell ? 0 : linkDelay);
+            endpoint.estimatedDelay = delays.ofEndpoint(endpoint) + (endpoint.cell == cell ? 0 : linkDelay);
             lowest = Math.min(lowest, endpoint.estimatedDelay);
         }
         double bound = lowest + MAX_EXCESS_DELAY_MICROS;
-        List<Endpoint> prompt =
+        List<Endpoint> responsive =
                 Endpoints.preferring(candidates, endpoint -> endpoint.estimatedDelay <= bound);
         List<Endpoint> inZone =
-                Endpoints.preferring(prompt, endpoint -> endpoint.zone == prefilledAt.zone);
-        boolean spills =
-                context.random().nextDouble() < endpoints.spillOf(cell)
+                Endpoints.preferring(responsive, endpoint -> endpoint.zone == prefilledAt.zone);
+        boolean leavesCell =
+                context.random().nextDouble() < endpoints.decodeSpilloverOf(cell)
                         && linkDelay < MAX_EXCESS_DELAY_MICROS;
         return lighterOfTwo(
-                spills
+                leavesCell
                         ? Endpoints.preferring(
-                                inZone, endpoint -> endpoints.spillOf(endpoint.cell) < 0)
+                                inZone, endpoint -> endpoints.decodeSpilloverOf(endpoint.cell) < 0)
                         : Endpoints.preferring(inZone, endpoint -> endpoint.cell == cell));
     }
 
--- a/decide/src/main/java/sorrelhoist/routing/DeliveryFailover.java
+++ b/decide/src/main/java/sorrelhoist/routing/DeliveryFailover.java
@@ -42,12 +42,12 @@
         attempt.unconfirmed = true;
         attempt.endpoint.avoidedUntil = context.now() + AVOIDANCE_MICROS;
         outcomes.recordUnconfirmed(request, attempt);
-        if (mayGoElsewhere(request, attempt)) {
+        if (mayFailOver(request, attempt)) {
             context.emit(new Cancel(event.id(), event.attempt(), Reason.of(Kind.UNCONFIRMED)));
         }
     }
 
-    private boolean mayGoElsewhere(TrackedRequest request, Attempt attempt) {
+    private boolean mayFailOver(TrackedRequest request, Attempt attempt) {
         int attemptsNeeded = attempt.prefill ? 2 : 1;
         int attemptsLeft = context.settings().capabilities().maxAttempts() - request.attempts;
         return context.settings().capabilities().cancel()
--- a/decide/src/main/java/sorrelhoist/routing/Endpoint.java
+++ b/decide/src/main/java/sorrelhoist/routing/Endpoint.java
@@ -17,7 +17,7 @@
      * Decaying delay beyond the expected time, as last observed by this router or received by
      * gossip.
      */
-    final DecayingDelay queueingDelay = new DecayingDelay();
+    final DecayingValue queueingDelay = new DecayingValue();
 
     /**
      * Times until which the server is avoided after it rejected a request as full, by class and
--- a/decide/src/main/java/sorrelhoist/routing/EndpointHealth.java
+++ b/decide/src/main/java/sorrelhoist/routing/EndpointHealth.java
@@ -30,7 +30,7 @@
     long recoveryBackoffMicros;
 
     /** Decaying count of the failures that other routers reported. */
-    final DecayingDelay gossipedFailures = new DecayingDelay();
+    final DecayingValue gossipedFailures = new DecayingValue();
 
     /** Whether the health rests on imported knowledge alone. */
     boolean reportedByPeers;
--- a/decide/src/main/java/sorrelhoist/routing/EndpointTable.java
+++ b/decide/src/main/java/sorrelhoist/routing/EndpointTable.java
@@ -25,14 +25,14 @@
     private static final long DISCOVERY_RETRY_MICROS = 1_000_000;
 
     /** Time for which a departed endpoint is kept after the last send to it, as it may return. */
-    private static final long DEPARTED_KEPT_MICROS = PrefixTable.MAX_IDLE_MICROS;
+    private static final long DEPARTED_RETENTION_MICROS = PrefixTable.MAX_IDLE_MICROS;
 
     private final RoutingContext context;
     private final PrefixTable prefixes;
     private final TreeMap<String, Endpoint> byId = new TreeMap<>();
     private final Map<String, Endpoint> byTag = new TreeMap<>();
     private final Map<Role, List<Endpoint>> serving = new EnumMap<>(Role.class);
-    private final Map<Integer, Double> spillByCell = new TreeMap<>();
+    private final Map<Integer, Double> decodeSpilloverByCell = new TreeMap<>();
 
     EndpointTable(RoutingContext context, PrefixTable prefixes) {
         this.context = context;
@@ -50,14 +50,14 @@
         }
         event.servers().forEach(this::update);
         // Removes departed endpoints, which would otherwise accumulate without bound.
-        long from = context.now() - DEPARTED_KEPT_MICROS;
+        long from = context.now() - DEPARTED_RETENTION_MICROS;
         byId.values().removeIf(endpoint -> isDeparted(endpoint, from));
         for (Role role : Role.values()) {
             serving.put(role, listServing(role));
         }
         byTag.clear();
         byId.values().forEach(endpoint -> byTag.put(Hash.tag(endpoint.id), endpoint));
-        measureCells();
+        updateDecodeSpillover();
     }
 
     private void retryDiscovery() {
@@ -101,13 +101,13 @@
      * part by which the cell's share of the zone's prefill size exceeds its share of the zone's
      * decode size. The value is negative if the cell has spare decode capacity.
      */
-    private void measureCells() {
-        spillByCell.clear();
+    private void updateDecodeSpillover() {
+        decodeSpilloverByCell.clear();
         for (Endpoint endpoint : byId.values()) {
-            if (endpoint.isServing() && !spillByCell.containsKey(endpoint.cell)) {
+            if (endpoint.isServing() && !decodeSpilloverByCell.containsKey(endpoint.cell)) {
                 double prefills = shareOfZone(Role.READ, endpoint);
                 double decodes = shareOfZone(Role.WRITE, endpoint);
-                spillByCell.put(endpoint.cell, prefills > 0 ? 1 - decodes / prefills : -1);
+                decodeSpilloverByCell.put(endpoint.cell, prefills > 0 ? 1 - decodes / prefills : -1);
             }
         }
     }
@@ -183,7 +183,7 @@
      * {@return the share of a cell's prefills that has to be decoded in other cells; negative if
      * the cell has spare decode capacity}
      */
-    double spillOf(int cell) {
-        return spillByCell.getOrDefault(cell, 0.0);
+    double decodeSpilloverOf(int cell) {
+        return decodeSpilloverByCell.getOrDefault(cell, 0.0);
     }
 }
--- a/decide/src/main/java/sorrelhoist/routing/GossipReceiver.java
+++ b/decide/src/main/java/sorrelhoist/routing/GossipReceiver.java
@@ -8,7 +8,7 @@
      * Decayed number of gossiped failures, beyond a multiple of the peers' median, that ejects an
      * endpoint.
      */
-    private static final double EJECTING_FAILURES = 2;
+    private static final double EJECTION_THRESHOLD = 2;
 
     private static final long MICROS_PER_MILLI = 1000;
 
@@ -74,8 +74,8 @@
         }
         long now = context.now();
         double failures = endpoint.health.gossipedFailures.increment(now);
-        double median = outliers.median(endpoint, health -> health.gossipedFailures.at(now));
-        return failures > EJECTING_FAILURES + OutlierDetector.MAX_LATENCY_RATIO * median;
+        double median = outliers.median(endpoint, health -> health.gossipedFailures.valueAt(now));
+        return failures > EJECTION_THRESHOLD + OutlierDetector.MAX_LATENCY_RATIO * median;
     }
 
     private boolean isOwnZone(Item item) {
--- a/decide/src/main/java/sorrelhoist/routing/GossipSender.java
+++ b/decide/src/main/java/sorrelhoist/routing/GossipSender.java
@@ -12,7 +12,7 @@
  */
 final class GossipSender {
     /** Score points that messages may cost. */
-    private static final double SPENDING = 0.003;
+    private static final double MAX_SCORE_COST = 0.003;
 
     /** Maximum size of a message, in bytes; receivers accept no more. */
     private static final int MAX_MESSAGE_BYTES = 256;
@@ -32,7 +32,7 @@
     /** Adds the share of one arriving request to the budget. */
     void recordArrival() {
         RoutingSettings settings = context.settings();
-        double share = SPENDING / Math.max(SPENDING, settings.capabilities().gossipCost());
+        double share = MAX_SCORE_COST / Math.max(MAX_SCORE_COST, settings.capabilities().gossipCost());
         budgetBytes =
                 Math.min(
                         MAX_MESSAGE_BYTES * (double) settings.routers(),
@@ -49,7 +49,7 @@
      * @param classTenantKey the class and tenant that the item concerns; 0 for all
      * @param value the kind's value
      */
-    void tell(Endpoint endpoint, char kind, int classTenantKey, long value) {
+    void publish(Endpoint endpoint, char kind, int classTenantKey, long value) {
         pending.put(Hash.tag(endpoint.id), new GossipCodec.Item(kind, classTenantKey, value));
         String body = GossipCodec.write(pending);
         RoutingSettings settings = context.settings();
--- a/decide/src/main/java/sorrelhoist/routing/IdempotencyGuard.java
+++ b/decide/src/main/java/sorrelhoist/routing/IdempotencyGuard.java
@@ -21,7 +21,7 @@
                 || mayRepeatAt(
                         request.requestClass,
                         request.mayHaveRunAt,
-                        request.mayHaveRunFrom,
+                        request.mayHaveRunSince,
                         endpoint,
                         now);
     }
@@ -31,12 +31,12 @@
      * run there, may run at another endpoint}
      */
     static boolean mayRepeatAt(
-            RequestClass requestClass, Endpoint first, long firstFrom, Endpoint next, long now) {
+            RequestClass requestClass, Endpoint first, long firstSentAt, Endpoint next, long now) {
         Idempotency idempotency = requestClass.idempotency();
         if (idempotency == Idempotency.SAFE) {
             return true;
         }
-        long windowEnd = firstFrom + requestClass.idempotencyWindowMicros();
+        long windowEnd = firstSentAt + requestClass.idempotencyWindowMicros();
         if (idempotency == Idempotency.UNSAFE || now >= windowEnd) {
             return false;
         }
--- a/decide/src/main/java/sorrelhoist/routing/InFlightAttempts.java
+++ b/decide/src/main/java/sorrelhoist/routing/InFlightAttempts.java
@@ -38,12 +38,12 @@
      * Records an answered attempt. Attempts that were sent earlier and are still unanswered count
      * as lost, not queued.
      */
-    void provenBy(Attempt attempt) {
+    void recordAnswered(Attempt attempt) {
         latestAnsweredSend = Math.max(latestAnsweredSend, attempt.sentAt);
     }
 
     /** {@return whether the attempt was sent later than every answered attempt} */
-    boolean isCurrent(Attempt attempt) {
+    boolean isNewerThanAnswered(Attempt attempt) {
         return attempt.sentAt > latestAnsweredSend;
     }
 
@@ -60,7 +60,7 @@
     double addAwaited(double sum, ToDoubleFunction<Attempt> cost) {
         double total = sum;
         for (Attempt attempt : unanswered.values()) {
-            total += isCurrent(attempt) ? cost.applyAsDouble(attempt) : 0;
+            total += isNewerThanAnswered(attempt) ? cost.applyAsDouble(attempt) : 0;
         }
         return total;
     }
@@ -76,7 +76,7 @@
      */
     double overdueMicros(long now) {
         return unanswered.values().stream()
-                .filter(this::isCurrent)
+                .filter(this::isNewerThanAnswered)
                 .findFirst()
                 .map(
                         attempt ->
--- a/decide/src/main/java/sorrelhoist/routing/InputValidator.java
+++ b/decide/src/main/java/sorrelhoist/routing/InputValidator.java
@@ -76,7 +76,7 @@
      * {@return the settings with a new number of routers and a new number of this router; this
      * router's share of the fleet changes from now on}
      */
-    static RoutingSettings reseated(RoutingSettings settings, Seated event) {
+    static RoutingSettings withRouters(RoutingSettings settings, Seated event) {
         return validSettings(
                 new RoutingSettings(
                         event.routers(),
--- a/decide/src/main/java/sorrelhoist/routing/Knowledge.java
+++ b/decide/src/main/java/sorrelhoist/routing/Knowledge.java
@@ -49,7 +49,7 @@
      */
     public record ServerHealth(
             String id, long since, double failureRate, double latencyRatio, int latencySamples) {
-        boolean sound() {
+        boolean isValid() {
             return Double.isFinite(failureRate) && Double.isFinite(latencyRatio);
         }
     }
@@ -69,7 +69,7 @@
             double micros,
             double squaredTokens,
             double tokensTimesMicros) {
-        boolean sound() {
+        boolean isValid() {
             return weight >= 1
                     && Double.isFinite(tokens + micros + squaredTokens + tokensTimesMicros + weight)
                     && tokens >= 0
--- a/decide/src/main/java/sorrelhoist/routing/LoadProber.java
+++ b/decide/src/main/java/sorrelhoist/routing/LoadProber.java
@@ -8,7 +8,7 @@
 /** Probes endpoints for their load within a budget and applies the results. */
 final class LoadProber {
     /** Score points that probes may cost. */
-    private static final double SPENDING = 0.0003;
+    private static final double MAX_SCORE_COST = 0.0003;
 
     private final RoutingContext context;
     private final EndpointTable endpoints;
@@ -22,7 +22,7 @@
     /** Adds the share of one arriving request to the budget. */
     void recordArrival() {
         double cost = context.settings().capabilities().probeCost();
-        budget = Math.min(1, budget + SPENDING / Math.max(SPENDING, cost));
+        budget = Math.min(1, budget + MAX_SCORE_COST / Math.max(MAX_SCORE_COST, cost));
     }
 
     /**
--- a/decide/src/main/java/sorrelhoist/routing/OutcomeRecorder.java
+++ b/decide/src/main/java/sorrelhoist/routing/OutcomeRecorder.java
@@ -95,7 +95,7 @@
         int key = request.classTenantKey();
         long backoff = (long) Math.max(MIN_BACKOFF_MICROS, BACKOFF_MULTIPLE * event.tookMicros());
         attempt.endpoint.backoffUntil.put(key, context.now() + backoff);
-        gossip.tell(attempt.endpoint, GossipCodec.FULL, key, backoff / MICROS_PER_MILLI);
+        gossip.publish(attempt.endpoint, GossipCodec.FULL, key, backoff / MICROS_PER_MILLI);
     }
 
     /**
@@ -111,7 +111,7 @@
     }
 
     private void recordFailure(Endpoint endpoint) {
-        gossip.tell(endpoint, GossipCodec.FAILED, 0, context.settings().zone());
+        gossip.publish(endpoint, GossipCodec.FAILED, 0, context.settings().zone());
         outliers.recordFailure(endpoint);
     }
 
@@ -121,12 +121,12 @@
             return;
         }
         if (event.outcome() == Outcome.CONNECT_FAILED) {
-            gossip.tell(endpoint, GossipCodec.UNREACHABLE, 0, context.settings().zone());
+            gossip.publish(endpoint, GossipCodec.UNREACHABLE, 0, context.settings().zone());
             outliers.recordUnreachable(endpoint);
         } else {
             recordFailure(endpoint);
         }
-        if (event.outcome() == Outcome.TIMED_OUT && endpoint.inFlight.isCurrent(attempt)) {
+        if (event.outcome() == Outcome.TIMED_OUT && endpoint.inFlight.isNewerThanAnswered(attempt)) {
             learnTimeout(request, attempt, event.tookMicros());
         }
         if (attempt.prefill) {
--- a/decide/src/main/java/sorrelhoist/routing/OutlierDetector.java
+++ b/decide/src/main/java/sorrelhoist/routing/OutlierDetector.java
@@ -120,7 +120,7 @@
         if (health.consecutiveSuccesses >= RECOVERY_SUCCESSES) {
             health.ejected = false;
             health.failureRate = 0;
-            gossip.tell(endpoint, GossipCodec.RECOVERED, 0, context.settings().zone());
+            gossip.publish(endpoint, GossipCodec.RECOVERED, 0, context.settings().zone());
         }
     }
 
--- a/decide/src/main/java/sorrelhoist/routing/PrefillSelector.java
+++ b/decide/src/main/java/sorrelhoist/routing/PrefillSelector.java
@@ -60,17 +60,17 @@
                     Endpoints.preferring(candidates, endpoint -> hasMost(entry, endpoint, request));
             if (hasMost(entry, holders.get(0), request)) {
                 Endpoint chosen = cheapest(holders, request, session, prefix);
-                Endpoint lighter = loadsKnown ? shifted(chosen, candidates) : chosen;
-                Kind kind = lighter == chosen ? Kind.KEPT : Kind.SHIFTED;
-                return unjammed(lighter, kind, request, candidates);
+                Endpoint selected = loadsKnown ? rebalanced(chosen, candidates) : chosen;
+                Kind kind = selected == chosen ? Kind.KEPT : Kind.SHIFTED;
+                return avoidCongestion(selected, kind, request, candidates);
             }
         }
         if (prefix == null && session == null) {
             String key = request.prefix() != null ? request.prefix() : request.tieBreakKey();
-            return unjammed(Endpoints.byHash(key, candidates), Kind.UNSEEN, request, candidates);
+            return avoidCongestion(Endpoints.byHash(key, candidates), Kind.UNSEEN, request, candidates);
         }
         Endpoint chosen = cheapest(candidates, request, session, prefix);
-        return unjammed(chosen, Kind.CHEAPEST, request, candidates);
+        return avoidCongestion(chosen, Kind.CHEAPEST, request, candidates);
     }
 
     private boolean hasMost(CachedPrefix entry, Endpoint endpoint, TrackedRequest request) {
@@ -133,7 +133,7 @@
      * Moves a prefill from the endpoint with the highest load to the one with the lowest if their
      * loads differ by too much.
      */
-    private Endpoint shifted(Endpoint chosen, List<Endpoint> candidates) {
+    private Endpoint rebalanced(Endpoint chosen, List<Endpoint> candidates) {
         Endpoint lightest =
                 Collections.min(
                         candidates,
@@ -157,7 +157,7 @@
      * slow or hanging endpoint, or traffic from other routers. Drawback: a prompt is prefilled and
      * cached twice.
      */
-    private Selection unjammed(
+    private Selection avoidCongestion(
             Endpoint chosen, Kind kind, TrackedRequest request, List<Endpoint> candidates) {
         candidates.forEach(
                 endpoint -> endpoint.estimatedDelay = completions.completion(endpoint, request));
@@ -172,13 +172,13 @@
                         .limit(2)
                         .toList();
         double bound = chosen.estimatedDelay - serviceTimes.meanPrefillMicros(chosen);
-        boolean jammed = MAX_IMBALANCE * soonest.get(0).estimatedDelay < bound;
-        Endpoint selected = jammed ? soonest.get(0) : chosen;
+        boolean congested = MAX_IMBALANCE * soonest.get(0).estimatedDelay < bound;
+        Endpoint selected = congested ? soonest.get(0) : chosen;
         Endpoint runnerUp =
                 soonest.stream().filter(endpoint -> endpoint != selected).findFirst().orElse(null);
         return new Selection(
                 selected,
-                jammed ? Kind.UNJAMMED : kind,
+                congested ? Kind.UNJAMMED : kind,
                 selected.estimatedDelay,
                 runnerUp,
                 runnerUp == null ? Double.MAX_VALUE : runnerUp.estimatedDelay);
--- a/decide/src/main/java/sorrelhoist/routing/QueueingDelays.java
+++ b/decide/src/main/java/sorrelhoist/routing/QueueingDelays.java
@@ -17,9 +17,9 @@
     private final ArrivalRate arrivals;
     private final GossipSender gossip;
     // By the cell from which a prefilled state is fetched.
-    private final Map<Integer, DecayingDelay> links = new TreeMap<>();
-    private final DecayingDelay prefillPool = new DecayingDelay();
-    private final DecayingDelay firstTokenPool = new DecayingDelay();
+    private final Map<Integer, DecayingValue> links = new TreeMap<>();
+    private final DecayingValue prefillDelay = new DecayingValue();
+    private final DecayingValue firstTokenDelay = new DecayingValue();
 
     QueueingDelays(RoutingContext context, ArrivalRate arrivals, GossipSender gossip) {
         this.context = context;
@@ -31,8 +31,8 @@
      * {@return the larger of the last observed delay, own or gossiped, after decay, and the overdue
      * time, in microseconds}
      */
-    double at(Endpoint endpoint) {
-        return Math.max(endpoint.queueingDelay.at(context.now()), overdue(endpoint));
+    double ofEndpoint(Endpoint endpoint) {
+        return Math.max(endpoint.queueingDelay.valueAt(context.now()), overdue(endpoint));
     }
 
     /**
@@ -46,18 +46,18 @@
 
     /** {@return the delay of state transfers out of a cell, in microseconds} */
     double ofLinkFrom(int cell) {
-        DecayingDelay link = links.get(cell);
-        return link == null ? 0 : link.at(context.now());
+        DecayingValue link = links.get(cell);
+        return link == null ? 0 : link.valueAt(context.now());
     }
 
     /** {@return the delay of prefills over all endpoints, in microseconds} */
     double ofPrefills() {
-        return prefillPool.at(context.now());
+        return prefillDelay.valueAt(context.now());
     }
 
     /** {@return the delay of first tokens over all endpoints, in microseconds} */
     double ofFirstTokens() {
-        return firstTokenPool.at(context.now());
+        return firstTokenDelay.valueAt(context.now());
     }
 
     /**
@@ -69,20 +69,20 @@
         long now = context.now();
         Endpoint endpoint = attempt.endpoint;
         endpoint.history.recordAnswer(now);
-        endpoint.inFlight.provenBy(attempt);
+        endpoint.inFlight.recordAnswered(attempt);
         boolean local = fromCell == endpoint.cell;
         boolean dense = arrivals.isDense();
         if (dense && local) {
             return;
         }
         double delay = Math.max(0, tookMicros - attempt.estimate.totalMicros());
-        DecayingDelay observed =
+        DecayingValue observed =
                 local
                         ? endpoint.queueingDelay
-                        : links.computeIfAbsent(fromCell, cell -> new DecayingDelay());
+                        : links.computeIfAbsent(fromCell, cell -> new DecayingValue());
         observed.set(delay, now);
-        DecayingDelay pool = attempt.prefill ? prefillPool : firstTokenPool;
-        pool.approach(dense ? 0 : Math.min(delay, request.latencyObjective), now);
+        DecayingValue pool = attempt.prefill ? prefillDelay : firstTokenDelay;
+        pool.moveTowards(dense ? 0 : Math.min(delay, request.latencyObjective), now);
         if (local && delay >= GOSSIP_THRESHOLD_MICROS) {
             gossipDelay(endpoint, delay);
         }
@@ -106,6 +106,6 @@
     }
 
     private void gossipDelay(Endpoint endpoint, double delayMicros) {
-        gossip.tell(endpoint, GossipCodec.DELAY, 0, (long) delayMicros / MICROS_PER_MILLI);
+        gossip.publish(endpoint, GossipCodec.DELAY, 0, (long) delayMicros / MICROS_PER_MILLI);
     }
 }
--- a/decide/src/main/java/sorrelhoist/routing/RequestLifecycle.java
+++ b/decide/src/main/java/sorrelhoist/routing/RequestLifecycle.java
@@ -81,13 +81,13 @@
         }
         Attempt attempt = request.attempt;
         request.attempt = null;
-        boolean unreached =
+        boolean neverReached =
                 event.outcome() == Outcome.CONNECT_FAILED
                         || attempt.wasNeverConfirmed(event.outcome());
-        if (attempt.prefill || !unreached) {
+        if (attempt.prefill || !neverReached) {
             // A decode that did not reach its endpoint leaves the state unused: its idle time goes
             // on.
-            request.idleSince = context.now();
+            request.stateIdleSince = context.now();
         }
         attempt.endpoint.inFlight.ended(request.id, attempt);
         attempt.endpoint.update(event.report());
@@ -105,22 +105,22 @@
 
     private void retry(TrackedRequest request, Attempt attempt, AttemptEnded event) {
         Outcome outcome = event.outcome();
-        boolean free = outcome == Outcome.CONNECT_FAILED || outcome == Outcome.FULL;
-        boolean neverRan = attempt.prefill || free || outcome == Outcome.SKIPPED;
+        boolean exemptFromBudget = outcome == Outcome.CONNECT_FAILED || outcome == Outcome.FULL;
+        boolean neverRan = attempt.prefill || exemptFromBudget || outcome == Outcome.SKIPPED;
         if (!neverRan && request.mayHaveRunAt == null) {
             request.mayHaveRunAt = attempt.endpoint;
-            request.mayHaveRunFrom = attempt.sentAt;
+            request.mayHaveRunSince = attempt.sentAt;
         }
         request.failedEndpoints.add(attempt.endpoint);
         dropLostState(request, attempt, event);
         request.rejected = outcome == Outcome.FULL;
         if (IdempotencyGuard.forbidsRetry(request)) {
             conclusion.giveUp(request, Reason.of(Kind.REPEAT_UNSAFE));
-        } else if (!free && retries.isExhausted()) {
+        } else if (!exemptFromBudget && retries.isExhausted()) {
             double available = retries.available();
             conclusion.giveUp(request, Reason.compared(Kind.REPEAT_BUDGET, available, 1));
         } else {
-            if (!free) {
+            if (!exemptFromBudget) {
                 retries.spend();
             }
             stages.advance(request);
@@ -130,7 +130,7 @@
     /** Sends a request back to its prefill if its state is lost or is likely to be lost. */
     private void dropLostState(TrackedRequest request, Attempt attempt, AttemptEnded event) {
         Outcome outcome = event.outcome();
-        boolean waitsTooLong = context.now() + event.tookMicros() > stages.stateKeptUntil(request);
+        boolean waitsTooLong = context.now() + event.tookMicros() > stages.stateDeadline(request);
         if (outcome == Outcome.FULL && event.note() == OutcomeRecorder.NO_STATE_TO_FETCH) {
             request.prefilledAt = null;
             request.failedEndpoints.remove(attempt.endpoint);
@@ -138,7 +138,7 @@
                 || outcome == Outcome.ERROR
                 || outcome == Outcome.RESET
                 || outcome == Outcome.CONNECT_FAILED && waitsTooLong
-                || attempt.wasNeverConfirmed(outcome) && isNearlyOver(request)) {
+                || attempt.wasNeverConfirmed(outcome) && isStateLimitReached(request)) {
             // A decode that was broken off has usually fetched the state, so the next decode
             // endpoint would have to process the whole prompt itself, which slows its other
             // requests. After a failed connection, the state would be kept for too long if the next
@@ -152,8 +152,8 @@
      * {@return whether the state has been kept for so long that another decode could not be
      * confirmed in time}
      */
-    private boolean isNearlyOver(TrackedRequest request) {
-        return context.now() >= stages.stateKeptUntil(request);
+    private boolean isStateLimitReached(TrackedRequest request) {
+        return context.now() >= stages.stateDeadline(request);
     }
 
     /** Handles an attempt that is not confirmed to have reached its endpoint. */
--- a/decide/src/main/java/sorrelhoist/routing/RetryBudget.java
+++ b/decide/src/main/java/sorrelhoist/routing/RetryBudget.java
@@ -8,19 +8,19 @@
     private static final double RETRIES_PER_ARRIVAL = 0.3;
 
     /** Maximum number of saved retries, over all routers; each router may save at least one. */
-    private static final double MAX_SAVED = 25;
+    private static final double MAX_SAVED_RETRIES = 25;
 
     private final RoutingContext context;
     private double retries;
 
     RetryBudget(RoutingContext context) {
         this.context = context;
-        this.retries = MAX_SAVED / context.settings().routers();
+        this.retries = MAX_SAVED_RETRIES / context.settings().routers();
     }
 
     void recordArrival() {
-        double most = Math.max(1, MAX_SAVED / context.settings().routers());
-        retries = Math.min(most, retries + RETRIES_PER_ARRIVAL);
+        double maxRetries = Math.max(1, MAX_SAVED_RETRIES / context.settings().routers());
+        retries = Math.min(maxRetries, retries + RETRIES_PER_ARRIVAL);
     }
 
     /** {@return the number of retries that are available now} */
--- a/decide/src/main/java/sorrelhoist/routing/RoutingContext.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingContext.java
@@ -56,8 +56,8 @@
         return settings;
     }
 
-    void reseat(Seated event) {
-        settings = InputValidator.reseated(settings, event);
+    void updateRouters(Seated event) {
+        settings = InputValidator.withRouters(settings, event);
     }
 
     /** {@return the only source of randomness; decisions depend on the order of draws} */
--- a/decide/src/main/java/sorrelhoist/routing/RoutingPolicy.java
+++ b/decide/src/main/java/sorrelhoist/routing/RoutingPolicy.java
@@ -146,7 +146,7 @@
         } else if (event instanceof PeerMessage message) {
             gossipReceiver.receive(message.body());
         } else if (event instanceof Seated seated) {
-            context.reseat(seated);
+            context.updateRouters(seated);
         }
     }
 
@@ -161,7 +161,7 @@
 
     private void onTimer(long token) {
         if (token == HOUSEKEEPING_TOKEN) {
-            keepHouse();
+            runHousekeeping();
         } else if (token == EndpointTable.DISCOVERY_RETRY_TOKEN) {
             endpoints.subscribe();
         } else {
@@ -169,7 +169,7 @@
         }
     }
 
-    private void keepHouse() {
+    private void runHousekeeping() {
         context.emit(new Timer(HOUSEKEEPING_MICROS, HOUSEKEEPING_TOKEN));
         endpoints
                 .servingByRole()
--- a/decide/src/main/java/sorrelhoist/routing/SlowStart.java
+++ b/decide/src/main/java/sorrelhoist/routing/SlowStart.java
@@ -16,23 +16,23 @@
     private static final int ANSWER_WINDOWS = 4;
 
     /** Share of the permitted sends that is used, as the sends of other routers are not visible. */
-    private static final double SAFETY = 0.8;
+    private static final double SAFETY_SHARE = 0.8;
 
     /**
      * While no capacity is known, each router sends to a cold endpoint in one of {@code TURNS *
      * routers} windows on average, so about {@code 1 / TURNS} routers send in each window.
      */
-    private static final double TURNS = 0.5;
+    private static final double TURN_WINDOWS_PER_ROUTER = 0.5;
 
     /** Assumed maximum load of one endpoint, as a multiple of the mean load. */
-    private static final double UNEVENNESS = 2;
+    private static final double MAX_LOAD_IMBALANCE = 2;
 
     private static final int DRAW_SHIFT = 11;
     private static final double DRAW_UNIT = 0x1p-53;
 
     // By role: the highest number of answers per window so far, as a mean over the role's
     // endpoints.
-    private final double[] mostAnswered = new double[Role.values().length];
+    private final double[] maxAnswersPerWindow = new double[Role.values().length];
 
     /**
      * {@return the start time on this router's clock; a start in the future counts as now, so that
@@ -65,9 +65,9 @@
         double windows = Math.min(ANSWER_WINDOWS, uptime / (double) window);
         // Two standard deviations of the count are subtracted. They are divided by the root of the
         // number of routers, as the deviations of the single routers average out.
-        double chance = 2 * Math.sqrt(answered / settings.routers());
-        double certain = (answered - chance) / Math.max(1, windows) / Math.max(1, endpoints.size());
-        mostAnswered[role.ordinal()] = Math.max(mostAnswered[role.ordinal()], certain);
+        double statisticalError = 2 * Math.sqrt(answered / settings.routers());
+        double lowerBound = (answered - statisticalError) / Math.max(1, windows) / Math.max(1, endpoints.size());
+        maxAnswersPerWindow[role.ordinal()] = Math.max(maxAnswersPerWindow[role.ordinal()], lowerBound);
     }
 
     /**
@@ -102,13 +102,13 @@
         if (isWarm(endpoint, now, limits.warmUpMicros())) {
             return true;
         }
-        double most = mostAnswered[role.ordinal()];
-        double bearable = SAFETY * limits.overloadMultiple() * limits.coldCapacityShare() * most;
-        if (bearable >= 1) {
-            return endpoint.history.sentAfter(now - limits.overloadMicros()) + 1 <= bearable;
+        double maxAnswers = maxAnswersPerWindow[role.ordinal()];
+        double permittedSends = SAFETY_SHARE * limits.overloadMultiple() * limits.coldCapacityShare() * maxAnswers;
+        if (permittedSends >= 1) {
+            return endpoint.history.sentAfter(now - limits.overloadMicros()) + 1 <= permittedSends;
         }
-        double mean = Math.max(most, limits.overloadMicros() / meanGapMicros / peers);
-        double share = Math.max(bearable / UNEVENNESS / mean, 1 / TURNS / settings.routers());
+        double mean = Math.max(maxAnswers, limits.overloadMicros() / meanGapMicros / peers);
+        double share = Math.max(permittedSends / MAX_LOAD_IMBALANCE / mean, 1 / TURN_WINDOWS_PER_ROUTER / settings.routers());
         long window = now / limits.overloadMicros();
         double draw = draw(endpoint.id + window, settings.self());
         return draw < share
--- a/decide/src/main/java/sorrelhoist/routing/StageDispatcher.java
+++ b/decide/src/main/java/sorrelhoist/routing/StageDispatcher.java
@@ -46,17 +46,17 @@
      * answer at once.
      */
     void advance(TrackedRequest request) {
-        int left = context.settings().capabilities().maxAttempts() - request.attempts;
+        int attemptsLeft = context.settings().capabilities().maxAttempts() - request.attempts;
         if (context.now() >= request.deadline) {
             giveUpAtDeadline(request);
-        } else if (left < 1) {
+        } else if (attemptsLeft < 1) {
             Kind kind = request.rejected ? Kind.TOLD_FULL : Kind.ATTEMPTS;
-            int made = request.attempts;
-            conclusion.giveUp(request, Reason.compared(kind, made, made + left));
+            int attemptsMade = request.attempts;
+            conclusion.giveUp(request, Reason.compared(kind, attemptsMade, attemptsMade + attemptsLeft));
         } else if (request.prefilledAt != null) {
             sendToDecode(request);
         } else {
-            sendToPrefill(request, left);
+            sendToPrefill(request, attemptsLeft);
         }
     }
 
@@ -74,7 +74,7 @@
         List<Endpoint> decode = filter.candidates(Role.WRITE, request);
         List<Endpoint> mixed = filter.candidates(Role.BOTH, request);
         Selection selected = prefill.isEmpty() ? null : prefillSelector.select(request, prefill);
-        Reason rejection = request.attempts == 0 ? admit(request, prefill, selected, decode) : null;
+        Reason rejection = request.attempts == 0 ? admissionRejection(request, prefill, selected, decode) : null;
         if (rejection != null) {
             conclusion.giveUp(request, rejection);
         } else if (decodeSelector.goesToMixed(prefill, decode, mixed)) {
@@ -85,15 +85,15 @@
         } else if (context.settings().capabilities().decodersMayPrefill() && !decode.isEmpty()) {
             // A decode endpoint is slow at a prefill and slows its other requests, but the request
             // is answered.
-            Selection reading = decodeSelector.lighterOfTwo(decode).as(Kind.WRITER_READS);
-            sender.sendDecode(request, reading);
+            Selection decodeWithPrefill = decodeSelector.lighterOfTwo(decode).as(Kind.WRITER_READS);
+            sender.sendDecode(request, decodeWithPrefill);
         } else {
             Role lacking = canSplit ? Role.READ : Role.WRITE;
             conclusion.giveUp(request, Reason.of(filter.unavailability(lacking, request)));
         }
     }
 
-    private Reason admit(
+    private Reason admissionRejection(
             TrackedRequest request,
             List<Endpoint> prefill,
             Selection selected,
@@ -103,25 +103,25 @@
     }
 
     private void sendToDecode(TrackedRequest request) {
-        List<Endpoint> pure = filter.candidates(Role.WRITE, request);
-        List<Endpoint> decode = pure.isEmpty() ? filter.candidates(Role.BOTH, request) : pure;
+        List<Endpoint> decodeOnly = filter.candidates(Role.WRITE, request);
+        List<Endpoint> decode = decodeOnly.isEmpty() ? filter.candidates(Role.BOTH, request) : decodeOnly;
         Selection probe = filter.recoveryProbe(Role.WRITE, request);
         Selection selected =
                 probe != null ? probe : decodeSelector.select(request.prefilledAt, decode);
         if (selected != null) {
             sender.sendDecode(request, selected);
-        } else if (context.now() + DECODE_POLL_MICROS < stateKeptUntil(request)) {
+        } else if (context.now() + DECODE_POLL_MICROS < stateDeadline(request)) {
             context.emit(new Timer(DECODE_POLL_MICROS, request.id));
         } else {
-            giveUpState(request);
+            giveUpWithoutDecode(request);
         }
     }
 
-    private void giveUpState(TrackedRequest request) {
+    private void giveUpWithoutDecode(TrackedRequest request) {
         Kind unavailability = filter.unavailability(Role.WRITE, request);
         Kind kind = unavailability == Kind.NO_SERVER ? Kind.HELD_TOO_LONG : unavailability;
-        long idle = context.now() - request.idleSince;
-        double limit = stateKeptUntil(request) - request.idleSince;
+        long idle = context.now() - request.stateIdleSince;
+        double limit = stateDeadline(request) - request.stateIdleSince;
         conclusion.giveUp(request, Reason.compared(kind, idle, limit));
     }
 
@@ -129,8 +129,8 @@
      * {@return the time until which a request's state may be kept at its prefill endpoint, in
      * microseconds}
      */
-    double stateKeptUntil(TrackedRequest request) {
+    double stateDeadline(TrackedRequest request) {
         long limit = context.settings().serverLimits().reservationLimitMicros();
-        return request.idleSince + MAX_RESERVATION_SHARE * limit;
+        return request.stateIdleSince + MAX_RESERVATION_SHARE * limit;
     }
 }
--- a/decide/src/main/java/sorrelhoist/routing/StateTransfer.java
+++ b/decide/src/main/java/sorrelhoist/routing/StateTransfer.java
@@ -16,7 +16,7 @@
      * Time constant of the trust in imported knowledge: it decays to 1/e, about a third, at this
      * age.
      */
-    private static final double TRUST_FADE_MICROS = 600_000_000;
+    private static final double TRUST_DECAY_MICROS = 600_000_000;
 
     /**
      * Maximum imported failure rate: one failure of this router's own attempts then ejects the
@@ -93,7 +93,7 @@
      * becomes a candidate by it and none is ejected.
      */
     void importKnowledge(long time, Knowledge imported, long ageMicros) {
-        double trust = Math.exp(-ageMicros / TRUST_FADE_MICROS);
+        double trust = Math.exp(-ageMicros / TRUST_DECAY_MICROS);
         imported.keys().forEach(entry -> importPrefix(entry, time, ageMicros));
         imported.servers().forEach(health -> importHealth(health, trust));
         List<DecayedRegression> prefills = serviceTimes.prefills();
@@ -125,12 +125,12 @@
 
     private void importHealth(ServerHealth imported, double trust) {
         Endpoint endpoint = endpoints.byId(imported.id());
-        boolean wanted =
+        boolean applicable =
                 endpoint != null
                         && !endpoint.health.isKnown()
-                        && imported.sound()
+                        && imported.isValid()
                         && endpoint.since == imported.since();
-        if (wanted) {
+        if (applicable) {
             EndpointHealth health = endpoint.health;
             double failureRate = clamp(imported.failureRate(), 0, MAX_IMPORTED_FAILURE_RATE);
             double latencyRatio =
@@ -151,7 +151,7 @@
     private static void importRegression(
             DecayedRegression own, RegressionSums imported, double trust) {
         double samples = trust * Math.min(MAX_IMPORTED_SAMPLES, imported.weight());
-        if (imported.sound() && samples > own.weight()) {
+        if (imported.isValid() && samples > own.weight()) {
             own.adopt(imported, samples);
         }
     }
--- a/decide/src/main/java/sorrelhoist/routing/TrackedRequest.java
+++ b/decide/src/main/java/sorrelhoist/routing/TrackedRequest.java
@@ -33,7 +33,7 @@
     Endpoint prefilledAt;
 
     /** Time since which the state has been kept unused, in microseconds. */
-    long idleSince;
+    long stateIdleSince;
 
     boolean answered;
     boolean streaming;
@@ -46,14 +46,14 @@
     Endpoint mayHaveRunAt;
 
     /** Time at which the request was sent to {@link #mayHaveRunAt}, in microseconds. */
-    long mayHaveRunFrom;
+    long mayHaveRunSince;
 
     TrackedRequest(Arrived arrival, RequestClass requestClass, long now) {
         this.id = arrival.id();
         this.arrival = arrival;
         this.requestClass = requestClass;
         this.arrivedAt = now;
-        this.idleSince = now;
+        this.stateIdleSince = now;
         this.deadline = now + arrival.budgetMicros();
         this.latencyObjective =
                 requestClass.latencyObjectiveMicros()
--- a/decide/src/test/java/sorrelhoist/routing/AdmissionControllerTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/AdmissionControllerTest.java
@@ -28,16 +28,16 @@
                 parts.endpoints.serving(Role.WRITE));
     }
 
-    private void jamAll() {
+    private void delayAllEndpoints() {
         for (Endpoint endpoint : parts.endpoints.serving(Role.READ)) {
             endpoint.queueingDelay.set(2 * SECOND, parts.context.now());
         }
     }
 
     @Test
-    void whatWouldComeLateIsRejectedOnceEnoughWait() {
+    void requestsThatWouldMissTheirLimitAreRejectedOnceEnoughWait() {
         TrackedRequest request = parts.request(1, "a", null, 1000, 0);
-        jamAll();
+        delayAllEndpoints();
         assertNull(rejection(request), "few requests wait: admitted to learn service times");
         for (int i = 0; i < 10; i++) {
             parts.requests.add(parts.request(100 + i, "b", null, 10, 0));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aQuietFleetAdmitsAll() {
+    void anIdleFleetAdmitsAllRequests() {
         for (int i = 0; i < 10; i++) {
             parts.requests.add(parts.request(100 + i, "b", null, 10, 0));
         }
--- a/decide/src/test/java/sorrelhoist/routing/CandidateFilterTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/CandidateFilterTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void failedEjectedAndFullEndpointsArePassedOverWhileOthersAreLeft() {
+    void failedEjectedAndFullEndpointsAreAvoidedWhileOthersAreLeft() {
         assertEquals(List.of("r1", "r2", "r3", "r4"), readers());
         request.failedEndpoints.add(parts.endpoint("r1"));
         parts.endpoint("r2").health.ejected = true;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void whereAllAreEjectedTheLeastFailingStays() {
+    void theLeastFailingEndpointStaysACandidateIfAllAreEjected() {
         parts.endpoints.serving(Role.READ).forEach(e -> e.health.ejected = true);
         parts.endpoints.serving(Role.READ).forEach(e -> e.health.failureRate = 1);
         parts.endpoint("r3").health.failureRate = 0.6;
@@ -47,10 +47,10 @@
     }
 
     @Test
-    void whatKeepsARoleFromARequestIsNamed() {
+    void reportsWhyNoEndpointOfARoleIsAvailable() {
         assertEquals(Reason.Kind.NO_SERVER, parts.filter.unavailability(Role.BOTH, request));
         assertEquals(Reason.Kind.COLD, parts.filter.unavailability(Role.READ, request));
-        Server draining = Fixtures.with(Fixtures.reader("r1", 0), ServerState.DRAINING, 0);
+        Server draining = Fixtures.withState(Fixtures.prefillServer("r1", 0), ServerState.DRAINING, 0);
         parts.endpoints.update(new Members(ListUpdateKind.COMPLETE, List.of(draining)));
         assertEquals(Reason.Kind.DRAINING, parts.filter.unavailability(Role.READ, request));
     }
--- a/decide/src/test/java/sorrelhoist/routing/DecayedRegressionTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/DecayedRegressionTest.java
@@ -8,7 +8,7 @@
     private final DecayedRegression regression = new DecayedRegression();
 
     @Test
-    void startsOnTheMadeUpLineAndFollowsSamples() {
+    void startsOnTheInitialLineAndFollowsSamples() {
         assertEquals(30_000 + 60 * 500, regression.micros(500), 1e-6);
         assertEquals(90_000, regression.meanMicros(), 1e-6);
         for (int i = 0; i < 1000; i++) {
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aFallingSlopeIsFlatAndAnAdoptedLineWeighsWhatItIsGiven() {
+    void aNegativeSlopeCountsAsZeroAndAnAdoptedRegressionHasTheGivenWeight() {
         for (int i = 0; i < 1000; i++) {
             regression.learn(i % 2 == 0 ? 1000 : 3000, i % 2 == 0 ? 40_000 : 20_000);
         }
--- a/decide/src/test/java/sorrelhoist/routing/DecodeSelectorTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/DecodeSelectorTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void anEndpointFarBehindIsPassedOver() {
+    void anEndpointWithALongDelayIsAvoided() {
         parts.endpoint("w1").queueingDelay.set(SECOND, parts.context.now());
         parts.endpoint("w2").queueingDelay.set(SECOND, parts.context.now());
         for (int i = 0; i < 20; i++) {
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void mixedEndpointsTakeAllWhereARoleIsMissing() {
+    void mixedEndpointsGetAllRequestsIfARoleIsMissing() {
         List<Endpoint> some = parts.endpoints.serving(Role.WRITE);
         assertTrue(selector.goesToMixed(List.of(), some, some));
         assertFalse(selector.goesToMixed(some, some, List.of()));
--- a/decide/src/test/java/sorrelhoist/routing/DeliveryFailoverTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/DeliveryFailoverTest.java
@@ -54,7 +54,7 @@
     /**
      * {@return the cancellations that follow when the request's attempt is reported as unconfirmed}
      */
-    private List<Cancel> unconfirmed(TrackedRequest request) {
+    private List<Cancel> reportUnconfirmed(TrackedRequest request) {
         Attempt attempt = request.attempt;
         failover.onDeliveryUnconfirmed(
                 request, new DeliveryUnconfirmed(request.id, attempt.number, attempt.endpoint.id));
@@ -62,86 +62,86 @@
     }
 
     @Test
-    void aSafeDecodeIsGivenUpForAnotherEndpoint() {
+    void aSafeDecodeFailsOverToAnotherEndpoint() {
         TrackedRequest request = safeRequest();
         parts.start(request, "w1", false, 1000);
         assertEquals(
                 List.of(new Cancel(1, 0, Reason.of(Reason.Kind.UNCONFIRMED))),
-                unconfirmed(request));
+                reportUnconfirmed(request));
     }
 
     @Test
-    void whatMayNotBeRepeatedWaitsOnAsItMayYetArrive() {
+    void aRequestThatMayNotBeRepeatedKeepsWaitingAsItMayStillArrive() {
         TrackedRequest request = request(Idempotency.UNSAFE, IdempotencyScope.ALL, 0);
         parts.start(request, "w1", false, 1000);
-        assertEquals(List.of(), unconfirmed(request));
+        assertEquals(List.of(), reportUnconfirmed(request));
         assertTrue(request.attempt.unconfirmed);
     }
 
     @Test
-    void aPrefillIsGivenUpWhateverItsClass() {
+    void aPrefillFailsOverWhateverItsClass() {
         TrackedRequest request = request(Idempotency.UNSAFE, IdempotencyScope.ALL, 0);
         parts.start(request, "r1", true, 1000);
-        assertEquals(1, unconfirmed(request).size());
+        assertEquals(1, reportUnconfirmed(request).size());
     }
 
     @Test
-    void aKeyedDecodeIsGivenUpOnlyWithinItsWindowAndScope() {
+    void aKeyedDecodeFailsOverOnlyWithinItsWindowAndScope() {
         TrackedRequest within = request(Idempotency.KEYED, IdempotencyScope.ALL, 1_000_000);
         within.prefilledAt = parts.endpoint("r1");
         parts.start(within, "w1", false, 1000);
-        assertEquals(1, unconfirmed(within).size());
+        assertEquals(1, reportUnconfirmed(within).size());
 
         TrackedRequest late = request(Idempotency.KEYED, IdempotencyScope.ALL, 1000);
         late.prefilledAt = parts.endpoint("r1");
         parts.start(late, "w2", false, 1000);
-        parts.pass(2000);
-        assertEquals(List.of(), unconfirmed(late));
+        parts.advanceClock(2000);
+        assertEquals(List.of(), reportUnconfirmed(late));
     }
 
     @Test
-    void aKeyedDecodeThatReadsByItselfWaitsOnAsItMayArriveAfterItsWindow() {
+    void aKeyedDecodeWithoutPrefilledStateKeepsWaitingAsItMayArriveAfterItsWindow() {
         TrackedRequest request = request(Idempotency.KEYED, IdempotencyScope.ALL, 1_000_000);
         parts.start(request, "w1", false, 1000);
-        assertEquals(List.of(), unconfirmed(request));
+        assertEquals(List.of(), reportUnconfirmed(request));
     }
 
     @Test
-    void nothingIsGivenUpWhereThereIsNoOtherEndpoint() {
+    void noFailoverWithoutAnotherEndpoint() {
         TrackedRequest request = safeRequest();
         parts.start(request, "w1", false, 1000);
         for (Endpoint endpoint : parts.endpoints.serving(Role.WRITE)) {
             endpoint.avoidedUntil = Long.MAX_VALUE;
         }
-        assertEquals(List.of(), unconfirmed(request));
+        assertEquals(List.of(), reportUnconfirmed(request));
     }
 
     @Test
-    void nothingIsGivenUpWhereTheBudgetOfRetriesIsSpent() {
+    void noFailoverWithAnExhaustedRetryBudget() {
         while (!retries.isExhausted()) {
             retries.spend();
         }
         TrackedRequest request = safeRequest();
         parts.start(request, "w1", false, 1000);
-        assertEquals(List.of(), unconfirmed(request));
+        assertEquals(List.of(), reportUnconfirmed(request));
     }
 
     @Test
-    void nothingIsGivenUpWithTheLastAttempt() {
+    void noFailoverOnTheLastAttempt() {
         TrackedRequest request = safeRequest();
         request.attempts = parts.context.settings().capabilities().maxAttempts() - 1;
         parts.start(request, "w1", false, 1000);
-        assertEquals(List.of(), unconfirmed(request));
+        assertEquals(List.of(), reportUnconfirmed(request));
     }
 
     @Test
-    void othersArePreferredToASilentEndpointForAWhile() {
+    void aSilentEndpointIsAvoidedForAWhile() {
         TrackedRequest request = safeRequest();
         parts.start(request, "w1", false, 1000);
-        unconfirmed(request);
+        reportUnconfirmed(request);
         TrackedRequest next = safeRequest();
         assertFalse(parts.filter.candidates(Role.WRITE, next).contains(parts.endpoint("w1")));
-        parts.pass(AVOIDED_MICROS);
+        parts.advanceClock(AVOIDED_MICROS);
         assertTrue(parts.filter.candidates(Role.WRITE, next).contains(parts.endpoint("w1")));
     }
 
@@ -149,7 +149,7 @@
     void aSilentEndpointCountsAsFailedOnceForEachAttempt() {
         TrackedRequest request = safeRequest();
         Attempt attempt = parts.start(request, "w1", false, 1000);
-        unconfirmed(request);
+        reportUnconfirmed(request);
         double failureRate = attempt.endpoint.health.failureRate;
         assertNotEquals(0, failureRate);
         outcomes.recordOutcome(
--- a/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EmbeddingExampleTest.java
@@ -26,15 +26,15 @@
  */
 class EmbeddingExampleTest {
     /** A scheduled event of the simulated network, which answers each send after a fixed time. */
-    private record Due(long at, Event event) implements Comparable<Due> {
+    private record ScheduledEvent(long at, Event event) implements Comparable<ScheduledEvent> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledEvent other) {
             return Long.compare(at, other.at);
         }
     }
 
-    private final RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 42);
-    private final PriorityQueue<Due> pending = new PriorityQueue<>();
+    private final RoutingPolicy policy = new RoutingPolicy(Fixtures.defaultSettings(), 42);
+    private final PriorityQueue<ScheduledEvent> pending = new PriorityQueue<>();
     private final List<String> path = new ArrayList<>();
     private int attempt;
     private long now;
@@ -46,7 +46,7 @@
                 path.add(s.server());
                 Outcome outcome = reader ? Outcome.READ : Outcome.DONE;
                 pending.add(
-                        new Due(
+                        new ScheduledEvent(
                                 now + 50_000,
                                 new AttemptEnded(
                                         s.id(),
@@ -59,13 +59,13 @@
                                         ServerLoad.NONE)));
                 if (!reader) {
                     pending.add(
-                            new Due(
+                            new ScheduledEvent(
                                     now + 20_000,
                                     new StreamStarted(s.id(), attempt, s.server(), 20_000)));
                 }
                 attempt++;
             } else if (action instanceof Timer t) {
-                pending.add(new Due(now + t.delayMicros(), new TimerFired(t.token())));
+                pending.add(new ScheduledEvent(now + t.delayMicros(), new TimerFired(t.token())));
             } else if (action instanceof Refuse || action instanceof Fail) {
                 path.add("given up");
             }
@@ -80,11 +80,11 @@
                         new Members(
                                 ListUpdateKind.RESTORED,
                                 List.of(
-                                        Fixtures.reader("reader-1", 0),
-                                        Fixtures.writer("writer-1", 0)))));
+                                        Fixtures.prefillServer("reader-1", 0),
+                                        Fixtures.decodeServer("writer-1", 0)))));
         perform(policy.onEvent(now, Fixtures.request(1, "session", "system-prompt", 1500, 1200)));
         while (now < 5_000_000) {
-            Due due = pending.remove();
+            ScheduledEvent due = pending.remove();
             now = due.at();
             perform(policy.onEvent(now, due.event()));
         }
--- a/decide/src/test/java/sorrelhoist/routing/EndpointTableTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EndpointTableTest.java
@@ -23,7 +23,7 @@
     void aRestartedProcessIsAnotherEndpointAndHasNothingCached() {
         Endpoint before = parts.endpoint("r1");
         parts.prefixes.addHolder("pre", 100, before);
-        Server listed = Fixtures.with(Fixtures.reader("r1", 0), ServerState.SERVING, SECOND);
+        Server listed = Fixtures.withState(Fixtures.prefillServer("r1", 0), ServerState.SERVING, SECOND);
         endpoints.update(new Members(ListUpdateKind.UPDATE, List.of(listed)));
         Endpoint after = parts.endpoint("r1");
         assertFalse(before == after);
@@ -33,11 +33,11 @@
     }
 
     @Test
-    void aCompleteListRemovesWhatItLacksAndAFailedCallNothing() {
+    void aCompleteListRemovesMissingEndpointsAndAFailedCallRemovesNone() {
         endpoints.update(new Members(ListUpdateKind.UNAVAILABLE, List.of()));
         assertEquals(4, endpoints.serving(Role.READ).size());
         parts.start(parts.request(1, "a", null, 10, 0), "r2", true, 1);
-        List<Server> one = List.of(Fixtures.reader("r1", 0));
+        List<Server> one = List.of(Fixtures.prefillServer("r1", 0));
         endpoints.update(new Members(ListUpdateKind.COMPLETE, one));
         assertEquals(List.of(parts.endpoint("r1")), endpoints.serving(Role.READ));
         assertNull(parts.endpoint("r3"));
@@ -49,10 +49,10 @@
 
     @Test
     void aCellWithFewDecodersSpillsToThoseWithCapacity() {
-        assertEquals(0, endpoints.spillOf(0));
-        Server moved = Fixtures.writer("w2", 1);
+        assertEquals(0, endpoints.decodeSpilloverOf(0));
+        Server moved = Fixtures.decodeServer("w2", 1);
         endpoints.update(new Members(ListUpdateKind.UPDATE, List.of(moved)));
-        assertEquals(0.5, endpoints.spillOf(0), 1e-9);
-        assertEquals(-0.5, endpoints.spillOf(1), 1e-9);
+        assertEquals(0.5, endpoints.decodeSpilloverOf(0), 1e-9);
+        assertEquals(-0.5, endpoints.decodeSpilloverOf(1), 1e-9);
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/FaultHandlingTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FaultHandlingTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static sorrelhoist.routing.Fixtures.RELEASE;
+import static sorrelhoist.routing.Fixtures.RESERVATION_LIMIT_MICROS;
 import static sorrelhoist.routing.Fixtures.SECOND;
 import static sorrelhoist.routing.Fixtures.all;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
-import static sorrelhoist.routing.Fixtures.plain;
-import static sorrelhoist.routing.Fixtures.reader;
+import static sorrelhoist.routing.Fixtures.defaultSettings;
+import static sorrelhoist.routing.Fixtures.prefillServer;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.send;
 import static sorrelhoist.routing.Fixtures.settings;
@@ -51,7 +51,7 @@
      */
     @Test
     void aPromptIsPrefilledAgainRatherThanReservedWhileDecodersAreUnreachable() {
-        Send w = read(arrive(1, "a", null, 1000, 0), 0);
+        Send w = endPrefill(arrive(1, "a", null, 1000, 0), 0);
         assertEquals(1, w.id());
         assertTrue(w.server().startsWith("w"));
         now += 20_000;
@@ -74,7 +74,7 @@
      */
     @Test
     void theDeadlineStopsWithTheFirstToken() {
-        Send w = read(arrive(1, "a", null, 1000, 0), 0);
+        Send w = endPrefill(arrive(1, "a", null, 1000, 0), 0);
         policy.onEvent(now, new StreamStarted(1, 1, w.server(), 20_000));
         assertEquals(List.of(), policy.onEvent(now + 5 * SECOND, new TimerFired(1)));
     }
@@ -98,9 +98,9 @@
             if (s.server().equals("r1")) {
                 hits++;
                 s = send(policy.onEvent(now, ended(s, 0, Outcome.ERROR, 1000, 0)));
-                answer(s, 1, 30_000);
+                completeAnswer(s, 1, 30_000);
             } else {
-                answer(s, 0, 30_000);
+                completeAnswer(s, 0, 30_000);
             }
         }
         assertTrue(hits >= 1 && hits <= 6, "requests sent to the failing server: " + hits);
@@ -114,7 +114,7 @@
             Send s = arrive(i, "s" + i, null, 1000, 0);
             boolean slow = s.server().equals("r1");
             slowHits += slow && i >= 30 ? 1 : 0;
-            answer(s, 0, slow ? 900_000 : 40_000);
+            completeAnswer(s, 0, slow ? 900_000 : 40_000);
         }
         assertTrue(slowHits <= 4, "requests sent to the slow server: " + slowHits);
         int later = 0;
@@ -122,7 +122,7 @@
             now += 50_000;
             Send s = arrive(i, "s" + i, null, 1000, 0);
             later += s.server().equals("r1") ? 1 : 0;
-            answer(s, 0, 40_000);
+            completeAnswer(s, 0, 40_000);
         }
         assertTrue(later > 8, "requests sent to the server after its recovery: " + later);
     }
@@ -157,7 +157,7 @@
 
     @Test
     void aReservedStateIsReleasedWhenNoDecoderIsListed() {
-        RoutingPolicy d = start(plain(), List.of(reader("r1", 0)));
+        RoutingPolicy d = start(defaultSettings(), List.of(prefillServer("r1", 0)));
         Send s = send(d.onEvent(now, request(1, "a", null, 1000, 0)));
         List<Action> actions =
                 new ArrayList<>(d.onEvent(now, ended(s, 0, Outcome.READ, 40_000, 0)));
@@ -166,7 +166,7 @@
             until += all(actions, Timer.class).get(0).delayMicros();
             actions = d.onEvent(until, new TimerFired(1));
         }
-        assertTrue(until - now < RELEASE);
+        assertTrue(until - now < RESERVATION_LIMIT_MICROS);
         assertEquals(1, all(actions, Refuse.class).size());
     }
 
@@ -180,7 +180,7 @@
 
     @Test
     void aLostStateIsPrefilledAgain() {
-        Send w = read(arrive(1, "a", null, 1000, 0), 0);
+        Send w = endPrefill(arrive(1, "a", null, 1000, 0), 0);
         Send again = send(policy.onEvent(now, ended(w, 1, Outcome.FULL, 500, 1)));
         assertTrue(again.server().startsWith("r"));
     }
--- a/decide/src/test/java/sorrelhoist/routing/Fixtures.java
+++ b/decide/src/test/java/sorrelhoist/routing/Fixtures.java
@@ -17,7 +17,7 @@
 /** Small settings, servers and events for the tests of this module. */
 final class Fixtures {
     static final long SECOND = 1_000_000;
-    static final long RELEASE = 500_000;
+    static final long RESERVATION_LIMIT_MICROS = 500_000;
 
     private Fixtures() {}
 
@@ -35,38 +35,38 @@
     }
 
     /** Returns settings that permit gossip between routers. */
-    static RoutingSettings gossiping() {
+    static RoutingSettings gossipSettings() {
         SettingsBuilder builder = new SettingsBuilder();
         builder.connected = true;
         return builder.build();
     }
 
-    static RoutingSettings plain() {
+    static RoutingSettings defaultSettings() {
         return new SettingsBuilder().build();
     }
 
-    static Server reader(String id, int cell) {
+    static Server prefillServer(String id, int cell) {
         return new Server(id, 0, 0, cell, ServerState.SERVING, 1, 0);
     }
 
-    static Server writer(String id, int cell) {
+    static Server decodeServer(String id, int cell) {
         return new Server(id, 0, 1, cell, ServerState.SERVING, 1, 0);
     }
 
-    static Server with(Server s, ServerState state, long since) {
+    static Server withState(Server s, ServerState state, long since) {
         return new Server(s.id(), s.zone(), s.kind(), s.cell(), state, s.size(), since);
     }
 
     static List<Server> fleet() {
         return List.of(
-                reader("r1", 0),
-                reader("r2", 0),
-                reader("r3", 1),
-                reader("r4", 1),
-                writer("w1", 0),
-                writer("w2", 0),
-                writer("w3", 1),
-                writer("w4", 1));
+                prefillServer("r1", 0),
+                prefillServer("r2", 0),
+                prefillServer("r3", 1),
+                prefillServer("r4", 1),
+                decodeServer("w1", 0),
+                decodeServer("w2", 0),
+                decodeServer("w3", 1),
+                decodeServer("w4", 1));
     }
 
     static Arrived request(long id, String session, String prefix, long prompt, long prefixTokens) {
--- a/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
@@ -9,9 +9,9 @@
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.send;
-import static sorrelhoist.routing.FleetWorld.fleet;
-import static sorrelhoist.routing.FleetWorld.part;
-import static sorrelhoist.routing.FleetWorld.routers;
+import static sorrelhoist.routing.FleetSimulation.fleet;
+import static sorrelhoist.routing.FleetSimulation.routerSettings;
+import static sorrelhoist.routing.FleetSimulation.routers;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -33,19 +33,19 @@
      * {@return the number of prefills sent to a prefill server in the six seconds after it stopped
      * answering}
      */
-    private static long sentToSilent(int n, boolean told) {
-        FleetWorld world = new FleetWorld(n, fleet(10, 10));
-        world.told = told;
+    private static long sentToSilent(int n, boolean gossip) {
+        FleetSimulation world = new FleetSimulation(n, fleet(10, 10));
+        world.gossipDelivered = gossip;
         world.silent = "r3";
         world.silentFrom = 20 * SECOND;
         Random random = new Random(n);
         for (int id = 0; id < 75 * 26; id++) {
-            world.later(
+            world.schedule(
                     SECOND + (long) (random.nextDouble() * 25 * SECOND),
                     random.nextInt(n),
                     request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
         }
-        world.play(26 * SECOND);
+        world.runUntil(26 * SECOND);
         return world.mostWithin("r3", 20 * SECOND, 26 * SECOND, 6 * SECOND);
     }
 
@@ -55,13 +55,13 @@
      */
     @Test
     void aHangingServerIsGossipedBeforeItsAttemptsTimeOut() {
-        long alone = sentToSilent(100, false);
-        long told = sentToSilent(100, true);
+        long withoutGossip = sentToSilent(100, false);
+        long withGossip = sentToSilent(100, true);
         assertTrue(
-                told < 0.6 * alone,
-                told
+                withGossip < 0.6 * withoutGossip,
+                withGossip
                         + " prefills sent to a silent prefill server with gossip, "
-                        + alone
+                        + withoutGossip
                         + " without gossip");
     }
 
@@ -69,18 +69,18 @@
      * {@return the number of attempts that failed within 20 s at the given servers, with 75
      * requests per second over 100 routers}
      */
-    private static int failures(boolean told, Set<String> failing) {
-        FleetWorld world = new FleetWorld(100, fleet(10, 10));
-        world.told = told;
+    private static int failures(boolean gossip, Set<String> failing) {
+        FleetSimulation world = new FleetSimulation(100, fleet(10, 10));
+        world.gossipDelivered = gossip;
         world.failing = failing;
         Random random = new Random(5);
         for (int id = 0; id < 75 * 20; id++) {
-            world.later(
+            world.schedule(
                     SECOND + (long) (random.nextDouble() * 20 * SECOND),
                     random.nextInt(100),
                     request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
         }
-        world.play(22 * SECOND);
+        world.runUntil(22 * SECOND);
         return world.failures;
     }
 
@@ -91,10 +91,10 @@
      */
     @Test
     void aFastFailingServerIsEjectedByGossip() {
-        int alone = failures(false, Set.of("w13"));
-        int told = failures(true, Set.of("w13"));
+        int withoutGossip = failures(false, Set.of("w13"));
+        int withGossip = failures(true, Set.of("w13"));
         assertTrue(
-                told < 0.5 * alone, told + " failures with gossip, " + alone + " without gossip");
+                withGossip < 0.5 * withoutGossip, withGossip + " failures with gossip, " + withoutGossip + " without gossip");
     }
 
     /**
@@ -102,18 +102,18 @@
      * gossips it, and the others, whose own recovery probes are due much later, send there again.
      */
     @Test
-    void aRecoveredServerSoonHasItsShare() {
-        FleetWorld world = new FleetWorld(100, fleet(10, 10));
+    void aRecoveredServerSoonGetsItsShare() {
+        FleetSimulation world = new FleetSimulation(100, fleet(10, 10));
         world.failing = Set.of("w13");
         world.failingUntil = 12 * SECOND;
         Random random = new Random(6);
         for (int id = 0; id < 75 * 30; id++) {
-            world.later(
+            world.schedule(
                     SECOND + (long) (random.nextDouble() * 30 * SECOND),
                     random.nextInt(100),
                     request(id, "s" + random.nextInt(900), "p" + random.nextInt(60), 1000, 600));
         }
-        world.play(31 * SECOND);
+        world.runUntil(31 * SECOND);
         long sick =
                 world.sends.get("w13").stream()
                         .filter(t -> t > 6 * SECOND && t < 12 * SECOND)
@@ -132,9 +132,9 @@
      */
     @Test
     void gossipAboutManyServersLeavesTheHealthyOnesInUse() {
-        int alone = failures(false, Set.of("w10", "w12", "w14", "w16", "w18"));
-        int told = failures(true, Set.of("w10", "w12", "w14", "w16", "w18"));
-        assertTrue(told <= alone, told + " failures with gossip, " + alone + " without gossip");
+        int withoutGossip = failures(false, Set.of("w10", "w12", "w14", "w16", "w18"));
+        int withGossip = failures(true, Set.of("w10", "w12", "w14", "w16", "w18"));
+        assertTrue(withGossip <= withoutGossip, withGossip + " failures with gossip, " + withoutGossip + " without gossip");
     }
 
     @Test
@@ -175,7 +175,7 @@
 
     @Test
     void aServerThatIsFullForOneClassStillTakesTheOthers() {
-        RoutingPolicy d = new RoutingPolicy(part(2, 0), 1);
+        RoutingPolicy d = new RoutingPolicy(routerSettings(2, 0), 1);
         d.onEvent(0, new Members(ListUpdateKind.RESTORED, fleet(2, 2)));
         Send s = send(d.onEvent(SECOND, request(1, "a", "p", 1000, 900)));
         Send elsewhere = send(d.onEvent(SECOND + 200_000, ended(s, 0, Outcome.FULL, 200_000, 0)));
--- a/decide/src/test/java/sorrelhoist/routing/FleetWorld.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetSimulation.java
@@ -4,9 +4,9 @@
 import static sorrelhoist.routing.Fixtures.all;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
-import static sorrelhoist.routing.Fixtures.reader;
+import static sorrelhoist.routing.Fixtures.prefillServer;
 import static sorrelhoist.routing.Fixtures.settings;
-import static sorrelhoist.routing.Fixtures.writer;
+import static sorrelhoist.routing.Fixtures.decodeServer;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -36,8 +36,8 @@
  * A simulation of many routers and one fleet with one clock: each prefill takes 60 ms, a first
  * token 40 ms, an answer a second.
  */
-final class FleetWorld {
-    static RoutingSettings part(int routers, int self) {
+final class FleetSimulation {
+    static RoutingSettings routerSettings(int routers, int self) {
         RoutingSettings s = settings(Idempotency.SAFE, IdempotencyScope.ALL, false, List.of());
         Capabilities l = s.capabilities();
         return new RoutingSettings(
@@ -58,7 +58,7 @@
     static List<RoutingPolicy> routers(int n, List<Server> fleet) {
         List<RoutingPolicy> all = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            all.add(new RoutingPolicy(part(n, i), 31 + i));
+            all.add(new RoutingPolicy(routerSettings(n, i), 31 + i));
             all.get(i).onEvent(0, new Members(ListUpdateKind.RESTORED, fleet));
         }
         return all;
@@ -67,15 +67,15 @@
     static List<Server> fleet(int readers, int writers) {
         List<Server> fleet = new ArrayList<>();
         for (int i = 0; i < readers + writers; i++) {
-            fleet.add(i < readers ? reader("r" + i, i % 4) : writer("w" + i, i % 4));
+            fleet.add(i < readers ? prefillServer("r" + i, i % 4) : decodeServer("w" + i, i % 4));
         }
         return fleet;
     }
 
-    record Due(long at, long order, int router, Event event) {}
+    record ScheduledEvent(long at, long order, int router, Event event) {}
 
     final Map<String, List<Long>> sends = new TreeMap<>();
-    final PriorityQueue<Due> due =
+    final PriorityQueue<ScheduledEvent> scheduledEvents =
             new PriorityQueue<>(
                     (a, b) ->
                             a.at != b.at
@@ -93,59 +93,59 @@
     /** Server whose attempts sent from {@link #silentFrom} on are never answered and time out. */
     String silent = "";
 
-    boolean told = true;
+    boolean gossipDelivered = true;
     long silentFrom = Long.MAX_VALUE;
     long order;
 
     /** Starts the routers as part of the simulation, so that their timers run as well. */
-    FleetWorld(int n, List<Server> fleet) {
+    FleetSimulation(int n, List<Server> fleet) {
         routers = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            routers.add(new RoutingPolicy(part(n, i), 31 + i));
-            later(0, i, new Members(ListUpdateKind.RESTORED, fleet));
+            routers.add(new RoutingPolicy(routerSettings(n, i), 31 + i));
+            schedule(0, i, new Members(ListUpdateKind.RESTORED, fleet));
         }
     }
 
-    void later(long at, int router, Event event) {
-        due.add(new Due(at, order++, router, event));
+    void schedule(long at, int router, Event event) {
+        scheduledEvents.add(new ScheduledEvent(at, order++, router, event));
     }
 
-    void play(long end) {
-        while (!due.isEmpty() && due.peek().at < end) {
-            Due d = due.poll();
+    void runUntil(long end) {
+        while (!scheduledEvents.isEmpty() && scheduledEvents.peek().at < end) {
+            ScheduledEvent d = scheduledEvents.poll();
             for (Action a : routers.get(d.router).onEvent(d.at, d.event)) {
-                take(d.at, d.router, a);
+                perform(d.at, d.router, a);
             }
         }
     }
 
-    void take(long now, int router, Action action) {
+    void perform(long now, int router, Action action) {
         if (action instanceof Timer t) {
-            later(now + Math.max(1, t.delayMicros()), router, new TimerFired(t.token()));
-        } else if (action instanceof Tell t && told) {
+            schedule(now + Math.max(1, t.delayMicros()), router, new TimerFired(t.token()));
+        } else if (action instanceof Tell t && gossipDelivered) {
             for (int i = 0; i < routers.size(); i++) {
                 if (i != router) {
-                    later(now + 5000, i, new PeerMessage(router, t.body()));
+                    schedule(now + 5000, i, new PeerMessage(router, t.body()));
                 }
             }
         } else if (action instanceof Send s) {
-            takeSend(now, router, s);
+            performSend(now, router, s);
         }
     }
 
-    private void takeSend(long now, int router, Send s) {
+    private void performSend(long now, int router, Send s) {
         sends.computeIfAbsent(s.server(), id -> new ArrayList<>()).add(now);
         int n = attempts.merge(s.id(), 1, Integer::sum) - 1;
         if (s.server().equals(silent) && now >= silentFrom) {
-            later(s.cutAt(), router, ended(s, n, Outcome.TIMED_OUT, s.cutAt() - now, 0));
+            schedule(s.cutAt(), router, ended(s, n, Outcome.TIMED_OUT, s.cutAt() - now, 0));
         } else if (failing.contains(s.server()) && now < failingUntil) {
             failures++;
-            later(now + 2000, router, ended(s, n, Outcome.ERROR, 2000, 0));
+            schedule(now + 2000, router, ended(s, n, Outcome.ERROR, 2000, 0));
         } else if (s.server().startsWith("r")) {
-            later(now + 60_000, router, ended(s, n, Outcome.READ, 60_000, 0));
+            schedule(now + 60_000, router, ended(s, n, Outcome.READ, 60_000, 0));
         } else {
-            later(now + 40_000, router, new StreamStarted(s.id(), n, s.server(), 40_000));
-            later(now + SECOND, router, ended(s, n, Outcome.DONE, SECOND, 0));
+            schedule(now + 40_000, router, new StreamStarted(s.id(), n, s.server(), 40_000));
+            schedule(now + SECOND, router, ended(s, n, Outcome.DONE, SECOND, 0));
         }
     }
 
--- a/decide/src/test/java/sorrelhoist/routing/FleetTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetTest.java
@@ -4,14 +4,14 @@
 import static sorrelhoist.routing.Fixtures.SECOND;
 import static sorrelhoist.routing.Fixtures.all;
 import static sorrelhoist.routing.Fixtures.ended;
-import static sorrelhoist.routing.Fixtures.reader;
+import static sorrelhoist.routing.Fixtures.prefillServer;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.send;
-import static sorrelhoist.routing.Fixtures.with;
-import static sorrelhoist.routing.Fixtures.writer;
-import static sorrelhoist.routing.FleetWorld.fleet;
-import static sorrelhoist.routing.FleetWorld.part;
-import static sorrelhoist.routing.FleetWorld.routers;
+import static sorrelhoist.routing.Fixtures.withState;
+import static sorrelhoist.routing.Fixtures.decodeServer;
+import static sorrelhoist.routing.FleetSimulation.fleet;
+import static sorrelhoist.routing.FleetSimulation.routerSettings;
+import static sorrelhoist.routing.FleetSimulation.routers;
 
 import java.util.List;
 import java.util.Map;
@@ -36,12 +36,12 @@
     @ValueSource(ints = {2, 50, 150})
     void allRoutersTogetherDoNotOverloadAWarmingUpServer(int n) {
         List<Server> fleet = fleet(10, 10);
-        FleetWorld world = new FleetWorld(n, fleet);
+        FleetSimulation world = new FleetSimulation(n, fleet);
         Random random = new Random(n);
         long start = 30 * SECOND;
         for (int id = 0; id < 150 * 44; id++) {
             long at = SECOND + (long) (random.nextDouble() * 43 * SECOND);
-            world.later(
+            world.schedule(
                     at,
                     random.nextInt(n),
                     request(id, "s" + random.nextInt(3000), "p" + random.nextInt(30), 1000, 600));
@@ -49,16 +49,16 @@
         for (int i = 0; i < n; i++) {
             for (String id : List.of("r3", "w13")) {
                 Server s = fleet.stream().filter(x -> x.id().equals(id)).findFirst().orElseThrow();
-                world.later(
+                world.schedule(
                         start,
                         i,
                         new Members(
                                 ListUpdateKind.UPDATE,
-                                List.of(with(s, ServerState.SERVING, start))));
+                                List.of(withState(s, ServerState.SERVING, start))));
             }
         }
-        world.play(44 * SECOND);
-        ServerLimits rules = part(n, 0).serverLimits();
+        world.runUntil(44 * SECOND);
+        ServerLimits rules = routerSettings(n, 0).serverLimits();
         for (String id : List.of("r3", "w13")) {
             // 150 requests per second over ten servers of a role: each can do at least 45 in a
             // window, and 0.26 of that while cold.
@@ -81,11 +81,11 @@
     @Test
     void aWarmingUpServerGetsItsShareThoughEachRouterSeesItSeldom() {
         List<Server> fleet = fleet(25, 25);
-        FleetWorld world = new FleetWorld(100, fleet);
+        FleetSimulation world = new FleetSimulation(100, fleet);
         Random random = new Random(8);
         long start = 25 * SECOND;
         for (int id = 0; id < 75 * 37; id++) {
-            world.later(
+            world.schedule(
                     SECOND + (long) (random.nextDouble() * 37 * SECOND),
                     random.nextInt(100),
                     request(id, "s" + random.nextInt(2000), "p" + random.nextInt(200), 1000, 600));
@@ -93,12 +93,12 @@
         List<Server> cold =
                 fleet.stream()
                         .filter(s -> Set.of("r3", "r7", "w27", "w31").contains(s.id()))
-                        .map(s -> with(s, ServerState.SERVING, start))
+                        .map(s -> withState(s, ServerState.SERVING, start))
                         .toList();
         for (int i = 0; i < 100; i++) {
-            world.later(start, i, new Members(ListUpdateKind.UPDATE, cold));
+            world.schedule(start, i, new Members(ListUpdateKind.UPDATE, cold));
         }
-        world.play(start + 12 * SECOND);
+        world.runUntil(start + 12 * SECOND);
         long all = 0;
         for (Server s : cold) {
             // 75 requests per second over 25 servers of a role: 36 to a warm one in 12 s.
@@ -116,16 +116,16 @@
     @ValueSource(ints = {2, 150})
     void newRoutersSendAWarmingUpFleetLittle(int n) {
         List<Server> cold =
-                fleet(10, 10).stream().map(s -> with(s, ServerState.SERVING, SECOND)).toList();
-        FleetWorld world = new FleetWorld(n, cold);
+                fleet(10, 10).stream().map(s -> withState(s, ServerState.SERVING, SECOND)).toList();
+        FleetSimulation world = new FleetSimulation(n, cold);
         Random random = new Random(n);
         for (int id = 0; id < 150 * 8; id++) {
-            world.later(
+            world.schedule(
                     SECOND + (long) (random.nextDouble() * 8 * SECOND),
                     random.nextInt(n),
                     request(id, "s" + id, "p" + random.nextInt(30), 1000, 600));
         }
-        world.play(10 * SECOND);
+        world.runUntil(10 * SECOND);
         for (String id : world.sends.keySet()) {
             assertTrue(
                     world.mostWithin(id, 0, 10 * SECOND, 3 * SECOND) <= 12,
@@ -158,11 +158,11 @@
     }
 
     @Test
-    void manyRoutersDoNotPileAHotPrefixOnOneServer() {
-        FleetWorld world = new FleetWorld(100, fleet(10, 10));
+    void manyRoutersDoNotSendAHotPrefixToOneServer() {
+        FleetSimulation world = new FleetSimulation(100, fleet(10, 10));
         Random random = new Random(3);
         for (int id = 0; id < 3000; id++) {
-            world.later(
+            world.schedule(
                     SECOND + (long) (random.nextDouble() * 30 * SECOND),
                     random.nextInt(100),
                     request(
@@ -172,7 +172,7 @@
                             1000,
                             800));
         }
-        world.play(31 * SECOND);
+        world.runUntil(31 * SECOND);
         long most =
                 world.sends.entrySet().stream()
                         .filter(e -> e.getKey().startsWith("r"))
@@ -186,23 +186,23 @@
     void aCellWithFewDecodersSpillsToThoseWithMany() {
         List<Server> skewed =
                 List.of(
-                        reader("r0", 0),
-                        reader("r1", 0),
-                        reader("r2", 0),
-                        reader("r3", 1),
-                        writer("w0", 0),
-                        writer("w1", 1),
-                        writer("w2", 1),
-                        writer("w3", 1));
-        FleetWorld world = new FleetWorld(40, skewed);
+                        prefillServer("r0", 0),
+                        prefillServer("r1", 0),
+                        prefillServer("r2", 0),
+                        prefillServer("r3", 1),
+                        decodeServer("w0", 0),
+                        decodeServer("w1", 1),
+                        decodeServer("w2", 1),
+                        decodeServer("w3", 1));
+        FleetSimulation world = new FleetSimulation(40, skewed);
         Random random = new Random(5);
         for (int id = 0; id < 2000; id++) {
-            world.later(
+            world.schedule(
                     SECOND + (long) (random.nextDouble() * 30 * SECOND),
                     random.nextInt(40),
                     request(id, "s" + id, null, 1000, 0));
         }
-        world.play(33 * SECOND);
+        world.runUntil(33 * SECOND);
         int all =
                 List.of("w0", "w1", "w2", "w3").stream()
                         .mapToInt(w -> world.sends.get(w).size())
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void whatIsAlwaysAdmittedIsOneSumForAllRouters() {
+    void allRoutersShareTheNumberOfAlwaysAdmittedRequests() {
         Map<Integer, Integer> letIn = new TreeMap<>();
         for (int n : List.of(3, 150)) {
             List<RoutingPolicy> routers = routers(n, fleet(10, 10));
@@ -236,7 +236,7 @@
     }
 
     @Test
-    void admissionResumesSoonAfterAJamThoughFewRequestsArrive() {
+    void admissionResumesSoonAfterCongestionThoughFewRequestsArrive() {
         RoutingPolicy d = routers(100, fleet(4, 4)).get(0);
         long now = SECOND;
         int served = 0;
--- a/decide/src/test/java/sorrelhoist/routing/GossipCodecTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/GossipCodecTest.java
@@ -7,7 +7,7 @@
 
 class GossipCodecTest {
     @Test
-    void theTextIsTheOneThatOlderRoutersReadAndWrite() {
+    void theFormatIsCompatibleWithOlderRouters() {
         Map<String, GossipCodec.Item> items =
                 Map.of("k3", new GossipCodec.Item(GossipCodec.FULL, 1002, 200));
         assertEquals("k3:f1002.200 ", GossipCodec.write(items));
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void whatIsMalformedIsSkipped() {
+    void malformedItemsAreSkipped() {
         assertEquals(
                 Map.of("a", new GossipCodec.Item('l', 0, 5)),
                 GossipCodec.read("hi a:l0.5 b:q0.1 c:l0. toolong:l0.1 d:l0.1234567"));
--- a/decide/src/test/java/sorrelhoist/routing/GossipReceiverTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/GossipReceiverTest.java
@@ -19,9 +19,9 @@
     }
 
     @Test
-    void delaysAndRejectionsAreTakenOver() {
+    void delaysAndRejectionsAreApplied() {
         receive(GossipCodec.DELAY, 0, 250);
-        assertEquals(250_000, parts.delays.at(r1), 1e-6);
+        assertEquals(250_000, parts.delays.ofEndpoint(r1), 1e-6);
         receive(GossipCodec.FULL, 1, 200);
         receive(GossipCodec.FULL, 999_999, 200);
         assertEquals(Map.of(1, parts.context.now() + 200_000), r1.backoffUntil);
--- a/decide/src/test/java/sorrelhoist/routing/IdempotencyGuardTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/IdempotencyGuardTest.java
@@ -18,7 +18,7 @@
     private static TrackedRequest ranAt(PolicyParts parts, String id) {
         TrackedRequest request = parts.request(1, "a", null, 10, 0);
         request.mayHaveRunAt = parts.endpoint(id);
-        request.mayHaveRunFrom = parts.context.now();
+        request.mayHaveRunSince = parts.context.now();
         return request;
     }
 
--- a/decide/src/test/java/sorrelhoist/routing/InFlightAttemptsTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/InFlightAttemptsTest.java
@@ -12,14 +12,14 @@
     @Test
     void theOldestAwaitedAttemptIsOverdueUntilALaterOneIsAnswered() {
         Attempt first = parts.start(parts.request(1, "a", null, 10, 0), "w1", false, 1000);
-        parts.pass(500);
+        parts.advanceClock(500);
         Attempt second = parts.start(parts.request(2, "b", null, 10, 0), "w1", false, 1000);
         assertEquals(2000, inFlight.awaitedMicros());
         assertEquals(2000, inFlight.tokens());
         assertEquals(4000, inFlight.overdueMicros(first.sentAt + 5000));
-        inFlight.provenBy(second);
+        inFlight.recordAnswered(second);
         inFlight.answered(2);
-        assertFalse(inFlight.isCurrent(first));
+        assertFalse(inFlight.isNewerThanAnswered(first));
         assertEquals(
                 0,
                 inFlight.overdueMicros(first.sentAt + 5000),
--- a/decide/src/test/java/sorrelhoist/routing/KeyedDecodeFailoverTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/KeyedDecodeFailoverTest.java
@@ -19,7 +19,7 @@
      * itself.
      */
     @Test
-    void whereDecodersMayPrefillAKeyedDecodeWaitsOnThoughItsStateWasRead() {
+    void aKeyedDecodeKeepsWaitingIfDecodersMayPrefill() {
         PolicyParts parts =
                 new PolicyParts(
                         Fixtures.settings(Idempotency.KEYED, IdempotencyScope.ALL, true, List.of()),
--- a/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
@@ -6,11 +6,11 @@
 import static sorrelhoist.routing.Fixtures.SECOND;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
-import static sorrelhoist.routing.Fixtures.plain;
-import static sorrelhoist.routing.Fixtures.reader;
+import static sorrelhoist.routing.Fixtures.defaultSettings;
+import static sorrelhoist.routing.Fixtures.prefillServer;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.send;
-import static sorrelhoist.routing.Fixtures.with;
+import static sorrelhoist.routing.Fixtures.withState;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -27,13 +27,13 @@
  */
 class KnowledgeTest {
     private static RoutingPolicy fresh() {
-        RoutingPolicy d = new RoutingPolicy(plain(), 3);
+        RoutingPolicy d = new RoutingPolicy(defaultSettings(), 3);
         d.onEvent(0, new Members(ListUpdateKind.COMPLETE, fleet()));
         return d;
     }
 
     /** Returns a router that has learned from the prefills of 30 sessions. */
-    private static RoutingPolicy teacher() {
+    private static RoutingPolicy trainedPolicy() {
         RoutingPolicy d = fresh();
         for (int i = 0; i < 30; i++) {
             Send s =
@@ -47,7 +47,7 @@
         return d;
     }
 
-    private static Knowledge onlyKey(String server, long since, long age) {
+    private static Knowledge singlePrefix(String server, long since, long age) {
         Knowledge.RegressionSums none = new Knowledge.RegressionSums(0, 0, 0, 0, 0);
         return new Knowledge(
                 List.of(
@@ -61,45 +61,45 @@
                 none);
     }
 
-    private static String readerOf(RoutingPolicy d, long at) {
+    private static String prefillServerOf(RoutingPolicy d, long at) {
         return send(d.onEvent(at, request(77, "talk", null, 1000, 0))).server();
     }
 
     @Test
     void anImportedPrefixHolderIsUsed() {
-        String untaught = readerOf(fresh(), SECOND);
+        String untaught = prefillServerOf(fresh(), SECOND);
         for (String reader : new String[] {"r1", "r2", "r3", "r4"}) {
             RoutingPolicy d = fresh();
-            d.importKnowledge(SECOND, onlyKey(reader, 0, 0), 0);
-            assertEquals(reader, readerOf(d, SECOND));
+            d.importKnowledge(SECOND, singlePrefix(reader, 0, 0), 0);
+            assertEquals(reader, prefillServerOf(d, SECOND));
         }
         assertTrue(untaught.startsWith("r"));
     }
 
     @Test
     void oldKnowledgeAndThatOfAnotherProcessIsIgnored() {
-        String untaught = readerOf(fresh(), SECOND);
+        String untaught = prefillServerOf(fresh(), SECOND);
         String other = untaught.equals("r1") ? "r2" : "r1";
         for (Knowledge k :
                 List.of(
-                        onlyKey(other, 0, 61 * SECOND),
-                        onlyKey(other, 5, 0),
-                        onlyKey("gone", 0, 0))) {
+                        singlePrefix(other, 0, 61 * SECOND),
+                        singlePrefix(other, 5, 0),
+                        singlePrefix("gone", 0, 0))) {
             RoutingPolicy d = fresh();
             d.importKnowledge(SECOND, k, 0);
-            assertEquals(untaught, readerOf(d, SECOND));
+            assertEquals(untaught, prefillServerOf(d, SECOND));
         }
         RoutingPolicy d = fresh();
-        d.importKnowledge(SECOND, onlyKey(other, 0, 0), 70 * SECOND);
-        assertEquals(untaught, readerOf(d, SECOND));
+        d.importKnowledge(SECOND, singlePrefix(other, 0, 0), 70 * SECOND);
+        assertEquals(untaught, prefillServerOf(d, SECOND));
     }
 
     @Test
-    void ownEvidenceStays() {
+    void ownObservationsAreNotReplaced() {
         RoutingPolicy d = fresh();
-        String own = readerOf(d, SECOND);
+        String own = prefillServerOf(d, SECOND);
         String other = own.equals("r1") ? "r2" : "r1";
-        d.importKnowledge(2 * SECOND, onlyKey(other, 0, 0), 0);
+        d.importKnowledge(2 * SECOND, singlePrefix(other, 0, 0), 0);
         assertTrue(
                 d.exportKnowledge(2 * SECOND, 100).keys().stream()
                         .filter(k -> k.name().equals("talk"))
@@ -111,7 +111,7 @@
 
     @Test
     void knowledgeSurvivesARestart() {
-        Knowledge k = teacher().exportKnowledge(4 * SECOND, 1000);
+        Knowledge k = trainedPolicy().exportKnowledge(4 * SECOND, 1000);
         assertEquals(60, k.keys().size());
         RoutingPolicy next = fresh();
         next.importKnowledge(5 * SECOND, k, SECOND);
@@ -119,20 +119,20 @@
         assertEquals(60, again.keys().size());
         assertEquals(k.keys().get(59).holders(), again.keys().get(59).holders());
         assertNotEquals(
-                new RoutingPolicy(plain(), 3).exportKnowledge(0, 10).prefillTimes().get(0),
+                new RoutingPolicy(defaultSettings(), 3).exportKnowledge(0, 10).prefillTimes().get(0),
                 again.prefillTimes().get(0));
-        assertEquals(10, teacher().exportKnowledge(4 * SECOND, 10).keys().size());
+        assertEquals(10, trainedPolicy().exportKnowledge(4 * SECOND, 10).keys().size());
     }
 
     @Test
-    void importedHealthIsNotPassedOnAndAPrefixGrowsNoYoungerInACircle() {
+    void importedHealthIsNotExportedAndRepeatedExchangeKeepsThePrefixAge() {
         RoutingPolicy a = fresh();
         RoutingPolicy b = fresh();
         Knowledge.RegressionSums none = new Knowledge.RegressionSums(0, 0, 0, 0, 0);
         a.importKnowledge(
                 SECOND,
                 new Knowledge(
-                        onlyKey("r2", 0, 10 * SECOND).keys(),
+                        singlePrefix("r2", 0, 10 * SECOND).keys(),
                         List.of(new Knowledge.ServerHealth("r1", 0, 0.9, 5, 50)),
                         List.of(),
                         none),
@@ -155,9 +155,9 @@
                 SECOND,
                 new Members(
                         ListUpdateKind.UPDATE,
-                        List.of(with(reader("r1", 0), ServerState.DRAINING, 0))));
+                        List.of(withState(prefillServer("r1", 0), ServerState.DRAINING, 0))));
         Knowledge.RegressionSums wild = new Knowledge.RegressionSums(Double.NaN, -1, 0, 1, 1);
-        Knowledge lies =
+        Knowledge falseKnowledge =
                 new Knowledge(
                         List.of(
                                 new Knowledge.PrefixEntry(
@@ -172,7 +172,7 @@
                                 new Knowledge.ServerHealth("r3", 0, Double.NaN, Double.NaN, 0)),
                         List.of(wild, wild, wild),
                         wild);
-        d.importKnowledge(SECOND, lies, 0);
+        d.importKnowledge(SECOND, falseKnowledge, 0);
         Send first = send(d.onEvent(SECOND, request(77, "talk", null, 1000, 0)));
         assertNotEquals("r1", first.server());
         d.onEvent(SECOND + 50_000, ended(first, 0, Outcome.READ, 50_000, 0));
--- a/decide/src/test/java/sorrelhoist/routing/LoadProberTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/LoadProberTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void probesTheLongestUnprobedEndpointOnceItIsPaidFor() {
+    void probesTheEndpointWithTheOldestProbeOnceTheBudgetPermitsIt() {
         PolicyParts parts = parts(LoadReportMode.IN_PROBES);
         LoadProber prober = new LoadProber(parts.context, parts.endpoints);
         prober.probeIfDue();
--- a/decide/src/test/java/sorrelhoist/routing/OutcomeRecorderTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/OutcomeRecorderTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aPrefillIsLearntFromAndAFailedOneLeavesNothingCached() {
+    void aPrefillUpdatesServiceTimesAndAFailedOneRemovesTheHolder() {
         Endpoint r1 = end("r1", Outcome.READ, 10_000, 0);
         assertEquals(1, r1.health.latencySamples);
         assertEquals(parts.context.now(), r1.lastPrefillAt);
--- a/decide/src/test/java/sorrelhoist/routing/OutlierDetectorTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/OutlierDetectorTest.java
@@ -13,13 +13,13 @@
     private final Endpoint r1 = parts.endpoint("r1");
 
     @Test
-    void twoFailuresEjectAndTwoSuccessfulProbesBringBack() {
+    void twoFailuresEjectAndTwoSuccessfulProbesReinstate() {
         outliers.recordFailure(r1);
         assertFalse(r1.health.ejected);
         outliers.recordFailure(r1);
         assertTrue(r1.health.ejected);
         assertFalse(outliers.isRecoveryProbeDue(r1));
-        parts.pass(400_000);
+        parts.advanceClock(400_000);
         assertTrue(outliers.isRecoveryProbeDue(r1));
         outliers.recordRecoveryProbe(r1);
         assertFalse(outliers.isRecoveryProbeDue(r1));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void theWaitDoublesWithEachFailedProbeUpToABound() {
+    void theRecoveryBackoffDoublesWithEachFailedProbeUpToABound() {
         outliers.recordUnreachable(r1);
         assertTrue(r1.health.ejected, "a single refused connection ejects");
         assertEquals(400_000, r1.health.recoveryBackoffMicros);
--- a/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
@@ -8,12 +8,12 @@
 import static sorrelhoist.routing.Fixtures.all;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
-import static sorrelhoist.routing.Fixtures.plain;
+import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.send;
 import static sorrelhoist.routing.Fixtures.settings;
-import static sorrelhoist.routing.Fixtures.with;
-import static sorrelhoist.routing.Fixtures.writer;
+import static sorrelhoist.routing.Fixtures.withState;
+import static sorrelhoist.routing.Fixtures.decodeServer;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -51,10 +51,10 @@
         Set<String> readers = new HashSet<>();
         for (int i = 0; i < 20; i++) {
             String prefix = "p" + i;
-            RoutingPolicy other = new RoutingPolicy(plain(), 1000 + i);
+            RoutingPolicy other = new RoutingPolicy(defaultSettings(), 1000 + i);
             other.onEvent(0, new Members(ListUpdateKind.RESTORED, fleet()));
             String here =
-                    send(start(plain(), fleet())
+                    send(start(defaultSettings(), fleet())
                                     .onEvent(10 * SECOND, request(1, "x", prefix, 900, 800)))
                             .server();
             assertEquals(here, send(other.onEvent(0, request(1, "y", prefix, 900, 800))).server());
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void loadOfTheHeaviestServerShifts() {
+    void prefillsMoveAwayFromTheServerWithTheHighestLoad() {
         String home = serve(1, "s0", "p", 1000, 900, 0);
         Set<String> readers = new HashSet<>();
         for (int i = 2; i < 60; i++) {
@@ -89,7 +89,7 @@
             List<Action> onArrival = policy.onEvent(now, request(i, "s" + i, null, 800, 0));
             Send s = send(onArrival);
             assertTrue(all(onArrival, Reserve.class).isEmpty());
-            String w = answer(s, 0, 50_000);
+            String w = completeAnswer(s, 0, 50_000);
             boolean near = List.of("r1", "r2").contains(s.server());
             assertTrue(
                     List.of(near ? "w1" : "w3", near ? "w2" : "w4").contains(w), s + " then " + w);
@@ -99,7 +99,7 @@
     @Test
     void aRestartClearsTheCachedPrefixes() {
         Send first = arrive(1, "a", null, 4000, 0);
-        answer(first, 0, 50_000);
+        completeAnswer(first, 0, 50_000);
         Server home =
                 fleet().stream()
                         .filter(s -> s.id().equals(first.server()))
@@ -107,7 +107,7 @@
                         .orElseThrow();
         policy.onEvent(
                 now,
-                new Members(ListUpdateKind.UPDATE, List.of(with(home, ServerState.SERVING, now))));
+                new Members(ListUpdateKind.UPDATE, List.of(withState(home, ServerState.SERVING, now))));
         now += 13 * SECOND;
         policy.onEvent(now, new TimerFired(99));
         Set<String> readers = new HashSet<>();
@@ -121,7 +121,7 @@
     void aWarmingUpServerIsNotOverloaded() {
         List<Server> cold =
                 fleet().stream()
-                        .map(s -> s.id().equals("r1") ? with(s, ServerState.SERVING, now) : s)
+                        .map(s -> s.id().equals("r1") ? withState(s, ServerState.SERVING, now) : s)
                         .toList();
         policy.onEvent(now, new Members(ListUpdateKind.COMPLETE, cold));
         int sent = 0;
@@ -129,14 +129,14 @@
             now += 100_000;
             Send s = arrive(i, "s" + i, null, 1000, 0);
             sent += s.server().equals("r1") ? 1 : 0;
-            answer(s, 0, 40_000);
+            completeAnswer(s, 0, 40_000);
         }
         assertTrue(sent <= 4, "requests sent to the cold server: " + sent);
     }
 
     @Test
     void decodersPrefillWhenNoPrefillServerIsLeft() {
-        List<Server> writers = List.of(writer("w1", 0));
+        List<Server> writers = List.of(decodeServer("w1", 0));
         assertEquals(
                 "w1",
                 send(start(
@@ -150,17 +150,17 @@
                         .server());
         assertTrue(
                 all(
-                                start(plain(), writers)
+                                start(defaultSettings(), writers)
                                         .onEvent(now, request(1, "a", null, 1000, 0)),
                                 Send.class)
                         .isEmpty());
     }
 
     @Test
-    void mixedServersTakeTheirShareWhole() {
+    void mixedServersGetTheirShareOfWholeRequests() {
         List<Server> fleet = new ArrayList<>(fleet());
         fleet.add(new Server("m1", 0, 2, 0, ServerState.SERVING, 8, 0));
-        RoutingPolicy d = start(plain(), fleet);
+        RoutingPolicy d = start(defaultSettings(), fleet);
         int mixed = 0;
         for (int i = 0; i < 100; i++) {
             now += 100_000;
@@ -175,23 +175,23 @@
     }
 
     @Test
-    void aDecoderWhoseFirstTokensHangIsPassedOver() {
+    void aDecodeServerWithOverdueFirstTokensIsAvoided() {
         Set<String> hanging = new HashSet<>();
         for (int i = 0; i < 4; i++) {
-            hanging.add(read(arrive(i, "s" + i, null, 1000, 0), 0).server());
+            hanging.add(endPrefill(arrive(i, "s" + i, null, 1000, 0), 0).server());
         }
         now += 700_000;
         for (int i = 4; i < 12 && hanging.size() < 4; i++) {
             List<Send> sends =
                     all(policy.onEvent(now, request(i, "s" + i, null, 1000, 0)), Send.class);
             for (Send s : sends) {
-                assertFalse(hanging.contains(answer(s, 0, 50_000)));
+                assertFalse(hanging.contains(completeAnswer(s, 0, 50_000)));
             }
         }
     }
 
     @Test
-    void aJammedServerIsPassedOverThoughItHasThePrefixCached() {
+    void aCongestedServerIsAvoidedThoughItHasThePrefixCached() {
         String home = serve(1, "a", null, 1000, 0, 0);
         now += 11 * SECOND;
         assertEquals(home, arrive(2, "a", null, 1100, 0).server());
@@ -200,12 +200,12 @@
     }
 
     @Test
-    void aLostAnswerIsNotTakenForAJam() {
+    void aLostAnswerDoesNotCountAsCongestion() {
         String home = serve(1, "a", null, 1000, 0, 0);
         now += 11 * SECOND;
         assertEquals(home, arrive(2, "a", null, 1100, 0).server());
         now += 50_000;
-        answer(arrive(3, "a", null, 1150, 0), 0, 50_000);
+        completeAnswer(arrive(3, "a", null, 1150, 0), 0, 50_000);
         now += 900_000;
         assertEquals(home, arrive(4, "a", null, 1200, 0).server());
     }
--- a/decide/src/test/java/sorrelhoist/routing/PolicyParts.java
+++ b/decide/src/test/java/sorrelhoist/routing/PolicyParts.java
@@ -27,7 +27,7 @@
     final CandidateFilter filter;
 
     PolicyParts() {
-        this(Fixtures.plain(), Fixtures.fleet());
+        this(Fixtures.defaultSettings(), Fixtures.fleet());
     }
 
     PolicyParts(RoutingSettings settings, List<Server> servers) {
@@ -49,7 +49,7 @@
     }
 
     /** Advances the clock and drops the actions so far. */
-    void pass(long micros) {
+    void advanceClock(long micros) {
         context.beginEvent(context.now() + micros);
     }
 
--- a/decide/src/test/java/sorrelhoist/routing/PrefillSelectorTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/PrefillSelectorTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void anEndpointWithMostOfThePromptCachedIsExploitedUntilItIsJammed() {
+    void anEndpointWithMostOfThePromptCachedIsSelectedUntilItIsCongested() {
         for (String id : List.of("r1", "r2", "r3", "r4")) {
             parts.prefixes.forgetEndpoint("r1");
             parts.prefixes.forgetEndpoint("r2");
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void loadsFarApartShiftAPrefillToTheLightestEndpoint() {
+    void anImbalanceMovesAPrefillToTheEndpointWithTheLowestLoad() {
         parts.prefixes.addHolder("talk", 900, parts.endpoint("r1"));
         for (String id : List.of("r1", "r2", "r3", "r4")) {
             for (int i = 0; i < 4; i++) {
--- a/decide/src/test/java/sorrelhoist/routing/PrefixTableTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/PrefixTableTest.java
@@ -13,7 +13,7 @@
     private final TrackedRequest request = parts.request(1, "talk", "pre", 1000, 300);
 
     @Test
-    void aHolderMissesOnlyWhatItHasNotCached() {
+    void missedTokensAreThePromptTokensThatAreNotCached() {
         assertEquals(1000, prefixes.missedTokens(r1, request));
         prefixes.addHolder(request, r1);
         assertEquals(0, prefixes.missedTokens(r1, request));
@@ -31,10 +31,10 @@
         prefixes.addHolder(request, r1);
         prefixes.find("talk");
         assertEquals(List.of("pre", "talk"), prefixes.entries().stream().map(e -> e.name).toList());
-        parts.pass(PrefixTable.MAX_IDLE_MICROS - 1);
+        parts.advanceClock(PrefixTable.MAX_IDLE_MICROS - 1);
         prefixes.expire();
         assertEquals(2, prefixes.size());
-        parts.pass(1);
+        parts.advanceClock(1);
         prefixes.expire();
         assertEquals(0, prefixes.size());
     }
--- a/decide/src/test/java/sorrelhoist/routing/QueueingDelaysTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/QueueingDelaysTest.java
@@ -20,9 +20,9 @@
     }
 
     @Test
-    void aLocalAnswerShowsTheEndpointsDelayAndAnotherTheLinks() {
+    void aLocalAnswerGivesTheEndpointDelayAndARemoteOneTheLinkDelay() {
         answer(0, 51_000);
-        assertEquals(50_000, delays.at(parts.endpoint("w1")), 1e-6);
+        assertEquals(50_000, delays.ofEndpoint(parts.endpoint("w1")), 1e-6);
         assertTrue(delays.ofFirstTokens() > 0);
         assertEquals(0, delays.ofPrefills());
         answer(1, 31_000);
@@ -31,26 +31,26 @@
     }
 
     @Test
-    void whereRequestsAreDenseOneAnswerIsNoDelay() {
+    void localAnswersDoNotChangeTheDelayWhileRequestsAreDense() {
         parts.makeDense();
         answer(0, 51_000);
-        assertEquals(0, delays.at(parts.endpoint("w1")));
+        assertEquals(0, delays.ofEndpoint(parts.endpoint("w1")));
     }
 
     @Test
-    void whatIsOverdueCountsAsDelayedAndIsToldOnEachStep() {
-        PolicyParts telling = new PolicyParts(Fixtures.gossiping(), Fixtures.fleet());
+    void overdueAttemptsCountAsDelayAndAreGossipedAtEachStep() {
+        PolicyParts telling = new PolicyParts(Fixtures.gossipSettings(), Fixtures.fleet());
         for (int i = 0; i < 50; i++) {
             telling.gossip.recordArrival();
         }
         telling.start(telling.request(1, "a", null, 100, 0), "w1", false, 1000);
         List<Endpoint> all = telling.endpoints.serving(Role.WRITE);
-        telling.pass(300_000);
+        telling.advanceClock(300_000);
         telling.delays.gossipOverdue(all, 250_000);
         assertEquals(List.of(), telling.actions(Tell.class));
-        telling.pass(150_000);
+        telling.advanceClock(150_000);
         telling.delays.gossipOverdue(all, 250_000);
         assertEquals(1, telling.actions(Tell.class).size());
-        assertEquals(449_000, telling.delays.at(telling.endpoint("w1")));
+        assertEquals(449_000, telling.delays.ofEndpoint(telling.endpoint("w1")));
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
+++ b/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static sorrelhoist.routing.Fixtures.RELEASE;
+import static sorrelhoist.routing.Fixtures.RESERVATION_LIMIT_MICROS;
 import static sorrelhoist.routing.Fixtures.SECOND;
 
 import java.util.ArrayDeque;
@@ -43,25 +43,25 @@
  * the limit. All times are in microseconds.
  */
 final class RandomHistory {
-    private static final long STEP = 4_000;
-    private static final long SLACK = 16_000;
-    private static final long LENGTH = 60 * SECOND;
+    private static final long STEP_MICROS = 4_000;
+    private static final long SLACK_MICROS = 16_000;
+    private static final long DURATION_MICROS = 60 * SECOND;
 
     /** The simulation's view of one request. */
-    private static final class Open {
+    private static final class OpenRequest {
         final Arrived arrived;
         final long deadline;
-        final Map<Integer, Send> out = new TreeMap<>();
+        final Map<Integer, Send> inFlight = new TreeMap<>();
         final Map<Integer, Long> endsAt = new TreeMap<>();
         int sends;
-        boolean over;
+        boolean answered;
         boolean streaming;
-        boolean state;
-        long freeSince;
+        boolean stateReserved;
+        long idleSince;
         Server mayHaveRun;
         long mayHaveRunSentAt;
 
-        Open(Arrived a, long now) {
+        OpenRequest(Arrived a, long now) {
             arrived = a;
             deadline = now + a.budgetMicros();
         }
@@ -71,7 +71,7 @@
     final Random random;
     final RoutingPolicy policy;
     final Map<String, Server> servers = new TreeMap<>();
-    final Map<Long, Open> requests = new TreeMap<>();
+    final Map<Long, OpenRequest> requests = new TreeMap<>();
     final TreeMap<Long, List<Long>> timers = new TreeMap<>();
     final Map<String, ArrayDeque<Long>> recentSends = new TreeMap<>();
     final Map<Integer, Integer> mostSent = new TreeMap<>();
@@ -88,24 +88,24 @@
         this.policy = new RoutingPolicy(settings, seed);
         for (int i = 0; i < 12; i++) {
             int kind = i < 5 ? 0 : i < 10 ? 1 : 2;
-            put(new Server("s" + i, i % 2, kind, i % 4, ServerState.SERVING, 1, 0));
+            putServer(new Server("s" + i, i % 2, kind, i % 4, ServerState.SERVING, 1, 0));
         }
-        give(new Members(ListUpdateKind.RESTORED, List.copyOf(servers.values())));
+        deliver(new Members(ListUpdateKind.RESTORED, List.copyOf(servers.values())));
     }
 
-    void put(Server s) {
+    void putServer(Server s) {
         servers.put(s.id(), s);
     }
 
-    void play() {
-        for (long end = now + LENGTH; now < end || !requests.isEmpty(); now += STEP) {
+    void run() {
+        for (long end = now + DURATION_MICROS; now < end || !requests.isEmpty(); now += STEP_MICROS) {
             fireTimers();
             endAttempts();
             if (now < end) {
                 arrivals();
                 changeList();
             }
-            check();
+            checkOpenRequests();
             assertTrue(
                     now < end + 60 * SECOND,
                     "requests are still open a minute after the last arrival");
@@ -130,8 +130,8 @@
                         prefix == null ? 0 : prompt / 2,
                         200,
                         random.nextInt(20) == 0 ? 0 : SECOND / 2 + random.nextInt(3_000_000));
-        requests.put(a.id(), new Open(a, now));
-        give(a);
+        requests.put(a.id(), new OpenRequest(a, now));
+        deliver(a);
     }
 
     void changeList() {
@@ -141,7 +141,7 @@
         Server s = servers.get("s" + random.nextInt(12));
         ServerState state = ServerState.values()[random.nextInt(3)];
         boolean restart = s.state() != ServerState.SERVING && state == ServerState.SERVING;
-        put(
+        putServer(
                 new Server(
                         s.id(),
                         s.zone(),
@@ -151,10 +151,10 @@
                         s.size(),
                         restart ? now : s.since()));
         if (random.nextInt(4) == 0) {
-            give(new Members(ListUpdateKind.UNAVAILABLE, List.of()));
+            deliver(new Members(ListUpdateKind.UNAVAILABLE, List.of()));
         }
         boolean whole = random.nextBoolean();
-        give(
+        deliver(
                 new Members(
                         whole ? ListUpdateKind.COMPLETE : ListUpdateKind.UPDATE,
                         whole ? List.copyOf(servers.values()) : List.of(servers.get(s.id()))));
@@ -162,65 +162,65 @@
 
     void fireTimers() {
         while (!timers.isEmpty() && timers.firstKey() <= now) {
-            timers.pollFirstEntry().getValue().forEach(token -> give(new TimerFired(token)));
+            timers.pollFirstEntry().getValue().forEach(token -> deliver(new TimerFired(token)));
         }
     }
 
     void endAttempts() {
-        for (Open r : List.copyOf(requests.values())) {
+        for (OpenRequest r : List.copyOf(requests.values())) {
             for (int n : List.copyOf(r.endsAt.keySet())) {
                 if (r.endsAt.get(n) <= now) {
                     end(r, n);
                 }
             }
-            if (!r.over && !r.streaming && random.nextInt(3000) == 0) {
-                r.over = true;
-                give(new ClientGone(r.arrived.id()));
+            if (!r.answered && !r.streaming && random.nextInt(3000) == 0) {
+                r.answered = true;
+                deliver(new ClientGone(r.arrived.id()));
             }
         }
     }
 
-    void end(Open r, int n) {
-        Send s = r.out.get(n);
+    void end(OpenRequest r, int n) {
+        Send s = r.inFlight.get(n);
         Role role = settings.serverKinds().get(servers.get(s.server()).kind()).role();
         Outcome outcome = draw(role);
         boolean late = s.cutAt() <= now || r.deadline <= now;
         if (!r.streaming && late) {
             outcome = Outcome.TIMED_OUT;
-        } else if (role != Role.READ && !r.streaming && !r.over && outcome == Outcome.DONE) {
+        } else if (role != Role.READ && !r.streaming && !r.answered && outcome == Outcome.DONE) {
             r.streaming = true;
-            r.state = false;
+            r.stateReserved = false;
             r.endsAt.put(n, now + random.nextInt(2_000_000));
-            give(new StreamStarted(r.arrived.id(), n, s.server(), 1000));
+            deliver(new StreamStarted(r.arrived.id(), n, s.server(), 1000));
             return;
         }
-        r.out.remove(n);
+        r.inFlight.remove(n);
         r.endsAt.remove(n);
-        r.freeSince = now;
-        r.state |= outcome == Outcome.READ;
+        r.idleSince = now;
+        r.stateReserved |= outcome == Outcome.READ;
         long note = outcome == Outcome.FULL && role != Role.READ && random.nextBoolean() ? 1 : 0;
-        r.state &= note == 0;
+        r.stateReserved &= note == 0;
         if (role != Role.READ
                 && outcome != Outcome.FULL
                 && outcome != Outcome.CONNECT_FAILED
                 && r.mayHaveRun == null) {
             r.mayHaveRun = servers.get(s.server());
         }
-        if (!r.over && (outcome == Outcome.DONE || r.streaming)) {
-            r.over = true;
+        if (!r.answered && (outcome == Outcome.DONE || r.streaming)) {
+            r.answered = true;
             served++;
         }
-        giveEnd(r, n, outcome, note, s.server());
+        deliverEnd(r, n, outcome, note, s.server());
     }
 
-    private void giveEnd(Open r, int n, Outcome outcome, long note, String server) {
+    private void deliverEnd(OpenRequest r, int n, Outcome outcome, long note, String server) {
         long took = 1000L + random.nextInt(300_000);
         ServerLoad load = ServerLoad.NONE;
         if (!random.nextBoolean()) {
             load = new ServerLoad(random.nextDouble(), random.nextInt(9000), 1, Double.NaN);
         }
         long id = r.arrived.id();
-        give(new AttemptEnded(id, n, server, outcome, took, r.over, note, load));
+        deliver(new AttemptEnded(id, n, server, outcome, took, r.answered, note, load));
     }
 
     Outcome draw(Role role) {
@@ -236,28 +236,28 @@
                 .get(random.nextInt(5));
     }
 
-    void give(Event event) {
+    void deliver(Event event) {
         for (Action a : policy.onEvent(now, event)) {
             log.append(now).append(a).append('\n');
-            take(a);
+            perform(a);
         }
     }
 
-    void take(Action action) {
+    void perform(Action action) {
         if (action instanceof Send a) {
-            sent(a);
+            checkSend(a);
         } else if (action instanceof Refuse a) {
-            Open r = answered(a.id());
+            OpenRequest r = recordFinalAnswer(a.id());
             assertTrue(mayRefuse(r), "rejected although it may have run");
             refused++;
         } else if (action instanceof Fail a) {
-            answered(a.id());
+            recordFinalAnswer(a.id());
             failed++;
         } else if (action instanceof Release a) {
-            requests.get(a.id()).state = false;
+            requests.get(a.id()).stateReserved = false;
         } else if (action instanceof Cancel a) {
             assertTrue(settings.capabilities().cancel());
-            requests.get(a.id()).endsAt.computeIfPresent(a.attempt(), (n, t) -> now + STEP);
+            requests.get(a.id()).endsAt.computeIfPresent(a.attempt(), (n, t) -> now + STEP_MICROS);
         } else if (action instanceof Timer a) {
             timers.computeIfAbsent(now + Math.max(1, a.delayMicros()), t -> new ArrayList<>())
                     .add(a.token());
@@ -266,11 +266,11 @@
         }
     }
 
-    void sent(Send a) {
-        Open r = requests.get(a.id());
+    void checkSend(Send a) {
+        OpenRequest r = requests.get(a.id());
         Server s = servers.get(a.server());
-        assertTrue(r != null && !r.over, "sent after the final answer");
-        assertTrue(r.out.isEmpty(), "two attempts in flight");
+        assertTrue(r != null && !r.answered, "sent after the final answer");
+        assertTrue(r.inFlight.isEmpty(), "two attempts in flight");
         assertTrue(r.sends < settings.capabilities().maxAttempts(), "too many attempts");
         assertEquals(ServerState.SERVING, s.state(), "sent to a server that is draining or gone");
         if (r.mayHaveRun != null && settings.classes().get(0).idempotency() != Idempotency.SAFE) {
@@ -287,19 +287,19 @@
         if (r.mayHaveRun == null) {
             r.mayHaveRunSentAt = now;
         }
-        checkCold(s);
-        r.out.put(r.sends, a);
+        checkColdServer(s);
+        r.inFlight.put(r.sends, a);
         long natural = now + random.nextInt(random.nextInt(10) == 0 ? 5_000_000 : 200_000);
         r.endsAt.put(
                 r.sends++,
-                Math.max(now + STEP, Math.min(natural, Math.min(a.cutAt(), r.deadline))));
+                Math.max(now + STEP_MICROS, Math.min(natural, Math.min(a.cutAt(), r.deadline))));
     }
 
     /**
      * Checks that a cold server is sent single requests, or at most the overload multiple of its
      * share of what a warm server has been sent.
      */
-    void checkCold(Server s) {
+    void checkColdServer(Server s) {
         ArrayDeque<Long> sends = recentSends.computeIfAbsent(s.id(), id -> new ArrayDeque<>());
         sends.add(now);
         sends.removeIf(t -> t <= now - settings.serverLimits().overloadMicros());
@@ -308,27 +308,27 @@
             return;
         }
         long sinceStart = sends.stream().filter(t -> t >= s.since()).count();
-        double bearable =
+        double permittedSends =
                 settings.serverLimits().overloadMultiple()
                         * settings.serverLimits().coldCapacityShare()
                         * mostSent.getOrDefault(s.kind(), 0);
         assertTrue(
-                sinceStart <= Math.max(1, bearable),
+                sinceStart <= Math.max(1, permittedSends),
                 s.id() + " is cold and was sent " + sinceStart);
     }
 
-    Open answered(long id) {
-        Open r = requests.get(id);
-        assertTrue(r != null && !r.over, "second final answer");
-        assertTrue(now <= r.deadline + SLACK, "answered after the deadline");
-        r.over = true;
+    OpenRequest recordFinalAnswer(long id) {
+        OpenRequest r = requests.get(id);
+        assertTrue(r != null && !r.answered, "second final answer");
+        assertTrue(now <= r.deadline + SLACK_MICROS, "answered after the deadline");
+        r.answered = true;
         return r;
     }
 
-    boolean mayRefuse(Open r) {
+    boolean mayRefuse(OpenRequest r) {
         RequestClass c = settings.classes().get(r.arrived.cls());
         boolean writing =
-                r.out.values().stream()
+                r.inFlight.values().stream()
                         .anyMatch(
                                 s ->
                                         settings.serverKinds()
@@ -341,15 +341,15 @@
                         && c.idempotencyScope() == IdempotencyScope.ALL;
     }
 
-    void check() {
-        for (Open r : List.copyOf(requests.values())) {
+    void checkOpenRequests() {
+        for (OpenRequest r : List.copyOf(requests.values())) {
             assertTrue(
-                    r.over || r.streaming || now <= r.deadline + SLACK,
+                    r.answered || r.streaming || now <= r.deadline + SLACK_MICROS,
                     "no answer by the deadline");
             assertTrue(
-                    !r.state || !r.out.isEmpty() || now - r.freeSince <= RELEASE,
+                    !r.stateReserved || !r.inFlight.isEmpty() || now - r.idleSince <= RESERVATION_LIMIT_MICROS,
                     "a state is reserved for longer than the limit");
-            if (r.over && r.out.isEmpty() && !r.state) {
+            if (r.answered && r.inFlight.isEmpty() && !r.stateReserved) {
                 requests.remove(r.arrived.id());
             }
         }
--- a/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/ReasonTest.java
@@ -77,7 +77,7 @@
     private static final Server W1 = server("w1", 1, ServerState.SERVING, 0);
 
     @Test
-    void aSendNamesWhatSettledItAndTheNextBest() {
+    void aSendContainsItsReasonAndTheRunnerUp() {
         start(Idempotency.SAFE, List.of(R1, R2, W1));
         Send read = only(policy.onEvent(now, ask(1, 4 * SECOND)), Send.class);
         assertEquals(Kind.UNSEEN, read.why().kind());
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void whatIsMissingIsNamed() {
+    void aRejectionNamesWhyNoServerIsAvailable() {
         start(Idempotency.SAFE, List.of(W1));
         assertEquals(
                 Kind.NO_SERVER,
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void deadlineAttemptsAndIdempotencyAreNamed() {
+    void deadlineAttemptsAndIdempotencyAreReported() {
         start(Idempotency.SAFE, List.of(R1, W1));
         Send read = only(policy.onEvent(now, ask(1, SECOND)), Send.class);
         now += SECOND;
--- a/decide/src/test/java/sorrelhoist/routing/RequestConclusionTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RequestConclusionTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void oneThatMayHaveRunFailsAndItsAttemptIsCancelled() {
+    void aRequestThatMayHaveRunFailsAndItsAttemptIsCancelled() {
         parts.requests.add(request);
         parts.start(request, "w1", false, 1);
         conclusion.giveUp(request, reason);
--- a/decide/src/test/java/sorrelhoist/routing/RequestLifecycleTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RequestLifecycleTest.java
@@ -17,7 +17,7 @@
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
 class RequestLifecycleTest {
-    private final RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 7);
+    private final RoutingPolicy policy = new RoutingPolicy(Fixtures.defaultSettings(), 7);
     private long now = SECOND;
 
     RequestLifecycleTest() {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aLostStateIsPrefilledAnewAndAWaitingOneIsNot() {
+    void aLostStateIsPrefilledAgainAndAKeptOneIsNot() {
         Send decode = Fixtures.send(end(Fixtures.send(arrive(1)), 0, Outcome.READ, 0));
         Send other = Fixtures.send(end(decode, 1, Outcome.FULL, 0));
         assertTrue(other.server().startsWith("w"), "rejected as full: the state is still kept");
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aStateThatWasReleasedBesideItsDecodeIsPrefilledAnewWhateverTheDecodeEndedIn() {
+    void aStateReleasedDuringItsDecodeIsPrefilledAgainWhateverTheOutcome() {
         long id = 0;
         for (Outcome outcome : List.of(Outcome.FULL, Outcome.TIMED_OUT, Outcome.CANCELLED)) {
             id++;
--- a/decide/src/test/java/sorrelhoist/routing/RoutingContextTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RoutingContextTest.java
@@ -12,7 +12,7 @@
 class RoutingContextTest {
     @Test
     void eachEventHasItsOwnActionsAndTimeNeverGoesBack() {
-        RoutingContext context = new RoutingContext(Fixtures.plain(), 1);
+        RoutingContext context = new RoutingContext(Fixtures.defaultSettings(), 1);
         context.beginEvent(5);
         assertTrue(context.markStarted());
         assertFalse(context.markStarted());
--- a/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
@@ -9,11 +9,11 @@
 import static sorrelhoist.routing.Fixtures.all;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
-import static sorrelhoist.routing.Fixtures.gossiping;
-import static sorrelhoist.routing.Fixtures.plain;
+import static sorrelhoist.routing.Fixtures.gossipSettings;
+import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.settings;
-import static sorrelhoist.routing.Fixtures.with;
+import static sorrelhoist.routing.Fixtures.withState;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -54,20 +54,20 @@
                         .map(
                                 s ->
                                         s.id().equals("r1") || s.id().equals("w1")
-                                                ? with(s, ServerState.DRAINING, 0)
+                                                ? withState(s, ServerState.DRAINING, 0)
                                                 : s)
                         .toList();
         policy.onEvent(now, new Members(ListUpdateKind.COMPLETE, draining));
         for (int i = 0; i < 40; i++) {
             Send s = arrive(i, "s" + i, null, 1000, 0);
             assertNotEquals("r1", s.server());
-            assertNotEquals("w1", answer(s, 0, 50_000));
+            assertNotEquals("w1", completeAnswer(s, 0, 50_000));
         }
     }
 
     @Test
     void anEmptyListRejectsAtOnceWithARetryAfterHint() {
-        RoutingPolicy d = start(plain(), List.of());
+        RoutingPolicy d = start(defaultSettings(), List.of());
         List<Refuse> refused = all(d.onEvent(now, request(1, null, null, 1000, 0)), Refuse.class);
         assertEquals(1, refused.size());
         assertTrue(refused.get(0).backoffMicros() > 0);
@@ -96,7 +96,7 @@
 
     @Test
     void aFailedCallToDiscoveryIsRepeatedLater() {
-        RoutingPolicy d = new RoutingPolicy(gossiping(), 1);
+        RoutingPolicy d = new RoutingPolicy(gossipSettings(), 1);
         assertTrue(
                 d.onEvent(now, new Members(ListUpdateKind.RESTORED, fleet()))
                         .contains(new Follow(true)));
@@ -114,7 +114,7 @@
         probing.loadReportMode = LoadReportMode.IN_PROBES;
         probing.probes = true;
         RoutingSettings pull = probing.build();
-        for (RoutingSettings s : List.of(pull, plain())) {
+        for (RoutingSettings s : List.of(pull, defaultSettings())) {
             RoutingPolicy d = new RoutingPolicy(s, 1);
             Timer tick =
                     all(d.onEvent(now, new Members(ListUpdateKind.RESTORED, fleet())), Timer.class)
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void whatWouldMissItsLatencyObjectiveIsRejectedAtOnce() {
+    void requestsThatWouldMissTheirLatencyObjectiveAreRejectedAtOnce() {
         int refused = 0;
         for (int i = 0; i < 100; i++) {
             refused +=
@@ -146,7 +146,7 @@
     void resumedRequestsAreAdmittedBeyondTheObjectiveButNotWithoutBound() {
         int[] refused = new int[2];
         for (int kind = 0; kind < 2; kind++) {
-            RoutingPolicy d = start(plain(), fleet());
+            RoutingPolicy d = start(defaultSettings(), fleet());
             for (int i = 0; i < 100; i++) {
                 Arrived a =
                         new Arrived(i, 0, 0, "s" + i, null, 3000, 0, 200, 4 * SECOND, kind == 1);
@@ -163,7 +163,7 @@
      * of departed ones must not accumulate.
      */
     @Test
-    void departedServersLeaveNothingBehind() {
+    void departedServersAreForgotten() {
         List<Server> present = new ArrayList<>(fleet());
         for (int i = 0; i < 400; i++) {
             now += 5 * SECOND;
@@ -175,7 +175,7 @@
             policy.onEvent(
                     now,
                     new Members(
-                            ListUpdateKind.UPDATE, List.of(with(old, ServerState.GONE, 0), fresh)));
+                            ListUpdateKind.UPDATE, List.of(withState(old, ServerState.GONE, 0), fresh)));
             serve(i, "s" + i, null, 1000, 0, 0);
         }
         int known = policy.exportKnowledge(now, 100).servers().size();
@@ -200,14 +200,14 @@
     }
 
     @Test
-    void misuseSaysWhatToDoInstead() {
+    void invalidInputIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> policy.onEvent(5, new TimerFired(1)));
         assertThrows(NullPointerException.class, () -> policy.onEvent(now, null));
         arrive(1, "a", null, 10, 0);
         assertThrows(
                 IllegalArgumentException.class,
                 () -> policy.onEvent(now, request(1, "a", null, 10, 0)));
-        RoutingSettings p = plain();
+        RoutingSettings p = defaultSettings();
         RoutingSettings noKinds =
                 new RoutingSettings(
                         2,
@@ -230,7 +230,7 @@
 
     @Test
     void aChangedNumberOfRoutersChangesTheShares() {
-        RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 1);
+        RoutingPolicy policy = new RoutingPolicy(Fixtures.defaultSettings(), 1);
         policy.onEvent(0, new Members(ListUpdateKind.COMPLETE, Fixtures.fleet()));
         assertTrue(policy.onEvent(1, new Seated(150, 149)).isEmpty());
         assertThrows(IllegalArgumentException.class, () -> policy.onEvent(2, new Seated(0, 0)));
--- a/decide/src/test/java/sorrelhoist/routing/RulesTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RulesTest.java
@@ -29,7 +29,7 @@
         }
         for (int seed = 0; seed < 2 * variants.size(); seed++) {
             RandomHistory h = new RandomHistory(variants.get(seed % variants.size()), seed);
-            h.play();
+            h.run();
             assertTrue(
                     h.served > 100 && h.refused + h.failed > 0,
                     "too few served or no unserved requests in the history: seed " + seed);
@@ -57,11 +57,11 @@
         RoutingSettings s = settings(Idempotency.SAFE, IdempotencyScope.ALL, false, List.of());
         RandomHistory a = new RandomHistory(s, 5);
         RandomHistory b = new RandomHistory(s, 5);
-        a.play();
-        b.play();
+        a.run();
+        b.run();
         assertEquals(a.log.toString(), b.log.toString());
         RandomHistory c = new RandomHistory(s, 6);
-        c.play();
+        c.run();
         assertNotEquals(a.log.toString(), c.log.toString());
     }
 }
--- a/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
@@ -3,7 +3,7 @@
 import static sorrelhoist.routing.Fixtures.SECOND;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
-import static sorrelhoist.routing.Fixtures.plain;
+import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.send;
 import static sorrelhoist.routing.Fixtures.settings;
@@ -20,7 +20,7 @@
  * Base class with one router over the small fleet of {@link Fixtures} and steps that tests share.
  */
 abstract class SingleRouterTest {
-    final RoutingPolicy policy = start(plain(), fleet());
+    final RoutingPolicy policy = start(defaultSettings(), fleet());
     long now = 10 * SECOND;
 
     static RoutingPolicy start(RoutingSettings settings, List<Server> servers) {
@@ -33,13 +33,13 @@
         return send(policy.onEvent(now, request(id, session, prefix, prompt, prefixTokens)));
     }
 
-    Send read(Send s, long kept) {
+    Send endPrefill(Send s, long kept) {
         now += 50_000;
         return send(policy.onEvent(now, ended(s, 0, Outcome.READ, 50_000, kept)));
     }
 
     /** Ends a prefill and then its answer; returns the decode server. */
-    String answer(Send s, int attempt, long took) {
+    String completeAnswer(Send s, int attempt, long took) {
         Send w = send(policy.onEvent(now, ended(s, attempt, Outcome.READ, took, 0)));
         policy.onEvent(now, new StreamStarted(w.id(), attempt + 1, w.server(), 20_000));
         policy.onEvent(now, ended(w, attempt + 1, Outcome.DONE, 20_000, 0));
@@ -50,7 +50,7 @@
     String serve(
             long id, String session, String prefix, long prompt, long prefixTokens, long kept) {
         Send s = arrive(id, session, prefix, prompt, prefixTokens);
-        Send w = read(s, kept);
+        Send w = endPrefill(s, kept);
         policy.onEvent(now, new StreamStarted(id, 1, w.server(), 20_000));
         policy.onEvent(now, ended(w, 1, Outcome.DONE, 20_000, 0));
         return s.server();
--- a/decide/src/test/java/sorrelhoist/routing/StageDispatcherTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/StageDispatcherTest.java
@@ -17,7 +17,7 @@
 import sorrelhoist.routing.RoutingEvents.TimerFired;
 
 class StageDispatcherTest {
-    private final RoutingPolicy policy = new RoutingPolicy(Fixtures.plain(), 7);
+    private final RoutingPolicy policy = new RoutingPolicy(Fixtures.defaultSettings(), 7);
 
     private List<Action> list(Server... servers) {
         return policy.onEvent(0, new Members(ListUpdateKind.COMPLETE, List.of(servers)));
@@ -25,12 +25,12 @@
 
     @Test
     void aStateWaitsForADecodeEndpointUntilHalfTheReservationLimit() {
-        list(Fixtures.reader("r1", 0));
+        list(Fixtures.prefillServer("r1", 0));
         Arrived request = Fixtures.request(1, "a", null, 1000, 0);
         Send prefill = Fixtures.send(policy.onEvent(0, request));
         List<Action> none = policy.onEvent(0, Fixtures.ended(prefill, 0, Outcome.READ, 1, 0));
         assertEquals(List.of(new Timer(20_000, 1)), none);
-        long limit = Fixtures.RELEASE / 2;
+        long limit = Fixtures.RESERVATION_LIMIT_MICROS / 2;
         assertEquals(
                 List.of(new Timer(20_000, 1)), policy.onEvent(limit - 20_001, new TimerFired(1)));
         List<Action> givenUp = policy.onEvent(limit - 20_000, new TimerFired(1));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void mixedEndpointsTakeARequestWhole() {
+    void aMixedEndpointHandlesAWholeRequest() {
         list(new Server("m1", 0, 2, 0, ServerState.SERVING, 1, 0));
         Send send = Fixtures.send(policy.onEvent(0, Fixtures.request(1, "a", null, 1000, 0)));
         assertEquals("m1", send.server());
@@ -47,8 +47,8 @@
     }
 
     @Test
-    void whatHasNoTimeIsGivenUpAtOnce() {
-        list(Fixtures.reader("r1", 0), Fixtures.writer("w1", 0));
+    void aRequestPastItsDeadlineEndsAtOnce() {
+        list(Fixtures.prefillServer("r1", 0), Fixtures.decodeServer("w1", 0));
         Arrived late = new Arrived(1, 0, 0, "a", null, 10, 0, 10, 0);
         Refuse refuse = Fixtures.all(policy.onEvent(0, late), Refuse.class).get(0);
         assertEquals(Reason.Kind.DEADLINE, refuse.why().kind());
--- a/decide/src/test/java/sorrelhoist/routing/StateTransferTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/StateTransferTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void whatIsImportedIsTrustedTheLessTheOlderItIsAndNotPassedOn() {
+    void trustInImportedKnowledgeDecreasesWithAgeAndItIsNotExported() {
         PolicyParts teacher = new PolicyParts();
         teacher.outliers.recordFailure(teacher.endpoint("r1"));
         teacher.prefixes.addHolder("pre", 100, teacher.endpoint("r2"));
--- a/decide/src/test/java/sorrelhoist/routing/TenantQuotaTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/TenantQuotaTest.java
@@ -25,7 +25,7 @@
         assertTrue(quota.isExceededBy(0));
         assertFalse(quota.isExceededBy(1), "each tenant has its own quota");
         assertFalse(quota.isExceededBy(2), "a tenant that is not listed has no quota");
-        parts.pass(2 * SECOND);
+        parts.advanceClock(2 * SECOND);
         assertFalse(
                 quota.isExceededBy(0), "half a request per second, as two routers share the fleet");
         assertTrue(quota.isExceededBy(0));
