--- a/core/src/main/java/sorrelhoist/core/request/AttemptDeliveries.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptDeliveries.java
@@ -86,7 +86,7 @@
 
     /** Called when the last byte of an attempt was written. */
     void written(Attempt attempt) {
-        long heldSince = attempt.prefill ? clock.now() : reservations.heldSince(attempt.request);
+        long heldSince = attempt.prefill ? clock.now() : reservations.idleSince(attempt.request);
         monitor.written(attempt, attempt.delivery, heldSince, clock.now());
     }
 
@@ -121,7 +121,7 @@
     }
 
     private boolean mayStayQueued(Attempt attempt) {
-        return !attempt.streaming && reservations.mayWaitFor(attempt);
+        return !attempt.streaming && reservations.mayWaitForReservation(attempt);
     }
 
     /**
@@ -130,7 +130,7 @@
      */
     void callAnswered(String engine, long writtenAt) {
         if (monitor.callAnswered(engine, writtenAt)) {
-            reservations.awaitedEngineHeard(engine);
+            reservations.awaitedEngineResponded(engine);
         }
     }
 
@@ -163,8 +163,8 @@
      * Called when a reachability check of an engine ended; {@code asked} is false if the check
      * could not be sent.
      */
-    void reachabilityChecked(String engine, boolean asked) {
-        if (asked) {
+    void reachabilityChecked(String engine, boolean sent) {
+        if (sent) {
             monitor.questionEnded(engine, clock.now());
         } else {
             monitor.questionNotAsked(engine, clock.now());
--- a/core/src/main/java/sorrelhoist/core/request/AttemptFailures.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptFailures.java
@@ -52,11 +52,11 @@
             return;
         }
         RequestState request = attempt.request;
-        boolean stateMissing = outcome == Outcome.FULL && note == NO_STATE_TO_FETCH;
+        boolean stateNotFound = outcome == Outcome.FULL && note == NO_STATE_TO_FETCH;
         long outcomeNote = note;
         if (attempt.prefill) {
             request.apply(RequestPhase.Transition.PREFILL_FAILED);
-        } else if (stateMissing) {
+        } else if (stateNotFound) {
             reservations.prefillStateNotFetched(request);
             request.apply(RequestPhase.Transition.PREFILL_STATE_LOST);
         } else if (request.prefillState == null) {
--- a/core/src/main/java/sorrelhoist/core/request/AttemptHolds.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptHolds.java
@@ -30,18 +30,18 @@
      * @param awaitsEngine whether the router has to wait for a response from the engine to know
      *     that the end of the attempt has reached the engine
      */
-    static Hold leftBy(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
+    static Hold remainingHold(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
         AttemptEnding ending = endingOf(attempt, outcome);
         if (ending == AttemptEnding.NOT_SENT) {
             return null;
         }
         return attempt.prefill
-                ? leftByPrefill(attempt, outcome, awaitsEngine)
-                : leftByDecode(attempt, ending, awaitsEngine);
+                ? remainingPrefillHold(attempt, outcome, awaitsEngine)
+                : remainingDecodeHold(attempt, ending, awaitsEngine);
     }
 
     /** A prefill may have completed at the same moment at which it was lost or cancelled. */
-    private static Hold leftByPrefill(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
+    private static Hold remainingPrefillHold(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
         if (outcome == Outcome.READ || outcome == Outcome.FULL) {
             return null;
         }
@@ -58,7 +58,7 @@
      * A decode that was not answered may remain in its engine's queue after it has ended at the
      * router.
      */
-    private static Hold leftByDecode(Attempt attempt, AttemptEnding ending, boolean awaitsEngine) {
+    private static Hold remainingDecodeHold(Attempt attempt, AttemptEnding ending, boolean awaitsEngine) {
         if (ending == AttemptEnding.ANSWERED || attempt.streaming) {
             return null;
         }
--- a/core/src/main/java/sorrelhoist/core/request/AttemptSender.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptSender.java
@@ -46,7 +46,7 @@
             attempts.skipped(order, 0, Outcome.SKIPPED, true);
             return;
         }
-        int number = request.sends++;
+        int number = request.sendCount++;
         long timeoutAt =
                 order.cutAt() == 0 ? request.deadline : Math.min(order.cutAt(), request.deadline);
         if (request.finished) {
--- a/core/src/main/java/sorrelhoist/core/request/AttemptTracker.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptTracker.java
@@ -86,7 +86,7 @@
         attempt.streaming = true;
         deliveries.answered(attempt);
         request.apply(RequestPhase.Transition.FIRST_TOKEN);
-        reservations.taken(request);
+        reservations.reservationsUsed(request);
         decisions.submitEvent(
                 new StreamStarted(
                         request.routingId,
@@ -98,7 +98,7 @@
     /** Called when the whole answer was received. */
     void streamCompleted(Attempt attempt, long cachedTokens, ServerLoad load) {
         attempt.request.apply(RequestPhase.Transition.STREAM_COMPLETED);
-        reservations.taken(attempt.request);
+        reservations.reservationsUsed(attempt.request);
         ended(attempt, Outcome.DONE, true, cachedTokens, load);
     }
 
@@ -117,8 +117,8 @@
         RequestState request = attempt.request;
         boolean awaitsEngine = deliveries.ended(attempt, outcome);
         reservations.attemptEnded(attempt, outcome, awaitsEngine);
-        if (mayHaveRun(attempt, outcome) && request.mayHaveRunFrom == RequestState.NEVER) {
-            request.mayHaveRunFrom = attempt.sentAt;
+        if (mayHaveRun(attempt, outcome) && request.mayHaveRunSince == RequestState.NEVER) {
+            request.mayHaveRunSince = attempt.sentAt;
         }
         attempt.ended = true;
         request.runningAttempt = null;
--- a/core/src/main/java/sorrelhoist/core/request/Command.java
+++ b/core/src/main/java/sorrelhoist/core/request/Command.java
@@ -331,7 +331,7 @@
      * @param attempt number of the send, starting at 0
      * @param engine the engine that the attempt was sent to
      * @param delivery the state of its delivery
-     * @param sinceWrittenMicros time since its last byte was written, in microseconds
+     * @param timeSinceWrittenMicros time since its last byte was written, in microseconds
      * @param history the latest transitions of the request
      */
     record ReportDelivery(
@@ -339,7 +339,7 @@
             int attempt,
             String engine,
             AttemptDelivery.State delivery,
-            long sinceWrittenMicros,
+            long timeSinceWrittenMicros,
             String history)
             implements Command {
         @Override
--- a/core/src/main/java/sorrelhoist/core/request/DecodeSlots.java
+++ b/core/src/main/java/sorrelhoist/core/request/DecodeSlots.java
@@ -22,16 +22,16 @@
      *
      * @return whether the request still needs the slot
      */
-    boolean answered(long requestId, String engine, boolean reserved, String slot) {
+    boolean reservationAnswered(long requestId, String engine, boolean reserved, String slot) {
         RequestState request = awaitingSlot(requestId);
         if (request == null) {
             if (reserved) {
-                reservations.unwantedDecodeSlot(engine, slot);
+                reservations.releaseUnusableDecodeSlot(engine, slot);
             }
             return false;
         }
         if (reserved) {
-            reservations.decodeSlot(request, engine, slot, Hold.Certainty.CONFIRMED);
+            reservations.recordDecodeSlot(request, engine, slot, Hold.Certainty.CONFIRMED);
         }
         decisions.submitEvent(new PlaceAnswered(requestId, engine, reserved));
         return true;
@@ -41,12 +41,12 @@
      * Called when it is unknown whether a slot was reserved. The slot is treated as possibly
      * reserved.
      */
-    void unknown(long requestId, String engine, String slot) {
+    void reservationUnknown(long requestId, String engine, String slot) {
         RequestState request = awaitingSlot(requestId);
         if (request == null) {
-            reservations.unwantedDecodeSlot(engine, slot);
+            reservations.releaseUnusableDecodeSlot(engine, slot);
         } else {
-            reservations.decodeSlot(request, engine, slot, Hold.Certainty.POSSIBLE);
+            reservations.recordDecodeSlot(request, engine, slot, Hold.Certainty.POSSIBLE);
         }
     }
 
--- a/core/src/main/java/sorrelhoist/core/request/IdempotencyWindow.java
+++ b/core/src/main/java/sorrelhoist/core/request/IdempotencyWindow.java
@@ -34,10 +34,10 @@
     long sendByMicros(RequestState request) {
         RequestClass requestClass = classOf(request);
         boolean limited =
-                request.mayHaveRunFrom != RequestState.NEVER
+                request.mayHaveRunSince != RequestState.NEVER
                         && requestClass.idempotency() == Idempotency.KEYED;
         return limited
-                ? request.mayHaveRunFrom
+                ? request.mayHaveRunSince
                         + requestClass.idempotencyWindowMicros()
                         - MAX_TRANSPORT_DELAY_MICROS
                 : Long.MAX_VALUE;
--- a/core/src/main/java/sorrelhoist/core/request/RequestReservations.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestReservations.java
@@ -52,7 +52,7 @@
         this.table =
                 new ReservationTable(
                         policy,
-                        oneKeyPerRequest ? engines : this::holder,
+                        oneKeyPerRequest ? engines : this::releaseTarget,
                         new ReleaseCommands(commands),
                         KEYS_PER_REQUEST * settings.maxOpenRequests());
     }
@@ -62,8 +62,8 @@
      * endpoint list may keep running for a while, so it is asked once; after that, its reservations
      * are considered gone with it.
      */
-    private String holder(Hold hold, Set<String> asked) {
-        return asked.isEmpty() || engines.isListed(hold.engine()) ? hold.engine() : null;
+    private String releaseTarget(Hold hold, Set<String> askedEngines) {
+        return askedEngines.isEmpty() || engines.isListed(hold.engine()) ? hold.engine() : null;
     }
 
     /** Converts the calls of the reservation table into commands. */
@@ -129,7 +129,7 @@
     }
 
     /** Called when an engine whose response was awaited has responded. */
-    void awaitedEngineHeard(String engine) {
+    void awaitedEngineResponded(String engine) {
         table.engineHeard(engine, clock.now());
     }
 
@@ -164,9 +164,9 @@
             return AttemptPurpose.PREFILL;
         }
         RequestState request = attempt.request;
-        boolean takesReservation =
+        boolean usesReservation =
                 request.prefillState != null || attempt.engine.equals(request.decodeSlotEngine);
-        return takesReservation
+        return usesReservation
                 ? AttemptPurpose.DECODE_RESERVED
                 : AttemptPurpose.PREFILL_AND_DECODE;
     }
@@ -187,7 +187,7 @@
     }
 
     /** {@return since when the longest-idle reservation has been idle; now if there is none} */
-    long heldSince(RequestState request) {
+    long idleSince(RequestState request) {
         return keysOf(request).stream()
                 .mapToLong(key -> table.idleSince(key, clock.now()))
                 .min()
@@ -214,10 +214,10 @@
      */
     void attemptEnded(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
         AttemptEnding ending = AttemptHolds.endingOf(attempt, outcome);
-        Hold left = AttemptHolds.leftBy(attempt, outcome, awaitsEngine);
-        if (left != null && (left.isState() || mayWaitFor(attempt))) {
+        Hold remainingHold = AttemptHolds.remainingHold(attempt, outcome, awaitsEngine);
+        if (remainingHold != null && (remainingHold.isState() || mayWaitForReservation(attempt))) {
             ReservationKey key = keyOf(attempt);
-            table.opened(key, left, clock.now());
+            table.opened(key, remainingHold, clock.now());
             if (!oneKeyPerRequest) {
                 table.unwanted(key, clock.now());
             }
@@ -226,14 +226,14 @@
     }
 
     /** {@return whether something is reserved that a decode may wait for in its engine's queue} */
-    boolean mayWaitFor(Attempt decode) {
+    boolean mayWaitForReservation(Attempt decode) {
         return oneKeyPerRequest && table.isHeld(keyOf(decode));
     }
 
     /** Called when a stream began: its engine fetched the prefill state and used the slot. */
-    void taken(RequestState request) {
+    void reservationsUsed(RequestState request) {
         keysOf(request).forEach(key -> table.taken(key, clock.now()));
-        forget(request);
+        clearReservations(request);
     }
 
     /**
@@ -269,19 +269,19 @@
             return;
         }
         keysOf(request).forEach(key -> table.unwanted(key, clock.now()));
-        forget(request);
+        clearReservations(request);
     }
 
-    private static void forget(RequestState request) {
+    private static void clearReservations(RequestState request) {
         request.prefillState = null;
         request.prefillStateKey = null;
-        forgetDecodeSlot(request);
+        clearDecodeSlot(request);
     }
 
     // Decode slots
 
     /** Records a decode slot that was reserved or may have been reserved. */
-    void decodeSlot(RequestState request, String engine, String slot, Hold.Certainty certainty) {
+    void recordDecodeSlot(RequestState request, String engine, String slot, Hold.Certainty certainty) {
         ReservationKey key =
                 oneKeyPerRequest
                         ? ReservationKey.ofRequest(request.name)
@@ -301,7 +301,7 @@
     }
 
     /** Releases a slot that was, or may be, reserved for a request that can no longer use it. */
-    void unwantedDecodeSlot(String engine, String slot) {
+    void releaseUnusableDecodeSlot(String engine, String slot) {
         ReservationKey key =
                 oneKeyPerRequest ? ReservationKey.ofRequest(slot) : decodeSlotKey(slot);
         table.opened(key, Hold.ofDecodeSlot(engine, slot, Hold.Certainty.CONFIRMED), clock.now());
@@ -321,11 +321,11 @@
         if (!oneKeyPerRequest && request.decodeSlotEngine != null) {
             table.unwanted(decodeSlotKey(request.name), clock.now());
         }
-        forgetDecodeSlot(request);
+        clearDecodeSlot(request);
         return "";
     }
 
-    private static void forgetDecodeSlot(RequestState request) {
+    private static void clearDecodeSlot(RequestState request) {
         request.decodeSlotEngine = null;
         request.decodeSlot = "";
     }
--- a/core/src/main/java/sorrelhoist/core/request/RequestState.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestState.java
@@ -34,13 +34,13 @@
     boolean finished;
 
     /** Number of sends ordered under the current {@link #routingId}. */
-    int sends;
+    int sendCount;
 
     /** When the first attempt that may have had a side effect was sent, or {@link #NEVER}. */
-    long mayHaveRunFrom = NEVER;
+    long mayHaveRunSince = NEVER;
 
     /** How often the stream was resumed. */
-    int resumptions;
+    int resumptionCount;
 
     /** Number of tokens delivered to the client. */
     int tokens;
--- a/core/src/main/java/sorrelhoist/core/request/RequestSubmitter.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestSubmitter.java
@@ -39,7 +39,7 @@
     /**
      * Removes the routing ID of a request whose stream has ended; the policy no longer uses the ID.
      */
-    void conclude(RequestState request) {
+    void endRouting(RequestState request) {
         requests.removeRoutingId(request);
     }
 
--- a/core/src/main/java/sorrelhoist/core/request/RequestTable.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestTable.java
@@ -27,7 +27,7 @@
     /** Assigns a new routing ID to a request or to the remainder of a broken stream. */
     void assignRoutingId(RequestState request) {
         request.routingId = ++lastId;
-        request.sends = 0;
+        request.sendCount = 0;
         byRoutingId.put(request.routingId, request);
     }
 
--- a/core/src/main/java/sorrelhoist/core/request/RequestTermination.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestTermination.java
@@ -30,7 +30,7 @@
     /** Ends the request of a client that disconnected. */
     void clientDisconnected(RequestState request) {
         responses.clientDisconnected(request);
-        abandon(request, RequestPhase.Transition.CLIENT_DISCONNECTED);
+        stopWork(request, RequestPhase.Transition.CLIENT_DISCONNECTED);
     }
 
     /**
@@ -44,7 +44,7 @@
         long timeoutMillis = clientStallTimeoutMicros / MICROS_PER_MILLI;
         String message = "the client did not read its answer for " + timeoutMillis + " ms";
         responses.finish(request, new RequestResult.Stalled(message));
-        abandon(request, RequestPhase.Transition.CLIENT_DISCONNECTED);
+        stopWork(request, RequestPhase.Transition.CLIENT_DISCONNECTED);
     }
 
     /**
@@ -81,11 +81,11 @@
     /** Fails a request and stops all work on it. */
     void fail(RequestState request, RequestResult.Failed result) {
         responses.finish(request, result);
-        abandon(request, RequestPhase.Transition.FAILED);
+        stopWork(request, RequestPhase.Transition.FAILED);
     }
 
     /** Stops all work on a request whose client awaits nothing more. */
-    private void abandon(RequestState request, RequestPhase.Transition transition) {
+    private void stopWork(RequestState request, RequestPhase.Transition transition) {
         boolean streaming = request.phase == RequestPhase.STREAMING;
         Attempt running = streaming ? request.runningAttempt : null;
         request.apply(transition);
--- a/core/src/main/java/sorrelhoist/core/request/Router.java
+++ b/core/src/main/java/sorrelhoist/core/request/Router.java
@@ -103,7 +103,7 @@
         RequestState request = intake.open(parameters);
         if (admission.admit(request)) {
             intake.submit(request);
-            drain();
+            processPolicyEvents();
             intake.scheduleDeadline(request);
         }
         return request.clientId;
@@ -115,7 +115,7 @@
         RequestState request = requests.byClientId(clientId);
         if (request != null) {
             termination.clientDisconnected(request);
-            drain();
+            processPolicyEvents();
         }
     }
 
@@ -214,7 +214,7 @@
     public boolean opaqueEventReceived(long time, AttemptId id, Object attachment) {
         Attempt attempt = runningDecode(time, id);
         boolean delivered = attempt != null && streams.opaqueEventReceived(attempt, attachment);
-        drain();
+        processPolicyEvents();
         return delivered;
     }
 
@@ -244,7 +244,7 @@
     private void handle(Attempt attempt, Consumer<Attempt> handler) {
         if (attempt != null) {
             handler.accept(attempt);
-            drain();
+            processPolicyEvents();
         }
     }
 
@@ -252,15 +252,15 @@
     public void decodeSlotAnswered(
             long time, long requestId, String engine, boolean reserved, String slot) {
         clock.advanceTo(time);
-        if (decodeSlots.answered(requestId, engine, reserved, slot)) {
-            drain();
+        if (decodeSlots.reservationAnswered(requestId, engine, reserved, slot)) {
+            processPolicyEvents();
         }
     }
 
     /** Called when it is unknown whether a decode slot was reserved; it may be. */
     public void decodeSlotUnknown(long time, long requestId, String engine, String slot) {
         clock.advanceTo(time);
-        decodeSlots.unknown(requestId, engine, slot);
+        decodeSlots.reservationUnknown(requestId, engine, slot);
     }
 
     /** Called when a release ended; {@code released} if the engine released what it names. */
@@ -282,9 +282,9 @@
     }
 
     /** Called when a reachability check ended, or ({@code asked} is false) was not sent. */
-    public void reachabilityChecked(long time, String engine, boolean asked) {
+    public void reachabilityChecked(long time, String engine, boolean sent) {
         clock.advanceTo(time);
-        deliveries.reachabilityChecked(engine, asked);
+        deliveries.reachabilityChecked(engine, sent);
     }
 
     /** Called when a health check ended, {@code tookMicros} microseconds after its start. */
@@ -316,7 +316,7 @@
     private void submitEvent(long time, Event event) {
         clock.advanceTo(time);
         decisions.submitEvent(event);
-        drain();
+        processPolicyEvents();
     }
 
     /** {@return what the policy learned by itself, with at most {@code maxPrefixes} prefixes} */
@@ -345,7 +345,7 @@
     public void migrateYoungestStreams(long time, int count) {
         clock.advanceTo(time);
         migration.migrateYoungest(count);
-        drain();
+        processPolicyEvents();
     }
 
     /** Starts draining, fails all open requests with a message and releases reservations. */
@@ -354,7 +354,7 @@
         admission.startDraining();
         for (RequestState request : requests.open()) {
             termination.fail(request, new RequestResult.Failed(message, false, Reason.UNKNOWN));
-            drain();
+            processPolicyEvents();
         }
     }
 
@@ -363,12 +363,12 @@
         clock.advanceTo(time);
         // These run before timers: reservations and attempts that may use them expire first.
         deliveries.advance();
-        drain();
+        processPolicyEvents();
         reservations.advance();
         RouterTimer due = timers.pollDue(clock.now());
         while (due != null) {
             timerDispatcher.fireTimer(due);
-            drain();
+            processPolicyEvents();
             due = timers.pollDue(clock.now());
         }
     }
@@ -380,7 +380,7 @@
     }
 
     /** Executes the policy's decisions on all queued events, then throws the first failure. */
-    private void drain() {
+    private void processPolicyEvents() {
         try {
             decisions.run(actionExecutor::execute);
         } finally {
--- a/core/src/main/java/sorrelhoist/core/request/SendAuthorization.java
+++ b/core/src/main/java/sorrelhoist/core/request/SendAuthorization.java
@@ -56,7 +56,7 @@
                 new SendGuard.Repetition(
                         idempotencyWindow.idempotencyOf(request),
                         attempt.prefill,
-                        request.mayHaveRunFrom != RequestState.NEVER,
+                        request.mayHaveRunSince != RequestState.NEVER,
                         idempotencyWindow.sendByMicros(request)));
     }
 }
--- a/core/src/main/java/sorrelhoist/core/request/StreamRecovery.java
+++ b/core/src/main/java/sorrelhoist/core/request/StreamRecovery.java
@@ -44,12 +44,12 @@
         if (request.finished) {
             return;
         }
-        submitter.conclude(request);
+        submitter.endRouting(request);
         if (hasAllTokens(request)) {
             request.apply(RequestPhase.Transition.STREAM_COMPLETED);
             responses.finish(request, new RequestResult.Served(request.tokens));
         } else if (mayResume(request)) {
-            request.resumptions++;
+            request.resumptionCount++;
             request.apply(RequestPhase.Transition.STREAM_BROKEN);
             submitter.submit(request);
         } else {
@@ -69,6 +69,6 @@
                 && settings.streams().resumeBrokenStreams()
                 && idempotencyWindow.idempotencyOf(request) == Idempotency.SAFE
                 && clock.now() < request.deadline
-                && request.resumptions < settings.routing().capabilities().maxAttempts();
+                && request.resumptionCount < settings.routing().capabilities().maxAttempts();
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/RequestTruth.java
+++ b/core/src/test/java/sorrelhoist/core/request/ActualRequestState.java
@@ -8,11 +8,11 @@
  * The actual state of one request at the workers of a {@link FaultyFleet}, independent of the
  * router's view of it. Times are in microseconds.
  */
-final class RequestTruth {
+final class ActualRequestState {
     private static final double MICROS_PER_MILLI = 1000;
 
     /** Bytes received within this time after a write are not considered a response to it. */
-    private static final long SURELY_EARLIER_MICROS = 2000;
+    private static final long MIN_ROUND_TRIP_MICROS = 2000;
 
     private static final long LONGEST_ROUND_TRIP_MICROS = 20_000;
 
@@ -38,7 +38,7 @@
         final long deadline;
         boolean written;
         boolean arrived;
-        boolean overAtRouter;
+        boolean endedAtRouter;
         WorkerEnd workerEnd = WorkerEnd.NONE;
 
         /** Whether the attempt is in its worker's queue, so that no release drops the state. */
@@ -80,45 +80,45 @@
          * stops waiting for it, as with the protocol's 'nothing: timed out'. This matters for
          * prefills only, because a decode that answers has fetched the state.
          */
-        boolean isOut() {
+        boolean isRunning() {
             boolean unanswered = workerEnd == WorkerEnd.NONE;
             boolean answerHasNotCome = prefill && workerEnd == WorkerEnd.ANSWERED;
-            return arrived && !overAtRouter && (unanswered || answerHasNotCome);
+            return arrived && !endedAtRouter && (unanswered || answerHasNotCome);
         }
 
         void written(long now, FaultyNetwork.Connection carrier) {
             written = true;
             writtenAt = now;
             connection = carrier;
-            note(now, this + " written on connection " + carrier.number);
+            addNote(now, this + " written on connection " + carrier.number);
         }
 
         void arrived(long now) {
             arrived = true;
-            arrivedTooLate = overAtRouter;
+            arrivedTooLate = endedAtRouter;
             waitsForState = !prefill;
-            note(now, this + " arrived");
+            addNote(now, this + " arrived");
         }
 
         /** Called when the attempt ends at its worker. */
-        void overAtWorker(WorkerEnd end, long now) {
+        void endedAtWorker(WorkerEnd end, long now) {
             restartClock(now);
             waitsForState = false;
             workerEnd = end;
-            endedTooLate = overAtRouter;
-            note(now, this + " ended at its worker: " + end);
+            endedTooLate = endedAtRouter;
+            addNote(now, this + " ended at its worker: " + end);
         }
 
         /** Called when the router has an outcome of the attempt or cancels it. */
-        void overAtRouter(String how, long now) {
+        void endedAtRouter(String how, long now) {
             restartClock(now);
-            overAtRouter = true;
+            endedAtRouter = true;
             routerEnd = how;
-            note(now, this + " ended at the router: " + how);
+            addNote(now, this + " ended at the router: " + how);
         }
 
         private void restartClock(long now) {
-            if (isOut() || waitsForState) {
+            if (isRunning() || waitsForState) {
                 idleSince = now;
             }
         }
@@ -127,8 +127,8 @@
          * Called when bytes of an answer to another call were received from the worker of the
          * attempt.
          */
-        void otherBytes(long now, long callWrittenAt) {
-            boolean mayCount = written && !answered && now - writtenAt > SURELY_EARLIER_MICROS;
+        void otherBytesReceived(long now, long callWrittenAt) {
+            boolean mayCount = written && !answered && now - writtenAt > MIN_ROUND_TRIP_MICROS;
             if (!mayCount || !evidence.isEmpty()) {
                 return;
             }
@@ -137,7 +137,7 @@
                             ? " after more than a round trip"
                             : " within a round trip";
             evidence = callWrittenAt >= writtenAt ? "a later call answered" : "other bytes" + later;
-            note(now, "bytes from " + worker + " after " + this + " was written: " + evidence);
+            addNote(now, "bytes from " + worker + " after " + this + " was written: " + evidence);
         }
 
         /**
@@ -170,7 +170,7 @@
 
     private final List<Note> trace = new ArrayList<>();
     private boolean held;
-    private SentAttempt heldBy;
+    private SentAttempt producedBy;
 
     /**
      * Since when no attempt has been running or waiting for a state, or, if later, when a state was
@@ -178,23 +178,23 @@
      */
     private long idleSince;
 
-    RequestTruth(String name) {
+    ActualRequestState(String name) {
         this.name = name;
     }
 
     SentAttempt sent(int number, String worker, boolean prefill, long deadline, long now) {
         SentAttempt attempt = new SentAttempt(number, worker, prefill, deadline);
         attempts.add(attempt);
-        note(now, attempt + " sent");
+        addNote(now, attempt + " sent");
         return attempt;
     }
 
     /** Called when a prefill completed and its state is held. */
     void held(SentAttempt prefill, long now) {
         held = true;
-        heldBy = prefill;
+        producedBy = prefill;
         idleSince = now;
-        note(now, prefill + " produces a state");
+        addNote(now, prefill + " produces a state");
     }
 
     boolean isHeld() {
@@ -202,26 +202,26 @@
     }
 
     /** {@return the prefill that produced the state} */
-    SentAttempt heldBy() {
-        return heldBy;
+    SentAttempt producedBy() {
+        return producedBy;
     }
 
     /**
      * Called when a decode has fetched the state; everything else that is held for the request is
      * dropped with it.
      */
-    void taken(long now) {
+    void stateFetched(long now) {
         held = false;
-        note(now, "the state is fetched");
+        addNote(now, "the state is fetched");
     }
 
     /**
      * Called when a release arrives at a worker that is not hanging. It does not release a state
      * that a decode is waiting for.
      */
-    void releaseArrives(String worker, long now) {
+    void releaseArrived(String worker, long now) {
         boolean awaited = attempts.stream().anyMatch(attempt -> attempt.waitsForState);
-        note(now, "a release arrives at " + worker + describeEffect(awaited));
+        addNote(now, "a release arrives at " + worker + describeEffect(awaited));
         held &= awaited;
         releases++;
     }
@@ -237,15 +237,15 @@
      * {@return how long a state has been held without a running or waiting attempt; 0 if none is
      * held}
      */
-    long heldForNobodyMicros(long now) {
-        boolean clockStands =
-                attempts.stream().anyMatch(attempt -> attempt.isOut() || attempt.waitsForState);
-        return held && !clockStands ? now - idleSince : 0;
+    long unusedMicros(long now) {
+        boolean inUse =
+                attempts.stream().anyMatch(attempt -> attempt.isRunning() || attempt.waitsForState);
+        return held && !inUse ? now - idleSince : 0;
     }
 
     /** {@return the attempt whose outcome the router is waiting for, or null} */
-    SentAttempt openAtRouter() {
-        return attempts.stream().filter(attempt -> !attempt.overAtRouter).findFirst().orElse(null);
+    SentAttempt runningAtRouter() {
+        return attempts.stream().filter(attempt -> !attempt.endedAtRouter).findFirst().orElse(null);
     }
 
     private record Note(long at, String text) {
@@ -255,7 +255,7 @@
         }
     }
 
-    void note(long now, String text) {
+    void addNote(long now, String text) {
         trace.add(new Note(now, text));
     }
 
--- a/core/src/test/java/sorrelhoist/core/request/AnsweringEnginesTestSupport.java
+++ b/core/src/test/java/sorrelhoist/core/request/AnsweringEnginesTestSupport.java
@@ -14,7 +14,7 @@
     private static final long ANSWER_MICROS = 2 * STEP;
 
     /** Time after which the transport stops waiting for the answer to a reachability check. */
-    private static final long QUESTION_TIMEOUT_MICROS = Fleet.SECOND;
+    private static final long REACHABILITY_CHECK_TIMEOUT_MICROS = Fleet.SECOND;
 
     private static final long MICROS_PER_MILLI = 1000;
 
@@ -26,10 +26,10 @@
     private int commandsSeen;
 
     /** Advances time to {@code time}, with all engines that are not silent answering. */
-    void passAnsweringTo(long time) {
+    void advanceAnsweringTo(long time) {
         answerNewCommands();
         while (now < time) {
-            passTo(now + STEP);
+            advanceTo(now + STEP);
             for (Runnable due = answers.pollDue(now); due != null; due = answers.pollDue(now)) {
                 due.run();
             }
@@ -38,14 +38,14 @@
     }
 
     private void answerNewCommands() {
-        List<Command> news = List.copyOf(commands.subList(commandsSeen, commands.size()));
+        List<Command> newCommands = List.copyOf(commands.subList(commandsSeen, commands.size()));
         commandsSeen = commands.size();
-        for (Command command : news) {
+        for (Command command : newCommands) {
             if (command instanceof Command.ReleaseReservation release) {
                 releaseTimes.add(now);
                 answerRelease(release, now);
-            } else if (command instanceof Command.CheckReachability question) {
-                answerQuestion(question, now);
+            } else if (command instanceof Command.CheckReachability check) {
+                answerReachabilityCheck(check, now);
             }
         }
     }
@@ -55,21 +55,21 @@
             answers.schedule(
                     now + ANSWER_MICROS,
                     () -> {
-                        questionAnswered(release.engine(), writtenAt);
+                        reportCallAnswered(release.engine(), writtenAt);
                         router.releaseCompleted(now, release.releaseId(), true);
                     });
         }
     }
 
-    private void answerQuestion(Command.CheckReachability question, long writtenAt) {
-        boolean silent = silentEngines.contains(question.engine());
+    private void answerReachabilityCheck(Command.CheckReachability check, long writtenAt) {
+        boolean silent = silentEngines.contains(check.engine());
         answers.schedule(
-                now + (silent ? QUESTION_TIMEOUT_MICROS : ANSWER_MICROS),
+                now + (silent ? REACHABILITY_CHECK_TIMEOUT_MICROS : ANSWER_MICROS),
                 () -> {
                     if (!silent) {
-                        questionAnswered(question.engine(), writtenAt);
+                        reportCallAnswered(check.engine(), writtenAt);
                     }
-                    router.reachabilityChecked(now, question.engine(), true);
+                    router.reachabilityChecked(now, check.engine(), true);
                 });
     }
 
--- a/core/src/test/java/sorrelhoist/core/request/FaultSchedule.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultSchedule.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import java.util.Set;
 import sorrelhoist.core.request.FaultyNetwork.Connection;
-import sorrelhoist.core.request.RequestTruth.SentAttempt;
+import sorrelhoist.core.request.ActualRequestState.SentAttempt;
 
 /** Draws the faults of one simulation run of a {@link FaultyFleet} and injects them. */
 final class FaultSchedule {
@@ -20,14 +20,14 @@
      * Number of workers that may become unreachable or hang in one run; the others can always be
      * called.
      */
-    private static final int TROUBLED_WORKERS = 2;
+    private static final int FAULTY_WORKERS = 2;
 
     /** Share of the faults that are injected while an attempt is in transit. */
-    private static final double AIMED_SHARE = 0.5;
+    private static final double IN_TRANSIT_SHARE = 0.5;
 
-    private static final long LONGEST_WAY_MICROS = 10 * MILLI;
+    private static final long MAX_TRANSIT_MICROS = 10 * MILLI;
     private static final long[] FAULT_MILLIS = {50, 150, 300, 600, 1200, 2500, 6000};
-    private static final double FOR_EVER_SHARE = 0.3;
+    private static final double PERMANENT_SHARE = 0.3;
 
     /**
      * Kinds of faults, in addition to clients that disconnect and workers that drop or reject
@@ -39,7 +39,7 @@
         WORKER_HANGS,
         CONNECTION_RESET,
         /** Workers continue a prefill although they know that its connection has ended. */
-        PREFILLS_GO_ON,
+        PREFILLS_CONTINUE,
         /**
          * Deliberate defect, to verify that the checks detect it: releases are answered but release
          * nothing.
@@ -60,10 +60,10 @@
     private final FaultyNetwork network;
     private final FaultyTransport transport;
     private final Random random;
-    private final List<String> troubled;
+    private final List<String> faultyWorkers;
 
     /** Faults to be injected when the next attempt has been written. */
-    private final ArrayDeque<Fault> aimed = new ArrayDeque<>();
+    private final ArrayDeque<Fault> inTransitFaults = new ArrayDeque<>();
 
     FaultSchedule(
             Set<Fault> faults,
@@ -78,21 +78,21 @@
         this.random = random;
         List<String> names = new ArrayList<>(fleet.workerNames());
         Collections.shuffle(names, random);
-        this.troubled = names.subList(0, TROUBLED_WORKERS);
+        this.faultyWorkers = names.subList(0, FAULTY_WORKERS);
     }
 
     /** Draws the faults of the run and schedules them. */
-    void draw() {
+    void drawFaults() {
         if (kinds.isEmpty()) {
             return;
         }
         int number = 1 + random.nextInt(MAX_FAULTS);
         for (int i = 0; i < number; i++) {
             Fault fault = kinds.get(random.nextInt(kinds.size()));
-            boolean isAimed = random.nextDouble() < AIMED_SHARE;
+            boolean isInTransit = random.nextDouble() < IN_TRANSIT_SHARE;
             network.after(
                     random.nextInt((int) LAST_FAULT_MICROS),
-                    isAimed ? () -> aimed.addLast(fault) : () -> happenAnywhere(fault));
+                    isInTransit ? () -> inTransitFaults.addLast(fault) : () -> injectAnywhere(fault));
         }
     }
 
@@ -101,48 +101,48 @@
      * occurs while the attempt may be in transit.
      */
     void attemptWritten(SentAttempt attempt) {
-        Fault next = aimed.peekFirst();
-        boolean ofWorker = next == Fault.LINK_SILENT || next == Fault.WORKER_HANGS;
-        if (next != null && (!ofWorker || troubled.contains(attempt.worker))) {
-            aimed.pollFirst();
+        Fault next = inTransitFaults.peekFirst();
+        boolean concernsWorker = next == Fault.LINK_SILENT || next == Fault.WORKER_HANGS;
+        if (next != null && (!concernsWorker || faultyWorkers.contains(attempt.worker))) {
+            inTransitFaults.pollFirst();
             network.after(
-                    random.nextInt((int) LONGEST_WAY_MICROS),
-                    () -> happen(next, attempt.worker, attempt.connection));
+                    random.nextInt((int) MAX_TRANSIT_MICROS),
+                    () -> inject(next, attempt.worker, attempt.connection));
         }
     }
 
-    private void happenAnywhere(Fault fault) {
-        String worker = troubled.get(random.nextInt(troubled.size()));
+    private void injectAnywhere(Fault fault) {
+        String worker = faultyWorkers.get(random.nextInt(faultyWorkers.size()));
         List<Connection> connections = transport.attemptConnections();
         if (connections.isEmpty()) {
             connections = network.openConnections();
         }
         if (!connections.isEmpty()) {
-            happen(fault, worker, connections.get(random.nextInt(connections.size())));
+            inject(fault, worker, connections.get(random.nextInt(connections.size())));
         }
     }
 
-    private void happen(Fault fault, String worker, Connection connection) {
+    private void inject(Fault fault, String worker, Connection connection) {
         long duration = FAULT_MILLIS[random.nextInt(FAULT_MILLIS.length)] * MILLI;
         boolean resetAtEnd = random.nextBoolean();
-        String length = " for " + duration / MILLI + " ms";
-        String end = resetAtEnd ? ", then is reset" : "";
+        String durationSuffix = " for " + duration / MILLI + " ms";
+        String resetSuffix = resetAtEnd ? ", then is reset" : "";
         switch (fault) {
             case LINK_SILENT -> {
                 network.silenceLink(worker, network.now() + duration, resetAtEnd);
-                fleet.noteFault("the link of " + worker + " stops passing data" + length + end);
+                fleet.noteFault("the link of " + worker + " stops passing data" + durationSuffix + resetSuffix);
             }
             case WORKER_HANGS -> {
                 fleet.worker(worker).hang(duration);
-                fleet.noteFault(worker + " hangs" + length);
+                fleet.noteFault(worker + " hangs" + durationSuffix);
             }
             case CONNECTION_SILENT -> {
-                boolean forEver = random.nextDouble() < FOR_EVER_SHARE;
-                long until = forEver ? FaultyNetwork.NEVER : network.now() + duration;
+                boolean permanent = random.nextDouble() < PERMANENT_SHARE;
+                long until = permanent ? FaultyNetwork.NEVER : network.now() + duration;
                 connection.silence(until, resetAtEnd);
-                String lasting = forEver ? " permanently" : length + end;
+                String durationText = permanent ? " permanently" : durationSuffix + resetSuffix;
                 fleet.noteFault(
-                        "connection " + connection.number + " stops passing data" + lasting);
+                        "connection " + connection.number + " stops passing data" + durationText);
             }
             case CONNECTION_RESET -> {
                 connection.reset();
--- a/core/src/test/java/sorrelhoist/core/request/FaultyFleet.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyFleet.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import sorrelhoist.core.request.FaultSchedule.Fault;
 import sorrelhoist.core.request.FaultyNetwork.Connection;
-import sorrelhoist.core.request.RequestTruth.SentAttempt;
+import sorrelhoist.core.request.ActualRequestState.SentAttempt;
 import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
 import sorrelhoist.routing.RoutingEvents.Server;
 
@@ -20,17 +20,17 @@
     private static final long MILLI = 1000;
     private static final long LONGEST_BUDGET = 3 * Fleet.SECOND;
     private static final long ARRIVALS_END = 3 * Fleet.SECOND / 2;
-    private static final long PLAY_END = 12 * Fleet.SECOND;
+    private static final long SIMULATION_END = 12 * Fleet.SECOND;
 
     /** Interval between two checks of the prefill states. */
-    private static final long JUDGE_MICROS = 5 * MILLI;
+    private static final long CHECK_INTERVAL_MICROS = 5 * MILLI;
 
     /** Tolerance for the transit of a call and for the router's processing time. */
-    private static final long SLACK_MICROS = 300 * MILLI;
+    private static final long TOLERANCE_MICROS = 300 * MILLI;
 
     private static final int MIN_REQUESTS = 4;
     private static final int MAX_REQUESTS = 14;
-    private static final double LEAVING_SHARE = 0.25;
+    private static final double DISCONNECT_SHARE = 0.25;
 
     /** Why a prefill state was still held when its time limit had passed. */
     enum Cause {
@@ -49,12 +49,12 @@
 
     /** A prefill state that was neither fetched nor released in time. */
     static final class LateState {
-        final RequestTruth request;
+        final ActualRequestState request;
         final Cause cause;
         final String detail;
         long heldMicros;
 
-        private LateState(RequestTruth request, Cause cause, String detail) {
+        private LateState(ActualRequestState request, Cause cause, String detail) {
             this.request = request;
             this.cause = cause;
             this.detail = detail;
@@ -67,20 +67,20 @@
     private final boolean releasesWork;
     private final Router router;
     private final Map<String, FaultyWorker> workers = new LinkedHashMap<>();
-    private final Map<String, RequestTruth> requests = new LinkedHashMap<>();
-    private final Map<Long, RequestTruth> openByClient = new LinkedHashMap<>();
-    private final Map<RequestTruth, LateState> late = new LinkedHashMap<>();
+    private final Map<String, ActualRequestState> requests = new LinkedHashMap<>();
+    private final Map<Long, ActualRequestState> openByClient = new LinkedHashMap<>();
+    private final Map<ActualRequestState, LateState> late = new LinkedHashMap<>();
 
     FaultyFleet(long seed, Set<Fault> faults) {
         this.random = new Random(seed);
         this.network = new FaultyNetwork(random);
         FaultyTransport transport = new FaultyTransport(network, this, random);
-        this.router = new Router(Fleet.platformSettings(false, LONGEST_BUDGET), transport::take);
+        this.router = new Router(Fleet.platformSettings(false, LONGEST_BUDGET), transport::execute);
         this.releasesWork = !faults.contains(Fault.RELEASES_DO_NOTHING);
-        boolean prefillsGoOn = faults.contains(Fault.PREFILLS_GO_ON);
+        boolean prefillsContinue = faults.contains(Fault.PREFILLS_CONTINUE);
         for (Server server : Fleet.servers()) {
             String name = server.id();
-            workers.put(name, new FaultyWorker(name, network, random, prefillsGoOn));
+            workers.put(name, new FaultyWorker(name, network, random, prefillsContinue));
         }
         this.schedule = new FaultSchedule(faults, this, network, transport, random);
         router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
@@ -96,14 +96,14 @@
         return workers.get(name);
     }
 
-    RequestTruth request(String name) {
+    ActualRequestState request(String name) {
         return requests.get(name);
     }
 
     /** Called when a release arrives at a worker that is not hanging. */
-    void releaseArrived(RequestTruth request, String worker) {
+    void releaseArrived(ActualRequestState request, String worker) {
         if (releasesWork) {
-            request.releaseArrives(worker, network.now());
+            request.releaseArrived(worker, network.now());
         }
     }
 
@@ -116,20 +116,20 @@
      * Called when bytes were received on a connection in response to a call that was written at
      * {@code callWrittenAt}.
      */
-    void bytesCame(Connection connection, long callWrittenAt) {
-        for (RequestTruth request : requests.values()) {
-            SentAttempt open = request.openAtRouter();
+    void bytesReceived(Connection connection, long callWrittenAt) {
+        for (ActualRequestState request : requests.values()) {
+            SentAttempt open = request.runningAtRouter();
             if (open != null && open.worker.equals(connection.worker)) {
-                open.otherBytes(network.now(), callWrittenAt);
+                open.otherBytesReceived(network.now(), callWrittenAt);
             }
         }
     }
 
     /** Called when a client received its final result. */
-    void answered(long clientId) {
-        RequestTruth request = openByClient.remove(clientId);
+    void requestFinished(long clientId) {
+        ActualRequestState request = openByClient.remove(clientId);
         if (request != null) {
-            request.note(network.now(), "client received its final result");
+            request.addNote(network.now(), "client received its final result");
         }
     }
 
@@ -141,29 +141,29 @@
 
     /** Notes a fault in the trace of every request. */
     void noteFault(String text) {
-        requests.values().forEach(request -> request.note(network.now(), "-- " + text));
+        requests.values().forEach(request -> request.addNote(network.now(), "-- " + text));
     }
 
     // Simulation
 
     /** Runs the simulation to its end. {@return the states that were held for too long} */
-    List<LateState> play() {
+    List<LateState> run() {
         drawRequests();
-        schedule.draw();
-        for (long judgeAt = JUDGE_MICROS; judgeAt <= PLAY_END; judgeAt += JUDGE_MICROS) {
-            passTo(judgeAt);
-            requests.values().forEach(this::judge);
+        schedule.drawFaults();
+        for (long checkAt = CHECK_INTERVAL_MICROS; checkAt <= SIMULATION_END; checkAt += CHECK_INTERVAL_MICROS) {
+            advanceTo(checkAt);
+            requests.values().forEach(this::checkHeldTime);
         }
         return late.values().stream()
-                .filter(state -> state.heldMicros > Fleet.RELEASE + SLACK_MICROS)
+                .filter(state -> state.heldMicros > Fleet.RELEASE + TOLERANCE_MICROS)
                 .toList();
     }
 
-    List<RequestTruth> requests() {
+    List<ActualRequestState> requests() {
         return List.copyOf(requests.values());
     }
 
-    private void passTo(long time) {
+    private void advanceTo(long time) {
         long next = Math.min(network.nextEventAt(), router.nextTimerAt());
         while (next <= time) {
             network.advanceTo(next);
@@ -173,8 +173,8 @@
         network.advanceTo(time);
     }
 
-    private void judge(RequestTruth request) {
-        long heldMicros = request.heldForNobodyMicros(network.now());
+    private void checkHeldTime(ActualRequestState request) {
+        long heldMicros = request.unusedMicros(network.now());
         if (heldMicros > Fleet.RELEASE) {
             LateState state = late.computeIfAbsent(request, this::lateState);
             state.heldMicros = Math.max(state.heldMicros, heldMicros);
@@ -187,7 +187,7 @@
         int number = MIN_REQUESTS + random.nextInt(MAX_REQUESTS - MIN_REQUESTS + 1);
         for (int i = 0; i < number; i++) {
             String name = "request" + i;
-            requests.put(name, new RequestTruth(name));
+            requests.put(name, new ActualRequestState(name));
             network.after(random.nextInt((int) ARRIVALS_END), () -> arrive(name));
         }
     }
@@ -195,8 +195,8 @@
     private void arrive(String name) {
         int requestClass = random.nextInt(Fleet.UNSAFE + 1);
         long budget = 800 * MILLI + random.nextInt((int) (LONGEST_BUDGET - 800 * MILLI));
-        RequestTruth request = requests.get(name);
-        request.note(network.now(), name + " arrives, class " + requestClass);
+        ActualRequestState request = requests.get(name);
+        request.addNote(network.now(), name + " arrives, class " + requestClass);
         InferenceRequest call =
                 InferenceRequest.builder("x".repeat(400), 100, 10)
                         .clientRequestId(name)
@@ -207,24 +207,24 @@
                         .build();
         long client = router.requestArrived(network.now(), call);
         openByClient.put(client, request);
-        if (random.nextDouble() < LEAVING_SHARE) {
-            network.after(random.nextInt((int) budget), () -> leave(client));
+        if (random.nextDouble() < DISCONNECT_SHARE) {
+            network.after(random.nextInt((int) budget), () -> disconnect(client));
         }
     }
 
-    private void leave(long client) {
-        RequestTruth request = openByClient.remove(client);
+    private void disconnect(long client) {
+        ActualRequestState request = openByClient.remove(client);
         if (request != null) {
-            request.note(network.now(), "client disconnects");
+            request.addNote(network.now(), "client disconnects");
             router.clientDisconnected(network.now(), client);
         }
     }
 
     // Cause of a late state
 
-    private LateState lateState(RequestTruth request) {
-        SentAttempt open = request.openAtRouter();
-        SentAttempt prefill = request.heldBy();
+    private LateState lateState(ActualRequestState request) {
+        SentAttempt open = request.runningAtRouter();
+        SentAttempt prefill = request.producedBy();
         if (prefill.endedTooLate) {
             String how = prefill.arrivedTooLate ? "arrived" : "continued";
             String detail = how + " after the router had ended it: " + prefill.routerEnd;
@@ -234,9 +234,9 @@
             return new LateState(request, Cause.OTHER, String.valueOf(open));
         }
         if (!open.arrived) {
-            return new LateState(request, Cause.DECODE_NOT_ARRIVED, wayOf(open));
+            return new LateState(request, Cause.DECODE_NOT_ARRIVED, transitState(open));
         }
-        String detail = open.workerEnd + ", " + wayOf(open);
+        String detail = open.workerEnd + ", " + transitState(open);
         return new LateState(request, Cause.DECODE_UNANSWERED, detail);
     }
 
@@ -244,12 +244,12 @@
      * {@return what currently prevents the bytes of an attempt from passing, and what was received
      * from its worker on other connections}
      */
-    String wayOf(SentAttempt attempt) {
+    String transitState(SentAttempt attempt) {
         if (!attempt.written) {
             return "not written";
         }
         String silence = attempt.connection.silence();
-        String way = workers.get(attempt.worker).isHung() ? "worker hangs" : silence;
-        return (way.isEmpty() ? "nothing blocked" : way) + ", " + attempt.evidence();
+        String state = workers.get(attempt.worker).isHung() ? "worker hangs" : silence;
+        return (state.isEmpty() ? "nothing blocked" : state) + ", " + attempt.evidence();
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/FaultyPlays.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyFleetRuns.java
@@ -14,7 +14,7 @@
  * were held for too long. To run other seeds and to print the traces of failed runs: {@code
  * -Dnetwork.firstSeed=7 -Dnetwork.seeds=1 -Dnetwork.traces=9}.
  */
-final class FaultyPlays {
+final class FaultyFleetRuns {
     /** Number of simulation runs per test. */
     static final int SEEDS = Integer.getInteger("network.seeds", 2000);
 
@@ -32,41 +32,41 @@
     private int decodesWithoutState;
     private int releases;
 
-    private FaultyPlays() {}
+    private FaultyFleetRuns() {}
 
     /** Runs the simulation with {@code seeds} seeds and prints the failed seeds by cause. */
-    static FaultyPlays play(Set<Fault> faults, int seeds) {
-        FaultyPlays plays = new FaultyPlays();
+    static FaultyFleetRuns run(Set<Fault> faults, int seeds) {
+        FaultyFleetRuns runs = new FaultyFleetRuns();
         for (long seed = FIRST_SEED; seed < FIRST_SEED + seeds; seed++) {
             FaultyFleet fleet = new FaultyFleet(seed, faults);
-            List<LateState> late = fleet.play();
-            fleet.requests().forEach(plays::count);
+            List<LateState> late = fleet.run();
+            fleet.requests().forEach(runs::count);
             if (!late.isEmpty()) {
-                plays.lateBySeed.put(seed, late);
+                runs.lateBySeed.put(seed, late);
             }
         }
         System.out.println(
-                faults + ": " + plays.broken().size() + " of " + seeds + " seeds failed");
-        plays.printCosts();
-        plays.printCauses();
-        plays.printTraces();
-        return plays;
+                faults + ": " + runs.failedSeeds().size() + " of " + seeds + " seeds failed");
+        runs.printCosts();
+        runs.printCauses();
+        runs.printTraces();
+        return runs;
     }
 
     /** {@return the seeds of the runs in which a state was late} */
-    List<Long> broken() {
+    List<Long> failedSeeds() {
         return List.copyOf(lateBySeed.keySet());
     }
 
     /** {@return the seeds of the runs in which a state was late for the given cause} */
-    List<Long> brokenBy(Cause cause) {
+    List<Long> failedSeedsBy(Cause cause) {
         return lateBySeed.entrySet().stream()
                 .filter(entry -> entry.getValue().stream().anyMatch(late -> late.cause == cause))
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    private void count(RequestTruth request) {
+    private void count(ActualRequestState request) {
         requests++;
         served += request.served ? 1 : 0;
         prefills += (int) request.attempts.stream().filter(a -> a.prefill && a.arrived).count();
--- a/core/src/test/java/sorrelhoist/core/request/FaultyNetwork.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyNetwork.java
@@ -109,8 +109,8 @@
         private long silentUntil;
         private boolean closedByRouter;
         private boolean reset;
-        private Runnable whenResetAtRouter = () -> {};
-        private Runnable whenEndedAtWorker = () -> {};
+        private Runnable onResetAtRouter = () -> {};
+        private Runnable onEndedAtWorker = () -> {};
 
         private Connection(String worker, int number) {
             this.worker = worker;
@@ -139,9 +139,9 @@
         /**
          * Assigns the connection to a call and sets the callbacks for the end of the connection.
          */
-        void carry(Runnable whenResetAtRouter, Runnable whenEndedAtWorker) {
-            this.whenResetAtRouter = whenResetAtRouter;
-            this.whenEndedAtWorker = whenEndedAtWorker;
+        void assignCall(Runnable onResetAtRouter, Runnable onEndedAtWorker) {
+            this.onResetAtRouter = onResetAtRouter;
+            this.onEndedAtWorker = onEndedAtWorker;
             lastUsedAt = now;
         }
 
@@ -170,7 +170,7 @@
          */
         void close() {
             if (isOpen()) {
-                toWorker.send(whenEndedAtWorker);
+                toWorker.send(onEndedAtWorker);
                 closedByRouter = true;
             }
         }
@@ -189,12 +189,12 @@
                 reset = true;
                 toWorker.messages.clear();
                 toRouter.messages.clear();
-                after(oneWayMicros, whenEndedAtWorker);
+                after(oneWayMicros, onEndedAtWorker);
                 after(
                         oneWayMicros,
                         () -> {
                             if (!closedByRouter) {
-                                whenResetAtRouter.run();
+                                onResetAtRouter.run();
                             }
                         });
             }
--- a/core/src/test/java/sorrelhoist/core/request/FaultyNetworkModelTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyNetworkModelTest.java
@@ -8,8 +8,8 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import sorrelhoist.core.request.FaultyNetwork.Connection;
-import sorrelhoist.core.request.RequestTruth.SentAttempt;
-import sorrelhoist.core.request.RequestTruth.WorkerEnd;
+import sorrelhoist.core.request.ActualRequestState.SentAttempt;
+import sorrelhoist.core.request.ActualRequestState.WorkerEnd;
 
 /**
  * Tests the components of the faulty network simulation: the model must not be more lenient than
@@ -17,13 +17,13 @@
  */
 class FaultyNetworkModelTest {
     private static final long MILLI = 1000;
-    private static final long LONGEST_WAY = 10 * MILLI;
+    private static final long MAX_TRANSIT = 10 * MILLI;
     private static final long SILENCE = 500 * MILLI;
 
     private final FaultyNetwork network = new FaultyNetwork(new Random(1));
     private final Connection connection = network.open("w0");
     private final List<String> arrived = new ArrayList<>();
-    private final RequestTruth request = new RequestTruth("a");
+    private final ActualRequestState request = new ActualRequestState("a");
 
     private SentAttempt arrived(int number, boolean prefill) {
         SentAttempt attempt = request.sent(number, "w0", prefill, Fleet.SECOND, 0);
@@ -32,14 +32,14 @@
         return attempt;
     }
 
-    private void leaveState() {
+    private void produceState() {
         SentAttempt prefill = arrived(0, true);
         request.held(prefill, 0);
-        prefill.overAtWorker(WorkerEnd.ANSWERED, 0);
-        prefill.overAtRouter("prefilled", 0);
+        prefill.endedAtWorker(WorkerEnd.ANSWERED, 0);
+        prefill.endedAtRouter("prefilled", 0);
     }
 
-    private void passTo(long time) {
+    private void advanceTo(long time) {
         while (network.nextEventAt() <= time) {
             network.advanceTo(network.nextEventAt());
         }
@@ -47,116 +47,116 @@
     }
 
     @Test
-    void whatIsSentOnAConnectionArrivesInItsOrderAfterItsDelay() {
+    void messagesArriveInOrderAfterTheDelayOfTheConnection() {
         connection.sendToWorker(() -> arrived.add("first"));
         connection.sendToWorker(() -> arrived.add("second"));
-        passTo(0);
+        advanceTo(0);
         assertEquals(List.of(), arrived);
-        passTo(LONGEST_WAY);
+        advanceTo(MAX_TRANSIT);
         assertEquals(List.of("first", "second"), arrived);
     }
 
     @Test
-    void whatWasOnItsWayIntoASilenceArrivesAfterIt() {
+    void messagesInTransitDuringASilenceArriveAfterIt() {
         connection.sendToWorker(() -> arrived.add("first"));
         connection.silence(SILENCE, false);
-        passTo(SILENCE - 1);
+        advanceTo(SILENCE - 1);
         assertEquals(List.of(), arrived);
-        passTo(SILENCE + LONGEST_WAY);
+        advanceTo(SILENCE + MAX_TRANSIT);
         assertEquals(List.of("first"), arrived);
     }
 
     @Test
-    void whatWasOnItsWayIntoASilenceThatEndsInAResetNeverArrives() {
-        connection.carry(() -> arrived.add("reset"), () -> {});
+    void messagesInTransitDuringASilenceThatEndsInAResetAreLost() {
+        connection.assignCall(() -> arrived.add("reset"), () -> {});
         connection.sendToWorker(() -> arrived.add("first"));
         connection.silence(SILENCE, true);
-        passTo(2 * SILENCE);
+        advanceTo(2 * SILENCE);
         assertEquals(List.of("reset"), arrived);
     }
 
     @Test
-    void theSilenceOfALinkHoldsItsConnectionsAndNoOthers() {
+    void aSilentLinkBlocksOnlyItsOwnConnections() {
         Connection other = network.open("w1");
         network.silenceLink("w0", SILENCE, false);
         connection.sendToWorker(() -> arrived.add("silent"));
         other.sendToWorker(() -> arrived.add("other"));
-        passTo(LONGEST_WAY);
+        advanceTo(MAX_TRANSIT);
         assertEquals(List.of("other"), arrived);
     }
 
     @Test
-    void whatARouterWroteBeforeItClosedArrivesBeforeTheClose() {
-        connection.carry(() -> {}, () -> arrived.add("close"));
+    void bytesWrittenBeforeACloseArriveBeforeTheClose() {
+        connection.assignCall(() -> {}, () -> arrived.add("close"));
         connection.sendToWorker(() -> arrived.add("request"));
         connection.close();
-        passTo(LONGEST_WAY);
+        advanceTo(MAX_TRANSIT);
         assertEquals(List.of("request", "close"), arrived);
     }
 
     @Test
-    void aWorkerThatHangsTakesWhatHasComeWhenItGoesOn() {
+    void aHangingWorkerProcessesReceivedMessagesWhenItContinues() {
         FaultyWorker worker = new FaultyWorker("w0", network, new Random(1), false);
         worker.hang(SILENCE);
-        worker.whenItRuns(() -> arrived.add("taken"));
-        passTo(SILENCE - 1);
+        worker.runWhenNotHung(() -> arrived.add("taken"));
+        advanceTo(SILENCE - 1);
         assertEquals(List.of(), arrived);
-        passTo(SILENCE);
+        advanceTo(SILENCE);
         assertEquals(List.of("taken"), arrived);
     }
 
     @Test
-    void aStateThatNobodyWaitsForIsHeldForNobody() {
-        leaveState();
-        assertEquals(SILENCE, request.heldForNobodyMicros(SILENCE));
-        request.releaseArrives("w1", SILENCE);
-        assertEquals(0, request.heldForNobodyMicros(2 * SILENCE));
+    void aStateThatNoAttemptWaitsForCountsAsUnused() {
+        produceState();
+        assertEquals(SILENCE, request.unusedMicros(SILENCE));
+        request.releaseArrived("w1", SILENCE);
+        assertEquals(0, request.unusedMicros(2 * SILENCE));
     }
 
     @Test
-    void aDecodeThatHasNotArrivedStopsNoClock() {
-        leaveState();
+    void aDecodeThatHasNotArrivedDoesNotStopTheTimeLimit() {
+        produceState();
         request.sent(1, "w0", false, Fleet.SECOND, 0).written(0, connection);
-        assertEquals(SILENCE, request.heldForNobodyMicros(SILENCE));
+        assertEquals(SILENCE, request.unusedMicros(SILENCE));
     }
 
     /** A queued decode keeps the state held, even after the router has cancelled the decode. */
     @Test
-    void aReleaseLetsGoOfNothingThatADecodeWaitsForAndTheClockBeginsAfterIt() {
-        leaveState();
+    void aReleaseKeepsAStateThatADecodeWaitsForAndTheTimeLimitStartsAfterTheDecode() {
+        produceState();
         SentAttempt decode = arrived(1, false);
-        decode.overAtRouter("cancelled", MILLI);
-        request.releaseArrives("w1", 2 * MILLI);
+        decode.endedAtRouter("cancelled", MILLI);
+        request.releaseArrived("w1", 2 * MILLI);
         assertTrue(request.isHeld());
-        assertEquals(0, request.heldForNobodyMicros(SILENCE));
-        decode.overAtWorker(WorkerEnd.UNWANTED, SILENCE);
-        assertEquals(MILLI, request.heldForNobodyMicros(SILENCE + MILLI));
+        assertEquals(0, request.unusedMicros(SILENCE));
+        decode.endedAtWorker(WorkerEnd.UNWANTED, SILENCE);
+        assertEquals(MILLI, request.unusedMicros(SILENCE + MILLI));
     }
 
     @Test
-    void anAttemptThatItsWorkerDroppedWithoutAWordStopsNoClock() {
-        leaveState();
-        arrived(1, false).overAtWorker(WorkerEnd.DROPPED, MILLI);
-        assertEquals(SILENCE, request.heldForNobodyMicros(SILENCE + MILLI));
+    void anAttemptThatItsWorkerDroppedSilentlyDoesNotStopTheTimeLimit() {
+        produceState();
+        arrived(1, false).endedAtWorker(WorkerEnd.DROPPED, MILLI);
+        assertEquals(SILENCE, request.unusedMicros(SILENCE + MILLI));
     }
 
     @Test
-    void aStateThatAPrefillLeavesAfterItWasGivenUpCountsFromThen() {
+    void aStateProducedAfterItsPrefillWasCancelledCountsFromItsProduction() {
         SentAttempt prefill = arrived(0, true);
-        prefill.overAtRouter("cancelled", MILLI);
+        prefill.endedAtRouter("cancelled", MILLI);
         request.held(prefill, SILENCE);
-        prefill.overAtWorker(WorkerEnd.ANSWERED, SILENCE);
+        prefill.endedAtWorker(WorkerEnd.ANSWERED, SILENCE);
         assertTrue(prefill.endedTooLate);
-        assertEquals(MILLI, request.heldForNobodyMicros(SILENCE + MILLI));
+        assertEquals(MILLI, request.unusedMicros(SILENCE + MILLI));
     }
 
     @Test
-    void aPrefillWhoseAnswerDoesNotComeIsOutUntilTheRouterStopsWaiting() {
+    void aPrefillWhoseAnswerIsNotReceivedIsRunningUntilTheRouterStopsWaiting() {
         SentAttempt prefill = arrived(0, true);
         request.held(prefill, 0);
-        prefill.overAtWorker(WorkerEnd.ANSWERED, 0);
-        assertEquals(0, request.heldForNobodyMicros(SILENCE));
-        prefill.overAtRouter("cancelled", SILENCE);
-        assertEquals(MILLI, request.heldForNobodyMicros(SILENCE + MILLI));
+        prefill.endedAtWorker(WorkerEnd.ANSWERED, 0);
+        assertEquals(0, request.unusedMicros(SILENCE));
+        prefill.endedAtRouter("cancelled", SILENCE);
+        assertEquals(MILLI, request.unusedMicros(SILENCE + MILLI));
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/FaultyNetworkTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyNetworkTest.java
@@ -14,25 +14,25 @@
  * without one.
  */
 class FaultyNetworkTest {
-    private static final int PLANTED_SEEDS = 50;
+    private static final int DEFECT_SEEDS = 50;
 
     /**
      * Lower bound of the runs that detect the defect. A state has to be released only in runs in
      * which a decode is not served.
      */
-    private static final int PLANTED_SEEN = 15;
+    private static final int MIN_DETECTED_SEEDS = 15;
 
     @Test
     void noStateIsLateWhereTheNetworkHasNoFaults() {
-        assertEquals(List.of(), FaultyPlays.play(Set.of(), FaultyPlays.SEEDS).broken());
+        assertEquals(List.of(), FaultyFleetRuns.run(Set.of(), FaultyFleetRuns.SEEDS).failedSeeds());
     }
 
     @Test
-    void releasesThatLetGoOfNothingAreSeen() {
-        Set<Fault> planted = EnumSet.of(Fault.RELEASES_DO_NOTHING);
-        int seen = FaultyPlays.play(planted, PLANTED_SEEDS).broken().size();
+    void releasesThatReleaseNothingAreDetected() {
+        Set<Fault> defect = EnumSet.of(Fault.RELEASES_DO_NOTHING);
+        int detected = FaultyFleetRuns.run(defect, DEFECT_SEEDS).failedSeeds().size();
         assertTrue(
-                seen >= PLANTED_SEEN,
-                "defect detected in " + seen + " of " + PLANTED_SEEDS + " seeds");
+                detected >= MIN_DETECTED_SEEDS,
+                "defect detected in " + detected + " of " + DEFECT_SEEDS + " seeds");
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/FaultyTransport.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyTransport.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import sorrelhoist.core.request.FaultyNetwork.Connection;
-import sorrelhoist.core.request.RequestTruth.SentAttempt;
+import sorrelhoist.core.request.ActualRequestState.SentAttempt;
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
@@ -21,21 +21,21 @@
     private static final long MILLI = 1000;
     private static final long CONNECT_TIMEOUT_MICROS = 250 * MILLI;
     private static final long CHECK_TIMEOUT_MICROS = 40 * MILLI;
-    private static final long QUESTION_TIMEOUT_MICROS = 1000 * MILLI;
+    private static final long REACHABILITY_CHECK_TIMEOUT_MICROS = 1000 * MILLI;
 
     /** Share of new connections that are never established. */
-    private static final double NEVER_UP_SHARE = 0.02;
+    private static final double NEVER_ESTABLISHED_SHARE = 0.02;
 
     /**
      * Minimum idle time before a connection carries another call, because a second response to the
      * previous call would be mistaken for the response to the new one.
      */
-    private static final long REST_MICROS = 50 * MILLI;
+    private static final long MIN_IDLE_MICROS = 50 * MILLI;
 
     private final FaultyNetwork network;
     private final FaultyFleet fleet;
     private final Random random;
-    private final Map<String, ArrayDeque<Connection>> rested = new HashMap<>();
+    private final Map<String, ArrayDeque<Connection>> idleConnections = new HashMap<>();
     private final Map<AttemptId, AttemptCall> running = new HashMap<>();
     private final Map<Long, Runnable> releases = new HashMap<>();
 
@@ -54,7 +54,7 @@
     }
 
     /** Executes a command. */
-    void take(Command command) {
+    void execute(Command command) {
         if (command instanceof Command.StartPrefill start) {
             long deadline = start.deadlineMicros();
             new AttemptCall(start, deadline, deadline).start();
@@ -67,9 +67,9 @@
         } else if (command instanceof Command.AbandonRelease abandoned) {
             releases.getOrDefault(abandoned.releaseId(), () -> {}).run();
         } else if (command instanceof Command.CheckReachability question) {
-            ask(question.engine());
+            checkReachability(question.engine());
         } else if (command instanceof Command.FinishRequest answer) {
-            fleet.answered(answer.clientId());
+            fleet.requestFinished(answer.clientId());
         }
     }
 
@@ -98,8 +98,8 @@
      * Called when a worker begins to answer a call whose last byte was written at {@code
      * writtenAt}.
      */
-    private void answerBegan(Connection connection, long writtenAt) {
-        fleet.bytesCame(connection, writtenAt);
+    private void answerStarted(Connection connection, long writtenAt) {
+        fleet.bytesReceived(connection, writtenAt);
         router().bytesReceived(now(), connection.worker);
         router().callAnswered(now(), connection.worker, writtenAt);
     }
@@ -108,25 +108,25 @@
      * Called when further bytes of an answer were received. They do not show that anything sent
      * recently has arrived.
      */
-    private void moreBytesCame(Connection connection) {
-        fleet.bytesCame(connection, 0);
+    private void moreBytesReceived(Connection connection) {
+        fleet.bytesReceived(connection, 0);
         router().bytesReceived(now(), connection.worker);
     }
 
     // Connections
 
-    private Connection takeRested(String worker) {
+    private Connection takeIdleConnection(String worker) {
         ArrayDeque<Connection> candidates =
-                rested.computeIfAbsent(worker, name -> new ArrayDeque<>());
+                idleConnections.computeIfAbsent(worker, name -> new ArrayDeque<>());
         candidates.removeIf(connection -> !connection.isOpen());
         Connection longest = candidates.peekFirst();
-        boolean hasRested = longest != null && longest.lastUsedAt + REST_MICROS <= now();
-        return hasRested ? candidates.pollFirst() : null;
+        boolean isReusable = longest != null && longest.lastUsedAt + MIN_IDLE_MICROS <= now();
+        return isReusable ? candidates.pollFirst() : null;
     }
 
-    private void rest(Connection connection) {
-        connection.carry(() -> {}, () -> {});
-        rested.computeIfAbsent(connection.worker, name -> new ArrayDeque<>()).addLast(connection);
+    private void addIdleConnection(Connection connection) {
+        connection.assignCall(() -> {}, () -> {});
+        idleConnections.computeIfAbsent(connection.worker, name -> new ArrayDeque<>()).addLast(connection);
     }
 
     /**
@@ -134,53 +134,53 @@
      * established.
      */
     private void connect(String worker, Consumer<Connection> call) {
-        Connection resting = takeRested(worker);
-        if (resting == null) {
-            connectAnew(worker, call);
+        Connection idle = takeIdleConnection(worker);
+        if (idle == null) {
+            openConnection(worker, call);
         } else {
-            call.accept(resting);
+            call.accept(idle);
         }
     }
 
-    private void connectAnew(String worker, Consumer<Connection> call) {
-        Connection made = network.open(worker);
+    private void openConnection(String worker, Consumer<Connection> call) {
+        Connection opened = network.open(worker);
         Once once = new Once();
-        if (random.nextDouble() >= NEVER_UP_SHARE) {
-            Runnable up = () -> once.run(() -> call.accept(made));
-            made.sendToWorker(() -> made.sendToRouter(up));
+        if (random.nextDouble() >= NEVER_ESTABLISHED_SHARE) {
+            Runnable established = () -> once.run(() -> call.accept(opened));
+            opened.sendToWorker(() -> opened.sendToRouter(established));
         }
         network.after(
                 CONNECT_TIMEOUT_MICROS,
                 () ->
                         once.run(
                                 () -> {
-                                    made.close();
+                                    opened.close();
                                     call.accept(null);
                                 }));
     }
 
     /** Like {@link #connect}, but an idle connection must first respond to a check. */
     private void connectChecked(String worker, Consumer<Connection> call) {
-        Connection resting = takeRested(worker);
-        if (resting == null) {
-            connectAnew(worker, call);
+        Connection idle = takeIdleConnection(worker);
+        if (idle == null) {
+            openConnection(worker, call);
             return;
         }
         Once once = new Once();
         long writtenAt = now();
         Runnable silent =
                 () -> {
-                    resting.close();
-                    connectAnew(worker, call);
+                    idle.close();
+                    openConnection(worker, call);
                 };
-        resting.carry(() -> once.run(silent), () -> {});
+        idle.assignCall(() -> once.run(silent), () -> {});
         Runnable usable =
                 () -> {
-                    answerBegan(resting, writtenAt);
-                    once.run(() -> call.accept(resting));
+                    answerStarted(idle, writtenAt);
+                    once.run(() -> call.accept(idle));
                 };
-        resting.sendToWorker(
-                () -> fleet.worker(worker).whenItRuns(() -> resting.sendToRouter(usable)));
+        idle.sendToWorker(
+                () -> fleet.worker(worker).runWhenNotHung(() -> idle.sendToRouter(usable)));
         network.after(CHECK_TIMEOUT_MICROS, () -> once.run(silent));
     }
 
@@ -215,11 +215,11 @@
                         return;
                     }
                     long writtenAt = now();
-                    connection.carry(() -> once.run(() -> ended.accept(false)), () -> {});
+                    connection.assignCall(() -> once.run(() -> ended.accept(false)), () -> {});
                     Runnable answered =
                             () -> {
-                                answerBegan(connection, writtenAt);
-                                rest(connection);
+                                answerStarted(connection, writtenAt);
+                                addIdleConnection(connection);
                                 once.run(() -> ended.accept(true));
                             };
                     Runnable taken =
@@ -227,13 +227,13 @@
                                 arrival.run();
                                 connection.sendToRouter(answered);
                             };
-                    connection.sendToWorker(() -> fleet.worker(worker).whenItRuns(taken));
+                    connection.sendToWorker(() -> fleet.worker(worker).runWhenNotHung(taken));
                 });
     }
 
     private void release(Command.ReleaseReservation command) {
-        RequestTruth request = fleet.request(command.requestName());
-        request.note(now(), "release " + command.releaseId() + " sent to " + command.engine());
+        ActualRequestState request = fleet.request(command.requestName());
+        request.addNote(now(), "release " + command.releaseId() + " sent to " + command.engine());
         Once once = new Once();
         releases.put(command.releaseId(), () -> once.run(() -> {}));
         call(
@@ -242,17 +242,17 @@
                 once,
                 done -> {
                     String how = done ? " answered" : " failed";
-                    request.note(now(), "release " + command.releaseId() + how);
+                    request.addNote(now(), "release " + command.releaseId() + how);
                     router().releaseCompleted(now(), command.releaseId(), done);
                 });
     }
 
-    private void ask(String worker) {
+    private void checkReachability(String worker) {
         Once once = new Once();
         Consumer<Boolean> ended = any -> router().reachabilityChecked(now(), worker, true);
         // Deferred, because the router emits the command during one of its own calls.
         network.after(0, () -> call(worker, () -> {}, once, ended));
-        network.after(QUESTION_TIMEOUT_MICROS, () -> once.run(() -> ended.accept(false)));
+        network.after(REACHABILITY_CHECK_TIMEOUT_MICROS, () -> once.run(() -> ended.accept(false)));
     }
 
     // Attempts
@@ -260,11 +260,11 @@
     private final class AttemptCall implements FaultyWorker.Answers {
         private final Command.StartAttempt command;
         private final long sendBy;
-        private final RequestTruth request;
-        private final SentAttempt truth;
+        private final ActualRequestState request;
+        private final SentAttempt actual;
         private Connection connection;
         private long writtenAt;
-        private boolean answerBegan;
+        private boolean answerStarted;
 
         AttemptCall(Command.StartAttempt command, long deadline, long sendBy) {
             this.command = command;
@@ -272,7 +272,7 @@
             this.request = fleet.request(command.requestName());
             int number = command.attempt().number();
             boolean prefill = command instanceof Command.StartPrefill;
-            this.truth = request.sent(number, command.engine(), prefill, deadline, now());
+            this.actual = request.sent(number, command.engine(), prefill, deadline, now());
         }
 
         void start() {
@@ -282,7 +282,7 @@
         }
 
         private void write(Connection carrier) {
-            if (truth.overAtRouter) {
+            if (actual.endedAtRouter) {
                 if (carrier != null) {
                     carrier.close();
                 }
@@ -296,35 +296,35 @@
                 return;
             }
             writtenAt = now();
-            truth.written(now(), carrier);
+            actual.written(now(), carrier);
             FaultyWorker worker = fleet.worker(command.engine());
-            carrier.carry(
+            carrier.assignCall(
                     () -> fail("connection reset", Outcome.RESET, 0),
-                    () -> worker.whenItRuns(() -> worker.connectionEnded(truth)));
+                    () -> worker.runWhenNotHung(() -> worker.connectionEnded(actual)));
             FaultyWorker.Sender sender = new FaultyWorker.Sender(carrier, this);
-            Runnable taken = () -> worker.attemptArrives(truth, request, sender);
-            carrier.sendToWorker(() -> worker.whenItRuns(taken));
-            fleet.attemptWritten(truth);
+            Runnable taken = () -> worker.attemptArrives(actual, request, sender);
+            carrier.sendToWorker(() -> worker.runWhenNotHung(taken));
+            fleet.attemptWritten(actual);
             router().attemptWritten(now(), command.attempt());
         }
 
         void cancel() {
-            if (!truth.overAtRouter) {
-                over("cancelled");
+            if (!actual.endedAtRouter) {
+                end("cancelled");
                 if (connection != null) {
                     connection.close();
                 }
             }
         }
 
-        private void over(String how) {
-            truth.overAtRouter(how + ", " + fleet.wayOf(truth), now());
+        private void end(String how) {
+            actual.endedAtRouter(how + ", " + fleet.transitState(actual), now());
             running.remove(command.attempt());
         }
 
         private void fail(String how, Outcome outcome, long note) {
-            if (!truth.overAtRouter) {
-                over(how);
+            if (!actual.endedAtRouter) {
+                end(how);
                 if (connection != null) {
                     connection.close();
                 }
@@ -332,21 +332,21 @@
             }
         }
 
-        private void bytesCame() {
-            truth.answered = true;
-            if (answerBegan) {
-                moreBytesCame(connection);
+        private void bytesReceived() {
+            actual.answered = true;
+            if (answerStarted) {
+                moreBytesReceived(connection);
             } else {
-                answerBegan = true;
-                answerBegan(connection, writtenAt);
+                answerStarted = true;
+                answerStarted(connection, writtenAt);
             }
         }
 
         /** Called when the answer is complete; the connection can then carry another call. */
         private void completed(String how) {
-            bytesCame();
-            over(how);
-            rest(connection);
+            bytesReceived();
+            end(how);
+            addIdleConnection(connection);
         }
 
         @Override
@@ -363,7 +363,7 @@
 
         @Override
         public void streamEvent() {
-            bytesCame();
+            bytesReceived();
             router().opaqueEventReceived(now(), command.attempt(), new Object());
         }
 
--- a/core/src/test/java/sorrelhoist/core/request/FaultyWorker.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyWorker.java
@@ -4,8 +4,8 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import sorrelhoist.core.request.FaultyNetwork.Connection;
-import sorrelhoist.core.request.RequestTruth.SentAttempt;
-import sorrelhoist.core.request.RequestTruth.WorkerEnd;
+import sorrelhoist.core.request.ActualRequestState.SentAttempt;
+import sorrelhoist.core.request.ActualRequestState.WorkerEnd;
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /**
@@ -26,7 +26,7 @@
     private static final double RESET_SHARE = 0.03;
 
     /** A decode with less time left than this may be dropped without a response. */
-    private static final long LITTLE_TIME_MICROS = 400 * MILLI;
+    private static final long MAY_DROP_BELOW_MICROS = 400 * MILLI;
 
     private static final double DROPPED_SHARE = 0.5;
 
@@ -49,28 +49,28 @@
     private final boolean cancelsQueued;
 
     /** Whether a prefill whose connection has ended continues and produces a state. */
-    private final boolean prefillsGoOn;
+    private final boolean prefillsContinue;
 
-    private final ArrayDeque<Runnable> untaken = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> pendingTasks = new ArrayDeque<>();
     private long hungUntil;
 
-    FaultyWorker(String name, FaultyNetwork network, Random random, boolean prefillsGoOn) {
+    FaultyWorker(String name, FaultyNetwork network, Random random, boolean prefillsContinue) {
         this.name = name;
         this.network = network;
         this.random = random;
-        this.prefillsGoOn = prefillsGoOn;
+        this.prefillsContinue = prefillsContinue;
         this.cancelsQueued = random.nextBoolean();
     }
 
     /** Makes the worker hang for {@code duration} microseconds. */
     void hang(long duration) {
         hungUntil = Math.max(hungUntil, network.now() + duration);
-        network.after(duration, this::goOn);
+        network.after(duration, this::runPendingTasks);
     }
 
-    private void goOn() {
-        while (!isHung() && !untaken.isEmpty()) {
-            untaken.pollFirst().run();
+    private void runPendingTasks() {
+        while (!isHung() && !pendingTasks.isEmpty()) {
+            pendingTasks.pollFirst().run();
         }
     }
 
@@ -79,30 +79,30 @@
     }
 
     /** Runs a task now, or once the worker no longer hangs. */
-    void whenItRuns(Runnable task) {
+    void runWhenNotHung(Runnable task) {
         if (isHung()) {
-            untaken.addLast(task);
+            pendingTasks.addLast(task);
         } else {
             task.run();
         }
     }
 
     private void later(long micros, Runnable task) {
-        network.after(micros, () -> whenItRuns(task));
+        network.after(micros, () -> runWhenNotHung(task));
     }
 
     // Attempts
 
     /** Called when the worker has received the last byte of an attempt. */
-    void attemptArrives(SentAttempt attempt, RequestTruth request, Sender sender) {
+    void attemptArrives(SentAttempt attempt, ActualRequestState request, Sender sender) {
         attempt.arrived(network.now());
-        double luck = random.nextDouble();
-        if (luck < REJECTED_SHARE) {
+        double draw = random.nextDouble();
+        if (draw < REJECTED_SHARE) {
             answer(attempt, sender, answers -> answers.failed(Outcome.FULL, 0));
-        } else if (luck < REJECTED_SHARE + ERROR_SHARE) {
+        } else if (draw < REJECTED_SHARE + ERROR_SHARE) {
             answer(attempt, sender, answers -> answers.failed(Outcome.ERROR, 0));
         } else {
-            if (luck > 1 - RESET_SHARE) {
+            if (draw > 1 - RESET_SHARE) {
                 sender.connection.reset();
             }
             if (attempt.prefill) {
@@ -121,11 +121,11 @@
     }
 
     private void answer(SentAttempt attempt, Sender sender, Consumer<Answers> answer) {
-        attempt.overAtWorker(WorkerEnd.ANSWERED, network.now());
+        attempt.endedAtWorker(WorkerEnd.ANSWERED, network.now());
         sender.send(answer);
     }
 
-    private void prefill(SentAttempt attempt, RequestTruth request, Sender sender) {
+    private void prefill(SentAttempt attempt, ActualRequestState request, Sender sender) {
         boolean isLong = random.nextDouble() < LONG_PREFILL_SHARE;
         long longest = isLong ? LONG_PREFILL_MICROS : USUAL_PREFILL_MICROS;
         later(
@@ -138,10 +138,10 @@
                 });
     }
 
-    private void decode(SentAttempt attempt, RequestTruth request, Sender sender) {
-        boolean littleTime = attempt.deadline - network.now() < LITTLE_TIME_MICROS;
+    private void decode(SentAttempt attempt, ActualRequestState request, Sender sender) {
+        boolean littleTime = attempt.deadline - network.now() < MAY_DROP_BELOW_MICROS;
         if (littleTime && random.nextDouble() < DROPPED_SHARE) {
-            attempt.overAtWorker(WorkerEnd.DROPPED, network.now());
+            attempt.endedAtWorker(WorkerEnd.DROPPED, network.now());
             return;
         }
         later(
@@ -153,16 +153,16 @@
                 });
     }
 
-    private void fetch(SentAttempt attempt, RequestTruth request, Sender sender) {
+    private void fetch(SentAttempt attempt, ActualRequestState request, Sender sender) {
         if (!request.isHeld()) {
             request.decodesWithoutState++;
             answer(attempt, sender, answers -> answers.failed(Outcome.FULL, 1));
             return;
         }
-        request.taken(network.now());
+        request.stateFetched(network.now());
         attempt.waitsForState = false;
-        if (attempt.overAtRouter) {
-            attempt.overAtWorker(WorkerEnd.UNWANTED, network.now());
+        if (attempt.endedAtRouter) {
+            attempt.endedAtWorker(WorkerEnd.UNWANTED, network.now());
         } else {
             stream(attempt, sender, 1 + random.nextInt(MAX_EVENTS));
         }
@@ -184,9 +184,9 @@
 
     /** Called when the worker notices that the connection of an attempt has ended. */
     void connectionEnded(SentAttempt attempt) {
-        boolean goesOn = attempt.prefill ? prefillsGoOn : attempt.waitsForState && !cancelsQueued;
-        if (attempt.arrived && !goesOn && attempt.workerEnd == WorkerEnd.NONE) {
-            attempt.overAtWorker(WorkerEnd.UNWANTED, network.now());
+        boolean continues = attempt.prefill ? prefillsContinue : attempt.waitsForState && !cancelsQueued;
+        if (attempt.arrived && !continues && attempt.workerEnd == WorkerEnd.NONE) {
+            attempt.endedAtWorker(WorkerEnd.UNWANTED, network.now());
         }
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/GracefulShutdownTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/GracefulShutdownTest.java
@@ -14,29 +14,29 @@
     private static final long UNTIL = 3_000_000;
 
     @Test
-    void streamsGoEvenlyAndAllAreGoneInTime() {
-        GracefulShutdown departure = new GracefulShutdown(UNTIL);
+    void streamsAreMigratedEvenlyAndAllInTime() {
+        GracefulShutdown shutdown = new GracefulShutdown(UNTIL);
         int left = 60;
         int most = 0;
         for (long t = 0; t < UNTIL; t += GracefulShutdown.STEP_MICROS) {
-            int go = departure.streamsToMigrate(t, left, true);
-            most = Math.max(most, go);
-            left -= go;
+            int migrated = shutdown.streamsToMigrate(t, left, true);
+            most = Math.max(most, migrated);
+            left -= migrated;
         }
         assertEquals(0, left);
         assertEquals(2, most);
-        assertEquals(5, departure.streamsToMigrate(UNTIL, 5, true));
+        assertEquals(5, shutdown.streamsToMigrate(UNTIL, 5, true));
     }
 
     @Test
-    void noneGoesWhileNobodyIsThereToTakeIt() {
-        GracefulShutdown departure = new GracefulShutdown(UNTIL);
-        assertEquals(0, departure.streamsToMigrate(0, 60, false));
-        assertEquals(0, departure.streamsToMigrate(UNTIL + 1, 60, false));
+    void noStreamIsMigratedWithoutALivePeer() {
+        GracefulShutdown shutdown = new GracefulShutdown(UNTIL);
+        assertEquals(0, shutdown.streamsToMigrate(0, 60, false));
+        assertEquals(0, shutdown.streamsToMigrate(UNTIL + 1, 60, false));
     }
 
     @Test
-    void aNeighbourCountsWhileItsWordIsFreshAndUntilItLeaves() {
+    void aPeerIsLiveWhileItsHeartbeatIsRecentAndUntilItAnnouncesItsShutdown() {
         PeerLiveness n = new PeerLiveness(0, 2, 0);
         assertFalse(n.hasLivePeer(0));
         assertTrue(n.messageReceived(0, 0, "@here"));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void oneThatHasJustStartedSaysNothingYetAndOneThatLeavesSaysSo() {
+    void aRouterThatHasJustStartedSendsNoHeartbeatAndOneThatShutsDownAnnouncesIt() {
         PeerLiveness n = new PeerLiveness(3, 10, 1_000_000);
         assertNull(n.heartbeatMessage(2_000_000, false));
         assertEquals("@leaving", n.heartbeatMessage(2_000_000, true));
@@ -63,24 +63,24 @@
      * second.
      */
     @Test
-    void allTogetherSayAFewWordsASecondAndOneIsAlwaysFresh() {
+    void allRoutersTogetherSendAFewHeartbeatsASecondAndOneIsAlwaysRecent() {
         for (int routers : new int[] {2, 3, 20, 100, 150}) {
-            List<Long> words = new ArrayList<>();
+            List<Long> heartbeats = new ArrayList<>();
             for (int i = 0; i < routers; i++) {
                 PeerLiveness n = new PeerLiveness(i, routers, 0);
                 for (long t = n.firstHeartbeatDelayMicros();
                         t < 120_000_000;
                         t += n.heartbeatIntervalMicros()) {
-                    words.add(t);
+                    heartbeats.add(t);
                 }
             }
-            Collections.sort(words);
-            long seconds = (120_000_000 - words.get(0)) / 1_000_000;
+            Collections.sort(heartbeats);
+            long seconds = (120_000_000 - heartbeats.get(0)) / 1_000_000;
             assertTrue(
-                    words.size() <= 4 * (seconds + 2),
-                    routers + " routers sent too many heartbeats: " + words.size());
-            for (int i = 1; i < words.size(); i++) {
-                assertTrue(words.get(i) - words.get(i - 1) <= 1_000_000);
+                    heartbeats.size() <= 4 * (seconds + 2),
+                    routers + " routers sent too many heartbeats: " + heartbeats.size());
+            for (int i = 1; i < heartbeats.size(); i++) {
+                assertTrue(heartbeats.get(i) - heartbeats.get(i - 1) <= 1_000_000);
             }
         }
     }
--- a/core/src/test/java/sorrelhoist/core/request/HoldOfUnansweredDecodeTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HoldOfUnansweredDecodeTest.java
@@ -24,20 +24,20 @@
      * Number of release calls in flight at the same time; the time limit passes before a fifth one
      * is due.
      */
-    private static final int RELEASES_ON_THEIR_WAY = 4;
+    private static final int RELEASES_IN_FLIGHT = 4;
 
     /** The engine sends bytes of a running stream before the decode arrives, and then hangs. */
     private void engineHangsRightAfterSending(String engine) {
-        passAnsweringTo(now + ONE_WAY_MICROS);
-        streamEventReceived(engine);
+        advanceAnsweringTo(now + ONE_WAY_MICROS);
+        reportStreamBytes(engine);
         silentEngines.add(engine);
     }
 
     @Test
     void bytesSentBeforeADecodeArrivedDoNotKeepItsStateFromBeingReleased() {
-        Command.StartDecode decode = decodeWritten(Fleet.UNSAFE);
+        Command.StartDecode decode = startWrittenDecode(Fleet.UNSAFE);
         engineHangsRightAfterSending(decode.engine());
-        passAnsweringTo(PREFILLED + Fleet.RELEASE);
+        advanceAnsweringTo(PREFILLED + Fleet.RELEASE);
         assertTrue(
                 releases() > 0,
                 "stream bytes received 4 ms after the decode counted as its delivery");
@@ -45,9 +45,9 @@
 
     @Test
     void bytesSentBeforeADecodeArrivedDoNotKeepItFromBeingSentElsewhere() {
-        Command.StartDecode decode = decodeWritten(Fleet.SAFE);
+        Command.StartDecode decode = startWrittenDecode(Fleet.SAFE);
         engineHangsRightAfterSending(decode.engine());
-        passAnsweringTo(PREFILLED + Fleet.RELEASE);
+        advanceAnsweringTo(PREFILLED + Fleet.RELEASE);
         int decodes = all(Command.StartDecode.class).size();
         assertEquals(
                 2, decodes, "stream bytes received 4 ms after the decode counted as its delivery");
@@ -56,12 +56,12 @@
     /** There is no ordering between two connections, so the call may have overtaken the decode. */
     @Test
     void anAnswerToACallThatOvertookADecodeDoesNotKeepItsStateFromBeingReleased() {
-        Command.StartDecode decode = decodeWritten(Fleet.UNSAFE);
+        Command.StartDecode decode = startWrittenDecode(Fleet.UNSAFE);
         long writtenAt = now;
-        passAnsweringTo(now + ONE_WAY_MICROS - STEP);
-        questionAnswered(decode.engine(), writtenAt);
+        advanceAnsweringTo(now + ONE_WAY_MICROS - STEP);
+        reportCallAnswered(decode.engine(), writtenAt);
         silentEngines.add(decode.engine());
-        passAnsweringTo(PREFILLED + Fleet.RELEASE);
+        advanceAnsweringTo(PREFILLED + Fleet.RELEASE);
         assertTrue(
                 releases() > 0, "the answer to another call counted as the delivery of the decode");
     }
@@ -71,10 +71,10 @@
      * repeated at another engine.
      */
     @Test
-    void aStateWhoseDecodeIsUnansweredIsReleasedWithinEveryLimitUntilTheDecodeHasEnded() {
-        decodeWritten(Fleet.UNSAFE);
-        passUntilTheDecodeIsGivenUp();
-        passAnsweringTo(now + Fleet.RELEASE);
+    void aStateOfAnUnansweredDecodeIsReleasedWithinEveryLimitUntilTheDecodeHasEnded() {
+        startWrittenDecode(Fleet.UNSAFE);
+        advanceUntilTheDecodeIsCancelled();
+        advanceAnsweringTo(now + Fleet.RELEASE);
         long pause = longestPauseMillis(PREFILLED, now);
         assertTrue(pause <= LIMIT_MILLIS, "no release sent for " + pause + " ms");
     }
@@ -83,35 +83,35 @@
      * The connection of the decode takes so long to be established that releases are sent
      * meanwhile.
      */
-    private Command.StartDecode decodeWrittenWhileReleasesAreOnTheirWay() {
+    private Command.StartDecode writeDecodeWhileReleasesAreInFlight() {
         client = router.requestArrived(now, Fleet.call(Fleet.UNSAFE, 10, BUDGET));
         Command.StartPrefill prefill = all(Command.StartPrefill.class).get(0);
-        written(prefill);
-        passTo(PREFILLED);
+        reportWritten(prefill);
+        advanceTo(PREFILLED);
         router.prefillCompleted(now, prefill.attempt(), "", 0, ServerLoad.NONE);
         Command.StartDecode decode = all(Command.StartDecode.class).get(0);
         router.attemptConnecting(now, decode.attempt());
-        while (releases() < RELEASES_ON_THEIR_WAY) {
+        while (releases() < RELEASES_IN_FLIGHT) {
             assertTrue(
                     now < PREFILLED + Fleet.RELEASE,
                     "only " + releases() + " releases sent within the limit");
-            passTo(now + STEP);
+            advanceTo(now + STEP);
         }
         router.attemptWritten(now, decode.attempt());
         return decode;
     }
 
-    private void passUntilTheDecodeIsGivenUp() {
+    private void advanceUntilTheDecodeIsCancelled() {
         while (all(Command.CancelAttempt.class).isEmpty()) {
             assertTrue(now < 2 * BUDGET, "decode not cancelled by the client's deadline");
-            passAnsweringTo(now + STEP);
+            advanceAnsweringTo(now + STEP);
         }
     }
 
     private void assertKeptAndReleasedAfterTheDecode() {
-        passUntilTheDecodeIsGivenUp();
+        advanceUntilTheDecodeIsCancelled();
         long endedAt = now;
-        passAnsweringTo(endedAt + EXPIRY_MICROS);
+        advanceAnsweringTo(endedAt + EXPIRY_MICROS);
         boolean released = wasReleasedBetween(endedAt, endedAt + Fleet.RELEASE);
         assertTrue(released, "no release within the limit after the end of the decode");
         assertEquals(
@@ -121,14 +121,14 @@
     }
 
     @Test
-    void aHoldWhoseReleasesWereOnTheirWayAsItsDecodeWasWrittenDoesNotExpire() {
-        decodeWrittenWhileReleasesAreOnTheirWay();
+    void aHoldWhoseReleasesWereInFlightWhenItsDecodeWasWrittenDoesNotExpire() {
+        writeDecodeWhileReleasesAreInFlight();
         assertKeptAndReleasedAfterTheDecode();
     }
 
     @Test
     void aHoldDoesNotExpireWhereOneOfItsReleasesIsLostAndTheOthersAreAnswered() {
-        decodeWrittenWhileReleasesAreOnTheirWay();
+        writeDecodeWhileReleasesAreInFlight();
         silentEngines.add(all(Command.ReleaseReservation.class).get(1).engine());
         assertKeptAndReleasedAfterTheDecode();
     }
@@ -138,22 +138,22 @@
      * is cancelled.
      */
     @Test
-    void aHoldDoesNotExpireAsADecodeEndsThatWasWrittenWhileItsReleasesWereOnTheirWay() {
-        Command.StartDecode decode = decodeWrittenWhileReleasesAreOnTheirWay();
+    void aHoldDoesNotExpireWhenADecodeEndsThatWasWrittenWhileReleasesWereInFlight() {
+        Command.StartDecode decode = writeDecodeWhileReleasesAreInFlight();
         silentEngines.add(all(Command.ReleaseReservation.class).get(1).engine());
-        passAnsweringTo(now + 10 * STEP);
-        questionAnswered(decode.engine(), now - STEP);
+        advanceAnsweringTo(now + 10 * STEP);
+        reportCallAnswered(decode.engine(), now - STEP);
         assertKeptAndReleasedAfterTheDecode();
     }
 
     @Test
-    void anAttemptOfWhichTheTransportSaysNothingDoesNotStopTheTimeOfAState() {
+    void anAttemptWithoutTransportReportsDoesNotStopTheTimeLimitOfAState() {
         router.requestArrived(now, Fleet.call(Fleet.UNSAFE, 10, BUDGET));
-        Command.StartAttempt prefill = written(all(Command.StartPrefill.class).get(0));
-        passAnsweringTo(PREFILLED);
+        Command.StartAttempt prefill = reportWritten(all(Command.StartPrefill.class).get(0));
+        advanceAnsweringTo(PREFILLED);
         router.prefillCompleted(now, prefill.attempt(), "", 0, ServerLoad.NONE);
         assertEquals(1, all(Command.StartDecode.class).size());
-        passAnsweringTo(PREFILLED + Fleet.RELEASE);
+        advanceAnsweringTo(PREFILLED + Fleet.RELEASE);
         assertTrue(releases() > 0, "no release was sent");
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/HoldOfUnansweredPrefillTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HoldOfUnansweredPrefillTest.java
@@ -18,7 +18,7 @@
 
     private void prefillWritten() {
         client = router.requestArrived(now, Fleet.call(Fleet.UNSAFE, 10, BUDGET));
-        written(all(Command.StartPrefill.class).get(0));
+        reportWritten(all(Command.StartPrefill.class).get(0));
     }
 
     /**
@@ -28,7 +28,7 @@
     @Test
     void aPrefillThatIsNotAnsweredIsNotReleasedBeforeTheRouterStopsWaiting() {
         prefillWritten();
-        passAnsweringTo(RUNNING_MICROS);
+        advanceAnsweringTo(RUNNING_MICROS);
         assertEquals(List.of(), all(Command.CancelAttempt.class));
         assertEquals(0, releases());
     }
@@ -38,22 +38,22 @@
         prefillWritten();
         while (all(Command.CancelAttempt.class).isEmpty()) {
             assertTrue(now < 2 * BUDGET, "prefill not cancelled by the client's deadline");
-            passAnsweringTo(now + STEP);
+            advanceAnsweringTo(now + STEP);
         }
         long stoppedAt = now;
-        passAnsweringTo(stoppedAt + RUNNING_MICROS);
+        advanceAnsweringTo(stoppedAt + RUNNING_MICROS);
         long pause = longestPauseMillis(stoppedAt, now);
         assertTrue(pause <= LIMIT_MILLIS, "no release sent for " + pause + " ms");
     }
 
     /** The close is stuck in the silent connection, so the engine continues the prefill. */
     @Test
-    void aPrefillGivenUpOnASilentConnectionIsReleasedThoughItsEngineIsHeard() {
+    void aPrefillCancelledOnASilentConnectionIsReleasedThoughItsEngineIsReachable() {
         prefillWritten();
-        passAnsweringTo(Fleet.RELEASE);
+        advanceAnsweringTo(Fleet.RELEASE);
         router.clientDisconnected(now, client);
         long leftAt = now;
-        passAnsweringTo(leftAt + RUNNING_MICROS);
+        advanceAnsweringTo(leftAt + RUNNING_MICROS);
         long pause = longestPauseMillis(leftAt, now);
         assertTrue(pause <= LIMIT_MILLIS, "no release sent for " + pause + " ms");
     }
--- a/core/src/test/java/sorrelhoist/core/request/HoldOfUnheardEngineTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HoldOfUnreachableEngineTest.java
@@ -11,7 +11,7 @@
  * A prefill arrives, and then the link to its engine stops passing data. The unreachable engine
  * continues and holds the resulting state, which any reachable engine can release.
  */
-class HoldOfUnheardEngineTest extends AnsweringEnginesTestSupport {
+class HoldOfUnreachableEngineTest extends AnsweringEnginesTestSupport {
     private static final long MICROS_PER_MILLI = 1000;
     private static final long LIMIT_MILLIS = Fleet.RELEASE / MICROS_PER_MILLI;
     private static final long SILENCE = 6 * Fleet.SECOND;
@@ -23,7 +23,7 @@
     private static final long PREFILL_MICROS = 5 * STEP;
 
     /** The engine whose link passes no data. */
-    private String unheard;
+    private String unreachableEngine;
 
     /**
      * The prefill arrives at an engine, is considered undelivered, and is sent to another engine.
@@ -31,51 +31,51 @@
     private Command.StartPrefill prefillSentElsewhere() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
         Command.StartPrefill first = all(Command.StartPrefill.class).get(0);
-        written(first);
-        unheard = first.engine();
-        silentEngines.add(unheard);
-        passAnsweringTo(Fleet.RELEASE);
+        reportWritten(first);
+        unreachableEngine = first.engine();
+        silentEngines.add(unreachableEngine);
+        advanceAnsweringTo(Fleet.RELEASE);
         assertEquals(
                 2, all(Command.StartPrefill.class).size(), "prefill not sent to another engine");
         Command.StartPrefill second = all(Command.StartPrefill.class).get(1);
-        assertNotEquals(unheard, second.engine());
-        written(second);
+        assertNotEquals(unreachableEngine, second.engine());
+        reportWritten(second);
         return second;
     }
 
     private void serve(Command.StartPrefill prefill) {
-        passAnsweringTo(now + PREFILL_MICROS);
-        questionAnswered(prefill.engine(), now - PREFILL_MICROS);
+        advanceAnsweringTo(now + PREFILL_MICROS);
+        reportCallAnswered(prefill.engine(), now - PREFILL_MICROS);
         router.prefillCompleted(now, prefill.attempt(), "", 0, ServerLoad.NONE);
         Command.StartDecode decode = all(Command.StartDecode.class).get(0);
-        written(decode);
-        passAnsweringTo(now + PREFILL_MICROS);
-        questionAnswered(decode.engine(), now - PREFILL_MICROS);
+        reportWritten(decode);
+        advanceAnsweringTo(now + PREFILL_MICROS);
+        reportCallAnswered(decode.engine(), now - PREFILL_MICROS);
         router.opaqueEventReceived(now, decode.attempt(), new Object());
         router.opaqueStreamCompleted(now, decode.attempt(), 0, ServerLoad.NONE);
         assertEquals(1, all(Command.FinishRequest.class).size());
     }
 
-    private void engineIsHeardAgain() {
-        silentEngines.remove(unheard);
-        questionAnswered(unheard, now - STEP);
+    private void reconnectEngine() {
+        silentEngines.remove(unreachableEngine);
+        reportCallAnswered(unreachableEngine, now - STEP);
     }
 
     private void assertReleasedWithinEveryLimitFromNow() {
         long from = now;
-        passAnsweringTo(from + SILENCE);
+        advanceAnsweringTo(from + SILENCE);
         long pause = longestPauseMillis(from, now);
         assertTrue(pause <= LIMIT_MILLIS, "no release sent for " + pause + " ms");
     }
 
     @Test
-    void aRequestServedElsewhereIsReleasedWithinEveryLimitWhileItsFirstEngineIsUnheard() {
+    void aRequestServedElsewhereIsReleasedWithinEveryLimitWhileItsFirstEngineIsUnreachable() {
         serve(prefillSentElsewhere());
         assertReleasedWithinEveryLimitFromNow();
     }
 
     @Test
-    void aRequestWhoseClientLeftIsReleasedWithinEveryLimitWhileItsFirstEngineIsUnheard() {
+    void aRequestOfADisconnectedClientIsReleasedWithinEveryLimitWhileItsFirstEngineIsUnreachable() {
         prefillSentElsewhere();
         router.clientDisconnected(now, client);
         assertReleasedWithinEveryLimitFromNow();
@@ -86,24 +86,24 @@
      * undelivered.
      */
     @Test
-    void aPrefillGivenUpAsItsEngineFellSilentIsReleasedWithinEveryLimitWhileThatIsUnheard() {
+    void aPrefillCancelledAfterItsLinkFailedIsReleasedWithinEveryLimitWhileItsEngineIsUnreachable() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
         Command.StartPrefill prefill = all(Command.StartPrefill.class).get(0);
-        written(prefill);
+        reportWritten(prefill);
         silentEngines.add(prefill.engine());
-        passAnsweringTo(Fleet.RELEASE / 4);
+        advanceAnsweringTo(Fleet.RELEASE / 4);
         router.clientDisconnected(now, client);
         assertReleasedWithinEveryLimitFromNow();
     }
 
     @Test
-    void releasesEndOnceAnEngineThatWasUnheardIsBackAndHasSettled() {
+    void releasesEndOnceAnUnreachableEngineIsBackAndHasProcessedItsQueue() {
         serve(prefillSentElsewhere());
-        passAnsweringTo(now + SHORT_SILENCE);
-        engineIsHeardAgain();
+        advanceAnsweringTo(now + SHORT_SILENCE);
+        reconnectEngine();
         int before = releases();
         long heardAt = now;
-        passAnsweringTo(heardAt + 2 * LATE_ARRIVALS_END);
+        advanceAnsweringTo(heardAt + 2 * LATE_ARRIVALS_END);
         assertTrue(releases() > before, "no release sent after the engine was reachable again");
         assertTrue(lastReleaseAt() <= heardAt + LATE_ARRIVALS_END, "releases do not end");
         assertEquals(0, router.metrics().reservationCount());
@@ -114,9 +114,9 @@
      * down has to exit in time.
      */
     @Test
-    void anExitDoesNotWaitForAnEngineThatIsUnheard() {
+    void shutdownDoesNotWaitForAnUnreachableEngine() {
         serve(prefillSentElsewhere());
-        passAnsweringTo(now + SHORT_SILENCE);
+        advanceAnsweringTo(now + SHORT_SILENCE);
         assertEquals(0, router.metrics().releasableReservations());
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/LeaseOfRequestsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HoldTimeLimitTest.java
@@ -12,7 +12,7 @@
 import sorrelhoist.routing.RoutingEvents.ServerState;
 
 /** Tests the time limit of what is held for requests whose attempts fail one after another. */
-class LeaseOfRequestsTest extends AnsweringEnginesTestSupport {
+class HoldTimeLimitTest extends AnsweringEnginesTestSupport {
     private static final long LIMIT_MILLIS = Fleet.RELEASE / STEP;
 
     /**
@@ -22,7 +22,7 @@
     private static final long SHORT_BUDGET = 650 * STEP;
 
     /** A router of a deployment whose decode engines may prefill prompts. */
-    private final Router reading = new Router(Fleet.platformSettings(true, BUDGET), commands::add);
+    private final Router prefillingRouter = new Router(Fleet.platformSettings(true, BUDGET), commands::add);
 
     private <T extends Command> T last(Class<T> type) {
         List<T> every = all(type);
@@ -31,18 +31,18 @@
 
     /** The connection of the decode is established after a release was sent and answered. */
     @Test
-    void aDecodeWhoseStateWasReleasedAsItsConnectionCameUpIsNotSentToAnotherDecoder() {
+    void aDecodeWhoseStateWasReleasedWhileConnectingIsNotSentToAnotherDecodeEngine() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
         Command.StartPrefill prefill = all(Command.StartPrefill.class).get(0);
-        written(prefill);
-        passAnsweringTo(PREFILLED);
+        reportWritten(prefill);
+        advanceAnsweringTo(PREFILLED);
         router.prefillCompleted(now, prefill.attempt(), "", 0, ServerLoad.NONE);
         Command.StartDecode decode = all(Command.StartDecode.class).get(0);
         router.attemptConnecting(now, decode.attempt());
-        passAnsweringTo(PREFILLED + 3 * Fleet.RELEASE / 5);
+        advanceAnsweringTo(PREFILLED + 3 * Fleet.RELEASE / 5);
         assertTrue(releases() > 0, "no release was sent");
         router.attemptWritten(now, decode.attempt());
-        passAnsweringTo(now + 10 * STEP);
+        advanceAnsweringTo(now + 10 * STEP);
         router.attemptFailed(now, decode.attempt(), Outcome.FULL, 0, ServerLoad.NONE);
         assertEquals(
                 1,
@@ -55,18 +55,18 @@
      * Loses a prefill while all prefill engines are draining, so that decode engines have to
      * prefill the prompt. The state that the lost prefill may have produced is not released yet.
      */
-    private void prefillLost() {
-        reading.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
-        reading.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
+    private void losePrefill() {
+        prefillingRouter.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
+        prefillingRouter.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
         Command.StartPrefill prefill = last(Command.StartPrefill.class);
-        reading.attemptConnecting(now, prefill.attempt());
-        reading.attemptWritten(now, prefill.attempt());
-        reading.endpointsUpdated(now, ListUpdateKind.UPDATE, drainingReaders());
-        reading.attemptFailed(now, prefill.attempt(), Outcome.RESET, 0, ServerLoad.NONE);
+        prefillingRouter.attemptConnecting(now, prefill.attempt());
+        prefillingRouter.attemptWritten(now, prefill.attempt());
+        prefillingRouter.endpointsUpdated(now, ListUpdateKind.UPDATE, drainingPrefillEngines());
+        prefillingRouter.attemptFailed(now, prefill.attempt(), Outcome.RESET, 0, ServerLoad.NONE);
         assertEquals(1, all(Command.StartDecode.class).size());
     }
 
-    private static List<Server> drainingReaders() {
+    private static List<Server> drainingPrefillEngines() {
         return Fleet.servers().stream()
                 .filter(server -> server.id().startsWith("r"))
                 .map(
@@ -82,10 +82,10 @@
                 .toList();
     }
 
-    private void passReadingTo(long time) {
+    private void advancePrefillingRouterTo(long time) {
         while (now < time) {
             now = Math.min(time, now + STEP);
-            reading.advance(now);
+            prefillingRouter.advance(now);
         }
     }
 
@@ -98,31 +98,31 @@
     }
 
     @Test
-    void aDecodeThatNeverConnectedDoesNotRestartTheTimeOfWhatALostPrefillMayLeave() {
-        prefillLost();
+    void aDecodeThatNeverConnectedDoesNotRestartTheTimeLimitOfALostPrefill() {
+        losePrefill();
         for (int decode = 0; decode < 2; decode++) {
             Command.StartDecode connecting = last(Command.StartDecode.class);
-            reading.attemptConnecting(now, connecting.attempt());
-            passReadingTo(now + Fleet.RELEASE / 2 - STEP);
-            reading.attemptFailed(
+            prefillingRouter.attemptConnecting(now, connecting.attempt());
+            advancePrefillingRouterTo(now + Fleet.RELEASE / 2 - STEP);
+            prefillingRouter.attemptFailed(
                     now, connecting.attempt(), Outcome.CONNECT_FAILED, 0, ServerLoad.NONE);
         }
-        passReadingTo(Fleet.RELEASE);
+        advancePrefillingRouterTo(Fleet.RELEASE);
         assertReleasedInTime();
     }
 
     @Test
-    void aDecodeThatNothingConfirmsDoesNotRestartTheTimeOfWhatALostPrefillMayLeave() {
-        prefillLost();
+    void anUnconfirmedDecodeDoesNotRestartTheTimeLimitOfALostPrefill() {
+        losePrefill();
         int written = 0;
         while (now < Fleet.RELEASE) {
             if (all(Command.StartDecode.class).size() > written) {
                 written++;
                 Command.StartDecode silent = last(Command.StartDecode.class);
-                reading.attemptConnecting(now, silent.attempt());
-                reading.attemptWritten(now, silent.attempt());
+                prefillingRouter.attemptConnecting(now, silent.attempt());
+                prefillingRouter.attemptWritten(now, silent.attempt());
             }
-            passReadingTo(now + STEP);
+            advancePrefillingRouterTo(now + STEP);
         }
         assertReleasedInTime();
     }
@@ -132,20 +132,20 @@
      * connections.
      */
     @Test
-    void aSecondDecodeThatOnlyOtherConnectionsSpeakForDoesNotRestartTheTimeOfItsState() {
+    void aSecondDecodeAnsweredOnlyOnOtherConnectionsDoesNotRestartTheTimeLimitOfItsState() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, SHORT_BUDGET));
         Command.StartPrefill prefill = all(Command.StartPrefill.class).get(0);
-        written(prefill);
-        passAnsweringTo(PREFILLED);
-        questionAnswered(prefill.engine(), now - STEP);
+        reportWritten(prefill);
+        advanceAnsweringTo(PREFILLED);
+        reportCallAnswered(prefill.engine(), now - STEP);
         router.prefillCompleted(now, prefill.attempt(), "", 0, ServerLoad.NONE);
-        written(all(Command.StartDecode.class).get(0));
+        reportWritten(all(Command.StartDecode.class).get(0));
         while (all(Command.StartDecode.class).size() < 2) {
             assertTrue(now < SHORT_BUDGET, "decode not sent to another engine");
-            passAnsweringTo(now + STEP);
+            advanceAnsweringTo(now + STEP);
         }
-        written(last(Command.StartDecode.class));
-        passAnsweringTo(PREFILLED + 2 * Fleet.RELEASE);
+        reportWritten(last(Command.StartDecode.class));
+        advanceAnsweringTo(PREFILLED + 2 * Fleet.RELEASE);
         long pause = longestPauseMillis(PREFILLED, lastReleaseAt());
         assertTrue(pause <= LIMIT_MILLIS, "no release sent for " + pause + " ms");
     }
@@ -155,18 +155,18 @@
      * cancelled prefill, the router waits for a response from its engine.
      */
     @Test
-    void clientsThatLeaveDoNotMultiplyTheReleasesOfOtherRequests() {
-        Command.StartDecode slow = decodeWritten(Fleet.UNSAFE);
-        passAnsweringTo(PREFILLED + Fleet.RELEASE);
+    void clientsThatDisconnectDoNotMultiplyTheReleasesOfOtherRequests() {
+        Command.StartDecode slow = startWrittenDecode(Fleet.UNSAFE);
+        advanceAnsweringTo(PREFILLED + Fleet.RELEASE);
         long before = releasesOf(slow.requestName());
         long from = now;
         while (now < from + 2 * Fleet.SECOND) {
             long other = router.requestArrived(now, callNamed("other" + now));
-            written(last(Command.StartPrefill.class));
-            passAnsweringTo(now + 5 * STEP);
-            questionAnswered(last(Command.StartPrefill.class).engine(), now - STEP);
+            reportWritten(last(Command.StartPrefill.class));
+            advanceAnsweringTo(now + 5 * STEP);
+            reportCallAnswered(last(Command.StartPrefill.class).engine(), now - STEP);
             router.clientDisconnected(now, other);
-            passAnsweringTo(now + 45 * STEP);
+            advanceAnsweringTo(now + 45 * STEP);
         }
         long made = releasesOf(slow.requestName()) - before;
         assertTrue(made <= 6, made + " releases of one request within 2 s");
--- a/core/src/test/java/sorrelhoist/core/request/IdempotencyWindowTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/IdempotencyWindowTest.java
@@ -11,12 +11,12 @@
     private static RequestState request(int classIndex, long mayHaveRunFrom) {
         RequestState request =
                 new RequestState(1, Fleet.call(classIndex, 10, 0), RequestState.NO_DEADLINE);
-        request.mayHaveRunFrom = mayHaveRunFrom;
+        request.mayHaveRunSince = mayHaveRunFrom;
         return request;
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunHasToLeaveBeforeItsWindowEnds() {
+    void aKeyedRequestThatMayHaveRunMustBeSentBeforeItsWindowEnds() {
         assertEquals(
                 100 + 2 * Fleet.SECOND - 150_000, window.sendByMicros(request(Fleet.KEYED, 100)));
     }
--- a/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/OpaqueStreamsTest.java
@@ -20,7 +20,7 @@
  */
 class OpaqueStreamsTest {
     private static final long SILENCE = 4 * Fleet.SECOND;
-    private final List<Command> orders = new ArrayList<>();
+    private final List<Command> commands = new ArrayList<>();
     private final Router router =
             new Router(
                     new RouterSettings(
@@ -32,10 +32,10 @@
                             100,
                             ReleaseReach.ANY_ENGINE,
                             7),
-                    orders::add);
+                    commands::add);
 
     private <T extends Command> T last(Class<T> type) {
-        return orders.stream()
+        return commands.stream()
                 .filter(type::isInstance)
                 .map(type::cast)
                 .reduce((a, b) -> b)
@@ -43,10 +43,10 @@
     }
 
     private long count(Class<? extends Command> type) {
-        return orders.stream().filter(type::isInstance).count();
+        return commands.stream().filter(type::isInstance).count();
     }
 
-    private Command.StartDecode placed() {
+    private Command.StartDecode startDecode() {
         router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
         router.requestArrived(0, Fleet.call(Fleet.SAFE, 1, 2 * Fleet.SECOND));
         router.prefillCompleted(
@@ -54,15 +54,15 @@
         return last(Command.StartDecode.class);
     }
 
-    private void pass(long from, long to) {
+    private void advance(long from, long to) {
         for (long t = from; t <= to; t += 1000) {
             router.advance(t);
         }
     }
 
     @Test
-    void eventsArePassedOnAsTheyAreAndNotCountedAgainstTheMostTokens() {
-        Command.StartDecode w = placed();
+    void eventsAreForwardedUnchangedAndNotCountedAgainstTheTokenLimit() {
+        Command.StartDecode w = startDecode();
         Object[] events = {new Object(), new Object(), new Object()};
         for (Object event : events) {
             assertTrue(router.opaqueEventReceived(20_000, w.attempt(), event));
@@ -76,16 +76,16 @@
 
     @Test
     void enginesKnowARequestByItsClientsName() {
-        Command.StartDecode w = placed();
+        Command.StartDecode w = startDecode();
         assertEquals("c", w.requestName());
         assertEquals("c", last(Command.StartPrefill.class).requestName());
     }
 
     @Test
-    void theClientsTimeDoesNotEndAStreamThatHasBegun() {
-        Command.StartDecode w = placed();
+    void theClientsDeadlineDoesNotEndAStreamThatHasBegun() {
+        Command.StartDecode w = startDecode();
         router.opaqueEventReceived(20_000, w.attempt(), "e");
-        pass(20_000, 3 * Fleet.SECOND);
+        advance(20_000, 3 * Fleet.SECOND);
         assertEquals(0, count(Command.FinishRequest.class));
         router.opaqueEventReceived(3 * Fleet.SECOND, w.attempt(), "e");
         router.opaqueStreamCompleted(3 * Fleet.SECOND, w.attempt(), 0, ServerLoad.NONE);
@@ -94,18 +94,18 @@
 
     @Test
     void aSilentStreamEndsAfterThePlatformsLimitAndNotBefore() {
-        Command.StartDecode w = placed();
+        Command.StartDecode w = startDecode();
         router.opaqueEventReceived(20_000, w.attempt(), "e");
-        pass(20_000, SILENCE);
+        advance(20_000, SILENCE);
         assertEquals(0, count(Command.FinishRequest.class));
-        pass(SILENCE, SILENCE + 30_000);
+        advance(SILENCE, SILENCE + 30_000);
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
         assertEquals(w.attempt(), last(Command.CancelAttempt.class).attempt());
     }
 
     @Test
-    void aGracefulShutdownMigratesWhatHasBegunAndNothingElse() {
-        Command.StartDecode w = placed();
+    void aGracefulShutdownMigratesOnlyStreamsThatHaveBegun() {
+        Command.StartDecode w = startDecode();
         assertEquals(0, router.migratableStreams());
         router.opaqueEventReceived(20_000, w.attempt(), "e");
         router.requestArrived(30_000, Fleet.call(Fleet.SAFE, 1, 2 * Fleet.SECOND));
@@ -117,8 +117,8 @@
     }
 
     @Test
-    void aBrokenStreamIsTheClientsToAskForAgain() {
-        Command.StartDecode w = placed();
+    void aBrokenStreamFailsAndIsLeftToTheClientToResume() {
+        Command.StartDecode w = startDecode();
         router.opaqueEventReceived(20_000, w.attempt(), "e");
         router.attemptFailed(30_000, w.attempt(), Outcome.RESET, 0, ServerLoad.NONE);
         assertInstanceOf(RequestResult.Failed.class, last(Command.FinishRequest.class).result());
--- a/core/src/test/java/sorrelhoist/core/request/PlatformAttemptTestSupport.java
+++ b/core/src/test/java/sorrelhoist/core/request/PlatformAttemptTestSupport.java
@@ -29,7 +29,7 @@
         return commands.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    void passTo(long time) {
+    void advanceTo(long time) {
         while (now < time) {
             now = Math.min(time, now + STEP);
             router.advance(now);
@@ -40,20 +40,20 @@
      * Reports that an attempt waits for a connection and is then written, as by a transport that
      * connects at once and whose operating system accepts the bytes.
      */
-    Command.StartAttempt written(Command.StartAttempt attempt) {
+    Command.StartAttempt reportWritten(Command.StartAttempt attempt) {
         router.attemptConnecting(now, attempt.attempt());
         router.attemptWritten(now, attempt.attempt());
         return attempt;
     }
 
-    Command.StartDecode decodeWritten(int requestClass) {
+    Command.StartDecode startWrittenDecode(int requestClass) {
         client = router.requestArrived(now, Fleet.call(requestClass, 10, BUDGET));
         Command.StartPrefill prefill = all(Command.StartPrefill.class).get(0);
-        written(prefill);
-        passTo(PREFILLED);
+        reportWritten(prefill);
+        advanceTo(PREFILLED);
         router.prefillCompleted(now, prefill.attempt(), "", 0, ServerLoad.NONE);
         Command.StartDecode decode = all(Command.StartDecode.class).get(0);
-        written(decode);
+        reportWritten(decode);
         return decode;
     }
 
@@ -66,7 +66,7 @@
      * Reports bytes of a running stream from an engine. They do not show that anything sent
      * recently has arrived.
      */
-    void streamEventReceived(String engine) {
+    void reportStreamBytes(String engine) {
         router.bytesReceived(now, engine);
     }
 
@@ -74,7 +74,7 @@
      * Reports that an engine begins to answer a call whose last byte was written at {@code
      * writtenAt}, in microseconds.
      */
-    void questionAnswered(String engine, long writtenAt) {
+    void reportCallAnswered(String engine, long writtenAt) {
         router.bytesReceived(now, engine);
         router.callAnswered(now, engine, writtenAt);
     }
--- a/core/src/test/java/sorrelhoist/core/request/StatesUnderFaultsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/PrefillStatesUnderFaultsTest.java
@@ -14,43 +14,43 @@
  * worker faults. The checks use the actual state of the workers, not the router's view of it. There
  * is one test for each cause; all but the last test share the simulation runs of one set of seeds.
  */
-class StatesUnderFaultsTest {
-    private static FaultyPlays plays;
+class PrefillStatesUnderFaultsTest {
+    private static FaultyFleetRuns sharedRuns;
 
     @BeforeAll
-    static void play() {
-        plays = FaultyPlays.play(FaultSchedule.EVENTS, FaultyPlays.SEEDS);
+    static void runSimulations() {
+        sharedRuns = FaultyFleetRuns.run(FaultSchedule.EVENTS, FaultyFleetRuns.SEEDS);
     }
 
-    private static void assertNone(Cause cause, FaultyPlays played) {
-        List<Long> broken = played.brokenBy(cause);
-        assertEquals(List.of(), broken, broken.size() + " seeds failed because of " + cause);
+    private static void assertNone(Cause cause, FaultyFleetRuns runs) {
+        List<Long> failedSeeds = runs.failedSeedsBy(cause);
+        assertEquals(List.of(), failedSeeds, failedSeeds.size() + " seeds failed because of " + cause);
     }
 
     @Test
     void noStateIsLateForADecodeThatHasNotArrived() {
-        assertNone(Cause.DECODE_NOT_ARRIVED, plays);
+        assertNone(Cause.DECODE_NOT_ARRIVED, sharedRuns);
     }
 
     @Test
-    void noStateIsLateForADecodeThatIsOverWithoutItsAnswer() {
-        assertNone(Cause.DECODE_UNANSWERED, plays);
+    void noStateIsLateForADecodeThatEndedWithoutItsAnswer() {
+        assertNone(Cause.DECODE_UNANSWERED, sharedRuns);
     }
 
     @Test
-    void noStateIsLateThatAPrefillLeftAfterItsEnd() {
-        assertNone(Cause.PREFILL_ENDED_LATE, plays);
+    void noStateIsLateThatAPrefillProducedAfterItsEndAtTheRouter() {
+        assertNone(Cause.PREFILL_ENDED_LATE, sharedRuns);
     }
 
     @Test
     void noStateIsLateForAnyOtherCause() {
-        assertNone(Cause.OTHER, plays);
+        assertNone(Cause.OTHER, sharedRuns);
     }
 
     /** Workers continue a prefill although they notice that its connection was closed. */
     @Test
-    void noStateIsLateThatAPrefillLeftWhichWentOnThoughItWasClosed() {
-        FaultyPlays goingOn = FaultyPlays.play(EnumSet.of(Fault.PREFILLS_GO_ON), FaultyPlays.SEEDS);
+    void noStateIsLateThatAPrefillProducedAfterItsConnectionWasClosed() {
+        FaultyFleetRuns goingOn = FaultyFleetRuns.run(EnumSet.of(Fault.PREFILLS_CONTINUE), FaultyFleetRuns.SEEDS);
         assertNone(Cause.PREFILL_ENDED_LATE, goingOn);
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/RecordedHistoriesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RecordedHistoryReplayTest.java
@@ -32,7 +32,7 @@
  * Records random histories of a router and replays them: every action must be identical, and the
  * timeline must explain every final result.
  */
-class RecordedHistoriesTest {
+class RecordedHistoryReplayTest {
     private static byte[] file(List<byte[]> chunks) {
         byte[] out = ChunkCodec.fileHeader();
         for (byte[] c : chunks) {
@@ -66,13 +66,13 @@
     }
 
     @Test
-    void everyActionOfThousandsOfRequestsIsTheSameAgain() throws CorruptRecordException {
+    void replayReproducesEveryActionOfThousandsOfRequests() throws CorruptRecordException {
         long requests = 0;
         long actions = 0;
         for (long seed = 0; seed < 700; seed++) {
-            Recording tape = Recording.of(List.of(recorded(seed)));
-            assertTrue(tape.isComplete() && tape.faults().isEmpty(), "seed " + seed);
-            Replay.Result r = Replay.run(tape);
+            Recording recording = Recording.of(List.of(recorded(seed)));
+            assertTrue(recording.isComplete() && recording.faults().isEmpty(), "seed " + seed);
+            Replay.Result r = Replay.run(recording);
             assertTrue(
                     r.isIdentical(),
                     "seed "
@@ -83,7 +83,7 @@
                                     : r.firstDifference().describe()));
             actions += r.actions();
             requests +=
-                    tape.entries().stream()
+                    recording.entries().stream()
                             .filter(
                                     l ->
                                             l.entry() instanceof RecordEntry.Decision t
@@ -96,11 +96,11 @@
     }
 
     @Test
-    void anotherSeedIsNoticedAndTheFirstDifferenceNamed() throws CorruptRecordException {
+    void aDifferentSeedIsDetectedAndTheFirstDifferenceReported() throws CorruptRecordException {
         int found = 0;
         for (long seed = 0; seed < 50; seed++) {
-            Recording tape = Recording.of(List.of(recorded(seed)));
-            RecordEntry.Header h = tape.header();
+            Recording recording = Recording.of(List.of(recorded(seed)));
+            RecordEntry.Header h = recording.header();
             Recording other =
                     Recording.of(
                             new RecordEntry.Header(
@@ -109,7 +109,7 @@
                                     h.incarnation(),
                                     h.settings(),
                                     h.seed() + 1),
-                            tape.entries().stream().map(Recording.NumberedEntry::entry).toList());
+                            recording.entries().stream().map(Recording.NumberedEntry::entry).toList());
             Replay.Difference d = Replay.run(other).firstDifference();
             if (d != null) {
                 found++;
@@ -121,16 +121,16 @@
     }
 
     @Test
-    void everyAnswerIsExplainedByItsStory() throws CorruptRecordException {
-        int told = 0;
+    void everyFinalResultIsExplainedByItsTimeline() throws CorruptRecordException {
+        int timelines = 0;
         for (long seed = 0; seed < 60; seed++) {
-            Recording tape = Recording.of(List.of(recorded(seed)));
-            for (Recording.NumberedEntry l : tape.entries()) {
+            Recording recording = Recording.of(List.of(recorded(seed)));
+            for (Recording.NumberedEntry l : recording.entries()) {
                 if (l.entry() instanceof RecordEntry.RequestSubmitted a && a.fromToken() == 0) {
-                    List<String> story = new RequestTimeline(tape).describe(a.name());
-                    assertTrue(story.get(0).contains("submitted as " + a.name()), story.toString());
+                    List<String> timeline = new RequestTimeline(recording).describe(a.name());
+                    assertTrue(timeline.get(0).contains("submitted as " + a.name()), timeline.toString());
                     boolean ended =
-                            tape.entries().stream()
+                            recording.entries().stream()
                                     .anyMatch(
                                             x ->
                                                     x.entry()
@@ -139,41 +139,41 @@
                                                             && e.client() == a.client());
                     assertEquals(
                             ended,
-                            story.stream()
+                            timeline.stream()
                                     .anyMatch(
                                             s ->
                                                     s.contains("answered: ")
                                                             || s.contains("left")
                                                             || s.contains("given up")),
-                            story.toString());
+                            timeline.toString());
                     assertTrue(
-                            story.stream()
+                            timeline.stream()
                                     .noneMatch(
                                             s ->
                                                     s.contains("nothing is known of why")
                                                             && s.contains("refused")),
-                            story.toString());
-                    told++;
+                            timeline.toString());
+                    timelines++;
                 }
             }
         }
-        assertTrue(told > 200, told + " timelines");
+        assertTrue(timelines > 200, timelines + " timelines");
     }
 
     @Test
-    void aCutTapeStillShowsItsFailureAndLittleElse() throws CorruptRecordException {
+    void aMinimizedRecordingStillShowsItsFailureAndLittleElse() throws CorruptRecordException {
         for (long seed = 0; seed < 400; seed++) {
-            Recording tape = Recording.of(List.of(recorded(seed)));
-            if (tape.entries().size() > 60 && budgetSpent(tape)) {
-                RecordingMinimizer cut =
+            Recording recording = Recording.of(List.of(recorded(seed)));
+            if (recording.entries().size() > 60 && hasUnsafeRepeatFailure(recording)) {
+                RecordingMinimizer minimizer =
                         new RecordingMinimizer(
-                                tape.header(), RecordedHistoriesTest::budgetSpent, 3000);
-                Recording little = cut.minimize(tape);
-                assertTrue(budgetSpent(little));
+                                recording.header(), RecordedHistoryReplayTest::hasUnsafeRepeatFailure, 3000);
+                Recording minimized = minimizer.minimize(recording);
+                assertTrue(hasUnsafeRepeatFailure(minimized));
                 assertTrue(
-                        little.entries().size() * 3 < tape.entries().size(),
-                        little.entries().size() + " of " + tape.entries().size());
-                Recording again = Recording.of(List.of(little.toFileBytes()));
+                        minimized.entries().size() * 3 < recording.entries().size(),
+                        minimized.entries().size() + " of " + recording.entries().size());
+                Recording again = Recording.of(List.of(minimized.toFileBytes()));
                 assertTrue(again.isComplete());
                 assertTrue(
                         Replay.run(again).isIdentical(),
@@ -186,13 +186,13 @@
     }
 
     /** Returns whether a request failed because a further attempt would have been unsafe. */
-    private static boolean budgetSpent(Recording tape) {
-        return tape.entries().stream()
+    private static boolean hasUnsafeRepeatFailure(Recording recording) {
+        return recording.entries().stream()
                 .anyMatch(
                         l ->
                                 l.entry() instanceof RecordEntry.Decision t
                                         && t.actions().stream()
-                                                .anyMatch(RecordedHistoriesTest::isUnsafeRepeat));
+                                                .anyMatch(RecordedHistoryReplayTest::isUnsafeRepeat));
     }
 
     private static boolean isUnsafeRepeat(Action action) {
@@ -228,11 +228,11 @@
     void otherSettingsShowWhatTheyWouldHaveChanged() throws CorruptRecordException {
         int refusedNow = 0;
         for (long seed = 0; seed < 60; seed++) {
-            Recording tape = Recording.of(List.of(recorded(seed)));
-            RoutingSettings s = tape.header().settings();
-            ReplayComparison.Report same = ReplayComparison.compare(tape, s);
+            Recording recording = Recording.of(List.of(recorded(seed)));
+            RoutingSettings s = recording.header().settings();
+            ReplayComparison.Report same = ReplayComparison.compare(recording, s);
             assertEquals(same.requests(), same.unchanged(), "seed " + seed);
-            ReplayComparison.Report fewer = ReplayComparison.compare(tape, withTwoAttempts(s));
+            ReplayComparison.Report fewer = ReplayComparison.compare(recording, withTwoAttempts(s));
             int changed = fewer.newlyRejected().values().stream().mapToInt(n -> n).sum();
             assertEquals(
                     fewer.requests() - fewer.unchanged(),
@@ -247,9 +247,9 @@
     }
 
     @Test
-    void neutralNamesStayEqualWhereNamesWere() throws CorruptRecordException {
-        Recording tape = Recording.of(List.of(recorded(3)));
-        Recording other = RecordingAnonymizer.anonymize(tape);
+    void anonymizedNamesAreEqualWhereTheOriginalNamesAre() throws CorruptRecordException {
+        Recording recording = Recording.of(List.of(recorded(3)));
+        Recording other = RecordingAnonymizer.anonymize(recording);
         assertTrue(Replay.run(other).isIdentical());
         String text = other.entries().toString() + other.header();
         for (Server server : Fleet.servers()) {
@@ -269,7 +269,7 @@
     }
 
     @Test
-    void whatIsTaughtAndAChangedSeatArePlayedToo() throws CorruptRecordException {
+    void importedKnowledgeAndChangedRouterIndexAreReplayed() throws CorruptRecordException {
         List<byte[]> chunks = new ArrayList<>();
         RouterSettings s = Fleet.settings(true, true, 9);
         Recorder recorder =
@@ -293,13 +293,13 @@
         }
         router.advance(10_000_000);
         recorder.flush();
-        Recording tape = Recording.of(List.of(file(chunks)));
+        Recording recording = Recording.of(List.of(file(chunks)));
         assertTrue(
-                tape.entries().stream()
+                recording.entries().stream()
                         .anyMatch(l -> l.entry() instanceof RecordEntry.KnowledgeAdopted));
-        assertTrue(Replay.run(tape).isIdentical());
+        assertTrue(Replay.run(recording).isIdentical());
         assertTrue(
-                tape.entries().stream()
+                recording.entries().stream()
                         .anyMatch(
                                 l ->
                                         l.entry() instanceof RecordEntry.Decision t
--- a/core/src/test/java/sorrelhoist/core/request/RequestTableTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RequestTableTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aResumedRequestIsNotFoundUnderItsFormerNumber() {
+    void aResumedRequestIsNotFoundUnderItsFormerRoutingId() {
         AttemptId former = start().id;
         requests.removeRoutingId(request);
         requests.assignRoutingId(request);
--- a/core/src/test/java/sorrelhoist/core/request/ReservationWorld.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationSimulation.java
@@ -18,7 +18,7 @@
  * given sequence of events and reports every case in which something was held for longer than the
  * time limit while no attempt of the request was at a worker.
  */
-final class ReservationWorld {
+final class ReservationSimulation {
     /** The outcome of attempts after all events of the sequence. */
     enum Tail {
         SERVED,
@@ -36,34 +36,34 @@
     private static final long SLOW_RELEASE_ARRIVES = 100_000;
 
     private enum Connecting {
-        STANDS,
+        ESTABLISHED,
         FAILS,
         HANGS,
-        SWALLOWS
+        LOSES_DATA
     }
 
-    private static final class Out {
+    private static final class RunningAttempt {
         final AttemptId id;
         final String engine;
-        final boolean read;
-        boolean reached;
+        final boolean prefill;
+        boolean atWorker;
         boolean streaming;
 
         boolean waitsForState() {
-            return reached && !read && !streaming;
+            return atWorker && !prefill && !streaming;
         }
 
-        Out(AttemptId id, String engine, boolean read) {
+        RunningAttempt(AttemptId id, String engine, boolean prefill) {
             this.id = id;
             this.engine = engine;
-            this.read = read;
+            this.prefill = prefill;
         }
     }
 
     private final Tail tail;
     private final Router router;
-    private final TimerQueue<Runnable> world = new TimerQueue<>();
-    private final Map<AttemptId, Out> out = new HashMap<>();
+    private final TimerQueue<Runnable> scheduledEvents = new TimerQueue<>();
+    private final Map<AttemptId, RunningAttempt> runningAttempts = new HashMap<>();
     private final Set<Long> abandoned = new HashSet<>();
     private final Set<String> gone = new HashSet<>();
 
@@ -72,8 +72,8 @@
 
     private final ArrayDeque<ReservationEvent> releases = new ArrayDeque<>();
     private final List<String> faults = new ArrayList<>();
-    private Connecting next = Connecting.STANDS;
-    private long endsAfterDrop = -1;
+    private Connecting next = Connecting.ESTABLISHED;
+    private long endsAfterCancellation = -1;
     private boolean scripted = true;
     private boolean held;
     private long heldSince;
@@ -81,22 +81,22 @@
     private boolean answered;
     private long now;
 
-    ReservationWorld(Tail tail, boolean writersRead) {
+    ReservationSimulation(Tail tail, boolean decodersMayPrefill) {
         this.tail = tail;
-        router = new Router(Fleet.platformSettings(writersRead, BUDGET), this::take);
+        router = new Router(Fleet.platformSettings(decodersMayPrefill, BUDGET), this::execute);
         router.endpointsUpdated(0, ListUpdateKind.COMPLETE, Fleet.servers());
     }
 
     /** Runs one sequence of events. {@return the faults found} */
-    List<String> play(List<ReservationEvent> events) {
+    List<String> run(List<ReservationEvent> events) {
         arrive();
         for (ReservationEvent event : events) {
-            passTo(now + STEP);
-            happen(event);
+            advanceTo(now + STEP);
+            apply(event);
         }
         scripted = false;
-        List.copyOf(out.values()).forEach(this::playTail);
-        passTo(now + BUDGET + 6 * Fleet.SECOND);
+        List.copyOf(runningAttempts.values()).forEach(this::scheduleTail);
+        advanceTo(now + BUDGET + 6 * Fleet.SECOND);
         if (held) {
             faults.add("state still held at the end");
         }
@@ -126,12 +126,12 @@
                                 .build());
     }
 
-    private void passTo(long time) {
-        while (Math.min(world.nextDueMicros(), router.nextTimerAt()) <= time) {
-            now = Math.max(now, Math.min(world.nextDueMicros(), router.nextTimerAt()));
+    private void advanceTo(long time) {
+        while (Math.min(scheduledEvents.nextDueMicros(), router.nextTimerAt()) <= time) {
+            now = Math.max(now, Math.min(scheduledEvents.nextDueMicros(), router.nextTimerAt()));
             check();
             router.advance(now);
-            for (Runnable due = world.pollDue(now); due != null; due = world.pollDue(now)) {
+            for (Runnable due = scheduledEvents.pollDue(now); due != null; due = scheduledEvents.pollDue(now)) {
                 due.run();
             }
         }
@@ -140,7 +140,7 @@
     }
 
     private void check() {
-        boolean reached = out.values().stream().anyMatch(attempt -> attempt.reached);
+        boolean reached = runningAttempts.values().stream().anyMatch(attempt -> attempt.atWorker);
         if (held && !reached && now - heldSince > Fleet.RELEASE) {
             faults.add("state held for longer than the time limit");
         }
@@ -153,49 +153,49 @@
 
     // Events
 
-    private void happen(ReservationEvent event) {
-        Out attempt = out.values().stream().findFirst().orElse(null);
-        boolean reading = attempt != null && attempt.read && attempt.reached;
-        boolean writing = attempt != null && !attempt.read && attempt.reached && !attempt.streaming;
+    private void apply(ReservationEvent event) {
+        RunningAttempt attempt = runningAttempts.values().stream().findFirst().orElse(null);
+        boolean prefilling = attempt != null && attempt.prefill && attempt.atWorker;
+        boolean decoding = attempt != null && !attempt.prefill && attempt.atWorker && !attempt.streaming;
         switch (event) {
-            case READ_ENDS -> {
-                if (reading) {
-                    readEnds(attempt);
+            case PREFILL_ENDS -> {
+                if (prefilling) {
+                    completePrefill(attempt);
                 }
             }
-            case READ_LOST -> loseIf(reading, attempt, Outcome.RESET, 0);
-            case READ_ENDS_AND_IS_LOST -> {
-                if (reading) {
+            case PREFILL_LOST -> failIf(prefilling, attempt, Outcome.RESET, 0);
+            case PREFILL_ENDS_AND_IS_LOST -> {
+                if (prefilling) {
                     hold();
-                    lose(attempt, Outcome.RESET, 0);
+                    fail(attempt, Outcome.RESET, 0);
                 }
             }
-            case READ_ENDS_AS_IT_IS_DROPPED -> endsAfterDrop = SOON;
-            case READ_ENDS_LONG_AFTER_ITS_DROP -> endsAfterDrop = 2 * STEP;
-            case WRITER_FULL -> loseIf(writing, attempt, Outcome.FULL, 0);
-            case STATE_NOT_FETCHED -> loseIf(writing, attempt, Outcome.FULL, 1);
-            case WRITER_RESET -> loseIf(writing, attempt, Outcome.RESET, 0);
-            case WRITER_ERROR -> loseIf(writing, attempt, Outcome.ERROR, 0);
+            case PREFILL_ENDS_WHEN_CANCELLED -> endsAfterCancellation = SOON;
+            case PREFILL_ENDS_LONG_AFTER_CANCELLATION -> endsAfterCancellation = 2 * STEP;
+            case DECODE_ENGINE_FULL -> failIf(decoding, attempt, Outcome.FULL, 0);
+            case STATE_NOT_FETCHED -> failIf(decoding, attempt, Outcome.FULL, 1);
+            case DECODE_RESET -> failIf(decoding, attempt, Outcome.RESET, 0);
+            case DECODE_ERROR -> failIf(decoding, attempt, Outcome.ERROR, 0);
             case NEXT_UNREACHABLE -> next = Connecting.FAILS;
             case NEXT_CONNECTION_HANGS -> next = Connecting.HANGS;
-            case NEXT_SWALLOWED -> next = Connecting.SWALLOWS;
-            case TIME_PASSES -> passTo(now + Fleet.RELEASE / 2);
+            case NEXT_LOST_IN_TRANSIT -> next = Connecting.LOSES_DATA;
+            case TIME_PASSES -> advanceTo(now + Fleet.RELEASE / 2);
             case CLIENT_GONE -> disconnectClient();
-            case DEADLINE -> passTo(now + BUDGET);
+            case DEADLINE -> advanceTo(now + BUDGET);
             case SAME_ID_AGAIN -> {
                 if (answered) {
                     arrive();
                 }
             }
             case RELEASE_LOST, RELEASE_REFUSED, RELEASE_SLOW -> releases.add(event);
-            case WORKER_GONE -> removeEngineOf(attempt);
+            case WORKER_REMOVED -> removeEngineOf(attempt);
             default -> throw new IllegalStateException("unknown event " + event);
         }
     }
 
-    private void loseIf(boolean possible, Out attempt, Outcome outcome, long note) {
+    private void failIf(boolean possible, RunningAttempt attempt, Outcome outcome, long note) {
         if (possible) {
-            lose(attempt, outcome, note);
+            fail(attempt, outcome, note);
         }
     }
 
@@ -206,23 +206,23 @@
         }
     }
 
-    private void removeEngineOf(Out attempt) {
+    private void removeEngineOf(RunningAttempt attempt) {
         if (attempt != null && gone.add(attempt.engine)) {
             router.endpointsUpdated(
                     now, ListUpdateKind.UPDATE, List.of(Fleet.goneServer(attempt.engine)));
-            if (attempt.reached) {
-                lose(attempt, Outcome.RESET, 0);
+            if (attempt.atWorker) {
+                fail(attempt, Outcome.RESET, 0);
             }
         }
     }
 
-    private void readEnds(Out attempt) {
+    private void completePrefill(RunningAttempt attempt) {
         end(attempt);
         hold();
         router.prefillCompleted(now, attempt.id, "", 0, ServerLoad.NONE);
     }
 
-    private void lose(Out attempt, Outcome outcome, long note) {
+    private void fail(RunningAttempt attempt, Outcome outcome, long note) {
         end(attempt);
         router.attemptFailed(now, attempt.id, outcome, note, ServerLoad.NONE);
     }
@@ -231,45 +231,45 @@
      * Ends an attempt. The time limit of what is held starts again with the outcome of an attempt
      * that was at a worker.
      */
-    private void end(Out attempt) {
-        out.remove(attempt.id);
-        if (attempt.reached) {
+    private void end(RunningAttempt attempt) {
+        runningAttempts.remove(attempt.id);
+        if (attempt.atWorker) {
             heldSince = now;
         }
     }
 
-    private boolean isOut(Out attempt) {
-        return out.get(attempt.id) == attempt;
+    private boolean isRunning(RunningAttempt attempt) {
+        return runningAttempts.get(attempt.id) == attempt;
     }
 
-    private void playTail(Out attempt) {
-        world.schedule(
+    private void scheduleTail(RunningAttempt attempt) {
+        scheduledEvents.schedule(
                 now + STEP,
                 () -> {
-                    if (!isOut(attempt)
-                            || !attempt.reached
+                    if (!isRunning(attempt)
+                            || !attempt.atWorker
                             || tail == Tail.SILENT
                             || attempt.streaming) {
                         return;
                     }
                     if (tail == Tail.FULL) {
-                        lose(attempt, Outcome.FULL, 0);
-                    } else if (attempt.read) {
-                        readEnds(attempt);
+                        fail(attempt, Outcome.FULL, 0);
+                    } else if (attempt.prefill) {
+                        completePrefill(attempt);
                     } else {
                         stream(attempt);
                     }
                 });
     }
 
-    private void stream(Out attempt) {
+    private void stream(RunningAttempt attempt) {
         held = false;
         attempt.streaming = true;
         router.opaqueEventReceived(now, attempt.id, new Object());
-        world.schedule(
+        scheduledEvents.schedule(
                 now + STEP,
                 () -> {
-                    if (isOut(attempt)) {
+                    if (isRunning(attempt)) {
                         end(attempt);
                         router.opaqueStreamCompleted(now, attempt.id, 0, ServerLoad.NONE);
                     }
@@ -278,66 +278,66 @@
 
     // Commands of the router
 
-    private void take(Command order) {
-        if (order instanceof Command.StartPrefill o) {
-            send(new Out(o.attempt(), o.engine(), true));
-        } else if (order instanceof Command.StartDecode o) {
-            send(new Out(o.attempt(), o.engine(), false));
-        } else if (order instanceof Command.CancelAttempt o) {
-            drop(out.get(o.attempt()));
-        } else if (order instanceof Command.FinishRequest) {
+    private void execute(Command command) {
+        if (command instanceof Command.StartPrefill o) {
+            send(new RunningAttempt(o.attempt(), o.engine(), true));
+        } else if (command instanceof Command.StartDecode o) {
+            send(new RunningAttempt(o.attempt(), o.engine(), false));
+        } else if (command instanceof Command.CancelAttempt o) {
+            cancel(runningAttempts.get(o.attempt()));
+        } else if (command instanceof Command.FinishRequest) {
             answered = true;
-        } else if (order instanceof Command.ReleaseReservation o) {
+        } else if (command instanceof Command.ReleaseReservation o) {
             release(o);
-        } else if (order instanceof Command.AbandonRelease o) {
+        } else if (command instanceof Command.AbandonRelease o) {
             abandoned.add(o.releaseId());
-        } else if (order instanceof Command.CheckReachability o) {
+        } else if (command instanceof Command.CheckReachability o) {
             checkReachability(o.engine());
         }
     }
 
-    private void send(Out attempt) {
-        if (out.values().stream().anyMatch(other -> other.reached)) {
+    private void send(RunningAttempt attempt) {
+        if (runningAttempts.values().stream().anyMatch(other -> other.atWorker)) {
             faults.add("two attempts running at once");
         }
         Connecting connecting = gone.contains(attempt.engine) ? Connecting.FAILS : next;
-        next = Connecting.STANDS;
-        out.put(attempt.id, attempt);
+        next = Connecting.ESTABLISHED;
+        runningAttempts.put(attempt.id, attempt);
         router.attemptConnecting(now, attempt.id);
-        if (connecting == Connecting.SWALLOWS) {
+        if (connecting == Connecting.LOSES_DATA) {
             router.attemptWritten(now, attempt.id);
             unreachable.put(attempt.engine, now + UNREACHABLE_FOR);
-        } else if (connecting == Connecting.STANDS) {
-            world.schedule(
+        } else if (connecting == Connecting.ESTABLISHED) {
+            scheduledEvents.schedule(
                     now + SOON,
                     () -> {
-                        if (isOut(attempt)) {
-                            attempt.reached = true;
+                        if (isRunning(attempt)) {
+                            attempt.atWorker = true;
                             router.attemptWritten(now, attempt.id);
                             if (!scripted) {
-                                playTail(attempt);
+                                scheduleTail(attempt);
                             }
                         }
                     });
         } else if (connecting == Connecting.FAILS) {
-            world.schedule(
+            scheduledEvents.schedule(
                     now + CONNECT_LIMIT,
                     () -> {
-                        if (isOut(attempt)) {
-                            lose(attempt, Outcome.CONNECT_FAILED, 0);
+                        if (isRunning(attempt)) {
+                            fail(attempt, Outcome.CONNECT_FAILED, 0);
                         }
                     });
         }
     }
 
-    private void drop(Out attempt) {
+    private void cancel(RunningAttempt attempt) {
         if (attempt == null) {
             return;
         }
         end(attempt);
-        if (attempt.read && attempt.reached && endsAfterDrop >= 0) {
-            world.schedule(now + endsAfterDrop, this::hold);
-            endsAfterDrop = -1;
+        if (attempt.prefill && attempt.atWorker && endsAfterCancellation >= 0) {
+            scheduledEvents.schedule(now + endsAfterCancellation, this::hold);
+            endsAfterCancellation = -1;
         }
     }
 
@@ -347,12 +347,12 @@
      */
     private void checkReachability(String engine) {
         if (gone.contains(engine)) {
-            world.schedule(now + SOON, () -> router.reachabilityChecked(now, engine, true));
+            scheduledEvents.schedule(now + SOON, () -> router.reachabilityChecked(now, engine, true));
             return;
         }
         long askedAt = now;
         long backAt = unreachable.getOrDefault(engine, now);
-        world.schedule(
+        scheduledEvents.schedule(
                 Math.max(now, backAt) + SOON,
                 () -> {
                     if (!gone.contains(engine)) {
@@ -372,7 +372,7 @@
         }
         long arrives =
                 fate == ReservationEvent.RELEASE_SLOW ? SLOW_RELEASE_ARRIVES : RELEASE_ARRIVES;
-        world.schedule(
+        scheduledEvents.schedule(
                 now + arrives,
                 () -> {
                     if (abandoned.contains(o.releaseId())) {
@@ -384,8 +384,8 @@
                     }
                     // A release does not drop a state that a decode is waiting for, but is answered
                     // nevertheless.
-                    held &= out.values().stream().anyMatch(Out::waitsForState);
-                    world.schedule(
+                    held &= runningAttempts.values().stream().anyMatch(RunningAttempt::waitsForState);
+                    scheduledEvents.schedule(
                             now + RELEASE_ARRIVES,
                             () -> router.releaseCompleted(now, o.releaseId(), true));
                 });
--- a/core/src/test/java/sorrelhoist/core/request/RouterBench.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterBench.java
@@ -38,15 +38,15 @@
     private Router router;
     private AttemptId last;
     private long now = 1_000_000;
-    private int n;
+    private int nextCall;
     private long chunkBytes;
     private long requests;
 
     /** Creates a router with a complete endpoint list. */
     @Setup
-    public void fleet() {
+    public void createRouter() {
         RouterSettings s = Fleet.settings(true, true, 3);
-        DecisionListener tap =
+        DecisionListener listener =
                 recorder.equals("off")
                         ? DecisionListener.NONE
                         : new Recorder(
@@ -60,7 +60,7 @@
                                     chunkBytes += chunk.length;
                                     return true;
                                 });
-        router = new Router(s, this::take, tap);
+        router = new Router(s, this::execute, listener);
         router.endpointsUpdated(now, ListUpdateKind.COMPLETE, Fleet.servers());
         for (int i = 0; i < calls.length; i++) {
             calls[i] =
@@ -73,10 +73,10 @@
         }
     }
 
-    private void take(Command order) {
-        if (order instanceof Command.StartPrefill r) {
+    private void execute(Command command) {
+        if (command instanceof Command.StartPrefill r) {
             last = r.attempt();
-        } else if (order instanceof Command.StartDecode w) {
+        } else if (command instanceof Command.StartDecode w) {
             last = w.attempt();
         }
     }
@@ -87,7 +87,7 @@
         requests++;
         now += 300;
         router.advance(now);
-        router.requestArrived(now, calls[n++ % calls.length]);
+        router.requestArrived(now, calls[nextCall++ % calls.length]);
         router.prefillCompleted(now + 50, last, "state", 100, ServerLoad.NONE);
         router.tokenReceived(now + 100, last, 0, "a", null);
         router.tokenReceived(now + 150, last, 1, "b", null);
@@ -97,7 +97,7 @@
 
     /** Prints the size of the record per request. */
     @org.openjdk.jmh.annotations.TearDown
-    public void say() {
+    public void printRecordSize() {
         System.out.println(
                 recorder + ": " + chunkBytes / Math.max(1, requests) + " bytes per request");
     }
--- a/core/src/test/java/sorrelhoist/core/request/RouterTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RouterTest.java
@@ -21,7 +21,7 @@
 /** Tests the lifecycle of single requests; the test controls the time. */
 class RouterTest extends RouterTestSupport {
     @Test
-    void enginesThatLeftAreForgottenByUpdatesAndCompleteLists() {
+    void updatesAndCompleteListsRemoveEnginesThatLeft() {
         Server first = Fleet.servers().get(0);
         for (int i = 0; i < 1000; i++) {
             Server fresh =
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aSilentStreamTimesOutByTheGapsThatWereSeen() {
+    void aSilentStreamTimesOutAccordingToObservedTokenGaps() {
         Command.StartDecode w = startedDecode(0, Fleet.SAFE, 100, 0);
         long t = 20_000;
         for (int i = 0; i < 50; i++, t += 20_000) {
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void anAnswerThatEndsShortOfItsCountFails() {
+    void anAnswerWithFewerTokensThanReportedFails() {
         router = router(true, false);
         Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "a", null);
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aStreamEndsBeforeItsClientsTimeIsUp() {
+    void aStreamEndsBeforeItsClientsDeadline() {
         Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, Fleet.SECOND);
         router.tokenReceived(20_000, w.attempt(), 0, "a", null);
         for (long t = 100_000; t < 980_000; t += 100_000) {
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void aDrainingRouterRejectsWithAHintAndFailsTheRestWhenTold() {
+    void aDrainingRouterRejectsWithARetryDelayAndFailsTheRestOnRequest() {
         Command.StartDecode w = startedDecode(0, Fleet.SAFE, 10, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "a", null);
         router.startDraining();
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void anEngineIsNotToBlameForAClientThatDoesNotRead() {
+    void anEngineIsNotTimedOutWhileTheClientDoesNotRead() {
         Command.StartDecode w = startedDecode(0, Fleet.SAFE, 100, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "t ", null);
         router.clientBackpressureChanged(30_000, 1, true);
@@ -226,7 +226,7 @@
     }
 
     @Test
-    void aStalledClientIsGivenUpInBoundedTime() {
+    void theRequestOfAStalledClientIsCancelledInBoundedTime() {
         Command.StartDecode w = startedDecode(0, Fleet.SAFE, 100, 0);
         router.tokenReceived(20_000, w.attempt(), 0, "t ", null);
         router.clientBackpressureChanged(30_000, 1, true);
@@ -253,7 +253,7 @@
     }
 
     @Test
-    void aRequestWhoseArrivalCouldNotBeTakenIsAnsweredByTheEndOfItsTime() {
+    void aRequestWhoseArrivalCouldNotBeProcessedFailsAfterItsDeadline() {
         DecisionListener failing =
                 new DecisionListener() {
                     @Override
@@ -276,7 +276,7 @@
     }
 
     @Test
-    void aCommandThatFailsStopsNoOther() {
+    void aCommandThatFailsDoesNotPreventOthers() {
         boolean[] failed = new boolean[1];
         Router faulty =
                 new Router(
@@ -305,7 +305,7 @@
     }
 
     @Test
-    void aKeyedRetryThatMayHaveRunSaysByWhenItHasToLeave() {
+    void aKeyedRetryThatMayHaveRunCarriesASendDeadline() {
         Command.StartDecode first = startedDecode(0, Fleet.KEYED, 10, 0);
         assertEquals(
                 Long.MAX_VALUE,
@@ -323,7 +323,7 @@
     }
 
     @Test
-    void aRetryOfWhatNeverRanOrIsIdempotentMayLeaveAtAnyTime() {
+    void aRetryThatNeverRanOrIsIdempotentHasNoSendDeadline() {
         Command.StartDecode neverRan = startedDecode(0, Fleet.KEYED, 10, 0);
         router.attemptFailed(
                 20_000, neverRan.attempt(), Outcome.CONNECT_FAILED, 0, ServerLoad.NONE);
--- a/core/src/test/java/sorrelhoist/core/request/ShutdownPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/ShutdownPolicyTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void whatIsTakenLastHasItsWholeDeadlineBeforeTheKill() {
+    void theLastAcceptedRequestHasItsWholeDeadlineBeforeTheKill() {
         for (long deadline = 100_000; deadline <= 3 * Fleet.SECOND; deadline += 100_000) {
             ShutdownPolicy policy = new ShutdownPolicy(deadline);
             assertTrue(policy.acceptingMicros() + deadline < policy.killMicros());
--- a/core/src/test/java/sorrelhoist/core/request/StreamMigrationTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/StreamMigrationTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void nothingIsMigratedWhereNobodyResumes() {
+    void nothingIsMigratedIfNeitherRouterNorClientResumes() {
         stream(5);
         StreamMigration migration = migration(false);
         migration.migrateYoungest(1);
--- a/core/src/test/java/sorrelhoist/core/request/StreamRecoveryTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/StreamRecoveryTest.java
@@ -39,11 +39,11 @@
     }
 
     @Test
-    void anIdempotentStreamIsResumedUnderANewNumber() {
+    void anIdempotentStreamIsResumedUnderANewRoutingId() {
         RequestComponents core = core(true);
         RequestState request = breakStream(core, Fleet.SAFE, 3);
         assertEquals(RequestPhase.WAITING, request.phase);
-        assertEquals(1, request.resumptions);
+        assertEquals(1, request.resumptionCount);
         assertNotEquals(request.clientId + 1, request.routingId);
         assertEquals(List.of(), commands);
     }
--- a/core/src/test/java/sorrelhoist/core/request/StreamTimeoutsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/StreamTimeoutsTest.java
@@ -13,7 +13,7 @@
         return new Attempt(request, new AttemptId(2, 0), "w0", 0, false, 0);
     }
 
-    private static StreamTimeouts judgedByGaps() {
+    private static StreamTimeouts timeoutsFromGaps() {
         return new StreamTimeouts(StreamSettings.ofTokens(true, Fleet.STALL), 1);
     }
 
@@ -27,15 +27,15 @@
     }
 
     @Test
-    void aStreamThatItsClientHoldsBackIsNeverDead() {
+    void aStreamIsNeverDeadWhileItsClientDoesNotRead() {
         Attempt attempt = attempt();
         attempt.request.blockedSince = 5;
-        assertEquals(Long.MAX_VALUE, judgedByGaps().deadAt(attempt));
+        assertEquals(Long.MAX_VALUE, timeoutsFromGaps().deadAt(attempt));
     }
 
     @Test
-    void theTimeoutFollowsTheGapsOnceEnoughWereSeen() {
-        StreamTimeouts timeouts = judgedByGaps();
+    void theTimeoutFollowsTheGapsOnceEnoughWereRecorded() {
+        StreamTimeouts timeouts = timeoutsFromGaps();
         Attempt attempt = attempt();
         for (int i = 1; i < 20; i++) {
             timeouts.tokenReceived(attempt, 100_000);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void theTimeoutHasAFloor() {
+    void theTimeoutHasAMinimum() {
         TokenGapEstimator gaps = new TokenGapEstimator(1);
         for (int i = 0; i < 20; i++) {
             gaps.record(0, 10);
--- a/core/src/test/java/sorrelhoist/core/request/UndeliveredAttemptTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/UndeliveredAttemptTest.java
@@ -14,9 +14,9 @@
  */
 class UndeliveredAttemptTest extends PlatformAttemptTestSupport {
     @Test
-    void aStateIsReleasedInTimeWhereNothingShowsThatItsDecodeArrived() {
-        decodeWritten(Fleet.UNSAFE);
-        passTo(PREFILLED + Fleet.RELEASE - STEP);
+    void aStateIsReleasedInTimeIfTheDeliveryOfItsDecodeIsUnconfirmed() {
+        startWrittenDecode(Fleet.UNSAFE);
+        advanceTo(PREFILLED + Fleet.RELEASE - STEP);
         assertTrue(all(Command.ReleaseReservation.class).size() > 0, "no release was sent");
         assertEquals(
                 1,
@@ -25,9 +25,9 @@
     }
 
     @Test
-    void aDecodeThatNothingConfirmsGoesToAnotherEngineWithinTheLimitOfItsState() {
-        Command.StartDecode first = decodeWritten(Fleet.SAFE);
-        passTo(PREFILLED + Fleet.RELEASE / 2);
+    void anUnconfirmedDecodeIsSentToAnotherEngineWithinTheTimeLimitOfItsState() {
+        Command.StartDecode first = startWrittenDecode(Fleet.SAFE);
+        advanceTo(PREFILLED + Fleet.RELEASE / 2);
         List<Command.StartDecode> decodes = all(Command.StartDecode.class);
         assertEquals(2, decodes.size());
         assertNotEquals(first.engine(), decodes.get(1).engine());
@@ -39,36 +39,36 @@
     }
 
     @Test
-    void aPrefillThatNothingConfirmsGoesToAnotherEngine() {
+    void anUnconfirmedPrefillIsSentToAnotherEngine() {
         router.requestArrived(now, Fleet.call(Fleet.UNSAFE, 10, BUDGET));
-        Command.StartAttempt first = written(all(Command.StartPrefill.class).get(0));
-        passTo(Fleet.RELEASE);
+        Command.StartAttempt first = reportWritten(all(Command.StartPrefill.class).get(0));
+        advanceTo(Fleet.RELEASE);
         List<Command.StartPrefill> prefills = all(Command.StartPrefill.class);
         assertEquals(2, prefills.size());
         assertNotEquals(first.engine(), prefills.get(1).engine());
     }
 
     @Test
-    void aSecondDecodeThatNothingConfirmsDoesNotRestartTheTimeOfItsState() {
-        decodeWritten(Fleet.SAFE);
-        passTo(PREFILLED + Fleet.RELEASE / 2 - STEP);
-        written(all(Command.StartDecode.class).get(1));
-        passTo(PREFILLED + Fleet.RELEASE / 2);
+    void aSecondUnconfirmedDecodeDoesNotRestartTheTimeLimitOfItsState() {
+        startWrittenDecode(Fleet.SAFE);
+        advanceTo(PREFILLED + Fleet.RELEASE / 2 - STEP);
+        reportWritten(all(Command.StartDecode.class).get(1));
+        advanceTo(PREFILLED + Fleet.RELEASE / 2);
         assertEquals(List.of(), all(Command.ReleaseReservation.class));
-        passTo(PREFILLED + 7 * Fleet.RELEASE / 10);
+        advanceTo(PREFILLED + 7 * Fleet.RELEASE / 10);
         assertTrue(all(Command.ReleaseReservation.class).size() > 0, "no release was sent");
     }
 
     @Test
-    void aDecodeOfAnEngineThatAnswersOthersIsLeftAloneAndItsStateReleasedInTime() {
-        Command.StartDecode decode = decodeWritten(Fleet.SAFE);
-        passTo(PREFILLED + Fleet.RELEASE / 10);
-        questionAnswered(decode.engine(), now);
-        passTo(PREFILLED + 3 * Fleet.RELEASE / 4);
+    void aDecodeOfAnEngineThatAnswersOtherCallsKeepsRunningAndItsStateIsReleasedInTime() {
+        Command.StartDecode decode = startWrittenDecode(Fleet.SAFE);
+        advanceTo(PREFILLED + Fleet.RELEASE / 10);
+        reportCallAnswered(decode.engine(), now);
+        advanceTo(PREFILLED + 3 * Fleet.RELEASE / 4);
         assertEquals(List.of(), all(Command.ReleaseReservation.class));
-        passTo(PREFILLED + Fleet.RELEASE - STEP);
+        advanceTo(PREFILLED + Fleet.RELEASE - STEP);
         assertTrue(all(Command.ReleaseReservation.class).size() > 0, "no release was sent");
-        passTo(PREFILLED + 2 * Fleet.RELEASE);
+        advanceTo(PREFILLED + 2 * Fleet.RELEASE);
         assertEquals(1, all(Command.StartDecode.class).size());
     }
 
@@ -77,28 +77,28 @@
      * has to be released.
      */
     @Test
-    void aPrefillThatArrivesAfterItWasGivenUpIsReleasedOnceItsEngineIsBack() {
+    void aPrefillThatArrivesAfterItsCancellationIsReleasedOnceItsEngineIsReachable() {
         router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
-        Command.StartAttempt first = written(all(Command.StartPrefill.class).get(0));
-        passTo(Fleet.RELEASE / 2);
+        Command.StartAttempt first = reportWritten(all(Command.StartPrefill.class).get(0));
+        advanceTo(Fleet.RELEASE / 2);
         Command.StartPrefill second = all(Command.StartPrefill.class).get(1);
-        written(second);
+        reportWritten(second);
         router.prefillCompleted(now, second.attempt(), "", 0, ServerLoad.NONE);
         Command.StartDecode decode = all(Command.StartDecode.class).get(0);
-        written(decode);
+        reportWritten(decode);
         router.opaqueEventReceived(now, decode.attempt(), new Object());
         router.opaqueStreamCompleted(now, decode.attempt(), 0, ServerLoad.NONE);
-        passTo(2 * Fleet.SECOND);
+        advanceTo(2 * Fleet.SECOND);
         answerReleases();
         int before = all(Command.ReleaseReservation.class).size();
-        questionAnswered(first.engine(), now);
-        passTo(now + Fleet.RELEASE);
+        reportCallAnswered(first.engine(), now);
+        advanceTo(now + Fleet.RELEASE);
         assertTrue(
                 all(Command.ReleaseReservation.class).size() > before,
                 "no release was sent after the engine was reachable again");
         for (int i = 0; i < 5; i++) {
             answerReleases();
-            passTo(now + Fleet.RELEASE);
+            advanceTo(now + Fleet.RELEASE);
         }
         assertEquals(0, router.metrics().reservationCount());
     }
--- a/core/src/test/java/sorrelhoist/core/request/UnprovenReleaseTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/UnprovenReleaseTest.java
@@ -14,9 +14,9 @@
  */
 class UnprovenReleaseTest extends PlatformAttemptTestSupport {
     /** Advances time to {@code time}, with engines answering releases within one step. */
-    private void passAnsweringTo(long time) {
+    private void advanceAnsweringTo(long time) {
         while (now < time) {
-            passTo(now + STEP);
+            advanceTo(now + STEP);
             answerReleases();
         }
     }
@@ -30,35 +30,35 @@
      * but its engine may have received it.
      */
     @Test
-    void aReleaseThatIsAnsweredWhileADecodeIsOutIsRepeatedOnceTheDecodeHasEnded() {
-        Command.StartDecode decode = decodeWritten(Fleet.UNSAFE);
-        passTo(PREFILLED + Fleet.RELEASE);
+    void aReleaseAnsweredDuringADecodeIsRepeatedOnceTheDecodeHasEnded() {
+        Command.StartDecode decode = startWrittenDecode(Fleet.UNSAFE);
+        advanceTo(PREFILLED + Fleet.RELEASE);
         assertTrue(
                 releases() > 0,
                 "no release within the limit, although the decode may not have arrived");
         answerReleases();
-        int whileItWasOut = releases();
+        int releasesDuringDecode = releases();
         while (all(Command.CancelAttempt.class).isEmpty()) {
             assertTrue(now < BUDGET, "decode not cancelled by the client's deadline");
-            whileItWasOut = releases();
-            passTo(now + STEP);
+            releasesDuringDecode = releases();
+            advanceTo(now + STEP);
         }
         assertEquals(decode.attempt(), all(Command.CancelAttempt.class).get(0).attempt());
-        passTo(now + Fleet.RELEASE);
-        assertTrue(releases() > whileItWasOut, "no release was sent after the end of the decode");
+        advanceTo(now + Fleet.RELEASE);
+        assertTrue(releases() > releasesDuringDecode, "no release was sent after the end of the decode");
     }
 
     /** There is no ordering between a release and the close of another connection. */
     @Test
     void aReleaseThatMayOvertakeTheCloseOfADecodeIsRepeatedWithinTheLimit() {
-        Command.StartDecode decode = decodeWritten(Fleet.SAFE);
-        passTo(PREFILLED + Fleet.RELEASE / 10);
-        questionAnswered(decode.engine(), now);
+        Command.StartDecode decode = startWrittenDecode(Fleet.SAFE);
+        advanceTo(PREFILLED + Fleet.RELEASE / 10);
+        reportCallAnswered(decode.engine(), now);
         router.clientDisconnected(now, client);
         assertEquals(1, all(Command.CancelAttempt.class).size());
         assertEquals(1, releases());
         answerReleases();
-        passTo(now + Fleet.RELEASE);
+        advanceTo(now + Fleet.RELEASE);
         assertTrue(
                 releases() > 1,
                 "only one release was sent, which may have arrived before the close");
@@ -66,65 +66,65 @@
 
     /** The decode may be waiting for the state in the queue of an engine that is stopped. */
     @Test
-    void whatADecodeWaitsForAtAStoppedEngineIsReleasedOnceThatEngineIsHeard() {
-        Command.StartDecode decode = decodeWritten(Fleet.SAFE);
-        passTo(PREFILLED + Fleet.RELEASE / 10);
-        questionAnswered(decode.engine(), now);
+    void aStateThatADecodeWaitsForAtAStoppedEngineIsReleasedOnceThatEngineResponds() {
+        Command.StartDecode decode = startWrittenDecode(Fleet.SAFE);
+        advanceTo(PREFILLED + Fleet.RELEASE / 10);
+        reportCallAnswered(decode.engine(), now);
         router.clientDisconnected(now, client);
         answerReleases();
         assertEquals(
                 1,
                 router.metrics().releasableReservations(),
                 "shutdown would not wait for the next release");
-        passAnsweringTo(now + Fleet.RELEASE);
+        advanceAnsweringTo(now + Fleet.RELEASE);
         assertEquals(
                 0,
                 router.metrics().releasableReservations(),
                 "shutdown would wait for a stopped engine");
         for (int limits = 0; limits < 20; limits++) {
             int before = releases();
-            passAnsweringTo(now + Fleet.RELEASE);
+            advanceAnsweringTo(now + Fleet.RELEASE);
             assertTrue(releases() > before, "no release was sent in period " + limits);
         }
         assertEquals(1, router.metrics().reservationCount());
         int before = releases();
-        questionAnswered(decode.engine(), now);
-        passAnsweringTo(now + Fleet.RELEASE);
+        reportCallAnswered(decode.engine(), now);
+        advanceAnsweringTo(now + Fleet.RELEASE);
         assertTrue(releases() > before);
-        passAnsweringTo(now + 5 * Fleet.RELEASE);
+        advanceAnsweringTo(now + 5 * Fleet.RELEASE);
         assertEquals(0, router.metrics().reservationCount());
     }
 
     /** The engine may be stopped and may not have noticed that the connection is broken. */
     @Test
-    void whatAPrefillLeavesWhoseConnectionBrokeIsReleasedOnceItsEngineIsHeard() {
+    void aStateOfAPrefillWhoseConnectionBrokeIsReleasedOnceItsEngineResponds() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
-        Command.StartAttempt prefill = written(all(Command.StartPrefill.class).get(0));
-        passTo(PREFILLED);
+        Command.StartAttempt prefill = reportWritten(all(Command.StartPrefill.class).get(0));
+        advanceTo(PREFILLED);
         router.attemptFailed(now, prefill.attempt(), Outcome.RESET, 0, ServerLoad.NONE);
         router.clientDisconnected(now, client);
-        passAnsweringTo(now + 3 * Fleet.RELEASE);
+        advanceAnsweringTo(now + 3 * Fleet.RELEASE);
         int before = releases();
-        questionAnswered(prefill.engine(), now);
-        passAnsweringTo(now + Fleet.RELEASE);
+        reportCallAnswered(prefill.engine(), now);
+        advanceAnsweringTo(now + Fleet.RELEASE);
         assertTrue(releases() > before);
-        passAnsweringTo(now + 5 * Fleet.RELEASE);
+        advanceAnsweringTo(now + 5 * Fleet.RELEASE);
         assertEquals(0, router.metrics().reservationCount());
     }
 
     @Test
-    void whatAnEngineHasAnsweredIsReleasedOnce() {
-        Command.StartDecode decode = decodeWritten(Fleet.UNSAFE);
+    void aStateOfAnAnsweredDecodeIsReleasedOnce() {
+        Command.StartDecode decode = startWrittenDecode(Fleet.UNSAFE);
         router.attemptFailed(now, decode.attempt(), Outcome.ERROR, 0, ServerLoad.NONE);
-        passAnsweringTo(now + Fleet.RELEASE);
+        advanceAnsweringTo(now + Fleet.RELEASE);
         assertEquals(1, releases());
         assertEquals(0, router.metrics().reservationCount());
     }
 
     /** An abandoned release may arrive late and drop a state that was produced in the meantime. */
     @Test
-    void aStateThatALateReleaseTookAwayIsReadAgain() {
-        Command.StartDecode decode = decodeWritten(Fleet.UNSAFE);
+    void aPromptWhoseStateALateReleaseDroppedIsPrefilledAgain() {
+        Command.StartDecode decode = startWrittenDecode(Fleet.UNSAFE);
         router.attemptFailed(now, decode.attempt(), Outcome.FULL, 1, ServerLoad.NONE);
         assertEquals(2, all(Command.StartPrefill.class).size());
         assertEquals(0, all(Command.FinishRequest.class).size());
@@ -135,17 +135,17 @@
      * data when the decode was written.
      */
     @Test
-    void aStateIsReleasedOnceWithinEachLimitThoughAnotherConnectionSpeaksForItsDecode() {
-        Command.StartDecode decode = decodeWritten(Fleet.SAFE);
-        passTo(PREFILLED + Fleet.RELEASE / 20);
-        questionAnswered(decode.engine(), now);
-        passAnsweringTo(PREFILLED + Fleet.RELEASE);
+    void aStateIsReleasedOnceWithinEachLimitThoughItsEngineAnswersOnOtherConnections() {
+        Command.StartDecode decode = startWrittenDecode(Fleet.SAFE);
+        advanceTo(PREFILLED + Fleet.RELEASE / 20);
+        reportCallAnswered(decode.engine(), now);
+        advanceAnsweringTo(PREFILLED + Fleet.RELEASE);
         assertEquals(1, releases());
         assertEquals(
                 1,
                 all(Command.StartDecode.class).size(),
                 "a decode that may have been delivered was sent again");
-        passAnsweringTo(PREFILLED + 2 * Fleet.RELEASE);
+        advanceAnsweringTo(PREFILLED + 2 * Fleet.RELEASE);
         assertEquals(
                 2,
                 releases(),
@@ -157,11 +157,11 @@
      * prefill.
      */
     @Test
-    void aDecodeWhoseStateWasReleasedBesideItIsNotSentToAnotherDecoderBeforeThePromptIsReadAgain() {
-        Command.StartDecode decode = decodeWritten(Fleet.SAFE);
-        passTo(PREFILLED + Fleet.RELEASE / 20);
-        questionAnswered(decode.engine(), now);
-        passAnsweringTo(PREFILLED + Fleet.RELEASE);
+    void aDecodeWhoseStateWasReleasedIsNotSentToAnotherDecodeEngineBeforeTheNextPrefill() {
+        Command.StartDecode decode = startWrittenDecode(Fleet.SAFE);
+        advanceTo(PREFILLED + Fleet.RELEASE / 20);
+        reportCallAnswered(decode.engine(), now);
+        advanceAnsweringTo(PREFILLED + Fleet.RELEASE);
         assertEquals(1, releases());
         router.attemptFailed(now, decode.attempt(), Outcome.FULL, 0, ServerLoad.NONE);
         assertEquals(2, all(Command.StartPrefill.class).size());
