--- a/core/src/main/java/sorrelhoist/core/delivery/AttemptDelivery.java
+++ b/core/src/main/java/sorrelhoist/core/delivery/AttemptDelivery.java
@@ -89,12 +89,12 @@
     }
 
     /** Marks the delivery as confirmed. */
-    void delivered(Evidence shownBy) {
+    void delivered(Evidence newEvidence) {
         state = State.DELIVERED;
-        evidence = shownBy;
+        evidence = newEvidence;
     }
 
-    void reportUnconfirmed() {
+    void markReportedUnconfirmed() {
         reportedUnconfirmed = true;
     }
 
--- a/core/src/main/java/sorrelhoist/core/delivery/DeliveryMonitor.java
+++ b/core/src/main/java/sorrelhoist/core/delivery/DeliveryMonitor.java
@@ -32,13 +32,13 @@
      * late was delayed together with the whole router: data that engines sent meanwhile is still in
      * its socket buffers and has to be read first.
      */
-    static final long LATE_MICROS = 5000;
+    static final long LATE_CHECK_MICROS = 5000;
 
     /**
      * Number of event loop iterations that a liveness check takes; each may be as late as the
      * delivery check that is postponed.
      */
-    private static final int TURNS_OF_A_QUESTION = 4;
+    private static final int LIVENESS_CHECK_ITERATIONS = 4;
 
     private static final int MAX_BACKOFF_SHIFT = 3;
 
@@ -46,7 +46,7 @@
     private final Listener<A> listener;
     private final Map<String, EngineWatch<A>> engines = new HashMap<>();
     private final TimerQueue<LongConsumer> timers = new TimerQueue<>();
-    private long questionsAsked;
+    private long livenessChecksSent;
     private long unconfirmedCount;
 
     /**
@@ -57,9 +57,9 @@
     public interface Listener<A> {
         /**
          * Sends a liveness check to an engine. Its end is reported with {@link
-         * DeliveryMonitor#questionEnded}, in a later iteration of the event loop.
+         * DeliveryMonitor#livenessCheckEnded}, in a later iteration of the event loop.
          */
-        void ask(String engine);
+        void checkLiveness(String engine);
 
         /** The delivery of an attempt was inferred from an answer to another call. */
         void delivered(A attempt);
@@ -92,10 +92,10 @@
     public void written(A attempt, AttemptDelivery delivery, long heldSince, long now) {
         delivery.written(now);
         watch(delivery.engine()).attempts.put(attempt, delivery);
-        long askAt = Math.max(now, heldSince + policy.askAfterMicros());
+        long livenessCheckAt = Math.max(now, heldSince + policy.livenessCheckAfterMicros());
         long confirmBy =
-                Math.max(now + policy.attemptMicros(), heldSince + policy.confirmAfterMicros());
-        timers.schedule(askAt, time -> askFor(attempt, delivery, confirmBy, time - askAt, time));
+                Math.max(now + policy.minAttemptMicros(), heldSince + policy.confirmAfterMicros());
+        timers.schedule(livenessCheckAt, time -> checkLivenessFor(attempt, delivery, confirmBy, time - livenessCheckAt, time));
     }
 
     /** Records that an engine answered the attempt, which ends the watch. */
@@ -113,10 +113,10 @@
         }
     }
 
-    private void askFor(A attempt, AttemptDelivery delivery, long confirmBy, long late, long now) {
+    private void checkLivenessFor(A attempt, AttemptDelivery delivery, long confirmBy, long late, long now) {
         if (isWatched(attempt, delivery)) {
-            ask(delivery.engine(), engines.get(delivery.engine()), now);
-            long checkAt = Math.max(confirmBy, now + policy.answerMicros());
+            checkLiveness(delivery.engine(), engines.get(delivery.engine()), now);
+            long checkAt = Math.max(confirmBy, now + policy.livenessResponseMicros());
             timers.schedule(
                     checkAt,
                     time -> check(attempt, delivery, Math.max(late, time - checkAt), time));
@@ -127,17 +127,17 @@
         if (!isWatched(attempt, delivery)) {
             return;
         }
-        if (late >= LATE_MICROS) {
-            long delay = Math.min(TURNS_OF_A_QUESTION * late, policy.attemptMicros());
+        if (late >= LATE_CHECK_MICROS) {
+            long delay = Math.min(LIVENESS_CHECK_ITERATIONS * late, policy.minAttemptMicros());
             timers.schedule(now + delay, time -> check(attempt, delivery, 0, time));
         } else if (isSilent(delivery, now)) {
             unconfirmedCount++;
-            delivery.reportUnconfirmed();
+            delivery.markReportedUnconfirmed();
             listener.unconfirmed(attempt);
         } else {
             // The liveness check could not be sent, or was sent only a moment ago.
             timers.schedule(
-                    now + policy.attemptMicros(), time -> check(attempt, delivery, 0, time));
+                    now + policy.minAttemptMicros(), time -> check(attempt, delivery, 0, time));
         }
     }
 
@@ -146,7 +146,7 @@
      * unconfirmed for the whole limit}
      */
     private boolean isSilent(AttemptDelivery delivery, long now) {
-        return engines.get(delivery.engine()).isSilentSince(now - policy.answerMicros())
+        return engines.get(delivery.engine()).isSilentSince(now - policy.livenessResponseMicros())
                 || now - delivery.writtenAt() >= policy.limitMicros();
     }
 
@@ -162,20 +162,20 @@
      * there shortly before that response. Sends a liveness check at once if the attempt does not
      * count as delivered; otherwise only if the engine does not respond by itself for a while.
      */
-    public void awaitEngine(String engine, AttemptDelivery givenUp, long now) {
+    public void awaitEngine(String engine, AttemptDelivery abandoned, long now) {
         EngineWatch<A> watch = watch(engine);
-        watch.await(now);
-        if (givenUp.isDelivered()) {
-            timers.schedule(now + policy.askAfterMicros(), time -> askIfAwaited(engine, time));
+        watch.awaitResponse(now);
+        if (abandoned.isDelivered()) {
+            timers.schedule(now + policy.livenessCheckAfterMicros(), time -> checkLivenessIfAwaited(engine, time));
         } else {
-            ask(engine, watch, now);
+            checkLiveness(engine, watch, now);
         }
     }
 
-    private void askIfAwaited(String engine, long now) {
+    private void checkLivenessIfAwaited(String engine, long now) {
         EngineWatch<A> watch = engines.get(engine);
         if (watch != null && watch.isAwaited()) {
-            ask(engine, watch, now);
+            checkLiveness(engine, watch, now);
         }
     }
 
@@ -186,7 +186,7 @@
     public void engineRemoved(String engine) {
         EngineWatch<A> watch = engines.get(engine);
         if (watch != null) {
-            watch.awaitNoLonger();
+            watch.stopAwaiting();
             removeIfUnneeded(engine, watch);
         }
     }
@@ -205,16 +205,16 @@
             return false;
         }
         confirmAttempts(watch, writtenAt);
-        boolean awaited = watch.heard(writtenAt);
+        boolean awaited = watch.responseReceived(writtenAt);
         removeIfUnneeded(engine, watch);
         return awaited;
     }
 
-    private void confirmAttempts(EngineWatch<A> watch, long ranAfter) {
+    private void confirmAttempts(EngineWatch<A> watch, long runningAfter) {
         Iterator<Map.Entry<A, AttemptDelivery>> entries = watch.attempts.entrySet().iterator();
         while (entries.hasNext()) {
             Map.Entry<A, AttemptDelivery> entry = entries.next();
-            if (ranAfter > entry.getValue().writtenAt()) {
+            if (runningAfter > entry.getValue().writtenAt()) {
                 entry.getValue().delivered(Evidence.ENGINE_RESPONSIVE);
                 entries.remove();
                 listener.delivered(entry.getKey());
@@ -242,22 +242,22 @@
 
     // Liveness checks
 
-    private void ask(String engine, EngineWatch<A> watch, long now) {
-        if (watch.openQuestion(now)) {
-            questionsAsked++;
-            listener.ask(engine);
+    private void checkLiveness(String engine, EngineWatch<A> watch, long now) {
+        if (watch.openLivenessCheck(now)) {
+            livenessChecksSent++;
+            listener.checkLiveness(engine);
         }
     }
 
     /**
      * Records that a liveness check could not be sent, so the silence of the engine is no evidence.
      */
-    public void questionNotAsked(String engine, long now) {
+    public void livenessCheckNotSent(String engine, long now) {
         EngineWatch<A> watch = engines.get(engine);
-        if (watch != null && watch.isQuestionOpen()) {
-            watch.questionNotAsked();
-            questionsAsked--;
-            questionEnded(engine, now);
+        if (watch != null && watch.isLivenessCheckOpen()) {
+            watch.livenessCheckNotSent();
+            livenessChecksSent--;
+            livenessCheckEnded(engine, now);
         }
     }
 
@@ -265,27 +265,27 @@
      * Records the end of a liveness check, answered or not. Schedules the next one if it is still
      * needed.
      */
-    public void questionEnded(String engine, long now) {
+    public void livenessCheckEnded(String engine, long now) {
         EngineWatch<A> watch = engines.get(engine);
         if (watch == null) {
             return;
         }
-        watch.closeQuestion();
+        watch.closeLivenessCheck();
         if (watch.isNeeded()) {
-            int shift = Math.min(watch.questionsUnanswered(), MAX_BACKOFF_SHIFT);
+            int shift = Math.min(watch.unansweredLivenessChecks(), MAX_BACKOFF_SHIFT);
             // The interval counts from the send time: after a check that timed out, the next one
             // follows at once, so that an engine that returns is noticed.
-            long pace = policy.askAfterMicros() << shift;
-            long again = Math.max(now, watch.questionAskedAt() + pace);
-            timers.schedule(again, time -> askAgain(engine, time));
+            long interval = policy.livenessCheckAfterMicros() << shift;
+            long nextAt = Math.max(now, watch.livenessCheckSentAt() + interval);
+            timers.schedule(nextAt, time -> checkLivenessAgain(engine, time));
         }
         removeIfUnneeded(engine, watch);
     }
 
-    private void askAgain(String engine, long now) {
+    private void checkLivenessAgain(String engine, long now) {
         EngineWatch<A> watch = engines.get(engine);
         if (watch != null && watch.isNeeded()) {
-            ask(engine, watch, now);
+            checkLiveness(engine, watch, now);
         }
     }
 
@@ -306,8 +306,8 @@
     // Counters for the metrics line
 
     /** {@return the number of liveness checks sent since the start} */
-    public long questionsAsked() {
-        return questionsAsked;
+    public long livenessChecksSent() {
+        return livenessChecksSent;
     }
 
     /** {@return the number of attempts reported as unconfirmed since the start} */
--- a/core/src/main/java/sorrelhoist/core/delivery/DeliveryPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/delivery/DeliveryPolicy.java
@@ -17,11 +17,11 @@
     /** The number of equal shares of the limit in which the other constants count. */
     private static final int SHARES = 20;
 
-    private static final int ASK_SHARES = 5;
+    private static final int LIVENESS_CHECK_SHARES = 5;
     private static final int CONFIRM_SHARES = 8;
-    private static final int ANSWER_SHARES = 3;
+    private static final int LIVENESS_RESPONSE_SHARES = 3;
     private static final int ATTEMPT_SHARES = 4;
-    private static final int QUESTION_FACTOR = 2;
+    private static final int LIVENESS_CHECK_TIMEOUT_FACTOR = 2;
 
     /** The fractions of a shorter limit would be shorter than an iteration of the event loop. */
     private static final long MIN_LIMIT_MICROS = 20_000;
@@ -38,8 +38,8 @@
     }
 
     /** {@return the time after which an engine is sent a liveness check, in microseconds} */
-    public long askAfterMicros() {
-        return shares(ASK_SHARES);
+    public long livenessCheckAfterMicros() {
+        return shares(LIVENESS_CHECK_SHARES);
     }
 
     /** {@return the time after which an attempt counts as undelivered, in microseconds} */
@@ -51,20 +51,20 @@
      * {@return how long an engine has to answer a liveness check before it counts as silent, in
      * microseconds}
      */
-    public long answerMicros() {
-        return shares(ANSWER_SHARES);
+    public long livenessResponseMicros() {
+        return shares(LIVENESS_RESPONSE_SHARES);
     }
 
     /**
      * {@return the minimum time each attempt has to be confirmed, however late it was sent, in
      * microseconds}
      */
-    public long attemptMicros() {
+    public long minAttemptMicros() {
         return shares(ATTEMPT_SHARES);
     }
 
     /** {@return the timeout of a liveness check, in microseconds} */
-    public long questionTimeoutMicros() {
-        return QUESTION_FACTOR * limitMicros;
+    public long livenessCheckTimeoutMicros() {
+        return LIVENESS_CHECK_TIMEOUT_FACTOR * limitMicros;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/delivery/EngineWatch.java
+++ b/core/src/main/java/sorrelhoist/core/delivery/EngineWatch.java
@@ -15,20 +15,20 @@
     final Map<A, AttemptDelivery> attempts = new LinkedHashMap<>();
 
     private long awaitedSince = NEVER;
-    private boolean questionOpen;
-    private long questionAskedAt;
+    private boolean livenessCheckOpen;
+    private long livenessCheckSentAt;
 
     /** Send time of the earliest unanswered liveness check. */
     private long unansweredSince = NEVER;
 
-    private int questionsUnanswered;
+    private int unansweredLivenessChecks;
 
     /** Waits for the next response of the engine, even if no attempt is left. */
-    void await(long now) {
+    void awaitResponse(long now) {
         awaitedSince = now;
     }
 
-    void awaitNoLonger() {
+    void stopAwaiting() {
         awaitedSince = NEVER;
     }
 
@@ -42,7 +42,7 @@
     }
 
     boolean isRemovable() {
-        return !isNeeded() && !questionOpen;
+        return !isNeeded() && !livenessCheckOpen;
     }
 
     /**
@@ -50,14 +50,14 @@
      *
      * @return whether it may be sent; false if another one is still open
      */
-    boolean openQuestion(long now) {
-        if (questionOpen) {
+    boolean openLivenessCheck(long now) {
+        if (livenessCheckOpen) {
             return false;
         }
-        questionOpen = true;
-        questionAskedAt = now;
+        livenessCheckOpen = true;
+        livenessCheckSentAt = now;
         unansweredSince = Math.min(unansweredSince, now);
-        questionsUnanswered++;
+        unansweredLivenessChecks++;
         return true;
     }
 
@@ -65,50 +65,50 @@
      * {@return whether a liveness check was sent at or before {@code askedBy} and the engine has
      * not responded since}
      */
-    boolean isSilentSince(long askedBy) {
-        return unansweredSince <= askedBy;
+    boolean isSilentSince(long sentBy) {
+        return unansweredSince <= sentBy;
     }
 
     /**
      * Undoes the start of the silence if the open liveness check, which could not be sent, was the
      * first unanswered one.
      */
-    void questionNotAsked() {
-        if (unansweredSince == questionAskedAt) {
+    void livenessCheckNotSent() {
+        if (unansweredSince == livenessCheckSentAt) {
             unansweredSince = NEVER;
         }
     }
 
-    long questionAskedAt() {
-        return questionAskedAt;
+    long livenessCheckSentAt() {
+        return livenessCheckSentAt;
     }
 
-    boolean isQuestionOpen() {
-        return questionOpen;
+    boolean isLivenessCheckOpen() {
+        return livenessCheckOpen;
     }
 
-    void closeQuestion() {
-        questionOpen = false;
+    void closeLivenessCheck() {
+        livenessCheckOpen = false;
     }
 
-    int questionsUnanswered() {
-        return questionsUnanswered;
+    int unansweredLivenessChecks() {
+        return unansweredLivenessChecks;
     }
 
     /**
      * Records a response of the engine.
      *
-     * @param ranAfter a time after which the engine was running, in microseconds
+     * @param runningAfter a time after which the engine was running, in microseconds
      * @return whether it is the awaited response
      */
-    boolean heard(long ranAfter) {
-        if (ranAfter >= questionAskedAt) {
-            questionsUnanswered = 0;
+    boolean responseReceived(long runningAfter) {
+        if (runningAfter >= livenessCheckSentAt) {
+            unansweredLivenessChecks = 0;
             unansweredSince = NEVER;
         }
-        boolean awaited = ranAfter >= awaitedSince;
+        boolean awaited = runningAfter >= awaitedSince;
         if (awaited) {
-            awaitNoLonger();
+            stopAwaiting();
         }
         return awaited;
     }
--- a/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
+++ b/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
@@ -64,7 +64,7 @@
         Set<String> present = new HashSet<>();
         for (RegistryView.Instance instance : listed) {
             TrackedEndpoint before = endpoints.get(instance.id());
-            ListedEngine engine = read(now, instance, before);
+            ListedEngine engine = toListedEngine(now, instance, before);
             if (engine != null) {
                 present.add(instance.id());
                 track(now, before, engine, changed);
@@ -81,7 +81,7 @@
                         .filter(endpoint -> !endpoint.isGone())
                         .filter(endpoint -> !present.contains(endpoint.engine().id()))
                         .toList();
-        if (isDoubtfulRemoval(now, absent.size())) {
+        if (isUnconfirmedMassRemoval(now, absent.size())) {
             warnings.add(
                     absent.size() + " engines vanished at once; keeping them for a grace period");
             return;
@@ -91,7 +91,7 @@
         }
     }
 
-    private boolean isDoubtfulRemoval(long now, int absent) {
+    private boolean isUnconfirmedMassRemoval(long now, int absent) {
         long present = endpoints.values().stream().filter(endpoint -> !endpoint.isGone()).count();
         if (absent < 2 || 2L * absent < present) {
             massRemovalSince = 0;
@@ -103,7 +103,7 @@
 
     private void track(
             long now, TrackedEndpoint before, ListedEngine engine, List<TrackedEndpoint> changed) {
-        if (before != null && isSame(before.engine(), engine)) {
+        if (before != null && isUnchanged(before.engine(), engine)) {
             return;
         }
         TrackedEndpoint endpoint = new TrackedEndpoint(engine, now);
@@ -112,11 +112,11 @@
     }
 
     /** Compares two entries without their uptimes, which increase without a change of state. */
-    private static boolean isSame(ListedEngine before, ListedEngine now) {
+    private static boolean isUnchanged(ListedEngine before, ListedEngine now) {
         return withUptime(now, before.uptimeMicros()).equals(before);
     }
 
-    private ListedEngine read(long now, RegistryView.Instance instance, TrackedEndpoint before) {
+    private ListedEngine toListedEngine(long now, RegistryView.Instance instance, TrackedEndpoint before) {
         try {
             EngineMetadata metadata = EngineMetadata.parse(instance.metadata());
             ServerState state = state(instance.status(), before);
--- a/core/src/main/java/sorrelhoist/core/members/ReplicaSlots.java
+++ b/core/src/main/java/sorrelhoist/core/members/ReplicaSlots.java
@@ -46,12 +46,12 @@
     }
 
     /** Records that a router joined or returned. */
-    public void join(String edge) {
-        Holder holder = holders.get(edge);
+    public void join(String router) {
+        Holder holder = holders.get(router);
         if (holder == null) {
             holder = new Holder();
             holder.index = firstFreeIndex();
-            holders.put(edge, holder);
+            holders.put(router, holder);
         }
         holder.joined = true;
     }
@@ -70,10 +70,10 @@
      * Records that a router left.
      *
      * @param now the time, in microseconds
-     * @param edge the id of the router
+     * @param router the id of the router
      */
-    public void leave(long now, String edge) {
-        Holder holder = holders.get(edge);
+    public void leave(long now, String router) {
+        Holder holder = holders.get(router);
         if (holder != null) {
             holder.joined = false;
             holder.leftAt = now;
@@ -106,8 +106,8 @@
     }
 
     /** {@return the slot of a router, or null if it has none} */
-    public Slot slotOf(String edge) {
-        Holder holder = holders.get(edge);
+    public Slot slotOf(String router) {
+        Holder holder = holders.get(router);
         if (holder == null) {
             return null;
         }
@@ -115,7 +115,7 @@
     }
 
     /** {@return the id of the router with this number, or null if there is none} */
-    public String edgeAt(int index) {
+    public String routerAt(int index) {
         return holders.entrySet().stream()
                 .filter(entry -> entry.getValue().index == index)
                 .map(Map.Entry::getKey)
--- a/core/src/main/java/sorrelhoist/core/members/WatchReconnectPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/members/WatchReconnectPolicy.java
@@ -19,41 +19,41 @@
     public static final long UPDATE_BUDGET_MICROS = 6_000_000;
 
     /** The interval between the heartbeats of a watch. */
-    private static final long HEARTBEAT_INTERVAL = 2_000_000;
+    private static final long HEARTBEAT_INTERVAL_MICROS = 2_000_000;
 
     /**
      * The time without received bytes after which a watch counts as silent; leaves room for a late
      * heartbeat.
      */
-    static final long SILENCE_TIMEOUT = HEARTBEAT_INTERVAL + 600_000;
+    static final long SILENCE_TIMEOUT_MICROS = HEARTBEAT_INTERVAL_MICROS + 600_000;
 
     /**
      * The timeout for connecting and receiving the first list, and between two parts of that list.
      */
-    static final long ATTEMPT_TIMEOUT = 1_000_000;
+    static final long ATTEMPT_TIMEOUT_MICROS = 1_000_000;
 
     /**
      * The longest delay before an attempt: a third of the budget that remains after the silence
      * timeout, two hung attempts and the time for the list of the last attempt.
      */
-    static final long MAX_BACKOFF =
-            (UPDATE_BUDGET_MICROS - SILENCE_TIMEOUT - 2 * ATTEMPT_TIMEOUT - ATTEMPT_TIMEOUT / 2)
+    static final long MAX_BACKOFF_MICROS =
+            (UPDATE_BUDGET_MICROS - SILENCE_TIMEOUT_MICROS - 2 * ATTEMPT_TIMEOUT_MICROS - ATTEMPT_TIMEOUT_MICROS / 2)
                     / 3;
 
     /**
      * The time after which a starting router without a list continues with the saved one, in
      * microseconds; by then two attempts have hung.
      */
-    public static final long FIRST_LIST_TIMEOUT_MICROS = 2 * ATTEMPT_TIMEOUT + MAX_BACKOFF;
+    public static final long FIRST_LIST_TIMEOUT_MICROS = 2 * ATTEMPT_TIMEOUT_MICROS + MAX_BACKOFF_MICROS;
 
-    private static final long MIN_BACKOFF = 50_000;
+    private static final long MIN_BACKOFF_MICROS = 50_000;
     private static final long NOT_SCHEDULED = Long.MAX_VALUE;
-    private static final long NONE = 0;
+    private static final long NO_ATTEMPT = 0;
 
     private final Backoff backoff;
     private long lastAttempt;
     private long establishedWatch;
-    private long lastHeardAt;
+    private long lastReceivedAt;
     private long pendingAttempt;
     private long attemptStartedAt;
     private long lastProgressAt;
@@ -66,7 +66,7 @@
      *     routers that lose their watches at the same time
      */
     public WatchReconnectPolicy(long seed) {
-        backoff = new Backoff(MIN_BACKOFF, MAX_BACKOFF, seed);
+        backoff = new Backoff(MIN_BACKOFF_MICROS, MAX_BACKOFF_MICROS, seed);
     }
 
     /**
@@ -77,7 +77,7 @@
      */
     public long restart(long now) {
         long before = pendingAttempt;
-        pendingAttempt = NONE;
+        pendingAttempt = NO_ATTEMPT;
         nextAttemptAt = now;
         return before;
     }
@@ -88,12 +88,12 @@
      * @param now the time, in microseconds
      */
     public long attemptToOpen(long now) {
-        boolean silent = now - lastHeardAt >= SILENCE_TIMEOUT;
-        if (pendingAttempt == NONE && nextAttemptAt == NOT_SCHEDULED && silent) {
+        boolean silent = now - lastReceivedAt >= SILENCE_TIMEOUT_MICROS;
+        if (pendingAttempt == NO_ATTEMPT && nextAttemptAt == NOT_SCHEDULED && silent) {
             nextAttemptAt = now;
         }
-        if (pendingAttempt != NONE || now < nextAttemptAt) {
-            return NONE;
+        if (pendingAttempt != NO_ATTEMPT || now < nextAttemptAt) {
+            return NO_ATTEMPT;
         }
         nextAttemptAt = NOT_SCHEDULED;
         pendingAttempt = ++lastAttempt;
@@ -108,11 +108,11 @@
      * @param now the time, in microseconds
      */
     public long attemptToAbandon(long now) {
-        if (pendingAttempt == NONE || now < abandonAt()) {
-            return NONE;
+        if (pendingAttempt == NO_ATTEMPT || now < abandonAt()) {
+            return NO_ATTEMPT;
         }
         long hanging = pendingAttempt;
-        pendingAttempt = NONE;
+        pendingAttempt = NO_ATTEMPT;
         nextAttemptAt = now + backoff.nextDelayMicros();
         return hanging;
     }
@@ -127,7 +127,7 @@
      */
     public void bytesReceived(long now, long number) {
         if (number == establishedWatch) {
-            lastHeardAt = now;
+            lastReceivedAt = now;
         }
         if (number == pendingAttempt) {
             lastProgressAt = now;
@@ -144,12 +144,12 @@
     public long messageReceived(long now, long number) {
         bytesReceived(now, number);
         if (number != pendingAttempt) {
-            return NONE;
+            return NO_ATTEMPT;
         }
         long before = establishedWatch;
         establishedWatch = pendingAttempt;
-        pendingAttempt = NONE;
-        lastHeardAt = now;
+        pendingAttempt = NO_ATTEMPT;
+        lastReceivedAt = now;
         backoff.reset();
         return before;
     }
@@ -167,12 +167,12 @@
      */
     public void watchEnded(long now, long number) {
         if (number == pendingAttempt) {
-            pendingAttempt = NONE;
+            pendingAttempt = NO_ATTEMPT;
             nextAttemptAt = now + backoff.nextDelayMicros();
         } else if (number == establishedWatch) {
-            establishedWatch = NONE;
-            lastHeardAt = now;
-            if (pendingAttempt == NONE && nextAttemptAt == NOT_SCHEDULED) {
+            establishedWatch = NO_ATTEMPT;
+            lastReceivedAt = now;
+            if (pendingAttempt == NO_ATTEMPT && nextAttemptAt == NOT_SCHEDULED) {
                 nextAttemptAt = now + backoff.nextDelayMicros();
             }
         }
@@ -183,7 +183,7 @@
      * receiving parts of its list may use the whole budget.
      */
     private long abandonAt() {
-        return Math.min(lastProgressAt + ATTEMPT_TIMEOUT, attemptStartedAt + UPDATE_BUDGET_MICROS);
+        return Math.min(lastProgressAt + ATTEMPT_TIMEOUT_MICROS, attemptStartedAt + UPDATE_BUDGET_MICROS);
     }
 
     /**
@@ -191,9 +191,9 @@
      * microseconds}
      */
     public long nextDeadline() {
-        if (pendingAttempt != NONE) {
+        if (pendingAttempt != NO_ATTEMPT) {
             return abandonAt();
         }
-        return nextAttemptAt < NOT_SCHEDULED ? nextAttemptAt : lastHeardAt + SILENCE_TIMEOUT;
+        return nextAttemptAt < NOT_SCHEDULED ? nextAttemptAt : lastReceivedAt + SILENCE_TIMEOUT_MICROS;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/request/AttemptDeliveries.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptDeliveries.java
@@ -52,7 +52,7 @@
     /** Acts on the findings of the delivery monitor. */
     private final class MonitorListener implements DeliveryMonitor.Listener<Attempt> {
         @Override
-        public void ask(String engine) {
+        public void checkLiveness(String engine) {
             commands.accept(new Command.CheckReachability(engine));
         }
 
@@ -165,9 +165,9 @@
      */
     void reachabilityChecked(String engine, boolean sent) {
         if (sent) {
-            monitor.questionEnded(engine, clock.now());
+            monitor.livenessCheckEnded(engine, clock.now());
         } else {
-            monitor.questionNotAsked(engine, clock.now());
+            monitor.livenessCheckNotSent(engine, clock.now());
         }
     }
 
@@ -190,6 +190,6 @@
     }
 
     long reachabilityChecks() {
-        return monitor.questionsAsked();
+        return monitor.livenessChecksSent();
     }
 }
--- a/core/src/main/java/sorrelhoist/core/request/RequestReservations.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestReservations.java
@@ -130,7 +130,7 @@
 
     /** Called when an engine whose response was awaited has responded. */
     void awaitedEngineResponded(String engine) {
-        table.engineHeard(engine, clock.now());
+        table.engineResponded(engine, clock.now());
     }
 
     /** Called when an engine left the list. Calls in transit to it no longer arrive. */
@@ -215,11 +215,11 @@
     void attemptEnded(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
         AttemptEnding ending = AttemptHolds.endingOf(attempt, outcome);
         Hold remainingHold = AttemptHolds.remainingHold(attempt, outcome, awaitsEngine);
-        if (remainingHold != null && (remainingHold.isState() || mayWaitForReservation(attempt))) {
+        if (remainingHold != null && (remainingHold.isPrefillState() || mayWaitForReservation(attempt))) {
             ReservationKey key = keyOf(attempt);
-            table.opened(key, remainingHold, clock.now());
+            table.addHold(key, remainingHold, clock.now());
             if (!oneKeyPerRequest) {
-                table.unwanted(key, clock.now());
+                table.markUnwanted(key, clock.now());
             }
         }
         keysOf(attempt.request).forEach(key -> table.attemptEnded(key, ending, clock.now()));
@@ -232,7 +232,7 @@
 
     /** Called when a stream began: its engine fetched the prefill state and used the slot. */
     void reservationsUsed(RequestState request) {
-        keysOf(request).forEach(key -> table.taken(key, clock.now()));
+        keysOf(request).forEach(key -> table.streamStarted(key, clock.now()));
         clearReservations(request);
     }
 
@@ -249,7 +249,7 @@
     /** {@return whether the prefill state may have been released before its decode used it} */
     boolean isPrefillStateReleased(RequestState request) {
         ReservationKey key = ReservationKey.ofRequest(request.name);
-        return oneKeyPerRequest && (!table.isHeld(key) || table.wasReleasedBesideDecode(key));
+        return oneKeyPerRequest && (!table.isHeld(key) || table.wasReleasedDuringDecode(key));
     }
 
     /** Drops a state that no attempt will use; the prompt has to be prefilled again. */
@@ -257,7 +257,7 @@
         if (oneKeyPerRequest) {
             table.prefillStatesUnneeded(ReservationKey.ofRequest(request.name));
         } else if (request.prefillStateKey != null) {
-            table.unwanted(request.prefillStateKey, clock.now());
+            table.markUnwanted(request.prefillStateKey, clock.now());
         }
         request.prefillState = null;
         request.prefillStateKey = null;
@@ -268,7 +268,7 @@
         if (request.runningAttempt != null) {
             return;
         }
-        keysOf(request).forEach(key -> table.unwanted(key, clock.now()));
+        keysOf(request).forEach(key -> table.markUnwanted(key, clock.now()));
         clearReservations(request);
     }
 
@@ -286,12 +286,12 @@
                 oneKeyPerRequest
                         ? ReservationKey.ofRequest(request.name)
                         : decodeSlotKey(request.name);
-        table.opened(key, Hold.ofDecodeSlot(engine, slot, certainty), clock.now());
+        table.addHold(key, Hold.ofDecodeSlot(engine, slot, certainty), clock.now());
         if (certainty == Hold.Certainty.CONFIRMED) {
             request.decodeSlotEngine = engine;
             request.decodeSlot = slot;
         } else if (!oneKeyPerRequest) {
-            table.unwanted(key, clock.now());
+            table.markUnwanted(key, clock.now());
         }
         if (request.runningAttempt != null && request.runningAttempt.prefill) {
             String prefillEngine = request.runningAttempt.engine;
@@ -304,8 +304,8 @@
     void releaseUnusableDecodeSlot(String engine, String slot) {
         ReservationKey key =
                 oneKeyPerRequest ? ReservationKey.ofRequest(slot) : decodeSlotKey(slot);
-        table.opened(key, Hold.ofDecodeSlot(engine, slot, Hold.Certainty.CONFIRMED), clock.now());
-        table.unwanted(key, clock.now());
+        table.addHold(key, Hold.ofDecodeSlot(engine, slot, Hold.Certainty.CONFIRMED), clock.now());
+        table.markUnwanted(key, clock.now());
     }
 
     /**
@@ -319,7 +319,7 @@
             return request.decodeSlot;
         }
         if (!oneKeyPerRequest && request.decodeSlotEngine != null) {
-            table.unwanted(decodeSlotKey(request.name), clock.now());
+            table.markUnwanted(decodeSlotKey(request.name), clock.now());
         }
         clearDecodeSlot(request);
         return "";
--- a/core/src/main/java/sorrelhoist/core/reservation/EngineActivity.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/EngineActivity.java
@@ -20,7 +20,7 @@
     private static final int ROTATION_SIZE = 4;
 
     private final long silenceTimeoutMicros;
-    private final Map<String, Long> lastHeardAt = new HashMap<>();
+    private final Map<String, Long> lastReceivedAt = new HashMap<>();
     private long rotation;
 
     /**
@@ -35,51 +35,51 @@
 
     /** Adds an engine that is on the endpoint list. */
     public void added(String engine) {
-        lastHeardAt.putIfAbsent(engine, 0L);
+        lastReceivedAt.putIfAbsent(engine, 0L);
     }
 
     /** Removes an engine that left the endpoint list. */
     public void removed(String engine) {
-        lastHeardAt.remove(engine);
+        lastReceivedAt.remove(engine);
     }
 
     /** Replaces the known engines by those of a complete endpoint list. */
     public void replaced(Collection<String> engines) {
-        lastHeardAt.keySet().retainAll(engines);
+        lastReceivedAt.keySet().retainAll(engines);
         engines.forEach(this::added);
     }
 
     /** {@return whether an engine is on the endpoint list} */
     public boolean isListed(String engine) {
-        return lastHeardAt.containsKey(engine);
+        return lastReceivedAt.containsKey(engine);
     }
 
     /** Records that bytes were received from an engine; unlisted engines are ignored. */
     public void bytesReceived(String engine, long now) {
-        lastHeardAt.computeIfPresent(engine, (name, before) -> now);
+        lastReceivedAt.computeIfPresent(engine, (name, before) -> now);
     }
 
     @Override
-    public String select(Hold hold, Set<String> asked) {
-        List<String> latest = latestHeard(asked);
-        if (latest.isEmpty()) {
+    public String select(Hold hold, Set<String> calledEngines) {
+        List<String> mostRecent = mostRecentlyActive(calledEngines);
+        if (mostRecent.isEmpty()) {
             return null;
         }
-        long latestHeardAt = lastHeardAt.get(latest.get(0));
+        long latestReceivedAt = lastReceivedAt.get(mostRecent.get(0));
         boolean holderIsListed =
-                !asked.contains(hold.engine()) && lastHeardAt.containsKey(hold.engine());
-        if (holderIsListed && !isSilent(hold.engine(), latestHeardAt)) {
+                !calledEngines.contains(hold.engine()) && lastReceivedAt.containsKey(hold.engine());
+        if (holderIsListed && !isSilent(hold.engine(), latestReceivedAt)) {
             return hold.engine();
         }
         List<String> responsive =
-                latest.stream().filter(engine -> !isSilent(engine, latestHeardAt)).toList();
+                mostRecent.stream().filter(engine -> !isSilent(engine, latestReceivedAt)).toList();
         return responsive.get((int) (rotation++ % responsive.size()));
     }
 
     /** {@return the most recently active engines that were not called yet, the latest first} */
-    private List<String> latestHeard(Set<String> asked) {
-        return lastHeardAt.entrySet().stream()
-                .filter(entry -> !asked.contains(entry.getKey()))
+    private List<String> mostRecentlyActive(Set<String> calledEngines) {
+        return lastReceivedAt.entrySet().stream()
+                .filter(entry -> !calledEngines.contains(entry.getKey()))
                 .sorted(
                         Comparator.comparing(Map.Entry<String, Long>::getValue)
                                 .reversed()
@@ -89,7 +89,7 @@
                 .toList();
     }
 
-    private boolean isSilent(String engine, long latestHeardAt) {
-        return latestHeardAt - lastHeardAt.get(engine) > silenceTimeoutMicros;
+    private boolean isSilent(String engine, long latestReceivedAt) {
+        return latestReceivedAt - lastReceivedAt.get(engine) > silenceTimeoutMicros;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/Hold.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/Hold.java
@@ -91,7 +91,7 @@
     }
 
     /** {@return whether the resource is a prefill state, or may become one} */
-    public boolean isState() {
+    public boolean isPrefillState() {
         return kind == Kind.PREFILL_STATE;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/OpenHold.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/OpenHold.java
@@ -30,7 +30,7 @@
     /** {@return a new hold, opened at {@code now}} */
     static OpenHold opened(Hold hold, ReleasePolicy policy, long now) {
         long settledAt = now + policy.settleMicros();
-        long renewedUntil = now + policy.unheardEngineMicros();
+        long renewedUntil = now + policy.silentEngineMicros();
         return switch (hold.certainty()) {
             case CONFIRMED -> new OpenHold(hold, true, now, now, NEVER, false);
             case POSSIBLE -> new OpenHold(hold, false, settledAt, settledAt, NEVER, false);
@@ -41,7 +41,7 @@
 
     /** {@return a copy after the request no longer needs prefill states} */
     OpenHold withoutPrefillStateNeeded() {
-        boolean stillNeeded = needed && !hold.isState();
+        boolean stillNeeded = needed && !hold.isPrefillState();
         return new OpenHold(hold, stillNeeded, releaseDueAt, provableFrom, renewedUntil, released);
     }
 
@@ -54,7 +54,7 @@
     }
 
     /** {@return whether the hold waits for this engine to respond or to leave the endpoint list} */
-    boolean awaits(String engine) {
+    boolean awaitsResponseOf(String engine) {
         return provableFrom == NEVER && hold.engine().equals(engine);
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** {@return a copy after the awaited engine responded} */
-    OpenHold engineHeard(ReleasePolicy policy, long now) {
+    OpenHold engineResponded(ReleasePolicy policy, long now) {
         return provableFrom(now + policy.lateArrivalMicros(), policy, now);
     }
 
--- a/core/src/main/java/sorrelhoist/core/reservation/PendingReleases.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/PendingReleases.java
@@ -13,29 +13,29 @@
 
     /** A release call that was sent and not answered. */
     static final class Call {
-        final long madeAt;
+        final long sentAt;
 
         /** Whether a decode was in flight at any time since the call was sent. */
-        private boolean decodeWasOut;
+        private boolean decodeWasInFlight;
 
-        private Call(long madeAt, boolean decodeWasOut) {
-            this.madeAt = madeAt;
-            this.decodeWasOut = decodeWasOut;
+        private Call(long sentAt, boolean decodeWasInFlight) {
+            this.sentAt = sentAt;
+            this.decodeWasInFlight = decodeWasInFlight;
         }
 
-        boolean decodeWasOut() {
-            return decodeWasOut;
+        boolean decodeWasInFlight() {
+            return decodeWasInFlight;
         }
     }
 
     private final ReleasePolicy policy;
     private final Map<Long, Call> calls = new HashMap<>();
-    private final Set<String> asked = new HashSet<>();
-    private long callableFrom;
+    private final Set<String> calledEngines = new HashSet<>();
+    private long nextCallFrom;
     private long expiresAt = Long.MAX_VALUE;
-    private int callsMade;
-    private int callsMadeInAll;
-    private String lastAsked = "";
+    private int callsSinceAnswer;
+    private int totalCalls;
+    private String lastCalledEngine = "";
     private boolean expired;
 
     PendingReleases(ReleasePolicy policy) {
@@ -50,27 +50,27 @@
     long due(long releasableFrom) {
         return releasableFrom == Long.MAX_VALUE
                 ? Long.MAX_VALUE
-                : Math.min(expiresAt, Math.max(callableFrom, releasableFrom));
+                : Math.min(expiresAt, Math.max(nextCallFrom, releasableFrom));
     }
 
     /** Allows the next call no later than {@code time}. */
-    void callBy(long time) {
-        callableFrom = Math.min(callableFrom, time);
+    void allowCallBy(long time) {
+        nextCallFrom = Math.min(nextCallFrom, time);
     }
 
     /** Allows the next call no earlier than {@code time}. */
-    void callFrom(long time) {
-        callableFrom = time;
+    void allowCallFrom(long time) {
+        nextCallFrom = time;
     }
 
     /** Records that a call was sent. */
-    void made(long call, String engine, boolean decodeIsOut, long now) {
-        calls.put(call, new Call(now, decodeIsOut));
-        asked.add(engine);
-        lastAsked = engine;
-        callsMade++;
-        callsMadeInAll++;
-        waitForAnswer(now);
+    void callSent(long call, String engine, boolean decodeInFlight, long now) {
+        calls.put(call, new Call(now, decodeInFlight));
+        calledEngines.add(engine);
+        lastCalledEngine = engine;
+        callsSinceAnswer++;
+        totalCalls++;
+        scheduleNextCall(now);
     }
 
     /**
@@ -78,21 +78,21 @@
      * expiry interval if the release has expired. A release that has not expired does so after the
      * expiry interval, counted from the first call.
      */
-    void waitForAnswer(long now) {
+    void scheduleNextCall(long now) {
         if (expired) {
-            callableFrom = now + policy.expiryMicros();
+            nextCallFrom = now + policy.expiryMicros();
             return;
         }
         // The first calls use the plain retry interval, as one of them has to arrive within the
         // limit. Later calls are too late for that, so their interval doubles.
-        callableFrom =
-                now + (policy.retryMicros() << Math.max(0, callsMade - CALLS_BEFORE_BACKOFF));
+        nextCallFrom =
+                now + (policy.retryMicros() << Math.max(0, callsSinceAnswer - CALLS_BEFORE_BACKOFF));
         expiresAt = expiresAt == Long.MAX_VALUE ? now + policy.expiryMicros() : expiresAt;
     }
 
     /** Marks the calls in flight, which may arrive after a decode that is in flight now. */
-    void decodeIsOut() {
-        calls.values().forEach(call -> call.decodeWasOut = true);
+    void markDecodeInFlight() {
+        calls.values().forEach(call -> call.decodeWasInFlight = true);
     }
 
     /**
@@ -100,7 +100,7 @@
      *
      * @return the answered call, or null if it was not in flight
      */
-    Call answered(long call) {
+    Call callAnswered(long call) {
         Call answered = calls.remove(call);
         expired &= answered == null;
         return answered;
@@ -109,15 +109,15 @@
     /**
      * Records a failed call. Another engine is called at once for the first few failures.
      *
-     * @param others whether another engine can be called instead
+     * @param canCallOthers whether another engine can be called instead
      * @return whether the call was in flight
      */
-    boolean failed(long call, boolean others, long now) {
+    boolean callFailed(long call, boolean canCallOthers, long now) {
         if (calls.remove(call) == null) {
             return false;
         }
-        if (others && callsMade < CALLS_BEFORE_BACKOFF) {
-            callableFrom = now;
+        if (canCallOthers && callsSinceAnswer < CALLS_BEFORE_BACKOFF) {
+            nextCallFrom = now;
         }
         return true;
     }
@@ -135,15 +135,15 @@
     List<Long> abandon() {
         List<Long> abandoned = List.copyOf(calls.keySet());
         calls.clear();
-        restart();
+        reset();
         return abandoned;
     }
 
     /** Resets the set of called engines, the backoff and the expiry time. */
-    void restart() {
-        asked.clear();
+    void reset() {
+        calledEngines.clear();
         expiresAt = Long.MAX_VALUE;
-        callsMade = 0;
+        callsSinceAnswer = 0;
     }
 
     boolean isExpired(long now) {
@@ -157,7 +157,7 @@
     void expire(long now) {
         expired = true;
         expiresAt = Long.MAX_VALUE;
-        callableFrom = now + policy.expiryMicros();
+        nextCallFrom = now + policy.expiryMicros();
     }
 
     boolean hasExpired() {
@@ -165,25 +165,25 @@
     }
 
     /** {@return the engines that were called since the last reset; a live set} */
-    Set<String> asked() {
-        return asked;
+    Set<String> calledEngines() {
+        return calledEngines;
     }
 
-    void forgetAsked() {
-        asked.clear();
+    void clearCalledEngines() {
+        calledEngines.clear();
     }
 
     /** {@return the number of calls since an engine last answered or the calls were abandoned} */
-    int callsMade() {
-        return callsMade;
+    int callsSinceAnswer() {
+        return callsSinceAnswer;
     }
 
-    int callsMadeInAll() {
-        return callsMadeInAll;
+    int totalCalls() {
+        return totalCalls;
     }
 
     /** {@return the engine that was called last; empty if none} */
-    String lastAsked() {
-        return lastAsked;
+    String lastCalledEngine() {
+        return lastCalledEngine;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleasePolicy.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleasePolicy.java
@@ -8,16 +8,16 @@
  * @param limitMicros the limit, in microseconds
  */
 public record ReleasePolicy(ReleaseReach reach, long limitMicros) {
-    private static final int SETTLED_SHARE = 2;
-    private static final int RETRY_SHARE = 8;
-    private static final int SAFETY_MARGIN_SHARE = 5;
+    private static final int SETTLE_DIVISOR = 2;
+    private static final int RETRY_DIVISOR = 8;
+    private static final int SAFETY_MARGIN_DIVISOR = 5;
     private static final int EXPIRY_FACTOR = 4;
-    private static final int CONFIRMATION_SHARE = 5;
+    private static final int CONFIRMATION_DIVISOR = 5;
     private static final int LATEST_START_PERCENT = 60;
     private static final int PERCENT = 100;
     private static final int LATE_ARRIVAL_FACTOR = 4;
     private static final int REMOVED_ENGINE_FACTOR = 6;
-    private static final int UNHEARD_ENGINE_FACTOR = 60;
+    private static final int SILENT_ENGINE_FACTOR = 60;
 
     /**
      * {@return the time after a request's last outcome until its reservations are released if no
@@ -25,7 +25,7 @@
      * that do not answer.
      */
     public long idleMicros() {
-        return limitMicros / SETTLED_SHARE;
+        return limitMicros / SETTLE_DIVISOR;
     }
 
     /**
@@ -34,7 +34,7 @@
      * beyond {@link #latestStartMicros()}.
      */
     public long confirmationMicros() {
-        return limitMicros / CONFIRMATION_SHARE;
+        return limitMicros / CONFIRMATION_DIVISOR;
     }
 
     /**
@@ -61,8 +61,8 @@
      * it fell silent has ended. The holds are released again when the engine responds, however
      * late.
      */
-    public long unheardEngineMicros() {
-        return limitMicros * UNHEARD_ENGINE_FACTOR;
+    public long silentEngineMicros() {
+        return limitMicros * SILENT_ENGINE_FACTOR;
     }
 
     /**
@@ -80,7 +80,7 @@
      * the cancellation.
      */
     public long settleMicros() {
-        return limitMicros / SETTLED_SHARE;
+        return limitMicros / SETTLE_DIVISOR;
     }
 
     /**
@@ -88,7 +88,7 @@
      * microseconds}
      */
     public long retryMicros() {
-        return limitMicros / RETRY_SHARE;
+        return limitMicros / RETRY_DIVISOR;
     }
 
     /**
@@ -96,7 +96,7 @@
      * perform it, in microseconds}
      */
     public long safetyMarginMicros() {
-        return limitMicros / SAFETY_MARGIN_SHARE;
+        return limitMicros / SAFETY_MARGIN_DIVISOR;
     }
 
     /**
--- a/core/src/main/java/sorrelhoist/core/reservation/ReleaseTargetSelector.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReleaseTargetSelector.java
@@ -9,7 +9,7 @@
      * {@return the engine to call, or null if there is none}
      *
      * @param hold the resource to release
-     * @param asked engines that were already called and have not confirmed the release
+     * @param calledEngines engines that were already called and have not confirmed the release
      */
-    String select(Hold hold, Set<String> asked);
+    String select(Hold hold, Set<String> calledEngines);
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/Reservation.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/Reservation.java
@@ -32,16 +32,16 @@
     private long idleSince;
 
     /** Whether an attempt that was meant to consume the holds ended without starting a stream. */
-    private boolean takeFailed;
+    private boolean consumptionFailed;
 
     /**
      * Whether a release call may have released the prefill state while a decode that needs it was
      * in flight.
      */
-    private boolean releasedBesideDecode;
+    private boolean releasedDuringDecode;
 
     /** Send time of the latest release call that was answered while a decode was in flight. */
-    private long latestAnsweredAt;
+    private long latestAnsweredSentAt;
 
     /** Whether the reservation was already reported as overdue. */
     private boolean overdueReported;
@@ -55,13 +55,13 @@
 
     // Events of the request
 
-    void opened(Hold hold, long now) {
+    void addHold(Hold hold, long now) {
         history.add(ReservationStep.HELD, hold.engine(), now);
         holds.add(OpenHold.opened(hold, policy, now));
-        if (hold.isState() && hold.certainty() == Certainty.CONFIRMED) {
-            releasedBesideDecode = false;
+        if (hold.isPrefillState() && hold.certainty() == Certainty.CONFIRMED) {
+            releasedDuringDecode = false;
         }
-        releases.callBy(now);
+        releases.allowCallBy(now);
     }
 
     void attemptSent(AttemptPurpose purpose, String engine, long now) {
@@ -75,7 +75,7 @@
         if (attempt != null) {
             history.add(ReservationStep.WRITTEN, attempt.engine, now);
             attempt.written(now);
-            noteDecodeOut();
+            markReleasesDuringDecode();
         }
     }
 
@@ -84,7 +84,7 @@
         if (attempt != null) {
             history.add(ReservationStep.DELIVERED, attempt.engine, now);
             attempt.delivered();
-            noteDecodeOut();
+            markReleasesDuringDecode();
         }
     }
 
@@ -92,15 +92,15 @@
      * Marks the release calls in flight if a decode is in flight: they may arrive while the decode
      * waits for the state that they would release.
      */
-    private void noteDecodeOut() {
-        if (isDecodeOut()) {
-            releasedBesideDecode |= !releases.isEmpty();
-            releases.decodeIsOut();
+    private void markReleasesDuringDecode() {
+        if (isDecodeInFlight()) {
+            releasedDuringDecode |= !releases.isEmpty();
+            releases.markDecodeInFlight();
         }
     }
 
-    private boolean isDecodeOut() {
-        return attempt != null && attempt.isDecodeOut();
+    private boolean isDecodeInFlight() {
+        return attempt != null && attempt.isDecodeInFlight();
     }
 
     /** Records that the attempt waits for a connection to its engine. */
@@ -126,9 +126,9 @@
         boolean answered = ending == AttemptEnding.ANSWERED;
         if (attempt != null) {
             history.add(ReservationStep.of(ending), attempt.engine, now);
-            takeFailed |= attempt.takesReservation();
-            unwanted |= attempt.stoppedRelease && !answered;
-            releases.callBy(now);
+            consumptionFailed |= attempt.takesReservation();
+            unwanted |= attempt.interruptedRelease && !answered;
+            releases.allowCallBy(now);
         }
         attempt = null;
         idleSince = answered ? now : idleSince;
@@ -150,13 +150,13 @@
      * Records that a stream started: its engine has consumed all holds, except what a lost or
      * abandoned prefill may still create.
      */
-    void taken(long now) {
+    void streamStarted(long now) {
         history.add(ReservationStep.TAKEN, "", now);
         replaceHolds(open -> HoldProof.afterStream(open, now));
-        takeFailed = false;
+        consumptionFailed = false;
         attempt = null;
         unwanted = true;
-        releases.callFrom(nextRelease(now));
+        releases.allowCallFrom(nextRelease(now));
     }
 
     private void replaceHolds(Function<OpenHold, Optional<OpenHold>> proof) {
@@ -165,7 +165,7 @@
         holds.addAll(left);
     }
 
-    boolean holdsNothing() {
+    boolean isEmpty() {
         return holds.isEmpty();
     }
 
@@ -178,10 +178,10 @@
     }
 
     /** Records that an engine responded again: what was in transit to it arrives now or never. */
-    void engineHeard(String engine, long now) {
-        if (holds.stream().anyMatch(open -> open.awaits(engine))) {
+    void engineResponded(String engine, long now) {
+        if (holds.stream().anyMatch(open -> open.awaitsResponseOf(engine))) {
             history.add(ReservationStep.ENGINE_HEARD, engine, now);
-            settle(engine, open -> open.engineHeard(policy, now));
+            updateAwaitingHolds(engine, open -> open.engineResponded(policy, now));
         }
     }
 
@@ -190,9 +190,9 @@
      * after a further period of releases.
      */
     void engineRemoved(String engine, long now) {
-        if (holds.stream().anyMatch(open -> open.awaits(engine))) {
+        if (holds.stream().anyMatch(open -> open.awaitsResponseOf(engine))) {
             history.add(ReservationStep.ENGINE_REMOVED, engine, now);
-            settle(engine, open -> open.engineRemoved(policy, now));
+            updateAwaitingHolds(engine, open -> open.engineRemoved(policy, now));
         }
     }
 
@@ -200,13 +200,13 @@
      * Applies a change to the holds that wait for this engine. Only the releases of these holds
      * become due earlier.
      */
-    private void settle(String engine, UnaryOperator<OpenHold> change) {
+    private void updateAwaitingHolds(String engine, UnaryOperator<OpenHold> change) {
         for (int i = 0; i < holds.size(); i++) {
             OpenHold open = holds.get(i);
-            if (open.awaits(engine)) {
+            if (open.awaitsResponseOf(engine)) {
                 OpenHold settling = change.apply(open);
                 holds.set(i, settling);
-                releases.callBy(settling.releaseDueAt());
+                releases.allowCallBy(settling.releaseDueAt());
             }
         }
     }
@@ -242,17 +242,17 @@
         if (unwanted && attempt == null) {
             return Long.MIN_VALUE;
         }
-        return attempt != null && mayTake(attempt)
+        return attempt != null && mayConsume(attempt)
                 ? attempt.releasableFrom(idleSince)
                 : idleSince + policy.idleMicros();
     }
 
-    private boolean mayTake(ReservationAttempt sent) {
+    private boolean mayConsume(ReservationAttempt sent) {
         return sent.takesReservation() || holds.stream().allMatch(OpenHold::needed);
     }
 
     /** {@return the hold whose engine is called first} */
-    Hold latest() {
+    Hold holdToRelease() {
         Hold latest = holds.get(holds.size() - 1).hold();
         for (OpenHold open : holds) {
             // A queued decode reserves nothing at its engine, so other kinds of holds take
@@ -267,19 +267,19 @@
     }
 
     /** Records that a release call was sent. */
-    void called(long call, String engine, long now) {
+    void releaseSent(long call, String engine, long now) {
         history.add(ReservationStep.RELEASE_SENT, engine, now);
-        releasedBesideDecode |= isDecodeOut();
-        releases.made(call, engine, isDecodeOut(), now);
+        releasedDuringDecode |= isDecodeInFlight();
+        releases.callSent(call, engine, isDecodeInFlight(), now);
     }
 
     /**
      * Records that a release call failed.
      *
-     * @param others whether another engine can be called instead
+     * @param canCallOthers whether another engine can be called instead
      */
-    void callFailed(long call, boolean others, long now) {
-        if (releases.failed(call, others, now)) {
+    void releaseFailed(long call, boolean canCallOthers, long now) {
+        if (releases.callFailed(call, canCallOthers, now)) {
             history.add(ReservationStep.RELEASE_FAILED, "", now);
         }
     }
@@ -290,20 +290,20 @@
      * @return whether this proves that everything that was releasable when the call was sent is
      *     gone
      */
-    boolean callDone(long call, long now) {
-        PendingReleases.Call answered = releases.answered(call);
+    boolean releaseSucceeded(long call, long now) {
+        PendingReleases.Call answered = releases.callAnswered(call);
         if (answered == null) {
             return false;
         }
-        if (answered.decodeWasOut()) {
+        if (answered.decodeWasInFlight()) {
             history.add(ReservationStep.RELEASE_UNPROVEN, "", now);
-            answerProvesNothing(answered.madeAt, now);
+            scheduleAfterUnprovenAnswer(answered.sentAt, now);
             return false;
         }
         history.add(ReservationStep.RELEASE_PROVEN, "", now);
-        replaceHolds(open -> HoldProof.afterRelease(open, policy, answered.madeAt));
-        releases.callFrom(nextRelease(0));
-        releases.restart();
+        replaceHolds(open -> HoldProof.afterRelease(open, policy, answered.sentAt));
+        releases.allowCallFrom(nextRelease(0));
+        releases.reset();
         return true;
     }
 
@@ -311,13 +311,13 @@
      * Schedules the next release after an answer that proves nothing. The decode may never have
      * arrived, so it must not postpone the next release indefinitely.
      */
-    private void answerProvesNothing(long madeAt, long now) {
-        releases.restart();
-        if (isDecodeOut()) {
-            latestAnsweredAt = Math.max(latestAnsweredAt, madeAt);
-            releases.callFrom(latestAnsweredAt + policy.renewMicros());
+    private void scheduleAfterUnprovenAnswer(long madeAt, long now) {
+        releases.reset();
+        if (isDecodeInFlight()) {
+            latestAnsweredSentAt = Math.max(latestAnsweredSentAt, madeAt);
+            releases.allowCallFrom(latestAnsweredSentAt + policy.renewMicros());
         } else if (releases.isEmpty()) {
-            releases.callFrom(now);
+            releases.allowCallFrom(now);
         }
     }
 
@@ -325,8 +325,8 @@
      * {@return whether a release was sent while a decode that had not fetched the prefill state was
      * in flight; no other attempt can rely on that state}
      */
-    boolean wasReleasedBesideDecode() {
-        return releasedBesideDecode;
+    boolean wasReleasedDuringDecode() {
+        return releasedDuringDecode;
     }
 
     /**
@@ -349,10 +349,10 @@
     }
 
     /** {@return the engine that was called last, or the holder if none was called} */
-    String lastAsked() {
-        return releases.lastAsked().isEmpty() && !holds.isEmpty()
-                ? latest().engine()
-                : releases.lastAsked();
+    String lastCalledEngine() {
+        return releases.lastCalledEngine().isEmpty() && !holds.isEmpty()
+                ? holdToRelease().engine()
+                : releases.lastCalledEngine();
     }
 
     // Reports
@@ -361,8 +361,8 @@
      * {@return whether to log the end of this reservation: the attempt that was meant to consume it
      * did not}
      */
-    boolean isWorthReporting() {
-        return takeFailed;
+    boolean needsReport() {
+        return consumptionFailed;
     }
 
     /**
@@ -386,7 +386,7 @@
                 key.requestName(),
                 state,
                 now - idleSince,
-                releases.callsMadeInAll(),
+                releases.totalCalls(),
                 history.toString());
     }
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationAttempt.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationAttempt.java
@@ -15,7 +15,7 @@
      * Whether the holds were being released when this attempt was sent. The attempt stops that
      * release.
      */
-    final boolean stoppedRelease;
+    final boolean interruptedRelease;
 
     private final AttemptPurpose purpose;
     private final ReleasePolicy policy;
@@ -23,10 +23,10 @@
     private long writtenAt;
 
     ReservationAttempt(
-            AttemptPurpose purpose, String engine, boolean stoppedRelease, ReleasePolicy policy) {
+            AttemptPurpose purpose, String engine, boolean interruptedRelease, ReleasePolicy policy) {
         this.purpose = purpose;
         this.engine = engine;
-        this.stoppedRelease = stoppedRelease;
+        this.interruptedRelease = interruptedRelease;
         this.policy = policy;
     }
 
@@ -55,7 +55,7 @@
      * {@return whether any engine can release the holds and the attempt is a decode that may be at
      * an engine, so that the answer to a release proves nothing}
      */
-    boolean isDecodeOut() {
+    boolean isDecodeInFlight() {
         return policy.reach() == ReleaseReach.ANY_ENGINE
                 && purpose != AttemptPurpose.PREFILL
                 && progress != Progress.CONNECTING;
@@ -76,7 +76,7 @@
             case CONNECTING -> ordinary;
             case WRITTEN ->
                     Math.max(ordinary, Math.min(writtenAt + policy.confirmationMicros(), latest));
-            case DELIVERED -> isDecodeOut() ? idleSince + policy.renewMicros() : Long.MAX_VALUE;
+            case DELIVERED -> isDecodeInFlight() ? idleSince + policy.renewMicros() : Long.MAX_VALUE;
         };
     }
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationHistory.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationHistory.java
@@ -16,14 +16,14 @@
     /** The log truncates long lines at the end, and other fields precede the history. */
     private static final int MAX_CHARACTERS = 270;
 
-    private static final int CHARACTERS_OF_OMISSION = ",(999 left out)".length();
+    private static final int OMISSION_CHARACTERS = ",(999 left out)".length();
     private static final long MICROS_PER_MILLI = 1000;
 
     private record Entry(long at, ReservationStep step, String engine) {}
 
     private final ArrayDeque<Entry> first = new ArrayDeque<>(FIRST_ENTRIES);
     private final ArrayDeque<Entry> latest = new ArrayDeque<>();
-    private int leftOut;
+    private int omittedEntries;
 
     /**
      * Records an event.
@@ -40,7 +40,7 @@
         }
         if (latest.size() == LATEST_ENTRIES) {
             latest.pollFirst();
-            leftOut++;
+            omittedEntries++;
         }
         latest.addLast(entry);
     }
@@ -50,8 +50,8 @@
     public String toString() {
         StringJoiner text = new StringJoiner(",");
         first.forEach(entry -> text.add(format(entry)));
-        Deque<String> end = latestThatFit(MAX_CHARACTERS - CHARACTERS_OF_OMISSION - text.length());
-        int omitted = leftOut + latest.size() - end.size();
+        Deque<String> end = latestThatFit(MAX_CHARACTERS - OMISSION_CHARACTERS - text.length());
+        int omitted = omittedEntries + latest.size() - end.size();
         if (omitted > 0) {
             text.add("(" + omitted + " left out)");
         }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
@@ -69,13 +69,13 @@
     // Events of requests
 
     /** Records a hold that exists, or may exist. */
-    public void opened(ReservationKey key, Hold hold, long now) {
+    public void addHold(ReservationKey key, Hold hold, long now) {
         if (reservations.size() >= capacity && !reservations.containsKey(key)) {
             evictOldestUnwanted(now);
         }
         Reservation reservation =
                 reservations.computeIfAbsent(key, k -> new Reservation(k, policy, now));
-        reservation.opened(hold, now);
+        reservation.addHold(hold, now);
         scheduleTimer(reservation);
     }
 
@@ -85,7 +85,7 @@
      */
     public void prefillCompleted(ReservationKey key, Hold state, long now) {
         update(key, reservation -> abandonCalls(reservation, now));
-        opened(key, state, now);
+        addHold(key, state, now);
     }
 
     /** Records that an attempt is sent. */
@@ -128,9 +128,9 @@
     }
 
     /** {@return whether a release was sent during a decode that had not fetched the key's state} */
-    public boolean wasReleasedBesideDecode(ReservationKey key) {
+    public boolean wasReleasedDuringDecode(ReservationKey key) {
         Reservation reservation = reservations.get(key);
-        return reservation != null && reservation.wasReleasedBesideDecode();
+        return reservation != null && reservation.wasReleasedDuringDecode();
     }
 
     /**
@@ -143,9 +143,9 @@
     }
 
     /** Records that an engine responded after a period of silence. */
-    public void engineHeard(String engine, long now) {
+    public void engineResponded(String engine, long now) {
         for (Reservation reservation : reservations.values()) {
-            reservation.engineHeard(engine, now);
+            reservation.engineResponded(engine, now);
             scheduleTimer(reservation);
         }
     }
@@ -181,18 +181,18 @@
      * Records that a stream started: its engine has consumed the holds, except what a lost or
      * abandoned prefill may still create.
      */
-    public void taken(ReservationKey key, long now) {
+    public void streamStarted(ReservationKey key, long now) {
         update(
                 key,
                 reservation -> {
                     abandonCalls(reservation, now);
-                    reservation.taken(now);
+                    reservation.streamStarted(now);
                     forgetIfEmpty(reservation, now);
                 });
     }
 
     /** Releases the holds at once unless an attempt is running, as no attempt will consume them. */
-    public void unwanted(ReservationKey key, long now) {
+    public void markUnwanted(ReservationKey key, long now) {
         update(
                 key,
                 reservation -> {
@@ -225,8 +225,8 @@
             return;
         }
         if (!done) {
-            reservation.callFailed(call, policy.reach() == ReleaseReach.ANY_ENGINE, now);
-        } else if (reservation.callDone(call, now)) {
+            reservation.releaseFailed(call, policy.reach() == ReleaseReach.ANY_ENGINE, now);
+        } else if (reservation.releaseSucceeded(call, now)) {
             abandonCalls(reservation, now);
             forgetIfEmpty(reservation, now);
         }
@@ -267,7 +267,7 @@
             expire(reservation, now);
             return;
         }
-        String engine = targets.select(reservation.latest(), reservation.releases().asked());
+        String engine = targets.select(reservation.holdToRelease(), reservation.releases().calledEngines());
         if (engine != null) {
             call(reservation, engine, now);
         } else if (policy.reach() == ReleaseReach.HOLDER) {
@@ -276,8 +276,8 @@
             reservations.remove(reservation.key);
         } else {
             // Every engine was called, or there is none: start over after the retry interval.
-            reservation.releases().forgetAsked();
-            reservation.releases().waitForAnswer(now);
+            reservation.releases().clearCalledEngines();
+            reservation.releases().scheduleNextCall(now);
         }
     }
 
@@ -291,9 +291,9 @@
             releaseClient.report(reservation.report(ReservationReport.State.OVERDUE, now));
         }
         callsByCause.merge(reservation.releaseCause(), 1L, Long::sum);
-        reservation.called(call, engine, now);
+        reservation.releaseSent(call, engine, now);
         releaseClient.release(
-                new ReleaseCall(call, reservation.key.requestName(), engine, reservation.latest()));
+                new ReleaseCall(call, reservation.key.requestName(), engine, reservation.holdToRelease()));
     }
 
     private void abandonCalls(Reservation reservation, long now) {
@@ -329,14 +329,14 @@
     private void reportExpired(Reservation reservation) {
         expiredCount++;
         releaseClient.expired(
-                reservation.key, reservation.lastAsked(), reservation.releases().callsMade());
+                reservation.key, reservation.lastCalledEngine(), reservation.releases().callsSinceAnswer());
     }
 
     private void forgetIfEmpty(Reservation reservation, long now) {
-        if (reservation.holdsNothing()) {
+        if (reservation.isEmpty()) {
             abandonCalls(reservation, now);
             reservations.remove(reservation.key);
-            if (reservation.isWorthReporting()) {
+            if (reservation.needsReport()) {
                 releaseClient.report(reservation.report(ReservationReport.State.RELEASED, now));
             }
         }
--- a/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
@@ -53,7 +53,7 @@
      * Length of the pause after an overdue slice, as a multiple of its cost; leaves nine tenths of
      * the thread to requests.
      */
-    private static final int PAUSE_PER_COST = 9;
+    private static final int PAUSE_COST_FACTOR = 9;
 
     private final List<ScheduledJob> jobs = new ArrayList<>();
     private final TokenBucket sharedCpuMicros;
@@ -125,7 +125,7 @@
         for (ScheduledJob candidate : jobs) {
             if (candidate.isDue(now)
                     && candidate.hasBudget(now)
-                    && (first == null || candidate.goesBefore(first, now))) {
+                    && (first == null || candidate.hasPrecedenceOver(first, now))) {
                 first = candidate;
             }
         }
@@ -149,16 +149,16 @@
      * @param now the time, in microseconds
      * @param cpuMicros the CPU time used, in microseconds
      * @param bytes the number of bytes read or written
-     * @param again when the job has more work, in microseconds; Long.MAX_VALUE for none
+     * @param nextWorkAt when the job has more work, in microseconds; Long.MAX_VALUE for none
      * @param deadline by when that work should have run; Long.MAX_VALUE for none
      */
-    public void sliceFinished(long now, long cpuMicros, long bytes, long again, long deadline) {
+    public void sliceFinished(long now, long cpuMicros, long bytes, long nextWorkAt, long deadline) {
         ScheduledJob finished = running;
         running = null;
         finished.sliceFinished(now, cpuMicros, bytes);
         sharedCpuMicros.spend(now, cpuMicros);
-        pausedUntil = now + PAUSE_PER_COST * cpuMicros;
-        finished.reschedule(again, deadline);
+        pausedUntil = now + PAUSE_COST_FACTOR * cpuMicros;
+        finished.reschedule(nextWorkAt, deadline);
     }
 
     /**
--- a/core/src/main/java/sorrelhoist/core/scheduling/ScheduledJob.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/ScheduledJob.java
@@ -64,7 +64,7 @@
      * {@return when the job becomes overdue: after its maximum wait, or at its deadline if that is
      * earlier}
      */
-    long overdueFrom() {
+    long overdueAt() {
         if (dueAt == NEVER) {
             return NEVER;
         }
@@ -73,18 +73,18 @@
     }
 
     boolean isOverdue(long now) {
-        return now >= overdueFrom();
+        return now >= overdueAt();
     }
 
     /**
      * {@return whether this job runs before another one} Overdue jobs run before others, ordered by
      * the time since which they are overdue; all others are ordered by priority, then by due time.
      */
-    boolean goesBefore(ScheduledJob other, long now) {
+    boolean hasPrecedenceOver(ScheduledJob other, long now) {
         boolean overdue = isOverdue(now);
         boolean otherOverdue = other.isOverdue(now);
         if (overdue || otherOverdue) {
-            return overdue && (!otherOverdue || overdueFrom() < other.overdueFrom());
+            return overdue && (!otherOverdue || overdueAt() < other.overdueAt());
         }
         return job.priority() != other.job.priority()
                 ? job.priority() > other.job.priority()
@@ -99,7 +99,7 @@
      */
     long runnableAt(long now, long sharedBudgetAt) {
         long budgetAt = Math.max(cpuMicros.nextAvailableAt(now), bytes.nextAvailableAt(now));
-        long turnAt = Math.min(Math.max(dueAt, sharedBudgetAt), Math.max(overdueFrom(), now));
+        long turnAt = Math.min(Math.max(dueAt, sharedBudgetAt), Math.max(overdueAt(), now));
         return Math.max(Math.max(dueAt, now), Math.max(budgetAt, turnAt));
     }
 }
--- a/core/src/main/java/sorrelhoist/core/scheduling/TokenBucket.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/TokenBucket.java
@@ -38,10 +38,10 @@
 
     /** {@return when a token is available, in microseconds; {@code now} if one is} */
     long nextAvailableAt(long now) {
-        double have = available(now);
-        if (have > 0) {
+        double availableNow = available(now);
+        if (availableNow > 0) {
             return now;
         }
-        return now + (long) Math.ceil((1 - have) * MICROS_PER_SECOND / tokensPerSecond);
+        return now + (long) Math.ceil((1 - availableNow) * MICROS_PER_SECOND / tokensPerSecond);
     }
 }
--- a/core/src/test/java/sorrelhoist/core/delivery/DeliveryMonitorTest.java
+++ b/core/src/test/java/sorrelhoist/core/delivery/DeliveryMonitorTest.java
@@ -20,7 +20,7 @@
     private static final long STEP = 1000;
     private static final long BEFORE = -STEP;
 
-    private final List<String> asked = new ArrayList<>();
+    private final List<String> livenessChecks = new ArrayList<>();
     private final List<String> delivered = new ArrayList<>();
     private final List<String> unconfirmed = new ArrayList<>();
     private final DeliveryMonitor<String> monitor =
@@ -28,8 +28,8 @@
                     POLICY,
                     new DeliveryMonitor.Listener<>() {
                         @Override
-                        public void ask(String engine) {
-                            asked.add(engine);
+                        public void checkLiveness(String engine) {
+                            livenessChecks.add(engine);
                         }
 
                         @Override
@@ -45,20 +45,20 @@
     private final AttemptDelivery delivery = new AttemptDelivery("e");
     private long now;
 
-    private void passTo(long time) {
+    private void advanceTo(long time) {
         while (now < time) {
             now = Math.min(time, now + STEP);
             monitor.advance(now);
         }
     }
 
-    private void written() {
+    private void writeAttempt() {
         delivery.connecting();
         monitor.written("a", delivery, now, now);
     }
 
     @Test
-    void anAttemptOfATransportThatCannotTellCountsAsDelivered() {
+    void attemptIsAssumedDeliveredIfTransportDoesNotReportWrites() {
         assertTrue(delivery.isDelivered());
         assertEquals(Evidence.ASSUMED, delivery.evidence());
         delivery.connecting();
@@ -66,149 +66,149 @@
     }
 
     @Test
-    void aWriteAloneShowsNothing() {
-        written();
+    void writeAloneIsNoEvidence() {
+        writeAttempt();
         assertEquals(State.WRITTEN, delivery.state());
         assertEquals(1, monitor.watchedCount());
     }
 
     @Test
-    void theAnswerToACallThatWasWrittenLaterShowsIt() {
-        written();
+    void answerToLaterCallConfirmsDelivery() {
+        writeAttempt();
         monitor.callAnswered("e", now + 1);
         assertEquals(Evidence.ENGINE_RESPONSIVE, delivery.evidence());
         assertEquals(List.of("a"), delivered);
-        passTo(2 * LIMIT);
-        assertEquals(List.of(), asked);
+        advanceTo(2 * LIMIT);
+        assertEquals(List.of(), livenessChecks);
         assertEquals(List.of(), unconfirmed);
     }
 
     @Test
-    void theAnswerToACallThatWasWrittenBeforeShowsNothingHoweverLateItComes() {
-        written();
+    void lateAnswerToEarlierCallIsNoEvidence() {
+        writeAttempt();
         long writtenAt = now;
-        passTo(10 * STEP);
+        advanceTo(10 * STEP);
         monitor.callAnswered("e", BEFORE);
         monitor.callAnswered("e", writtenAt);
         assertEquals(State.WRITTEN, delivery.state());
-        passTo(LIMIT);
+        advanceTo(LIMIT);
         assertEquals(List.of("a"), unconfirmed);
     }
 
     @Test
-    void theAnswerOfAnotherEngineShowsNothing() {
-        written();
+    void answerOfAnotherEngineIsNoEvidence() {
+        writeAttempt();
         monitor.callAnswered("f", now + LIMIT);
         assertEquals(State.WRITTEN, delivery.state());
     }
 
     @Test
-    void anEngineIsAskedBeforeItsSilenceCounts() {
-        written();
-        passTo(POLICY.askAfterMicros() - STEP);
-        assertEquals(List.of(), asked);
-        passTo(POLICY.askAfterMicros());
-        assertEquals(List.of("e"), asked);
-        passTo(POLICY.confirmAfterMicros() - STEP);
+    void engineIsCheckedBeforeAttemptIsUnconfirmed() {
+        writeAttempt();
+        advanceTo(POLICY.livenessCheckAfterMicros() - STEP);
+        assertEquals(List.of(), livenessChecks);
+        advanceTo(POLICY.livenessCheckAfterMicros());
+        assertEquals(List.of("e"), livenessChecks);
+        advanceTo(POLICY.confirmAfterMicros() - STEP);
         assertEquals(List.of(), unconfirmed);
-        passTo(POLICY.confirmAfterMicros());
+        advanceTo(POLICY.confirmAfterMicros());
         assertEquals(List.of("a"), unconfirmed);
         assertTrue(delivery.wasReportedUnconfirmed());
     }
 
     @Test
-    void theAnswerToAQuestionShowsIt() {
-        written();
-        passTo(POLICY.askAfterMicros() + STEP);
+    void answerToLivenessCheckConfirmsDelivery() {
+        writeAttempt();
+        advanceTo(POLICY.livenessCheckAfterMicros() + STEP);
         monitor.callAnswered("e", now);
-        monitor.questionEnded("e", now);
-        passTo(2 * LIMIT);
+        monitor.livenessCheckEnded("e", now);
+        advanceTo(2 * LIMIT);
         assertEquals(List.of("a"), delivered);
         assertEquals(List.of(), unconfirmed);
     }
 
     @Test
-    void theAnswerToAnotherCallThatWasWrittenBeforeTheQuestionIsNoAnswer() {
-        written();
-        passTo(POLICY.askAfterMicros());
+    void answerToCallBeforeLivenessCheckIsNoEvidence() {
+        writeAttempt();
+        advanceTo(POLICY.livenessCheckAfterMicros());
         monitor.callAnswered("e", BEFORE);
-        passTo(POLICY.confirmAfterMicros());
+        advanceTo(POLICY.confirmAfterMicros());
         assertEquals(List.of("a"), unconfirmed);
     }
 
     @Test
-    void anEngineThatCannotBeAskedIsNotTakenForSilentBeforeTheLimit() {
-        written();
+    void uncheckableEngineIsNotSilentBeforeLimit() {
+        writeAttempt();
         for (long at = STEP; at < LIMIT; at += STEP) {
-            passTo(at);
-            monitor.questionNotAsked("e", now);
+            advanceTo(at);
+            monitor.livenessCheckNotSent("e", now);
         }
         assertEquals(List.of(), unconfirmed);
-        assertEquals(0, monitor.questionsAsked());
-        passTo(LIMIT + POLICY.attemptMicros());
+        assertEquals(0, monitor.livenessChecksSent());
+        advanceTo(LIMIT + POLICY.minAttemptMicros());
         assertEquals(List.of("a"), unconfirmed);
     }
 
     @Test
-    void aCheckThatIsLateWithTheRouterWaitsForWhatLiesInItsSockets() {
-        written();
-        passTo(POLICY.askAfterMicros());
+    void lateCheckWaitsForUnreadSocketData() {
+        writeAttempt();
+        advanceTo(POLICY.livenessCheckAfterMicros());
         now = POLICY.confirmAfterMicros() + 150_000;
         monitor.advance(now);
         assertEquals(List.of(), unconfirmed);
-        monitor.callAnswered("e", POLICY.askAfterMicros());
-        passTo(2 * LIMIT);
+        monitor.callAnswered("e", POLICY.livenessCheckAfterMicros());
+        advanceTo(2 * LIMIT);
         assertEquals(List.of(), unconfirmed);
         assertEquals(List.of("a"), delivered);
     }
 
     @Test
-    void aLateRouterStillReportsASilentEngine() {
-        written();
-        passTo(POLICY.askAfterMicros());
+    void lateRouterStillReportsSilentEngine() {
+        writeAttempt();
+        advanceTo(POLICY.livenessCheckAfterMicros());
         now = POLICY.confirmAfterMicros() + 150_000;
         monitor.advance(now);
-        passTo(now + POLICY.attemptMicros());
+        advanceTo(now + POLICY.minAttemptMicros());
         assertEquals(List.of("a"), unconfirmed);
     }
 
     @Test
-    void aSecondAttemptForWhatIsHeldIsAskedForAtOnce() {
+    void secondAttemptIsCheckedAtOnce() {
         now = POLICY.confirmAfterMicros();
         delivery.connecting();
         monitor.written("a", delivery, 0, now);
         monitor.advance(now);
-        assertEquals(List.of("e"), asked);
-        passTo(POLICY.confirmAfterMicros() + POLICY.attemptMicros());
+        assertEquals(List.of("e"), livenessChecks);
+        advanceTo(POLICY.confirmAfterMicros() + POLICY.minAttemptMicros());
         assertEquals(List.of("a"), unconfirmed);
     }
 
     @Test
-    void anAttemptThatWasReportedMayStillTurnOutToHaveArrived() {
-        written();
-        passTo(LIMIT);
+    void reportedAttemptMayStillBeConfirmed() {
+        writeAttempt();
+        advanceTo(LIMIT);
         monitor.callAnswered("e", now);
         assertEquals(List.of("a"), unconfirmed);
         assertEquals(List.of("a"), delivered);
     }
 
     @Test
-    void limitsThatAreNotSensibleLeaveTimeToAskAndToAnswer() {
+    void limitIsClampedToSupportedRange() {
         for (long limit : new long[] {0, 1, Long.MAX_VALUE}) {
             DeliveryPolicy policy = new DeliveryPolicy(limit);
-            assertTrue(policy.askAfterMicros() > 0);
-            assertTrue(policy.attemptMicros() > 0);
-            assertTrue(policy.askAfterMicros() < policy.confirmAfterMicros());
+            assertTrue(policy.livenessCheckAfterMicros() > 0);
+            assertTrue(policy.minAttemptMicros() > 0);
+            assertTrue(policy.livenessCheckAfterMicros() < policy.confirmAfterMicros());
             assertTrue(policy.confirmAfterMicros() < policy.limitMicros());
         }
     }
 
     @Test
-    void anAttemptThatEndedIsNotReported() {
-        written();
+    void endedAttemptIsNotReported() {
+        writeAttempt();
         monitor.ended("a", delivery);
-        passTo(2 * LIMIT);
-        assertEquals(List.of(), asked);
+        advanceTo(2 * LIMIT);
+        assertEquals(List.of(), livenessChecks);
         assertEquals(List.of(), unconfirmed);
         assertEquals(0, monitor.watchedCount());
     }
@@ -220,33 +220,33 @@
     }
 
     @Test
-    void anEngineThatHadAGivenUpAttemptIsAskedOnlyWhereItDoesNotSpeakByItself() {
+    void engineOfAbandonedAttemptIsCheckedOnlyIfSilent() {
         monitor.awaitEngine("e", delivery, now);
-        passTo(POLICY.askAfterMicros() - STEP);
+        advanceTo(POLICY.livenessCheckAfterMicros() - STEP);
         assertTrue(monitor.callAnswered("e", now));
-        passTo(10 * LIMIT);
-        assertEquals(List.of(), asked);
+        advanceTo(10 * LIMIT);
+        assertEquals(List.of(), livenessChecks);
         monitor.awaitEngine("e", delivery, now);
-        passTo(now + POLICY.askAfterMicros());
-        assertEquals(List.of("e"), asked);
+        advanceTo(now + POLICY.livenessCheckAfterMicros());
+        assertEquals(List.of("e"), livenessChecks);
     }
 
     @Test
-    void aQuestionThatTimedOutIsAskedAgainWithoutAGap() {
+    void timedOutLivenessCheckIsRepeatedAtOnce() {
         monitor.awaitEngine("e", undelivered(), now);
-        passTo(POLICY.questionTimeoutMicros());
-        monitor.questionEnded("e", now);
-        passTo(now + STEP);
-        assertEquals(2, asked.size());
+        advanceTo(POLICY.livenessCheckTimeoutMicros());
+        monitor.livenessCheckEnded("e", now);
+        advanceTo(now + STEP);
+        assertEquals(2, livenessChecks.size());
     }
 
     @Test
-    void anAwaitedEngineIsAskedAgainUntilItIsHeard() {
+    void awaitedEngineIsCheckedUntilItResponds() {
         monitor.awaitEngine("e", undelivered(), now);
-        assertEquals(1, asked.size());
-        monitor.questionEnded("e", now);
-        passTo(LIMIT);
-        assertEquals(2, asked.size());
+        assertEquals(1, livenessChecks.size());
+        monitor.livenessCheckEnded("e", now);
+        advanceTo(LIMIT);
+        assertEquals(2, livenessChecks.size());
         assertFalse(
                 monitor.callAnswered("e", BEFORE),
                 "the call was written before the engine was awaited");
@@ -254,18 +254,18 @@
         assertFalse(
                 monitor.callAnswered("e", now + LIMIT),
                 "the awaited response is reported only once");
-        monitor.questionEnded("e", now);
-        passTo(10 * LIMIT);
-        assertEquals(2, asked.size());
+        monitor.livenessCheckEnded("e", now);
+        advanceTo(10 * LIMIT);
+        assertEquals(2, livenessChecks.size());
         assertEquals(0, monitor.watchedEngines().size());
     }
 
     @Test
-    void anEngineThatLeftTheListIsNotAwaitedAnyLonger() {
+    void removedEngineIsNoLongerAwaited() {
         monitor.awaitEngine("e", undelivered(), now);
         monitor.engineRemoved("e");
-        monitor.questionEnded("e", now);
-        passTo(10 * LIMIT);
-        assertEquals(1, asked.size());
+        monitor.livenessCheckEnded("e", now);
+        advanceTo(10 * LIMIT);
+        assertEquals(1, livenessChecks.size());
     }
 }
--- a/core/src/test/java/sorrelhoist/core/guard/SendGuardTest.java
+++ b/core/src/test/java/sorrelhoist/core/guard/SendGuardTest.java
@@ -48,7 +48,7 @@
     private final SendGuard guard = new SendGuard(SETTINGS, monitor);
 
     @BeforeEach
-    void list() {
+    void listEngines() {
         guard.endpointsUpdated(
                 ListUpdateKind.COMPLETE,
                 List.of(
@@ -74,71 +74,71 @@
                 new SendGuard.Repetition(repeat, false, mayHaveRun, 2 * SECOND));
     }
 
-    private void refused(SendGuard.Attempt attempt, long now, Invariant by) {
+    private void assertRefused(SendGuard.Attempt attempt, long now, Invariant by) {
         assertFalse(guard.allows(attempt, now));
         assertEquals(Map.of(by, 1L), monitor.counts());
         assertTrue(log.get(0).startsWith("invariant violated: " + by), log.get(0));
     }
 
     @Test
-    void anOrdinarySendIsAllowedAndCountsNothing() {
+    void validSendIsAllowed() {
         assertTrue(guard.allows(attempt("a", true, Idempotency.UNSAFE, false), SECOND));
         assertTrue(guard.allows(attempt("b", true, Idempotency.KEYED, true), SECOND));
         assertEquals(Map.of(), monitor.counts());
     }
 
     @Test
-    void nothingLeavesForARequestThatIsAnswered() {
-        refused(
+    void sendForAnsweredRequestIsRefused() {
+        assertRefused(
                 attempt("a", false, Idempotency.SAFE, false),
                 SECOND,
                 Invariant.SEND_FOR_OPEN_REQUEST);
     }
 
     @Test
-    void nothingLeavesAfterTheClientsTime() {
-        refused(
+    void sendAfterDeadlineIsRefused() {
+        assertRefused(
                 attempt("a", true, Idempotency.SAFE, false),
                 4 * SECOND,
                 Invariant.SEND_WITHIN_DEADLINE);
     }
 
     @Test
-    void nothingLeavesForAnEngineThatDrains() {
-        refused(
+    void sendToDrainingEngineIsRefused() {
+        assertRefused(
                 attempt("d", true, Idempotency.SAFE, false),
                 SECOND,
                 Invariant.SEND_TO_SERVING_ENGINE);
     }
 
     @Test
-    void nothingLeavesForAnEngineThatIsGone() {
+    void sendToRemovedEngineIsRefused() {
         guard.endpointsUpdated(
                 ListUpdateKind.UPDATE, List.of(server("a", ServerState.GONE, 0)), SECOND);
-        refused(
+        assertRefused(
                 attempt("a", true, Idempotency.SAFE, false),
                 SECOND,
                 Invariant.SEND_TO_SERVING_ENGINE);
     }
 
     @Test
-    void whatMayHaveRunIsNotRepeatedWhereThatHasAnEffect() {
-        refused(
+    void repetitionWithEffectIsRefused() {
+        assertRefused(
                 attempt("a", true, Idempotency.UNSAFE, true),
                 SECOND,
                 Invariant.REPEAT_WITHOUT_SECOND_EFFECT);
     }
 
     @Test
-    void aKeyedRepeatDoesNotLeaveAfterItsWindow() {
-        refused(
+    void keyedRepetitionAfterWindowIsRefused() {
+        assertRefused(
                 attempt("a", true, Idempotency.KEYED, true),
                 2 * SECOND,
                 Invariant.REPEAT_WITHOUT_SECOND_EFFECT);
     }
 
     @Test
-    void sendsToAnEngineThatStartedAreCountedAgainstWhatLikeEnginesGet() {
+    void sendsBeyondSlowStartBudgetAreCounted() {
         for (int i = 0; i < 10; i++) {
             guard.allows(attempt("a", true, Idempotency.SAFE, false), SECOND + i);
         }
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void eachNameIsLoggedOnceASecondAndCountedEveryTime() {
+    void violationIsLoggedOncePerSecondAndAlwaysCounted() {
         for (int i = 0; i < 5; i++) {
             guard.allows(attempt("d", true, Idempotency.SAFE, false), i);
         }
--- a/core/src/test/java/sorrelhoist/core/members/EndpointTrackerTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/EndpointTrackerTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void statesAreReadFromStatusAndAbsence() {
+    void statesAreDerivedFromStatusAndAbsence() {
         List<TrackedEndpoint> first =
                 tracker.update(
                         SECOND, List.of(instance("a", "UP", 0), instance("b", "STARTING", 0)));
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aRegistryThatListsNothingIsNotBelievedAtOnce() {
+    void massRemovalIsIgnoredDuringGracePeriod() {
         tracker.update(SECOND, THREE);
         assertEquals(0, tracker.update(2 * SECOND, List.of()).size());
         assertTrue(tracker.warnings().get(0).contains("vanished"));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void metadataThatCannotBeUsedIsReportedAndLeftOut() {
+    void invalidMetadataIsReportedAndSkipped() {
         List<Instance> unusable =
                 List.of(
                         instance("x", "UP", Map.of("zone", "a")),
--- a/core/src/test/java/sorrelhoist/core/members/EngineTableTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/EngineTableTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void aStartMovesOnlyWithTheIncarnation() {
+    void startTimeChangesOnlyWithIncarnation() {
         EngineTable table = new EngineTable(List.of("a"), List.of("prefill"));
         long since =
                 update(table, 100 * SECOND, engine(ServerState.SERVING, 7, 10 * SECOND)).since();
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void enginesOfUnknownZonesOrKindsAreReportedAndLeftOut() {
+    void enginesOfUnknownZonesOrKindsAreReportedAndSkipped() {
         EngineTable table = new EngineTable(List.of("b"), List.of("prefill"));
         assertEquals(List.of(), table.update(0, List.of(engine(ServerState.SERVING, 1, 0))));
         assertTrue(table.warnings().get(0).contains("zone \"a\""));
--- a/core/src/test/java/sorrelhoist/core/members/ProcessStartTimesTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/ProcessStartTimesTest.java
@@ -12,14 +12,14 @@
     private final ProcessStartTimes starts = new ProcessStartTimes();
 
     @Test
-    void theFirstListsAreBelievedButNeverAhead() {
+    void firstListsAreUsedButClampedToNow() {
         assertEquals(900_000, starts.localStartTime("a", 900_000, NOW));
         assertEquals(NOW, starts.localStartTime("b", 2 * NOW, NOW));
         assertEquals(LONG_AGO, starts.localStartTime("c", LONG_AGO, NOW));
     }
 
     @Test
-    void aProcessThatIsHeardOfLaterStartedWhenItIsHeardOf() {
+    void laterProcessStartsWhenFirstListed() {
         starts.localStartTime("a", 900_000, NOW);
         starts.discoveryListReceived();
         assertEquals(900_000, starts.localStartTime("a", 900_000, NOW + 1));
--- a/core/src/test/java/sorrelhoist/core/members/RegistryViewTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/RegistryViewTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void aDeltaIsKeptOnlyWhereItsHashCodeAgrees() {
+    void viewIsCompleteOnlyWhileHashCodeMatches() {
         RegistryView view = new RegistryView();
         assertFalse(view.isComplete());
         view.replaceAll(List.of(instance("a", "UP"), instance("b", "UP")));
--- a/core/src/test/java/sorrelhoist/core/members/ReplicaSlotsTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/ReplicaSlotsTest.java
@@ -13,7 +13,7 @@
     private static final long SECOND = 1_000_000;
 
     @Test
-    void routersKeepTheirNumbersAndGapsClose() {
+    void routersKeepNumbersUntilLeasesExpire() {
         ReplicaSlots slots = new ReplicaSlots(2, 10 * SECOND);
         slots.join("x");
         assertEquals(new Slot(2, 0), slots.slotOf("x"));
@@ -29,7 +29,7 @@
         assertTrue(slots.expireLeases(30 * SECOND));
         assertEquals(new Slot(2, 0), slots.slotOf("y"));
         assertEquals(new Slot(2, 1), slots.slotOf("z"));
-        assertEquals("z", slots.edgeAt(1));
+        assertEquals("z", slots.routerAt(1));
         assertNull(slots.slotOf("x"));
     }
 }
--- a/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aSilentWatchIsReplacedWithinTheBudgetAlsoWhenTwoAttemptsHang() {
+    void silentWatchIsReplacedWithinBudgetAlthoughTwoAttemptsHang() {
         for (long seed = 0; seed < 200; seed++) {
             assertTrue(replacementTime(seed) < WatchReconnectPolicy.UPDATE_BUDGET_MICROS);
             assertTrue(
@@ -70,7 +70,7 @@
             assertTrue(
                     worst
                             <= WatchReconnectPolicy.UPDATE_BUDGET_MICROS
-                                    - WatchReconnectPolicy.ATTEMPT_TIMEOUT / 2
+                                    - WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS / 2
                                     + 5 * STEP,
                     worst + " with seed " + seed);
             assertTrue(
@@ -84,20 +84,20 @@
     }
 
     @Test
-    void aRefusedOrHangingDiscoveryIsFoundSoonAfterItsReturnHoweverLongItWasAway() {
+    void reconnectDelayStaysBoundedAfterLongOutage() {
         for (long seed = 0; seed < 50; seed++) {
             AttemptOutcome[] away = new AttemptOutcome[40];
             Arrays.fill(away, AttemptOutcome.REFUSED);
             long first = replacementTime(seed, away);
             away[39] = AttemptOutcome.CONNECTS;
             assertTrue(
-                    first - replacementTime(seed, away) <= WatchReconnectPolicy.MAX_BACKOFF + STEP,
+                    first - replacementTime(seed, away) <= WatchReconnectPolicy.MAX_BACKOFF_MICROS + STEP,
                     "the reconnect delay must stay short");
         }
     }
 
     @Test
-    void heartbeatsKeepAWatchAndALateOneIsNoLoss() {
+    void lateHeartbeatKeepsWatch() {
         WatchReconnectPolicy policy = new WatchReconnectPolicy(1);
         policy.restart(0);
         long established = policy.attemptToOpen(0);
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void aResetWatchIsOpenedAgainAtOnceAndASilentOneMayRecover() {
+    void resetWatchIsReopenedAtOnceAndSilentWatchMayRecover() {
         WatchReconnectPolicy policy = new WatchReconnectPolicy(1);
         policy.restart(0);
         long first = policy.attemptToOpen(0);
@@ -122,7 +122,7 @@
         long second = policy.attemptToOpen(policy.nextDeadline());
         assertTrue(second > first);
         policy.messageReceived(60_000, second);
-        long later = 60_000 + WatchReconnectPolicy.SILENCE_TIMEOUT;
+        long later = 60_000 + WatchReconnectPolicy.SILENCE_TIMEOUT_MICROS;
         long third = policy.attemptToOpen(later);
         assertTrue(third > second);
         policy.messageReceived(later + 1, second);
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void anotherAddressIsWatchedAtOnceAndTheOldWatchKeptUntilItIsReplaced() {
+    void restartKeepsOldWatchUntilReplaced() {
         WatchReconnectPolicy policy = new WatchReconnectPolicy(1);
         policy.restart(0);
         long old = policy.attemptToOpen(0);
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void anAttemptThatStopsInTheMiddleOfItsFirstListIsAbandonedAndTheOldWatchKept() {
+    void attemptWithPartialListIsAbandonedAndOldWatchKept() {
         WatchReconnectPolicy policy = new WatchReconnectPolicy(1);
         policy.restart(0);
         long old = policy.attemptToOpen(0);
@@ -158,18 +158,18 @@
         long half = policy.attemptToOpen(1000);
         policy.bytesReceived(2000, half);
         assertTrue(policy.isCurrent(old) && policy.isCurrent(half));
-        assertEquals(0, policy.attemptToAbandon(2000 + WatchReconnectPolicy.ATTEMPT_TIMEOUT - 1));
-        assertEquals(half, policy.attemptToAbandon(2000 + WatchReconnectPolicy.ATTEMPT_TIMEOUT));
+        assertEquals(0, policy.attemptToAbandon(2000 + WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS - 1));
+        assertEquals(half, policy.attemptToAbandon(2000 + WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS));
         assertTrue(policy.isCurrent(old));
     }
 
     @Test
-    void anAttemptWhoseListComesInPartsIsWaitedForButNotForever() {
+    void attemptReceivingListInPartsIsBoundedByBudget() {
         WatchReconnectPolicy policy = new WatchReconnectPolicy(1);
         policy.restart(0);
         long slow = policy.attemptToOpen(0);
         long now = 0;
-        for (; policy.attemptToAbandon(now) == 0; now += WatchReconnectPolicy.ATTEMPT_TIMEOUT / 2) {
+        for (; policy.attemptToAbandon(now) == 0; now += WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS / 2) {
             policy.bytesReceived(now, slow);
             assertTrue(now < 2 * WatchReconnectPolicy.UPDATE_BUDGET_MICROS);
         }
@@ -182,7 +182,7 @@
      * the longest delay for each attempt that fails.
      */
     @Test
-    void inEveryOrderOfOutcomesTheNextListComesSoonAfterDiscoveryCanBeReached() {
+    void watchIsReplacedInTimeInEverySequenceOfOutcomes() {
         AttemptOutcome[] all = AttemptOutcome.values();
         for (int outcomes = 0; outcomes < 243; outcomes++) {
             AttemptOutcome[] order = new AttemptOutcome[6];
@@ -199,9 +199,9 @@
                             .filter(outcome -> outcome == AttemptOutcome.HANGS)
                             .count();
             long bound =
-                    WatchReconnectPolicy.SILENCE_TIMEOUT
-                            + hung * WatchReconnectPolicy.ATTEMPT_TIMEOUT
-                            + before * WatchReconnectPolicy.MAX_BACKOFF
+                    WatchReconnectPolicy.SILENCE_TIMEOUT_MICROS
+                            + hung * WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS
+                            + before * WatchReconnectPolicy.MAX_BACKOFF_MICROS
                             + (before + 2) * STEP;
             assertTrue(replacementTime(outcomes, order) <= bound, "sequence " + outcomes);
         }
--- a/core/src/test/java/sorrelhoist/core/reservation/LateArrivalReleaseTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/LateArrivalReleaseTest.java
@@ -12,28 +12,28 @@
     /** Time after which the repeated releases end once an engine has responded. */
     private static final long SETTLED_AFTER = POLICY.lateArrivalMicros() + POLICY.renewMicros();
 
-    private static final long FORGOTTEN_AFTER = POLICY.removedEngineMicros() + POLICY.renewMicros();
+    private static final long REMOVED_AFTER = POLICY.removedEngineMicros() + POLICY.renewMicros();
 
     private void openUnwanted(Hold hold) {
-        table.opened(KEY, hold, now);
-        table.unwanted(KEY, now);
+        table.addHold(KEY, hold, now);
+        table.markUnwanted(KEY, now);
         answerLast(true);
     }
 
-    private void assertReleasedWithinEachLimitWhileUnheard() {
-        passAnsweringTo(SILENCE);
+    private void assertReleasedWithinEachLimitWhileSilent() {
+        advanceAnsweringTo(SILENCE);
         assertEquals(1, table.size());
-        assertTrue(longestPause(0, SILENCE) <= LIMIT, "no release for " + longestPause(0, SILENCE));
+        assertTrue(longestTimeWithoutRelease(0, SILENCE) <= LIMIT, "no release for " + longestTimeWithoutRelease(0, SILENCE));
         assertTrue(calls.size() <= SILENCE / POLICY.renewMicros() + 2, calls.size() + " releases");
         assertEquals(0, table.releasableCount(), "shutdown must not wait for the engine");
     }
 
-    private void assertReleasedUntilItHasSettled() {
+    private void assertReleasedUntilSettled() {
         int before = calls.size();
         long heardAt = now;
-        table.engineHeard("r0", now);
-        passAnsweringTo(heardAt + SETTLED_AFTER);
-        assertTrue(longestPause(heardAt, callTimes.get(calls.size() - 1)) <= LIMIT);
+        table.engineResponded("r0", now);
+        advanceAnsweringTo(heardAt + SETTLED_AFTER);
+        assertTrue(longestTimeWithoutRelease(heardAt, callTimes.get(calls.size() - 1)) <= LIMIT);
         assertTrue(callTimes.get(calls.size() - 1) >= heardAt + POLICY.lateArrivalMicros());
         int releases = calls.size() - before;
         assertTrue(releases <= SETTLED_AFTER / POLICY.renewMicros() + 1, releases + " releases");
@@ -41,41 +41,41 @@
     }
 
     @Test
-    void whatAnUndeliveredPrefillMayLeaveIsReleasedUntilItsEngineWasHeardAndHasSettled() {
+    void undeliveredPrefillIsReleasedUntilEngineRespondedAndHoldSettled() {
         openUnwanted(Hold.ofUndeliveredPrefill("r0", 0));
-        assertReleasedWithinEachLimitWhileUnheard();
-        assertReleasedUntilItHasSettled();
+        assertReleasedWithinEachLimitWhileSilent();
+        assertReleasedUntilSettled();
     }
 
     @Test
-    void whatAPrefillMayLeaveIsReleasedForSomeTimeAfterItsEngineHasLeft() {
+    void undeliveredPrefillIsReleasedForSomeTimeAfterEngineRemoval() {
         openUnwanted(Hold.ofUndeliveredPrefill("r0", 0));
-        passAnsweringTo(10 * LIMIT);
+        advanceAnsweringTo(10 * LIMIT);
         table.engineRemoved("r1", now);
-        passAnsweringTo(now + 2 * LIMIT);
+        advanceAnsweringTo(now + 2 * LIMIT);
         assertEquals(1, table.size());
         int before = calls.size();
         table.engineRemoved("r0", now);
         long removedAt = now;
-        passAnsweringTo(removedAt + FORGOTTEN_AFTER);
+        advanceAnsweringTo(removedAt + REMOVED_AFTER);
         assertTrue(calls.size() > before, "no release after the engine was removed");
         assertTrue(callTimes.get(calls.size() - 1) >= removedAt + POLICY.removedEngineMicros());
-        assertTrue(longestPause(removedAt, callTimes.get(calls.size() - 1)) <= LIMIT);
+        assertTrue(longestTimeWithoutRelease(removedAt, callTimes.get(calls.size() - 1)) <= LIMIT);
         assertEquals(0, table.size());
     }
 
     @Test
-    void whatAGivenUpPrefillMayLeaveIsReleasedUntilItHasSettledWhereItsEngineGoesOn() {
+    void abandonedPrefillAtRunningEngineIsReleasedUntilSettled() {
         openUnwanted(Hold.ofGivenUpPrefill("r0", 0));
-        passAnsweringTo(10_000);
-        assertReleasedUntilItHasSettled();
+        advanceAnsweringTo(10_000);
+        assertReleasedUntilSettled();
     }
 
     @Test
-    void whatAGivenUpPrefillMayLeaveAtAStoppedEngineIsReleasedUntilThatRunsAgainAndHasSettled() {
+    void abandonedPrefillAtSuspendedEngineIsReleasedUntilResumedAndSettled() {
         openUnwanted(Hold.ofGivenUpPrefill("r0", 0));
-        assertReleasedWithinEachLimitWhileUnheard();
-        assertReleasedUntilItHasSettled();
+        assertReleasedWithinEachLimitWhileSilent();
+        assertReleasedUntilSettled();
     }
 
     /**
@@ -83,40 +83,40 @@
      * own.
      */
     @Test
-    void aStreamThatBeganDoesNotEndTheWaitForWhatMayArriveLate() {
-        table.opened(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
+    void streamDoesNotEndWaitForLateArrival() {
+        table.addHold(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
         table.prefillCompleted(KEY, Hold.ofPrefillState("r1", ""), now);
-        passTo(POLICY.settleMicros() - 1);
+        advanceTo(POLICY.settleMicros() - 1);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
-        passTo(2 * POLICY.settleMicros());
-        table.taken(KEY, now);
+        advanceTo(2 * POLICY.settleMicros());
+        table.streamStarted(KEY, now);
         assertEquals(1, table.size());
         long takenAt = now;
-        passAnsweringTo(10 * LIMIT);
+        advanceAnsweringTo(10 * LIMIT);
         assertTrue(
-                longestPause(takenAt, now) <= LIMIT,
+                longestTimeWithoutRelease(takenAt, now) <= LIMIT,
                 "releases must go on, as the engine may continue behind a network partition");
-        assertReleasedUntilItHasSettled();
+        assertReleasedUntilSettled();
     }
 
     /** The engine responded, but may have been suspended again before it started the prefill. */
     @Test
-    void aStreamDoesNotEndTheReleasesThatFollowEachOther() {
-        table.opened(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
+    void streamDoesNotEndRepeatedReleases() {
+        table.addHold(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
         table.prefillCompleted(KEY, Hold.ofPrefillState("r1", ""), now);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptDelivered(KEY, now);
-        table.engineHeard("r0", now);
-        passTo(POLICY.renewMicros() - 1);
+        table.engineResponded("r0", now);
+        advanceTo(POLICY.renewMicros() - 1);
         assertEquals(0, calls.size());
-        table.taken(KEY, now);
-        passTo(now);
+        table.streamStarted(KEY, now);
+        advanceTo(now);
         assertEquals(1, calls.size());
         answerLast(true);
-        passAnsweringTo(POLICY.lateArrivalMicros());
+        advanceAnsweringTo(POLICY.lateArrivalMicros());
         assertEquals(1, table.size());
-        assertTrue(longestPause(0, callTimes.get(calls.size() - 1)) <= LIMIT);
-        passAnsweringTo(SETTLED_AFTER);
+        assertTrue(longestTimeWithoutRelease(0, callTimes.get(calls.size() - 1)) <= LIMIT);
+        advanceAnsweringTo(SETTLED_AFTER);
         assertEquals(0, table.size());
     }
 
@@ -124,12 +124,12 @@
      * An engine that is dead but still listed must not cause more and more calls with each request.
      */
     @Test
-    void releasesForAnEngineThatIsNeverHeardPauseAfterAWhileAndGoOnOnceItIsHeard() {
+    void releasesForSilentEnginePauseAndResumeOnceItResponds() {
         openUnwanted(Hold.ofUndeliveredPrefill("r0", 0));
-        passAnsweringTo(POLICY.unheardEngineMicros() + POLICY.renewMicros());
+        advanceAnsweringTo(POLICY.silentEngineMicros() + POLICY.renewMicros());
         int before = calls.size();
-        passAnsweringTo(10 * POLICY.unheardEngineMicros());
+        advanceAnsweringTo(10 * POLICY.silentEngineMicros());
         assertEquals(before, calls.size());
-        assertReleasedUntilItHasSettled();
+        assertReleasedUntilSettled();
     }
 }
--- a/core/src/test/java/sorrelhoist/core/reservation/ReleaseBeforeEngineHeardTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReleaseBeforeEngineRespondedTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests a release that was in flight when a suspended engine resumed. */
-class ReleaseBeforeEngineHeardTest extends ReservationTableTestSupport {
+class ReleaseBeforeEngineRespondedTest extends ReservationTableTestSupport {
     private static final long MILLI = 1000;
 
     /**
@@ -15,19 +15,19 @@
      * another engine.
      */
     @Test
-    void aReleaseAfterAnEngineWasHeardIsNotAbandonedForTheAnswerToOneBefore() {
-        table.opened(KEY, Hold.ofGivenUpPrefill("r0", 0), now);
-        table.unwanted(KEY, now);
+    void answerToEarlierReleaseDoesNotAbandonReleaseAfterEngineResponded() {
+        table.addHold(KEY, Hold.ofGivenUpPrefill("r0", 0), now);
+        table.markUnwanted(KEY, now);
         answerLast(true);
-        passTo(POLICY.settleMicros());
+        advanceTo(POLICY.settleMicros());
         assertEquals(2, calls.size());
         ReleaseCall before = lastCall();
-        passTo(now + MILLI);
-        table.engineHeard("r0", now);
+        advanceTo(now + MILLI);
+        table.engineResponded("r0", now);
         long heardAt = now;
-        passTo(now + MILLI);
+        advanceTo(now + MILLI);
         table.releaseCompleted(before.id(), true, now);
-        passTo(heardAt + LIMIT);
+        advanceTo(heardAt + LIMIT);
         assertTrue(
                 releasesKept(heardAt) > 0,
                 "every release was abandoned or sent before the engine responded: " + callTimes);
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationHistoryTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationHistoryTest.java
@@ -19,7 +19,7 @@
 
     private final ReservationHistory history = new ReservationHistory();
 
-    private static String kept(String text) {
+    private static String truncatedByLog(String text) {
         int room = KEPT_CHARACTERS - CHARACTERS_BEFORE_HISTORY;
         return text.substring(0, Math.min(text.length(), room));
     }
@@ -31,23 +31,23 @@
     }
 
     @Test
-    void theLastStepsOfALongHistoryAreNotCutOffByTheLog() {
+    void lastStepsOfLongHistoryAreNotTruncatedByLog() {
         addSteps(STEPS);
         history.add(ReservationStep.GIVEN_UP, ENGINE, STEPS * MILLI);
         history.add(ReservationStep.EXPIRED, "", (STEPS + 1) * MILLI);
-        String kept = kept(history.toString());
+        String kept = truncatedByLog(history.toString());
         String last = "+40:given-up@" + ENGINE + ",+41:expired";
         assertTrue(kept.endsWith(last), "the line ends with " + kept.substring(kept.length() - 40));
     }
 
     @Test
-    void aLongHistorySaysHowManyStepsAreLeftOut() {
+    void longHistoryReportsNumberOfOmittedSteps() {
         addSteps(STEPS);
-        assertTrue(kept(history.toString()).contains("left out"), history.toString());
+        assertTrue(truncatedByLog(history.toString()).contains("left out"), history.toString());
     }
 
     @Test
-    void aShortHistoryIsKeptWhole() {
+    void shortHistoryIsComplete() {
         history.add(ReservationStep.HELD, "r0", 0);
         history.add(ReservationStep.SENT, "w0", 2 * MILLI);
         history.add(ReservationStep.EXPIRED, "", 3 * MILLI);
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationModel.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationModel.java
@@ -41,9 +41,9 @@
         boolean written;
         boolean arrived;
         boolean delivered;
-        boolean overForRouter;
-        boolean overForEngine;
-        long overAt;
+        boolean endedForRouter;
+        boolean endedForEngine;
+        long endedAt;
 
         Decode(int number) {
             this.number = number;
@@ -54,7 +54,7 @@
         }
 
         boolean waitsForState() {
-            return arrived && !overForEngine;
+            return arrived && !endedForEngine;
         }
     }
 
@@ -97,7 +97,7 @@
 
     private Decode running() {
         Decode last = decodes.isEmpty() ? null : decodes.get(decodes.size() - 1);
-        return last == null || last.overForRouter ? null : last;
+        return last == null || last.endedForRouter ? null : last;
     }
 
     /**
@@ -105,8 +105,8 @@
      *
      * @return whether it was possible
      */
-    boolean happen(Event event) {
-        passTo(now + STEP);
+    boolean apply(Event event) {
+        advanceTo(now + STEP);
         Decode running = running();
         return switch (event) {
             case SENT -> running == null && !unwanted && decodes.size() < 2 && send();
@@ -121,12 +121,12 @@
             case GIVEN_UP ->
                     running != null && running.written && end(running, AttemptEnding.GIVEN_UP);
             case CLOSE_ARRIVED -> decodes.stream().anyMatch(this::closeArrives);
-            case ENGINE_HEARD -> decodes.stream().anyMatch(this::engineIsHeard);
+            case ENGINE_HEARD -> decodes.stream().anyMatch(this::engineResponds);
             case ENGINE_REMOVED -> decodes.stream().anyMatch(this::engineIsRemoved);
-            case UNWANTED -> !unwanted && running == null && letGo();
+            case UNWANTED -> !unwanted && running == null && markUnwanted();
             case RELEASE_ARRIVED -> releases.containsValue(false) && releaseArrives();
             case RELEASE_ANSWERED -> releases.containsValue(true) && releaseIsAnswered();
-            case TIME_PASSED -> passTo(now + POLICY.idleMicros());
+            case TIME_PASSED -> advanceTo(now + POLICY.idleMicros());
         };
     }
 
@@ -161,21 +161,21 @@
     private boolean stream(Decode decode) {
         held = false;
         unwanted = true;
-        decode.overForRouter = true;
-        decode.overForEngine = true;
-        table.taken(KEY, now);
+        decode.endedForRouter = true;
+        decode.endedForEngine = true;
+        table.streamStarted(KEY, now);
         return true;
     }
 
     private boolean end(Decode decode, AttemptEnding ending) {
-        decode.overForRouter = true;
-        decode.overAt = now;
+        decode.endedForRouter = true;
+        decode.endedAt = now;
         if (ending == AttemptEnding.ANSWERED) {
-            decode.overForEngine = true;
+            decode.endedForEngine = true;
         } else if (table.isHeld(KEY)) {
             Hold.Certainty certainty =
                     decode.delivered ? Hold.Certainty.GIVEN_UP : Hold.Certainty.UNDELIVERED;
-            table.opened(KEY, Hold.ofQueuedDecode(decode.engine(), decode.number, certainty), now);
+            table.addHold(KEY, Hold.ofQueuedDecode(decode.engine(), decode.number, certainty), now);
         }
         table.attemptEnded(KEY, ending, now);
         return true;
@@ -183,35 +183,35 @@
 
     /** A close arrives within the settling time unless the network prevents it. */
     private boolean closeArrives(Decode decode) {
-        boolean arrives = decode.overForRouter && !decode.overForEngine;
-        decode.overForEngine |= arrives;
+        boolean arrives = decode.endedForRouter && !decode.endedForEngine;
+        decode.endedForEngine |= arrives;
         return arrives;
     }
 
     /**
      * An engine that responds after the end of an attempt is running, so it also learns of the end.
      */
-    private boolean engineIsHeard(Decode decode) {
-        if (!decode.overForRouter || now - decode.overAt < STEP) {
+    private boolean engineResponds(Decode decode) {
+        if (!decode.endedForRouter || now - decode.endedAt < STEP) {
             return false;
         }
-        decode.overForEngine = true;
-        table.engineHeard(decode.engine(), now);
+        decode.endedForEngine = true;
+        table.engineResponded(decode.engine(), now);
         return true;
     }
 
     private boolean engineIsRemoved(Decode decode) {
-        if (!decode.overForRouter || decode.overForEngine) {
+        if (!decode.endedForRouter || decode.endedForEngine) {
             return false;
         }
-        decode.overForEngine = true;
+        decode.endedForEngine = true;
         table.engineRemoved(decode.engine(), now);
         return true;
     }
 
-    private boolean letGo() {
+    private boolean markUnwanted() {
         unwanted = true;
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         return true;
     }
 
@@ -237,7 +237,7 @@
                 .getKey();
     }
 
-    private boolean passTo(long time) {
+    private boolean advanceTo(long time) {
         while (table.nextDueMicros() <= time) {
             now = Math.max(now, table.nextDueMicros());
             table.advance(now);
@@ -251,17 +251,17 @@
      *
      * @return whether the state was released within the limit and the table has removed it
      */
-    boolean endsClean() {
+    boolean endsWithoutLeak() {
         Decode running = running();
         if (running != null) {
             end(running, running.written ? AttemptEnding.GIVEN_UP : AttemptEnding.NOT_SENT);
         }
         if (!unwanted) {
-            letGo();
+            markUnwanted();
         }
-        passTo(now + STEP);
-        decodes.forEach(decode -> decode.overForEngine = true);
-        decodes.forEach(decode -> table.engineHeard(decode.engine(), now));
+        advanceTo(now + STEP);
+        decodes.forEach(decode -> decode.endedForEngine = true);
+        decodes.forEach(decode -> table.engineResponded(decode.engine(), now));
         long due = now + POLICY.limitMicros();
         long lateArrivalsEnd = now + POLICY.expiryMicros() * 2;
         while (now < due) {
@@ -275,7 +275,7 @@
     }
 
     private void answerReleases() {
-        passTo(now + STEP);
+        advanceTo(now + STEP);
         while (releases.containsValue(false)) {
             releaseArrives();
         }
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationModelTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationModelTest.java
@@ -14,43 +14,43 @@
  */
 class ReservationModelTest {
     private static final int DEPTH = 8;
-    private final List<List<Event>> broken = new ArrayList<>();
-    private int orders;
+    private final List<List<Event>> violations = new ArrayList<>();
+    private int sequences;
 
     @Test
-    void inEveryOrderTheStateIsReleasedInTimeOnceNothingWaitsForIt() {
-        extend(new ArrayList<>());
-        System.out.println(orders + " sequences of up to " + DEPTH + " events were checked");
-        assertTrue(orders > 50_000, orders + " sequences");
+    void stateIsReleasedInTimeInEveryEventSequence() {
+        checkExtensions(new ArrayList<>());
+        System.out.println(sequences + " sequences of up to " + DEPTH + " events were checked");
+        assertTrue(sequences > 50_000, sequences + " sequences");
         assertEquals(
                 List.of(),
-                broken.stream().limit(10).toList(),
-                broken.size() + " sequences in which the state is not released in time");
+                violations.stream().limit(10).toList(),
+                violations.size() + " sequences in which the state is not released in time");
     }
 
     /**
      * Checks a sequence and all its extensions, skipping sequences with an event that changes
      * nothing.
      */
-    private void extend(List<Event> order) {
+    private void checkExtensions(List<Event> sequence) {
         ReservationModel model = new ReservationModel();
-        for (int i = 0; i < order.size(); i++) {
-            boolean possible = model.happen(order.get(i));
+        for (int i = 0; i < sequence.size(); i++) {
+            boolean possible = model.apply(sequence.get(i));
             if (!possible) {
                 return;
             }
         }
-        orders++;
-        if (!model.endsClean()) {
-            broken.add(List.copyOf(order));
+        sequences++;
+        if (!model.endsWithoutLeak()) {
+            violations.add(List.copyOf(sequence));
         }
-        if (order.size() == DEPTH) {
+        if (sequence.size() == DEPTH) {
             return;
         }
         for (Event next : Event.values()) {
-            order.add(next);
-            extend(order);
-            order.remove(order.size() - 1);
+            sequence.add(next);
+            checkExtensions(sequence);
+            sequence.remove(sequence.size() - 1);
         }
     }
 }
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationReportTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationReportTest.java
@@ -7,7 +7,7 @@
 
 /** Tests the reports about reservations that were not consumed by their decodes. */
 class ReservationReportTest extends ReservationTableTestSupport {
-    private void decodeWritten() {
+    private void writeDecode() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         now = 2000;
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
@@ -16,27 +16,27 @@
     }
 
     @Test
-    void aDecodeThatTookItsStateIsNotReported() {
-        decodeWritten();
-        table.taken(KEY, now);
+    void consumedStateIsNotReported() {
+        writeDecode();
+        table.streamStarted(KEY, now);
         assertEquals(0, table.size());
         assertEquals(0, reports.size());
     }
 
     @Test
-    void aStateThatNoDecodeWasSentForIsNotReported() {
+    void stateWithoutDecodeIsNotReported() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         answerLast(true);
         assertEquals(0, reports.size());
     }
 
     @Test
-    void aStateWhoseDecodeWasAnsweredByAnErrorIsReportedWithItsHistoryOnceItIsReleased() {
-        decodeWritten();
+    void stateOfFailedDecodeIsReportedWithHistoryOnRelease() {
+        writeDecode();
         now = 30_000;
         table.attemptEnded(KEY, AttemptEnding.ANSWERED, now);
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         assertEquals(0, reports.size());
         now = 33_000;
         answerLast(true);
@@ -53,13 +53,13 @@
     }
 
     @Test
-    void aStateThatNoEngineReleasesIsReportedOnceWhenItsLimitIsOver() {
-        decodeWritten();
+    void unreleasedStateIsReportedOnceAfterLimit() {
+        writeDecode();
         table.attemptEnded(KEY, AttemptEnding.ANSWERED, now);
-        table.unwanted(KEY, now);
-        passTo(LIMIT);
+        table.markUnwanted(KEY, now);
+        advanceTo(LIMIT);
         assertEquals(0, reports.size());
-        passTo(3 * LIMIT);
+        advanceTo(3 * LIMIT);
         assertEquals(1, reports.size());
         assertEquals(State.OVERDUE, reports.get(0).state());
     }
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTest.java
@@ -9,130 +9,130 @@
 /** Tests reservations of single requests in virtual time. */
 class ReservationTableTest extends ReservationTableTestSupport {
     @Test
-    void aStateThatNothingWantsIsReleasedAtOnceByOneCall() {
+    void unwantedStateIsReleasedAtOnceByOneCall() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         assertEquals(0, calls.size());
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         assertEquals("r0", lastCall().engine());
         answerLast(true);
-        passTo(10 * LIMIT);
+        advanceTo(10 * LIMIT);
         assertEquals(1, calls.size());
         assertEquals(0, table.size());
     }
 
     @Test
-    void whatALostReadMayLeaveIsReleasedOnceMoreWhenNothingOfItCanArrive() {
-        table.opened(KEY, Hold.ofLostPrefill("r0", 0), now);
-        table.unwanted(KEY, now);
+    void lostPrefillIsReleasedAgainAfterSettlingTime() {
+        table.addHold(KEY, Hold.ofLostPrefill("r0", 0), now);
+        table.markUnwanted(KEY, now);
         answerLast(true);
         assertEquals(
                 1, table.size(), "the hold stays, as the release may have overtaken the close");
-        passTo(POLICY.settleMicros() - 1);
+        advanceTo(POLICY.settleMicros() - 1);
         assertEquals(1, calls.size());
-        passTo(POLICY.settleMicros());
+        advanceTo(POLICY.settleMicros());
         assertEquals(2, calls.size());
         answerLast(true);
         assertEquals(0, table.size());
     }
 
     @Test
-    void aReleaseUnderWayDoesNotCoverWhatIsOpenedAfterIt() {
+    void releaseInFlightDoesNotCoverLaterHold() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         ReleaseCall first = lastCall();
         table.attemptSent(KEY, AttemptPurpose.PREFILL, "r0", now);
         table.attemptDelivered(KEY, now);
         now = 10_000;
         table.attemptEnded(KEY, AttemptEnding.ANSWERED, now);
-        table.opened(KEY, Hold.ofLostPrefill("r1", 1), now);
-        table.unwanted(KEY, now);
+        table.addHold(KEY, Hold.ofLostPrefill("r1", 1), now);
+        table.markUnwanted(KEY, now);
         table.releaseCompleted(first.id(), true, now);
         assertEquals(1, table.size());
-        passTo(now + POLICY.settleMicros());
+        advanceTo(now + POLICY.settleMicros());
         answerLast(true);
         assertEquals(0, table.size());
     }
 
     @Test
-    void aStateOfADecodeThatWasNotAnsweredIsReleasedWithinEachLimitAndNoMoreOften() {
+    void stateOfUnansweredDecodeIsReleasedOncePerLimit() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptDelivered(KEY, now);
-        passAnsweringTo(10 * LIMIT);
+        advanceAnsweringTo(10 * LIMIT);
         assertTrue(
-                longestPause(0, now) <= LIMIT,
+                longestTimeWithoutRelease(0, now) <= LIMIT,
                 "releases are needed, as the decode engine may be gone together with the request");
         assertEquals(10 * LIMIT / POLICY.renewMicros(), calls.size());
-        table.taken(KEY, now);
+        table.streamStarted(KEY, now);
         assertEquals(0, table.size());
     }
 
     @Test
-    void timeRunsOnWhileAWritersConnectionDoesNotComeUp() {
+    void idleTimeContinuesWhileDecodeConnectionIsNotEstablished() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         for (int i = 0; i < 2; i++) {
             table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
             table.attemptConnecting(KEY, now);
-            passTo(now + POLICY.idleMicros() / 2 - 1);
+            advanceTo(now + POLICY.idleMicros() / 2 - 1);
             assertEquals(0, calls.size());
             table.attemptEnded(KEY, AttemptEnding.NOT_SENT, now);
         }
-        passTo(POLICY.idleMicros());
+        advanceTo(POLICY.idleMicros());
         assertEquals(1, calls.size());
     }
 
     @Test
-    void whatAnAttemptWasToTakeIsReleasedWhenItsConnectionNeverCameUp() {
+    void stateIsReleasedWhenDecodeConnectionWasNeverEstablished() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptConnecting(KEY, now);
         assertEquals(
                 1, abandoned.size(), "the attempt needs the state, so its release is abandoned");
         now = 10_000;
         table.attemptEnded(KEY, AttemptEnding.NOT_SENT, now);
-        passTo(now);
+        advanceTo(now);
         assertEquals(2, calls.size(), "the release is due at once, as before the attempt");
         answerLast(true);
         table.attemptEnded(KEY, AttemptEnding.NOT_SENT, now);
-        passTo(10 * LIMIT);
+        advanceTo(10 * LIMIT);
         assertEquals(2, calls.size(), "the state is released only once");
         table.attemptEnded(ReservationKey.ofRequest("b"), AttemptEnding.NOT_SENT, now);
         assertEquals(2, calls.size());
     }
 
     @Test
-    void whatAnAttemptReachedIsItsOwnAndNothingIsKeptOfIt() {
+    void consumedStateIsNotTracked() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptDelivered(KEY, now);
-        table.taken(KEY, now);
+        table.streamStarted(KEY, now);
         table.attemptEnded(KEY, AttemptEnding.ANSWERED, now);
-        passTo(10 * LIMIT);
+        advanceTo(10 * LIMIT);
         assertEquals(1, calls.size(), "only the release before the attempt");
         assertEquals(0, table.size());
     }
 
     @Test
-    void anAnswerOfTheWriterBeginsTheTimeAnew() {
+    void answerOfDecodeEngineRestartsIdleTime() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptDelivered(KEY, now);
-        passTo(POLICY.renewMicros() - 1);
+        advanceTo(POLICY.renewMicros() - 1);
         table.attemptEnded(KEY, AttemptEnding.ANSWERED, now);
-        passTo(now + POLICY.idleMicros() - 1);
+        advanceTo(now + POLICY.idleMicros() - 1);
         assertEquals(0, calls.size());
-        passTo(now + 1);
+        advanceTo(now + 1);
         assertEquals(1, calls.size());
     }
 
     @Test
-    void whatALostReadLeftIsReleasedBesideAnotherReadButNotOnceThatOneHasEnded() {
-        table.opened(KEY, Hold.ofLostPrefill("r0", 0), now);
+    void lostPrefillIsReleasedDuringAnotherPrefillButNotAfterItCompleted() {
+        table.addHold(KEY, Hold.ofLostPrefill("r0", 0), now);
         table.attemptSent(KEY, AttemptPurpose.PREFILL, "r0", now);
         table.attemptDelivered(KEY, now);
-        passTo(POLICY.idleMicros());
+        advanceTo(POLICY.idleMicros());
         assertEquals(
                 1, calls.size(), "a release is due, as the second prefill may never have arrived");
         table.attemptEnded(KEY, AttemptEnding.ANSWERED, now);
@@ -143,20 +143,20 @@
                 "the release would remove the second state as well");
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptDelivered(KEY, now);
-        passTo(now + POLICY.renewMicros() - 1);
+        advanceTo(now + POLICY.renewMicros() - 1);
         assertEquals(1, calls.size());
     }
 
     @Test
-    void aStreamTakesAllButWhatMayStillArrive() {
-        table.opened(KEY, Hold.ofLostPrefill("r0", 0), now);
+    void streamConsumesAllHoldsExceptLateArrivals() {
+        table.addHold(KEY, Hold.ofLostPrefill("r0", 0), now);
         now = 50_000;
         table.prefillCompleted(KEY, Hold.ofPrefillState("r1", ""), now);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptDelivered(KEY, now);
-        table.taken(KEY, now);
+        table.streamStarted(KEY, now);
         assertEquals(1, table.size());
-        passTo(POLICY.settleMicros());
+        advanceTo(POLICY.settleMicros());
         assertEquals(1, calls.size());
         answerLast(true);
         assertEquals(0, table.size());
@@ -167,9 +167,9 @@
      * release before the limit.
      */
     @Test
-    void aReleaseArrivesWithTimeToSpareThoughTwoEnginesDoNotAnswer() {
+    void releaseArrivesBeforeLimitAlthoughTwoEnginesDoNotAnswer() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        passTo(LIMIT);
+        advanceTo(LIMIT);
         assertEquals(
                 POLICY.idleMicros(),
                 callTimes.get(0),
@@ -179,47 +179,47 @@
     }
 
     @Test
-    void enginesThatRefuseAreFollowedByOthersAtOnceButNotWithoutEnd() {
+    void failedReleasesAreRetriedElsewhereAtOnceButBounded() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         for (int i = 0; i < 4; i++) {
             assertEquals(i + 1, calls.size());
             answerLast(false);
         }
         assertEquals(4, calls.size());
-        passTo(2 * POLICY.retryMicros());
+        advanceTo(2 * POLICY.retryMicros());
         assertTrue(calls.size() > 4, "calls must continue after the retry interval");
     }
 
     @Test
-    void aHolderThatIsSilentWhileOthersSpeakIsNotAskedFirst() {
+    void silentHolderIsNotCalledFirst() {
         engines.bytesReceived("w0", 10 * LIMIT);
         now = 10 * LIMIT;
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         assertEquals("w0", lastCall().engine());
     }
 
     @Test
-    void manyReleasesAreSpreadOverTheEnginesHeardLast() {
+    void releasesAreSpreadOverMostRecentlyActiveEngines() {
         engines.removed("r0");
         for (int i = 0; i < 4; i++) {
             ReservationKey key = ReservationKey.ofRequest("k" + i);
             table.prefillCompleted(key, Hold.ofPrefillState("r0", ""), now);
-            table.unwanted(key, now);
+            table.markUnwanted(key, now);
         }
         assertTrue(
                 calls.stream().map(ReleaseCall::engine).distinct().count() >= 3, calls.toString());
     }
 
     @Test
-    void whatNoEngineReleasesIsReportedOnceAndTriedNowAndThenUntilOneDoes() {
+    void unreleasedStateIsReportedOnceAndRetriedUntilReleased() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        table.unwanted(KEY, now);
-        passTo(POLICY.expiryMicros() - 1);
+        table.markUnwanted(KEY, now);
+        advanceTo(POLICY.expiryMicros() - 1);
         assertEquals(0, table.expiredCount());
         assertEquals(1, table.releasableCount());
-        passTo(POLICY.expiryMicros());
+        advanceTo(POLICY.expiryMicros());
         assertEquals(1, table.expiredCount());
         assertEquals(1, expired.size());
         assertTrue(expired.get(0).startsWith("a at "), expired.get(0));
@@ -228,22 +228,22 @@
                 calls.size() <= 10, calls.size() + " calls for a release that no engine answers");
         assertEquals(0, table.releasableCount(), "shutdown must not wait for it");
         int before = calls.size();
-        passTo(11 * POLICY.expiryMicros());
+        advanceTo(11 * POLICY.expiryMicros());
         assertEquals(before + 10, calls.size());
         assertEquals(1, table.releaseCallsInFlight(), "the earlier calls are abandoned");
         assertEquals(1, expired.size());
         answerLast(true);
         assertEquals(0, table.size());
-        passTo(20 * POLICY.expiryMicros());
+        advanceTo(20 * POLICY.expiryMicros());
         assertEquals(before + 10, calls.size());
     }
 
     @Test
-    void anAnswerThatComesAfterItsCallWasAbandonedChangesNothing() {
+    void answerToAbandonedCallIsIgnored() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         ReleaseCall first = lastCall();
-        passTo(POLICY.retryMicros());
+        advanceTo(POLICY.retryMicros());
         answerLast(true);
         assertEquals(List.of(first.id()), abandoned);
         table.releaseCompleted(first.id(), true, now);
@@ -252,75 +252,75 @@
     }
 
     @Test
-    void theTableIsBoundedAndTheOldestThatNothingWantsMakesRoom() {
-        for (int i = 0; i < 2 * MOST; i++) {
+    void fullTableEvictsOldestUnwantedReservation() {
+        for (int i = 0; i < 2 * CAPACITY; i++) {
             ReservationKey key = ReservationKey.ofRequest("k" + i);
             table.prefillCompleted(key, Hold.ofPrefillState("r0", ""), now);
-            table.unwanted(key, now);
+            table.markUnwanted(key, now);
         }
-        assertEquals(MOST, table.size());
-        assertEquals(MOST, table.expiredCount());
-        assertEquals(MOST, table.releaseCallsInFlight());
+        assertEquals(CAPACITY, table.size());
+        assertEquals(CAPACITY, table.expiredCount());
+        assertEquals(CAPACITY, table.releaseCallsInFlight());
     }
 
     @Test
-    void aRequestWithTheSameNameKeepsWhatTheEarlierOneLeft() {
-        table.opened(KEY, Hold.ofLostPrefill("r0", 0), now);
-        table.unwanted(KEY, now);
+    void requestWithSameNameKeepsEarlierHolds() {
+        table.addHold(KEY, Hold.ofLostPrefill("r0", 0), now);
+        table.markUnwanted(KEY, now);
         table.attemptSent(KEY, AttemptPurpose.PREFILL, "r0", now);
         table.attemptDelivered(KEY, now);
         answerLast(true);
         assertEquals(1, table.size());
-        passTo(POLICY.idleMicros());
+        advanceTo(POLICY.idleMicros());
         assertEquals(2, calls.size(), "the hold of the earlier request is still released");
     }
 
     @Test
-    void aPlaceIsKeptWhileItsRequestIsReadAndReleasedWithIt() {
-        table.opened(KEY, Hold.ofDecodeSlot("w0", "p", Hold.Certainty.CONFIRMED), now);
+    void decodeSlotIsKeptDuringPrefillAndReleasedAfterwards() {
+        table.addHold(KEY, Hold.ofDecodeSlot("w0", "p", Hold.Certainty.CONFIRMED), now);
         table.attemptSent(KEY, AttemptPurpose.PREFILL, "r0", now);
         table.attemptDelivered(KEY, now);
-        passTo(5 * LIMIT);
+        advanceTo(5 * LIMIT);
         assertEquals(0, calls.size());
         table.attemptEnded(KEY, AttemptEnding.ANSWERED, now);
-        table.unwanted(KEY, now);
+        table.markUnwanted(KEY, now);
         assertEquals(1, calls.size());
     }
 
     @Test
-    void aDecodeThatWasWrittenAndNotDeliveredDoesNotStopTheTimeOfItsState() {
+    void undeliveredDecodeDoesNotStopIdleTime() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptConnecting(KEY, now);
         table.attemptWritten(KEY, now);
-        passTo(POLICY.idleMicros());
+        advanceTo(POLICY.idleMicros());
         assertEquals(1, calls.size());
     }
 
     @Test
-    void aSecondDecodeHasAMomentToBeConfirmedButNoMoreThanTheLimitAllows() {
+    void secondDecodeHasBoundedTimeToBeConfirmed() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        passTo(POLICY.idleMicros() - 1);
+        advanceTo(POLICY.idleMicros() - 1);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptConnecting(KEY, now);
         table.attemptWritten(KEY, now);
-        passTo(POLICY.latestStartMicros() - 1);
+        advanceTo(POLICY.latestStartMicros() - 1);
         assertEquals(0, calls.size());
-        passTo(POLICY.latestStartMicros());
+        advanceTo(POLICY.latestStartMicros());
         assertEquals(1, calls.size());
     }
 
     @Test
-    void aDecodeThatCountsAsDeliveredPutsTheReleaseOffNoLongerThanTheLimitAllows() {
+    void inferredDeliveryPostponesReleaseByBoundedTime() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, "w0", now);
         table.attemptConnecting(KEY, now);
         table.attemptWritten(KEY, now);
-        passTo(POLICY.idleMicros() - 1);
+        advanceTo(POLICY.idleMicros() - 1);
         table.attemptDelivered(KEY, now);
-        passTo(POLICY.renewMicros() - 1);
+        advanceTo(POLICY.renewMicros() - 1);
         assertEquals(0, calls.size());
-        passTo(POLICY.renewMicros());
+        advanceTo(POLICY.renewMicros());
         assertEquals(1, calls.size());
     }
 }
--- a/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTestSupport.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/ReservationTableTestSupport.java
@@ -6,7 +6,7 @@
 /** A reservation table in virtual time that records its release calls. */
 abstract class ReservationTableTestSupport {
     static final long LIMIT = 500_000;
-    static final int MOST = 8;
+    static final int CAPACITY = 8;
     static final ReleasePolicy POLICY = new ReleasePolicy(ReleaseReach.ANY_ENGINE, LIMIT);
     static final ReservationKey KEY = ReservationKey.ofRequest("a");
 
@@ -43,13 +43,13 @@
                             reports.add(report);
                         }
                     },
-                    MOST);
+                    CAPACITY);
 
     ReservationTableTestSupport() {
         engines.replaced(List.of("r0", "r1", "w0", "w1"));
     }
 
-    void passTo(long time) {
+    void advanceTo(long time) {
         while (table.nextDueMicros() <= time) {
             now = Math.max(now, table.nextDueMicros());
             table.advance(now);
@@ -58,10 +58,10 @@
     }
 
     /** Advances the time and answers each release at once. */
-    void passAnsweringTo(long time) {
+    void advanceAnsweringTo(long time) {
         while (table.nextDueMicros() <= time) {
             int before = calls.size();
-            passTo(Math.max(now, table.nextDueMicros()));
+            advanceTo(Math.max(now, table.nextDueMicros()));
             if (calls.size() > before) {
                 answerLast(true);
             }
@@ -70,7 +70,7 @@
     }
 
     /** {@return the longest time without a release between two times, in microseconds} */
-    long longestPause(long from, long to) {
+    long longestTimeWithoutRelease(long from, long to) {
         long longest = 0;
         long last = from;
         for (long calledAt : callTimes) {
--- a/core/src/test/java/sorrelhoist/core/reservation/LeaseOfUnansweredAttemptsTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/UnansweredAttemptHoldTest.java
@@ -6,74 +6,74 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the holds of unanswered attempts while other events occur. */
-class LeaseOfUnansweredAttemptsTest extends ReservationTableTestSupport {
+class UnansweredAttemptHoldTest extends ReservationTableTestSupport {
     private static final long MILLI = 1000;
 
     /**
      * Sends a decode whose delivery is inferred from another connection; its own connection may be
      * silent.
      */
-    private void decodeThatOnlyOthersSpeakFor(String engine) {
+    private void sendDecodeWithInferredDelivery(String engine) {
         table.attemptSent(KEY, AttemptPurpose.DECODE_RESERVED, engine, now);
         table.attemptConnecting(KEY, now);
         table.attemptWritten(KEY, now);
         table.attemptDelivered(KEY, now);
     }
 
-    private void stateWithDecodeThatOnlyOthersSpeakFor() {
+    private void holdStateWithInferredDecodeDelivery() {
         table.prefillCompleted(KEY, Hold.ofPrefillState("r0", ""), now);
-        decodeThatOnlyOthersSpeakFor("w0");
+        sendDecodeWithInferredDelivery("w0");
     }
 
     /** The first decode is abandoned just before the release that is due while it is in flight. */
     @Test
-    void theEndOfADecodeThatOnlyOthersSpokeForDoesNotRestartTheTimeOfItsState() {
-        stateWithDecodeThatOnlyOthersSpeakFor();
-        passAnsweringTo(POLICY.renewMicros() - MILLI);
+    void endOfDecodeWithInferredDeliveryDoesNotRestartIdleTime() {
+        holdStateWithInferredDecodeDelivery();
+        advanceAnsweringTo(POLICY.renewMicros() - MILLI);
         table.attemptEnded(KEY, AttemptEnding.GIVEN_UP, now);
-        decodeThatOnlyOthersSpeakFor("w1");
-        passAnsweringTo(2 * LIMIT);
-        long pause = longestPause(0, now);
+        sendDecodeWithInferredDelivery("w1");
+        advanceAnsweringTo(2 * LIMIT);
+        long pause = longestTimeWithoutRelease(0, now);
         assertTrue(pause <= LIMIT, "no release for " + pause + " us");
     }
 
     @Test
-    void anEngineThatIsHeardHastensNoReleaseOfHoldsThatDoNotAwaitIt() {
-        stateWithDecodeThatOnlyOthersSpeakFor();
-        passAnsweringTo(POLICY.renewMicros());
+    void responseOfUnrelatedEngineDoesNotAdvanceReleases() {
+        holdStateWithInferredDecodeDelivery();
+        advanceAnsweringTo(POLICY.renewMicros());
         assertEquals(1, calls.size());
         while (now < 2 * POLICY.renewMicros() - 10 * MILLI) {
-            table.engineHeard("r1", now);
-            passAnsweringTo(now + 10 * MILLI);
+            table.engineResponded("r1", now);
+            advanceAnsweringTo(now + 10 * MILLI);
         }
         assertEquals(1, calls.size(), "a response of an unrelated engine must not cause a release");
     }
 
     /** The first of two releases was delayed at a suspended engine, and so is its answer. */
     @Test
-    void aLateAnswerDoesNotPutTheNextReleaseBesideADecodeOff() {
-        stateWithDecodeThatOnlyOthersSpeakFor();
-        passTo(POLICY.renewMicros() + POLICY.retryMicros());
+    void lateAnswerDoesNotPostponeNextReleaseDuringDecode() {
+        holdStateWithInferredDecodeDelivery();
+        advanceTo(POLICY.renewMicros() + POLICY.retryMicros());
         assertEquals(2, calls.size());
         answerLast(true);
         long answeredAt = now;
-        passTo(answeredAt + POLICY.renewMicros() - MILLI);
+        advanceTo(answeredAt + POLICY.renewMicros() - MILLI);
         table.releaseCompleted(calls.get(0).id(), true, now);
-        passAnsweringTo(answeredAt + 2 * LIMIT);
-        long pause = longestPause(answeredAt, now);
+        advanceAnsweringTo(answeredAt + 2 * LIMIT);
+        long pause = longestTimeWithoutRelease(answeredAt, now);
         assertTrue(pause <= LIMIT, "no release for " + pause + " us");
     }
 
     @Test
-    void anExitDoesNotWaitForTheRenewalOfAHoldThatWasReleased() {
-        table.opened(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
-        table.unwanted(KEY, now);
+    void shutdownDoesNotWaitForRepeatedReleaseOfReleasedHold() {
+        table.addHold(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
+        table.markUnwanted(KEY, now);
         answerLast(true);
-        passAnsweringTo(2 * LIMIT);
+        advanceAnsweringTo(2 * LIMIT);
         assertEquals(0, table.releasableCount());
         int before = calls.size();
         while (calls.size() == before) {
-            passTo(now + MILLI);
+            advanceTo(now + MILLI);
         }
         assertEquals(
                 0, table.releasableCount(), "a repeated release in flight must not delay shutdown");
@@ -84,14 +84,14 @@
      * arrives.
      */
     @Test
-    void aReadThatEndsTwoSecondsAfterItsEngineWasHeardIsReleasedInTime() {
-        table.opened(KEY, Hold.ofGivenUpPrefill("r0", 0), now);
-        table.unwanted(KEY, now);
+    void prefillEndingTwoSecondsAfterEngineRespondedIsReleasedInTime() {
+        table.addHold(KEY, Hold.ofGivenUpPrefill("r0", 0), now);
+        table.markUnwanted(KEY, now);
         answerLast(true);
-        passAnsweringTo(10 * MILLI);
-        table.engineHeard("r0", now);
+        advanceAnsweringTo(10 * MILLI);
+        table.engineResponded("r0", now);
         long readAt = now + 4 * LIMIT;
-        passAnsweringTo(readAt + LIMIT);
+        advanceAnsweringTo(readAt + LIMIT);
         boolean released = callTimes.stream().anyMatch(time -> time >= readAt);
         long last = callTimes.get(callTimes.size() - 1);
         assertTrue(
@@ -103,18 +103,18 @@
      * A suspended engine is removed from the list as unresponsive, resumes, and is listed again.
      */
     @Test
-    void whatAnEngineReadsThatLeftTheListUnheardIsReleasedOnceItIsListedAgain() {
-        table.opened(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
-        table.unwanted(KEY, now);
+    void stateOfUnresponsiveRemovedEngineIsReleasedOnceListedAgain() {
+        table.addHold(KEY, Hold.ofUndeliveredPrefill("r0", 0), now);
+        table.markUnwanted(KEY, now);
         answerLast(true);
-        passAnsweringTo(2 * LIMIT);
+        advanceAnsweringTo(2 * LIMIT);
         table.engineRemoved("r0", now);
         engines.removed("r0");
-        passAnsweringTo(8 * LIMIT);
+        advanceAnsweringTo(8 * LIMIT);
         engines.added("r0");
         long backAt = now;
-        table.engineHeard("r0", now);
-        passAnsweringTo(backAt + LIMIT);
+        table.engineResponded("r0", now);
+        advanceAnsweringTo(backAt + LIMIT);
         assertTrue(
                 callTimes.stream().anyMatch(time -> time > backAt),
                 "no release since the engine was listed again");
--- a/core/src/test/java/sorrelhoist/core/scheduling/BackgroundSchedulerTest.java
+++ b/core/src/test/java/sorrelhoist/core/scheduling/BackgroundSchedulerTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void nothingRunsBeforeItIsDueOrWhileRequestsWait() {
+    void jobDoesNotRunBeforeDueOrWhileRequestsWait() {
         BackgroundScheduler scheduler = scheduler(200_000, LOW);
         assertNull(scheduler.nextSlice(0, false));
         scheduler.schedule(LOW, SECOND, NEVER);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void priorityDecidesUntilABoundHasPassed() {
+    void priorityAppliesUntilMaxWaitHasPassed() {
         BackgroundScheduler scheduler = scheduler(500_000, LOW, HIGH);
         scheduler.schedule(LOW, 0, NEVER);
         scheduler.schedule(HIGH, 0, NEVER);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aDeadlineGoesBeforePriority() {
+    void deadlinePrecedesPriority() {
         BackgroundScheduler scheduler = scheduler(500_000, LOW, HIGH);
         scheduler.schedule(HIGH, 0, NEVER);
         scheduler.schedule(LOW, 0, 10_000);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void budgetsHoldWhateverSlicesCost() {
+    void budgetsHoldWhenSlicesOverspend() {
         SplittableRandom random = new SplittableRandom(5);
         BackgroundScheduler scheduler = scheduler(150_000, LOW, HIGH);
         scheduler.schedule(LOW, 0, NEVER);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aSliceHasToBeReportedBeforeTheNext() {
+    void sliceMustBeReportedBeforeNext() {
         BackgroundScheduler scheduler = scheduler(150_000, LOW);
         scheduler.schedule(LOW, 0, NEVER);
         assertNotNull(scheduler.nextSlice(0, false));
--- a/core/src/test/java/sorrelhoist/core/scheduling/TokenBucketTest.java
+++ b/core/src/test/java/sorrelhoist/core/scheduling/TokenBucketTest.java
@@ -11,7 +11,7 @@
     private final TokenBucket bucket = new TokenBucket(100, 0);
 
     @Test
-    void itHoldsASecondsWorthAtMost() {
+    void capacityIsOneSecondOfTokens() {
         assertEquals(100, bucket.available(0));
         assertEquals(100, bucket.available(10 * SECOND));
         bucket.spend(10 * SECOND, 60);
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aDebtIsPaidBackBeforeAnythingIsAvailable() {
+    void debtIsRefilledBeforeTokensAreAvailable() {
         bucket.spend(0, 150);
         assertEquals(-50, bucket.available(0));
         assertEquals(510_000, bucket.nextAvailableAt(0));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aClockThatGoesBackGivesAndTakesNothing() {
+    void clockGoingBackDoesNotChangeTokens() {
         bucket.spend(SECOND, 50);
         assertEquals(50, bucket.available(SECOND / 2));
         assertEquals(50, bucket.available(SECOND));
