--- a/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
+++ b/core/src/main/java/sorrelhoist/core/record/AnomalyTrigger.java
@@ -28,25 +28,25 @@
          * Called when a rule came close to being broken, or service degraded.
          *
          * @param at time of the anomaly, in microseconds
-         * @param what description of the anomaly, for operators
+         * @param description description of the anomaly, for operators
          */
-        void onAnomaly(long at, String what);
+        void onAnomaly(long at, String description);
     }
 
     /** Time left of a client's timeout below which a rejection or failure counts as late. */
-    private static final long LAST_MOMENT_MICROS = 20_000;
+    private static final long LATE_ANSWER_MICROS = 20_000;
 
     /** Fraction of the reservation limit above which a state counts as held for almost too long. */
-    private static final double NEARLY_EXPIRED = 0.9;
+    private static final double NEARLY_EXPIRED_FRACTION = 0.9;
 
     private static final long FAILURE_WINDOW_MICROS = 1_000_000;
-    private static final int MANY_FAILURES = 50;
+    private static final int FAILURE_THRESHOLD = 50;
 
     /**
      * Time after a report in which nothing is reported, so that one incident preserves the record
      * only once.
      */
-    private static final long QUIET_MICROS = 60_000_000;
+    private static final long REPORT_INTERVAL_MICROS = 60_000_000;
 
     private static final long MICROS_PER_MILLI = 1000;
 
@@ -55,7 +55,7 @@
     private final AnomalyListener listener;
     private final Map<Long, Long> prefillDoneAt = new HashMap<>();
     private final Deque<Long> failures = new ArrayDeque<>();
-    private long quietUntil = Long.MIN_VALUE;
+    private long noReportBefore = Long.MIN_VALUE;
 
     /**
      * Creates a trigger.
@@ -91,7 +91,7 @@
 
     private void stateUsed(long at, long requestId) {
         Long since = prefillDoneAt.remove(requestId);
-        if (since != null && at - since > NEARLY_EXPIRED * reservationLimitMicros) {
+        if (since != null && at - since > NEARLY_EXPIRED_FRACTION * reservationLimitMicros) {
             report(
                     at,
                     "rule five: a state was held for "
@@ -114,7 +114,7 @@
     @Override
     public void onRequestCompleted(RecordEntry.RequestCompleted completion) {
         next.onRequestCompleted(completion);
-        if (isUnservedAtTheLastMoment(completion)) {
+        if (isLateRejectionOrFailure(completion)) {
             report(
                     completion.at(),
                     "rule one: an answer came "
@@ -127,9 +127,9 @@
         }
     }
 
-    private static boolean isUnservedAtTheLastMoment(RecordEntry.RequestCompleted completion) {
+    private static boolean isLateRejectionOrFailure(RecordEntry.RequestCompleted completion) {
         return switch (completion.how()) {
-            case REFUSED, FAILED -> completion.leftMicros() < LAST_MOMENT_MICROS;
+            case REFUSED, FAILED -> completion.leftMicros() < LATE_ANSWER_MICROS;
             case SERVED, STALLED, LEFT -> false;
         };
     }
@@ -139,15 +139,15 @@
         while (failures.peek() < at - FAILURE_WINDOW_MICROS) {
             failures.poll();
         }
-        if (failures.size() >= MANY_FAILURES) {
+        if (failures.size() >= FAILURE_THRESHOLD) {
             report(at, failures.size() + " requests failed within a second");
         }
     }
 
-    private void report(long at, String what) {
-        if (at >= quietUntil) {
-            quietUntil = at + QUIET_MICROS;
-            listener.onAnomaly(at, what);
+    private void report(long at, String description) {
+        if (at >= noReportBefore) {
+            noReportBefore = at + REPORT_INTERVAL_MICROS;
+            listener.onAnomaly(at, description);
         }
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/Recorder.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recorder.java
@@ -14,7 +14,7 @@
  */
 public final class Recorder implements DecisionListener {
     /** Size at which a chunk is passed to the sink. */
-    static final int CHUNK_BYTES = 64 << 10;
+    static final int FLUSH_BYTES = 64 << 10;
 
     /**
      * Age at which a chunk is passed to the sink. A killed process loses the entries of up to this
@@ -102,7 +102,7 @@
     }
 
     private void flushIfDue(long at) {
-        if (chunk.size() >= CHUNK_BYTES || at - chunkBegunAt >= MAX_CHUNK_AGE_MICROS) {
+        if (chunk.size() >= FLUSH_BYTES || at - chunkBegunAt >= MAX_CHUNK_AGE_MICROS) {
             flush();
         }
     }
--- a/core/src/main/java/sorrelhoist/core/record/Recording.java
+++ b/core/src/main/java/sorrelhoist/core/record/Recording.java
@@ -94,7 +94,7 @@
         long nextNumber = -1;
         for (NumberedEntry numbered : entries) {
             // Entries in a chunk have consecutive numbers, so a gap requires a new chunk.
-            if (numbered.number() != nextNumber || chunk.size() > Recorder.CHUNK_BYTES) {
+            if (numbered.number() != nextNumber || chunk.size() > Recorder.FLUSH_BYTES) {
                 append(chunk, nextNumber, out);
                 chunk.begin(numbered.number(), header);
             }
--- a/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
@@ -20,7 +20,7 @@
      * Timer tokens from this value on belong to timers of the routing policy itself; lower ones are
      * request numbers.
      */
-    private static final long FIRST_ROUTER_TIMER_TOKEN = 1L << 60;
+    private static final long FIRST_POLICY_TIMER_TOKEN = 1L << 60;
 
     private final RecordEntry.Header header;
     private final Predicate<Recording> condition;
@@ -48,10 +48,10 @@
 
     /** {@return the shortest recording that was found, with the actions of this build} */
     public Recording minimize(Recording recording) {
-        List<List<Recording.NumberedEntry>> requests = minimal(groupByRequest(recording));
+        List<List<Recording.NumberedEntry>> requests = removeParts(groupByRequest(recording));
         List<List<Recording.NumberedEntry>> singles = new ArrayList<>();
         requests.forEach(request -> request.forEach(entry -> singles.add(List.of(entry))));
-        return replayed(minimal(singles));
+        return replayed(removeParts(singles));
     }
 
     /**
@@ -75,13 +75,13 @@
     }
 
     private static long requestOf(Event event) {
-        return event instanceof TimerFired timer && timer.token() >= FIRST_ROUTER_TIMER_TOKEN
+        return event instanceof TimerFired timer && timer.token() >= FIRST_POLICY_TIMER_TOKEN
                 ? RequestIds.NONE
                 : RequestIds.of(event);
     }
 
     /** Removes ever smaller parts as long as the remaining groups meet the condition. */
-    private List<List<Recording.NumberedEntry>> minimal(List<List<Recording.NumberedEntry>> from) {
+    private List<List<Recording.NumberedEntry>> removeParts(List<List<Recording.NumberedEntry>> from) {
         List<List<Recording.NumberedEntry>> best = from;
         int parts = 2;
         while (best.size() >= 2 && replayCount < maxReplays) {
--- a/core/src/main/java/sorrelhoist/core/record/ValueCodec.java
+++ b/core/src/main/java/sorrelhoist/core/record/ValueCodec.java
@@ -28,7 +28,7 @@
         if (plain == String.class) {
             return new TextCodec();
         } else if (plain == boolean.class) {
-            return new FlagCodec();
+            return new BooleanCodec();
         } else if (plain.isEnum()) {
             return new EnumCodec(plain.getEnumConstants());
         } else if (plain == Long.class) {
@@ -77,7 +77,7 @@
     }
 
     /** A boolean. */
-    record FlagCodec() implements ValueCodec {
+    record BooleanCodec() implements ValueCodec {
         @Override
         public void write(BinaryWriter out, Object value, StringCodec strings) {
             out.writeByte((Boolean) value ? 1 : 0);
--- a/core/src/main/java/sorrelhoist/core/statetransfer/MessageAuthenticator.java
+++ b/core/src/main/java/sorrelhoist/core/statetransfer/MessageAuthenticator.java
@@ -66,13 +66,13 @@
      *
      * @param from the sender's name
      * @param to the recipient's name
-     * @param exchange number of the transfer
+     * @param transferId number of the transfer
      * @param index index of the message in the transfer, from 0
-     * @param piece content of the message
+     * @param content content of the message
      * @return the message's authentication tag
      */
-    public byte[] sign(String from, String to, long exchange, int index, byte[] piece) {
-        return tag(keys.get(signingKeyId), from, to, exchange, index, piece);
+    public byte[] sign(String from, String to, long transferId, int index, byte[] content) {
+        return tag(keys.get(signingKeyId), from, to, transferId, index, content);
     }
 
     /**
@@ -82,9 +82,9 @@
      * @param tag the received authentication tag
      * @param from the sender's name
      * @param to the recipient's name
-     * @param exchange number of the transfer
+     * @param transferId number of the transfer
      * @param index index of the message in the transfer, from 0
-     * @param piece content of the message
+     * @param content content of the message
      * @return whether the key is known and the tag is correct
      */
     public boolean verify(
@@ -92,16 +92,16 @@
             byte[] tag,
             String from,
             String to,
-            long exchange,
+            long transferId,
             int index,
-            byte[] piece) {
+            byte[] content) {
         SecretKeySpec key = keys.get(keyId);
         return key != null
-                && MessageDigest.isEqual(tag, tag(key, from, to, exchange, index, piece));
+                && MessageDigest.isEqual(tag, tag(key, from, to, transferId, index, content));
     }
 
     private static byte[] tag(
-            SecretKeySpec key, String from, String to, long exchange, int index, byte[] piece) {
+            SecretKeySpec key, String from, String to, long transferId, int index, byte[] content) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(key);
@@ -109,11 +109,11 @@
             updateWithName(mac, to);
             mac.update(
                     ByteBuffer.allocate(Long.BYTES + 2 * Integer.BYTES)
-                            .putLong(exchange)
+                            .putLong(transferId)
                             .putInt(index)
-                            .putInt(piece.length)
+                            .putInt(content.length)
                             .flip());
-            return mac.doFinal(piece);
+            return mac.doFinal(content);
         } catch (NoSuchAlgorithmException | InvalidKeyException e) {
             // Every JDK provides the algorithm, and any key is valid for it.
             throw new IllegalStateException("cannot compute " + ALGORITHM, e);
--- a/core/src/test/java/sorrelhoist/core/record/AnomalyTriggerTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/AnomalyTriggerTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void anAnswerAtTheLastMomentIsReportedUnlessItsClientLeft() {
+    void aLateRejectionOrFailureIsReportedUnlessTheClientLeft() {
         completed(1, RecordEntry.Completion.LEFT, 5, Reason.Kind.UNKNOWN);
         completed(1, RecordEntry.Completion.REFUSED, 1_000_000, Reason.Kind.DOOR);
         assertEquals(List.of(), reported);
--- a/core/src/test/java/sorrelhoist/core/record/RecordCodecTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordCodecTest.java
@@ -33,14 +33,14 @@
     }
 
     @Test
-    void aComponentThatWasNotWrittenTakesItsDefault() throws CorruptRecordException {
+    void aMissingComponentTakesItsDefault() throws CorruptRecordException {
         assertEquals(
                 new After(-3, "x", Double.NaN, Reason.UNKNOWN, List.of()),
                 convert(new Before(-3, "x"), After.class));
     }
 
     @Test
-    void aComponentThatIsNotKnownIsPassedOver() throws CorruptRecordException {
+    void anUnknownComponentIsSkipped() throws CorruptRecordException {
         After after = new After(9, "y", 0.5, Reason.of(Reason.Kind.COLD), List.of("z"));
         assertEquals(new Before(9, "y"), convert(after, Before.class));
     }
--- a/core/src/test/java/sorrelhoist/core/record/RecordedFailuresTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/RecordedFailuresTest.java
@@ -45,7 +45,7 @@
 
     @ParameterizedTest
     @MethodSource("records")
-    void aRequestThatEndedForWantOfCapacityIsForwardedNow(Path record)
+    void aRequestThatEndedForLackOfCapacityIsForwardedNow(Path record)
             throws IOException, CorruptRecordException {
         Recording before = Recording.of(List.of(Files.readAllBytes(record)));
         Set<Long> ended = ended(before);
--- a/core/src/test/java/sorrelhoist/core/record/SegmentReaderTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/SegmentReaderTest.java
@@ -17,16 +17,16 @@
     private static final int FRAME_HEADER_BYTES = 12;
 
     @Test
-    void aFileCutAnywhereGivesItsWholeChunksAndNoFault() {
+    void aTruncatedFileYieldsItsWholeChunksAndNoFault() {
         byte[] file = RecordFixtures.file(2);
-        int most = 0;
+        int maxChunks = 0;
         for (int length = 0; length <= file.length; length++) {
             DecodedSegment segment = SegmentReader.read(Arrays.copyOf(file, length));
             assertEquals(List.of(), segment.faults(), "truncated to " + length);
-            assertTrue(segment.chunks().size() >= most, "truncated to " + length);
-            most = segment.chunks().size();
+            assertTrue(segment.chunks().size() >= maxChunks, "truncated to " + length);
+            maxChunks = segment.chunks().size();
         }
-        assertEquals(CHUNKS, most);
+        assertEquals(CHUNKS, maxChunks);
     }
 
     @Test
@@ -60,7 +60,7 @@
 
     /** Decoding terminates for any bytes, and its cost is limited by their length. */
     @Test
-    void noiseBehindARightChecksumIsRejected() {
+    void randomBytesWithAValidChecksumAreRejected() {
         SplittableRandom random = new SplittableRandom(4);
         ChunkWriter writer = new ChunkWriter();
         int rejected = 0;
--- a/core/src/test/java/sorrelhoist/core/record/StoredRecordTest.java
+++ b/core/src/test/java/sorrelhoist/core/record/StoredRecordTest.java
@@ -103,7 +103,7 @@
                     Outcome.CANCELLED,
                     Outcome.SKIPPED);
 
-    private static final List<RecordEntry.Completion> ENDS =
+    private static final List<RecordEntry.Completion> COMPLETIONS =
             List.of(
                     RecordEntry.Completion.SERVED,
                     RecordEntry.Completion.REFUSED,
@@ -231,7 +231,7 @@
             refusals.add(new Refuse(5, 0, Reason.of(kind)));
         }
         entries.add(new RecordEntry.Decision(11, new TimerFired(5), refusals));
-        for (RecordEntry.Completion end : ENDS) {
+        for (RecordEntry.Completion end : COMPLETIONS) {
             entries.add(new RecordEntry.RequestCompleted(12, 4, end, 21, Long.MAX_VALUE, REASON));
         }
         return entries;
--- a/core/src/test/java/sorrelhoist/core/statetransfer/DonorSelectionTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/DonorSelectionTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void nobodyIsAskedAfterTwoCompletedTransfers() {
+    void noDonorIsSelectedAfterTwoCompletedTransfers() {
         DonorSelection selection = new DonorSelection("near");
         selection.transferCompleted(selection.nextDonor(ALL));
         assertEquals(NEAR, selection.nextDonor(ALL));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void nobodyIsAskedWhereThereIsNobody() {
+    void noDonorIsSelectedFromAnEmptyList() {
         assertNull(new DonorSelection("near").nextDonor(List.of()));
     }
 }
--- a/core/src/test/java/sorrelhoist/core/statetransfer/KnowledgeCodecTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/KnowledgeCodecTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aBudgetKeepsWhatIsRecentAndUsedMost() throws CorruptKnowledgeException {
+    void aSizeLimitKeepsTheMostRecentAndMostUsedKeys() throws CorruptKnowledgeException {
         byte[] bytes = KnowledgeCodec.encode(knowledge(1000), 2000);
         assertTrue(bytes.length < 2400);
         Knowledge decoded = KnowledgeCodec.decode(bytes);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aNeighboursVersionAndUnknownSectionsAreReadAndDistantVersionsRejected() throws Exception {
+    void theNextVersionAndUnknownSectionsAreReadAndLaterVersionsAreRejected() throws Exception {
         ByteArrayOutputStream longer = new ByteArrayOutputStream();
         longer.write(KnowledgeCodec.encode(knowledge(3), 1000));
         longer.write(new byte[] {9, 0, 0, 0, 6, 0, 0, 0, 1, 7, 7});
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void anyDamageIsReadOrRejected() {
+    void damagedSnapshotsAreDecodedOrRejected() {
         byte[] bytes = KnowledgeCodec.encode(knowledge(20), 10_000);
         SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 20_000; i++) {
--- a/core/src/test/java/sorrelhoist/core/statetransfer/MessageAuthenticatorTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/MessageAuthenticatorTest.java
@@ -11,7 +11,7 @@
 /** Authentication tags of messages, also during a rotation of keys. */
 class MessageAuthenticatorTest {
     @Test
-    void tagsHoldThroughARotationAndForNoOtherMessage() {
+    void tagsAreValidDuringAKeyRotationAndForNoOtherMessage() {
         Map<String, String> oldKeys = Map.of("a", "0123456789abcdef");
         Map<String, String> bothKeys = new LinkedHashMap<>();
         bothKeys.put("b", "fedcba9876543210");
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotPolicyTest.java
@@ -12,7 +12,7 @@
 /** When snapshots are due, and which are restored. */
 class SnapshotPolicyTest {
     @Test
-    void theNewestIsRestoredFirstAndWhatIsTooOldOrUnreadableNotAtAll() {
+    void theNewestSnapshotIsRestoredFirstAndOldOrUnreadableOnesAreNot() {
         byte[] payload = KnowledgeCodec.encode(knowledge(1), 1000);
         List<RestoredSnapshot> restorable =
                 SnapshotPolicy.selectRestorable(
--- a/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotTransferTest.java
+++ b/core/src/test/java/sorrelhoist/core/statetransfer/SnapshotTransferTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aTransferHoldsEverythingOnceAndTheNewestFirst() throws Exception {
+    void aTransferContainsEveryKeyOnceAndTheNewestFirst() throws Exception {
         SnapshotTransfer transfer = new SnapshotTransfer(known(0, 3000), NO_KEYS, UNBOUNDED, 0);
         List<Knowledge> received = receive(transfer, 1000);
         List<String> names =
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aTransferThatBrokeOffIsResumedWhereItWas() throws Exception {
+    void aTransferThatBrokeOffIsResumedWithTheMissingKeys() throws Exception {
         List<Knowledge> received =
                 receive(new SnapshotTransfer(known(0, 3000), NO_KEYS, UNBOUNDED, 0), 3);
         List<PrefixEntry> keys = received.stream().flatMap(k -> k.keys().stream()).toList();
