--- a/edge/src/main/java/sorrelhoist/edge/AttemptListener.java
+++ b/edge/src/main/java/sorrelhoist/edge/AttemptListener.java
@@ -73,7 +73,7 @@
      * Cancels a call whose engine sent a malformed message, and fails the attempt with {@link
      * Outcome#ERROR}: the engine may have executed it.
      */
-    final void malformedMessage(ClientCall call) {
+    final void failMalformed(ClientCall call) {
         call.cancel();
         router.execute(
                 r -> {
--- a/edge/src/main/java/sorrelhoist/edge/DecodeListener.java
+++ b/edge/src/main/java/sorrelhoist/edge/DecodeListener.java
@@ -32,16 +32,16 @@
         try {
             event = DecodeEvent.parse(message);
         } catch (ProtoException e) {
-            malformedMessage(call);
+            failMalformed(call);
             return;
         }
         if (finish != null) {
-            malformedMessage(call); // the finish event has to be the last
+            failMalformed(call); // the finish event has to be the last
         } else if (event.finish() != null) {
             call.consumeBytes(wireBytes);
             finish = event.finish();
         } else {
-            reportToken(event.token(), () -> tokenConsumed(call, wireBytes));
+            reportToken(event.token(), () -> returnCredit(call, wireBytes));
         }
     }
 
@@ -56,7 +56,7 @@
      * Returns the flow-control credit of a token that the client has consumed. May run on any
      * thread.
      */
-    private void tokenConsumed(ClientCall call, int wireBytes) {
+    private void returnCredit(ClientCall call, int wireBytes) {
         if (consumedBytes.addAndGet(wireBytes) >= MIN_CREDIT_BYTES) {
             network.execute(() -> call.consumeBytes(consumedBytes.getAndSet(0)));
         }
--- a/edge/src/main/java/sorrelhoist/edge/Edge.java
+++ b/edge/src/main/java/sorrelhoist/edge/Edge.java
@@ -240,9 +240,9 @@
      * Shuts down gracefully: rejects new requests, waits up to the drain time for running
      * responses, fails the requests that are left, then stops. Blocks.
      *
-     * @param hurry polled during the wait; true ends the wait for running responses
+     * @param endWait polled during the wait; true ends the wait for running responses
      */
-    public void drain(BooleanSupplier hurry) {
+    public void drain(BooleanSupplier endWait) {
         draining = true;
         LOG.atInfo()
                 .addKeyValue("event", "draining")
@@ -251,7 +251,7 @@
         router.execute(Router::startDraining);
         clients.forEach(c -> c.executor().execute(c::shutdownGracefully));
         awaitUntil(
-                () -> router.openRequests() == 0 || hurry.getAsBoolean(),
+                () -> router.openRequests() == 0 || endWait.getAsBoolean(),
                 settings.serving().drainMs());
         router.execute(r -> r.failAllRequests(router.now(), "the edge stops"));
         awaitUntil(() -> router.openRequests() == 0 && clients.isEmpty(), CLOSE_TIMEOUT_MILLIS);
--- a/edge/src/main/java/sorrelhoist/edge/EngineAttempts.java
+++ b/edge/src/main/java/sorrelhoist/edge/EngineAttempts.java
@@ -79,7 +79,7 @@
     void cancel(AttemptId id) {
         InFlight attempt = remove(id);
         if (attempt != null) {
-            traceEnd(attempt, Tracing.ATTEMPT_DROPPED);
+            traceEnd(attempt, Tracing.ATTEMPT_CANCELLED);
             attempt.call().cancel();
         }
     }
--- a/edge/src/main/java/sorrelhoist/edge/InferenceCall.java
+++ b/edge/src/main/java/sorrelhoist/edge/InferenceCall.java
@@ -122,12 +122,12 @@
                 .execute(
                         () -> {
                             if (!ended) {
-                                endWith(result);
+                                endWithResult(result);
                             }
                         });
     }
 
-    private void endWith(RequestResult result) {
+    private void endWithResult(RequestResult result) {
         if (result instanceof RequestResult.Served served) {
             sendEnd(served.tokens());
             end(Status.OK);
--- a/edge/src/main/java/sorrelhoist/edge/OpenRequests.java
+++ b/edge/src/main/java/sorrelhoist/edge/OpenRequests.java
@@ -15,7 +15,7 @@
     /**
      * The listener of the request that is being submitted and has no number yet; null otherwise.
      */
-    private ResponseListener arriving;
+    private ResponseListener submittedListener;
 
     /**
      * Submits a request and adds it, unless the router ends it during the submission.
@@ -24,12 +24,12 @@
      * @param submission submits the request to the router and returns its number
      */
     void add(ResponseListener listener, LongSupplier submission) {
-        arriving = listener;
+        submittedListener = listener;
         long number = submission.getAsLong();
-        if (arriving != null) {
+        if (submittedListener != null) {
             listeners.put(number, listener);
             numbers.put(listener, number);
-            arriving = null;
+            submittedListener = null;
         }
     }
 
@@ -59,8 +59,8 @@
     ResponseListener removeEnded(long number) {
         ResponseListener listener = listeners.remove(number);
         if (listener == null) {
-            listener = arriving;
-            arriving = null;
+            listener = submittedListener;
+            submittedListener = null;
         }
         numbers.remove(listener);
         return listener;
--- a/edge/src/main/java/sorrelhoist/edge/PlanEventHandler.java
+++ b/edge/src/main/java/sorrelhoist/edge/PlanEventHandler.java
@@ -38,25 +38,25 @@
     private final RouterEventLoop router;
     private final EngineTable engines;
     private final Consumer<List<DonorSelection.Donor>> onPeers;
-    private Runnable onFirstRoster;
+    private Runnable onFirstEngines;
 
     /**
      * Creates a handler.
      *
      * @param router the event loop that receives the events
      * @param engines the table of listed engines; used on the router's thread
-     * @param onFirstRoster run once, on the router's thread, after the first endpoint list that
+     * @param onFirstEngines run once, on the router's thread, after the first endpoint list that
      *     contains engines
      * @param onPeers receives the list of the other edges whenever it changes
      */
     PlanEventHandler(
             RouterEventLoop router,
             EngineTable engines,
-            Runnable onFirstRoster,
+            Runnable onFirstEngines,
             Consumer<List<DonorSelection.Donor>> onPeers) {
         this.router = router;
         this.engines = engines;
-        this.onFirstRoster = onFirstRoster;
+        this.onFirstEngines = onFirstEngines;
         this.onPeers = onPeers;
     }
 
@@ -135,8 +135,8 @@
                 .log("endpoint list received");
         router.updateEndpoints(kind, servers);
         if (!servers.isEmpty()) {
-            onFirstRoster.run();
-            onFirstRoster = () -> {};
+            onFirstEngines.run();
+            onFirstEngines = () -> {};
         }
     }
 
--- a/edge/src/main/java/sorrelhoist/edge/PrefillListener.java
+++ b/edge/src/main/java/sorrelhoist/edge/PrefillListener.java
@@ -23,7 +23,7 @@
         try {
             reply = PrefillReply.parse(message);
         } catch (ProtoException e) {
-            malformedMessage(call);
+            failMalformed(call);
         }
     }
 
--- a/edge/src/main/java/sorrelhoist/edge/RequestParser.java
+++ b/edge/src/main/java/sorrelhoist/edge/RequestParser.java
@@ -63,15 +63,15 @@
         Map<String, Parameter> parameters = message.parameters();
         int maxTokens =
                 (int)
-                        integer(
+                        integerParameter(
                                 parameters,
                                 MAX_TOKENS,
                                 settings.serving().defaultMaxTokens(),
                                 1,
                                 settings.serving().mostMaxTokens());
         long promptTokens = TokenEstimator.estimate(prompt);
-        String prefix = string(parameters, PREFIX);
-        long prefixTokens = integer(parameters, PREFIX_TOKENS, 0, 0, promptTokens);
+        String prefix = stringParameter(parameters, PREFIX);
+        long prefixTokens = integerParameter(parameters, PREFIX_TOKENS, 0, 0, promptTokens);
         if (message.id().length() > MAX_NAME_LENGTH) {
             throw invalid("the request's id is longer than " + MAX_NAME_LENGTH + " characters");
         }
@@ -79,7 +79,7 @@
                 .clientRequestId(message.id())
                 .classIndex(indexOfName(parameters, CLASS, classNames))
                 .tenantIndex(indexOfName(parameters, TENANT, tenantNames))
-                .session(string(parameters, SESSION))
+                .session(stringParameter(parameters, SESSION))
                 .sharedPrefix(prefix, prefix == null ? 0 : prefixTokens)
                 .timeoutMicros(Math.max(0, timeoutMicros))
                 .previousAttempts(previousAttempts)
@@ -151,7 +151,7 @@
     }
 
     /** Returns an integer parameter; the default value if it is absent. */
-    private static long integer(
+    private static long integerParameter(
             Map<String, Parameter> parameters, String name, long defaultValue, long min, long max)
             throws InvalidRequestException {
         Parameter parameter = parameters.get(name);
@@ -166,7 +166,7 @@
     }
 
     /** Returns a string parameter; null if it is absent or empty. */
-    private static String string(Map<String, Parameter> parameters, String name)
+    private static String stringParameter(Map<String, Parameter> parameters, String name)
             throws InvalidRequestException {
         Parameter parameter = parameters.get(name);
         if (parameter == null) {
@@ -189,7 +189,7 @@
     private static int indexOfName(
             Map<String, Parameter> parameters, String parameter, List<String> names)
             throws InvalidRequestException {
-        String name = string(parameters, parameter);
+        String name = stringParameter(parameters, parameter);
         if (name == null) {
             return 0;
         }
--- a/edge/src/main/java/sorrelhoist/edge/RouterEventLoop.java
+++ b/edge/src/main/java/sorrelhoist/edge/RouterEventLoop.java
@@ -45,7 +45,7 @@
     private volatile boolean ready;
 
     RouterEventLoop(RouterSettings settings, DecisionListener listener) {
-        this.router = new Router(settings, this::carryOut, listener);
+        this.router = new Router(settings, this::handleCommand, listener);
     }
 
     /**
@@ -56,7 +56,7 @@
         commandHandler = new RouterCommandHandler(requests, rejections, clock, engines, planner);
     }
 
-    private void carryOut(Command command) {
+    private void handleCommand(Command command) {
         command.accept(commandHandler);
     }
 
--- a/edge/src/main/java/sorrelhoist/edge/RouterSettingsFactory.java
+++ b/edge/src/main/java/sorrelhoist/edge/RouterSettingsFactory.java
@@ -14,7 +14,7 @@
     private static final long MICROS_PER_MILLI = 1000;
 
     /** The index among the edges that a router uses until the planner assigns one. */
-    private static final int INITIAL_SELF = 0;
+    private static final int INITIAL_ROUTER_INDEX = 0;
 
     private RouterSettingsFactory() {}
 
@@ -38,7 +38,7 @@
     private static RoutingSettings routing(EdgeSettings edge) {
         return new RoutingSettings(
                 edge.routers(),
-                INITIAL_SELF,
+                INITIAL_ROUTER_INDEX,
                 edge.zones().indexOf(edge.zone()),
                 false,
                 edge.limits().overShareWorth(),
@@ -52,8 +52,8 @@
                 serverLimits(edge.rules()));
     }
 
-    private static RoutingSettings.LoadReportMode loadReportMode(String word) {
-        return switch (word) {
+    private static RoutingSettings.LoadReportMode loadReportMode(String name) {
+        return switch (name) {
             case "outcomes" -> RoutingSettings.LoadReportMode.IN_OUTCOMES;
             case "probes" -> RoutingSettings.LoadReportMode.IN_PROBES;
             default -> RoutingSettings.LoadReportMode.NONE;
@@ -101,7 +101,7 @@
         return millis * MICROS_PER_MILLI;
     }
 
-    private static String upperCase(String word) {
-        return word.toUpperCase(Locale.ROOT);
+    private static String upperCase(String name) {
+        return name.toUpperCase(Locale.ROOT);
     }
 }
--- a/edge/src/main/java/sorrelhoist/edge/Tracing.java
+++ b/edge/src/main/java/sorrelhoist/edge/Tracing.java
@@ -34,7 +34,7 @@
     static final String ATTEMPT_DONE = "DONE";
 
     /** The outcome of an attempt that the router cancelled. */
-    static final String ATTEMPT_DROPPED = "dropped";
+    static final String ATTEMPT_CANCELLED = "dropped";
 
     /** The outcome of an attempt whose engine sent a malformed message. */
     static final String ATTEMPT_MALFORMED = "nonsense";
--- a/edge/src/main/java/sorrelhoist/edge/persistence/SnapshotStore.java
+++ b/edge/src/main/java/sorrelhoist/edge/persistence/SnapshotStore.java
@@ -21,7 +21,7 @@
     private static final String SNAPSHOT_FILE = "past.snapshot";
     private static final String LOG_FILE = "past.log";
     private static final String TEMPORARY_FILE = "past.new";
-    private static final String SET_ASIDE_SUFFIX = ".aside";
+    private static final String CORRUPT_FILE_SUFFIX = ".aside";
 
     private final SnapshotStorage storage;
 
@@ -58,7 +58,7 @@
         }
         SnapshotLog.ReadResult result = SnapshotLog.read(bytes);
         if (result.fault() != null) {
-            setAside(name, result);
+            renameCorruptFile(name, result);
         } else if (name.equals(LOG_FILE)) {
             logAppendable = result.validBytes() > 0;
             if (result.validBytes() < bytes.length) {
@@ -69,11 +69,11 @@
         return result.frames();
     }
 
-    private void setAside(String name, SnapshotLog.ReadResult result) throws IOException {
-        storage.rename(name, name + SET_ASIDE_SUFFIX);
+    private void renameCorruptFile(String name, SnapshotLog.ReadResult result) throws IOException {
+        storage.rename(name, name + CORRUPT_FILE_SUFFIX);
         LOG.atWarn()
                 .addKeyValue("event", "snapshot_set_aside")
-                .addKeyValue("file", name + SET_ASIDE_SUFFIX)
+                .addKeyValue("file", name + CORRUPT_FILE_SUFFIX)
                 .addKeyValue("frames_used", result.frames().size())
                 .log("{}: {}; file renamed, its valid frames are used", name, result.fault());
     }
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordDirectory.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordDirectory.java
@@ -122,7 +122,7 @@
      * @return true if there was a request since the last call
      * @throws IOException if the request file cannot be deleted
      */
-    public boolean takePreserveRequest() throws IOException {
+    public boolean consumePreserveRequest() throws IOException {
         return Files.deleteIfExists(directory.resolve(PRESERVE_REQUEST_FILE));
     }
 }
--- a/edge/src/main/java/sorrelhoist/edge/record/RecordWriter.java
+++ b/edge/src/main/java/sorrelhoist/edge/record/RecordWriter.java
@@ -49,7 +49,7 @@
                         return thread;
                     });
     private Runnable onChunk = () -> {};
-    private boolean ended;
+    private boolean stopped;
 
     /** A task that writes to the directory. */
     private interface FileTask {
@@ -110,7 +110,7 @@
      * are pending or the writer was stopped.
      */
     private boolean enqueue(byte[] chunk) {
-        if (ended || pendingBytes.get() + chunk.length > MAX_PENDING_BYTES) {
+        if (stopped || pendingBytes.get() + chunk.length > MAX_PENDING_BYTES) {
             return false;
         }
         pendingBytes.addAndGet(chunk.length);
@@ -134,7 +134,7 @@
         return !chunks.isEmpty();
     }
 
-    private void handOnAllChunks() {
+    private void submitAllChunks() {
         boolean more = true;
         while (more) {
             more = runSlice(uncounted -> {});
@@ -154,7 +154,7 @@
                 .log("preserving the decision record: {}", reason);
         recorder.addMarker(nowMicros, reason);
         recorder.flush();
-        handOnAllChunks();
+        submitAllChunks();
         writer.execute(() -> perform(this::preserveFiles));
     }
 
@@ -168,15 +168,15 @@
 
     private void write(byte[] chunk) {
         try {
-            perform(() -> writeAndTakePreserveRequest(chunk));
+            perform(() -> writeAndCheckPreserveRequest(chunk));
         } finally {
             pendingBytes.addAndGet(-chunk.length);
         }
     }
 
-    private void writeAndTakePreserveRequest(byte[] chunk) throws IOException {
+    private void writeAndCheckPreserveRequest(byte[] chunk) throws IOException {
         directory.perform(retention.appendChunk(wallClockMicros(), chunk.length), chunk);
-        if (directory.takePreserveRequest()) {
+        if (directory.consumePreserveRequest()) {
             preserveFiles();
             LOG.atInfo()
                     .addKeyValue("event", "record_preserved")
@@ -219,7 +219,7 @@
      */
     public void stop(long nowMicros) {
         recorder.flush();
-        handOnAllChunks();
+        submitAllChunks();
         writer.shutdown();
         try {
             if (writer.awaitTermination(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
@@ -235,7 +235,7 @@
                         .addKeyValue("event", "record_write_failed")
                         .log("timed out writing the end of the decision record");
             }
-            ended = true;
+            stopped = true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/edge/src/main/java/sorrelhoist/edge/statetransfer/SnapshotServer.java
+++ b/edge/src/main/java/sorrelhoist/edge/statetransfer/SnapshotServer.java
@@ -37,8 +37,8 @@
     private final String edgeName;
     private final MessageAuthenticator authenticator;
     private final IntFunction<Knowledge> knowledge;
-    private final Consumer<Runnable> routerThread;
-    private final Runnable onWork;
+    private final Consumer<Runnable> routerExecutor;
+    private final Runnable onWorkAvailable;
     private final Queue<Session> sessions = new ArrayDeque<>();
 
     /** A running transfer to one recipient. */
@@ -89,20 +89,20 @@
      * @param authenticator signs chunks and verifies requests
      * @param knowledge supplies this edge's knowledge with at most the given number of prefixes;
      *     called on the router's thread
-     * @param routerThread runs a task on the router's thread
-     * @param onWork run on the router's thread when there is background work
+     * @param routerExecutor runs a task on the router's thread
+     * @param onWorkAvailable run on the router's thread when there is background work
      */
     public SnapshotServer(
             String edgeName,
             MessageAuthenticator authenticator,
             IntFunction<Knowledge> knowledge,
-            Consumer<Runnable> routerThread,
-            Runnable onWork) {
+            Consumer<Runnable> routerExecutor,
+            Runnable onWorkAvailable) {
         this.edgeName = edgeName;
         this.authenticator = authenticator;
         this.knowledge = knowledge;
-        this.routerThread = routerThread;
-        this.onWork = onWork;
+        this.routerExecutor = routerExecutor;
+        this.onWorkAvailable = onWorkAvailable;
     }
 
     /**
@@ -146,7 +146,7 @@
                         now);
         Session session = new Session(call, request, transfer, now + TRANSFER_TIMEOUT_MICROS);
         sessions.add(session);
-        onWork.run();
+        onWorkAvailable.run();
         return session;
     }
 
@@ -214,7 +214,7 @@
             try {
                 SnapshotRequest request = SnapshotRequest.parse(message);
                 if (isAuthentic(request)) {
-                    routerThread.accept(() -> session = startSession(call, request));
+                    routerExecutor.accept(() -> session = startSession(call, request));
                 } else {
                     call.close(
                             new Status(
--- a/edge/src/test/java/sorrelhoist/edge/AttemptOutcomesTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/AttemptOutcomesTest.java
@@ -24,13 +24,13 @@
         "STATUS,DEADLINE_EXCEEDED,TIMED_OUT",
         "STATUS,UNAVAILABLE,ERROR"
     })
-    void onlyACallThatProvesItCountsAsNeverExecuted(
+    void onlyProvenNonExecutionIsConnectFailed(
             Termination termination, StatusCode code, Outcome outcome) {
         assertEquals(outcome, AttemptOutcomes.of(new Status(code, ""), termination));
     }
 
     @Test
-    void aMissingStateIsToldByAStatusAlone() {
+    void onlyAStatusReportsAMissingState() {
         Status missing = new Status(StatusCode.FAILED_PRECONDITION, "");
         assertTrue(AttemptOutcomes.isStateMissing(missing, Termination.STATUS));
         assertFalse(AttemptOutcomes.isStateMissing(missing, Termination.BROKEN));
--- a/edge/src/test/java/sorrelhoist/edge/OpenRequestsTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/OpenRequestsTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aRequestThatEndsAsItArrivesIsNeverOpen() {
+    void requestThatEndsDuringSubmissionIsNeverOpen() {
         ResponseListener[] ended = new ResponseListener[1];
         requests.add(
                 listener,
--- a/edge/src/test/java/sorrelhoist/edge/persistence/SnapshotStoreTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/persistence/SnapshotStoreTest.java
@@ -25,11 +25,11 @@
     /** In-memory storage that fails after a given number of written bytes and other operations. */
     private static final class FailingStorage implements SnapshotStorage {
         private final Map<String, byte[]> files;
-        private int left;
+        private int remainingBudget;
 
-        FailingStorage(Map<String, byte[]> files, int left) {
+        FailingStorage(Map<String, byte[]> files, int budget) {
             this.files = files;
-            this.left = left;
+            this.remainingBudget = budget;
         }
 
         /**
@@ -37,11 +37,11 @@
          * budget covers.
          */
         private int spend(int amount) throws IOException {
-            if (left <= 0) {
+            if (remainingBudget <= 0) {
                 throw new IOException("killed");
             }
-            int part = Math.min(left, amount);
-            left -= part;
+            int part = Math.min(remainingBudget, amount);
+            remainingBudget -= part;
             return part;
         }
 
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aKillAtAnyPointLeavesWhatWasReportedAsWritten() throws IOException {
+    void killAtAnyPointKeepsWrittenSnapshots() throws IOException {
         int kills = 0;
         for (int at = 1; ; at++) {
             Map<String, byte[]> files = new HashMap<>();
@@ -151,23 +151,23 @@
     }
 
     @Test
-    void anAppendThatFailsHalfwayHidesNothingThatFollows() throws IOException {
+    void appendAfterAPartialAppendIsReadable() throws IOException {
         Map<String, byte[]> files = new HashMap<>();
         FailingStorage storage = new FailingStorage(files, Integer.MAX_VALUE);
         SnapshotStore store = new SnapshotStore(storage);
         store.append(1, payload(1));
-        storage.left = 10;
+        storage.remainingBudget = 10;
         try {
             store.append(2, payload(2));
         } catch (IOException expected) {
-            storage.left = Integer.MAX_VALUE;
+            storage.remainingBudget = Integer.MAX_VALUE;
         }
         store.append(3, payload(3));
         assertTrue(new SnapshotStore(storage).restore().stream().anyMatch(f -> f.savedAt() == 3));
     }
 
     @Test
-    void damagedAndForeignFilesAreSetAsideAndNeverFatal(@TempDir Path folder) throws IOException {
+    void corruptAndForeignFilesAreRenamedAndNeverFatal(@TempDir Path folder) throws IOException {
         SnapshotStore store = new SnapshotStore(new DirectoryStorage(folder));
         store.replaceAll(1, payload(1));
         store.append(2, payload(2));
--- a/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
+++ b/edge/src/test/java/sorrelhoist/edge/record/RecordWriterTest.java
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void whatWasDecidedIsRecordedAfterTheEnd() throws Exception {
+    void allDecisionsAreRecordedAfterStop() throws Exception {
         RecordWriter writer = newWriter(new RecordDirectory(folder), LARGE_LIMITS);
         record(writer, 0, 50_000);
         writer.stop(1_000_000);
@@ -116,15 +116,15 @@
     }
 
     @Test
-    void aDiskThatHangsDropsChunksThatAreCounted() throws Exception {
-        CountDownLatch hangs = new CountDownLatch(1);
+    void hangingDiskDropsAndCountsChunks() throws Exception {
+        CountDownLatch diskResumes = new CountDownLatch(1);
         RecordWriter writer =
                 newWriter(
                         new RecordDirectory(folder) {
                             @Override
                             protected void append(String name, byte[] chunk) throws IOException {
                                 try {
-                                    hangs.await();
+                                    diskResumes.await();
                                 } catch (InterruptedException e) {
                                     throw new IOException(e);
                                 }
@@ -132,26 +132,26 @@
                             }
                         },
                         LARGE_LIMITS);
-        int told = 600_000; // more than the limit of pending bytes
-        record(writer, 0, told);
-        hangs.countDown();
+        int decisions = 600_000; // more than the limit of pending bytes
+        record(writer, 0, decisions);
+        diskResumes.countDown();
         while (writer.pendingBytes() > 0) {
             writer.runSlice(n -> {});
             Thread.onSpinWait();
         }
-        record(writer, told, 1000);
-        writer.stop(told + 1000);
+        record(writer, decisions, 1000);
+        writer.stop(decisions + 1000);
         Recording recording = recording();
         assertEquals(1, recording.gaps().size());
         long missing =
                 recording.gaps().get(0).nextPresent() - recording.gaps().get(0).firstMissing();
         assertTrue(missing > 0);
-        assertEquals(told + 1000, recording.entries().size() - 1 + missing);
+        assertEquals(decisions + 1000, recording.entries().size() - 1 + missing);
         assertEntriesAreInOrder(recording);
     }
 
     @Test
-    void aDiskThatIsFullForAWhileLeavesAGapAndValidFiles() throws Exception {
+    void temporarilyFullDiskLeavesAGapAndValidFiles() throws Exception {
         int[] writes = {0};
         RecordWriter writer =
                 newWriter(
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void theWindowIsBoundedAndWhatIsPreservedStays() throws Exception {
+    void windowIsBoundedAndPreservedFilesStay() throws Exception {
         RecordWriter writer =
                 newWriter(
                         new RecordDirectory(folder),
@@ -227,7 +227,7 @@
     }
 
     @Test
-    void aSecondIncarnationLeavesTheFirstOnesFilesAndCountsThem() throws Exception {
+    void secondIncarnationKeepsFilesOfTheFirstAndReportsThem() throws Exception {
         RecordWriter first = newWriter(new RecordDirectory(folder), LARGE_LIMITS);
         record(first, 0, 1000);
         first.stop(1000);
--- a/planner/src/main/java/sorrelhoist/planner/EdgeSession.java
+++ b/planner/src/main/java/sorrelhoist/planner/EdgeSession.java
@@ -69,7 +69,7 @@
 
     private void handle(EdgeMessage message) {
         if (message instanceof EdgeMessage.Handshake handshake) {
-            introduced(handshake.hello());
+            helloReceived(handshake.hello());
         } else if (peer == null) {
             close(
                     new Status(
@@ -84,7 +84,7 @@
         }
     }
 
-    private void introduced(Hello hello) {
+    private void helloReceived(Hello hello) {
         if (peer == null && !hello.edge().isEmpty()) {
             peer = new Peer(hello.edge(), hello.zone(), hello.address());
             planner.edgeAttached(this);
@@ -107,7 +107,7 @@
                     .addKeyValue("event", "edge_detached")
                     .addKeyValue("edge", peer.edge())
                     .log(reason);
-            planner.edgeLeft(this);
+            planner.edgeDetached(this);
         }
     }
 }
--- a/planner/src/main/java/sorrelhoist/planner/EdgeSessions.java
+++ b/planner/src/main/java/sorrelhoist/planner/EdgeSessions.java
@@ -17,7 +17,7 @@
     }
 
     /** Returns an edge's session; null if the edge has none. */
-    EdgeSession of(String edge) {
+    EdgeSession sessionOf(String edge) {
         return sessions.get(edge);
     }
 
--- a/planner/src/main/java/sorrelhoist/planner/Planner.java
+++ b/planner/src/main/java/sorrelhoist/planner/Planner.java
@@ -175,7 +175,7 @@
     }
 
     /** Removes an edge whose stream has ended. */
-    void edgeLeft(EdgeSession session) {
+    void edgeDetached(EdgeSession session) {
         if (edges.remove(session)) {
             slots.leave(nowMicros(), session.edge());
         }
@@ -220,7 +220,7 @@
         int senderIndex = slots.slotOf(sender.edge()).index();
         PlanEvent message = PlanEvent.of(new PeerMessage(senderIndex, request.body()));
         if (request.recipient() >= 0) {
-            EdgeSession recipient = edges.of(String.valueOf(slots.routerAt(request.recipient())));
+            EdgeSession recipient = edges.sessionOf(String.valueOf(slots.routerAt(request.recipient())));
             if (recipient != null) {
                 recipient.send(message);
             }
--- a/planner/src/main/java/sorrelhoist/planner/RegistryPoller.java
+++ b/planner/src/main/java/sorrelhoist/planner/RegistryPoller.java
@@ -43,11 +43,11 @@
     /** Polls the registry now, and schedules the next poll after the response. */
     void poll() {
         if (!stopped) {
-            registry.fetch().whenComplete(this::answered);
+            registry.fetch().whenComplete(this::fetchCompleted);
         }
     }
 
-    private void answered(List<RegistryView.Instance> instances, Throwable failure) {
+    private void fetchCompleted(List<RegistryView.Instance> instances, Throwable failure) {
         if (failure == null) {
             onInstances.accept(instances);
         } else {
--- a/planner/src/test/java/sorrelhoist/planner/RosterEncoderTest.java
+++ b/planner/src/test/java/sorrelhoist/planner/RosterEncoderTest.java
@@ -42,14 +42,14 @@
     }
 
     @Test
-    void theUptimeIsCountedFromTheStartWhereTheEngineSaidIt() {
+    void uptimeIsDerivedFromTheIncarnationIfGiven() {
         assertEquals(20_000_000, update(endpoint(30_000, 5, NOW)).entries().get(0).uptimeMicros());
         assertEquals(5, update(endpoint(0, 5, NOW)).entries().get(0).uptimeMicros());
         assertEquals(0, update(endpoint(60_000, 5, NOW)).entries().get(0).uptimeMicros());
     }
 
     @Test
-    void aListThatIsNotKnownIsToldAsUnavailable() {
+    void unknownListIsSentAsUnavailable() {
         Roster roster = RosterEncoder.unavailable().roster();
         assertEquals(Roster.UNAVAILABLE, roster.form());
         assertEquals(List.of(), roster.entries());
