--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackDecoder.java
@@ -80,8 +80,8 @@
         return table.size();
     }
 
-    private void resize(int octets, boolean late) throws HpackException {
-        if (late) {
+    private void resize(int octets, boolean afterField) throws HpackException {
+        if (afterField) {
             throw new HpackException("a table size update after a field");
         }
         if (octets > maxTableOctets) {
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackEncoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/HpackEncoder.java
@@ -35,7 +35,7 @@
     private static final int MAX_TABLE_OCTETS = 4096;
 
     /** A field larger than the table's limit divided by this number is not added to the table. */
-    private static final int MAX_FIELD_SHARE = 4;
+    private static final int MAX_FIELD_SIZE_DIVISOR = 4;
 
     private static final int NO_UPDATE = -1;
 
@@ -90,7 +90,7 @@
         if (NEVER_INDEXED.contains(field.name())) {
             writeLiteral(out, LITERAL_NEVER_INDEXED, 4, field);
         } else if (NOT_INDEXED.contains(field.name())
-                || field.size() > table.limit() / MAX_FIELD_SHARE) {
+                || field.size() > table.limit() / MAX_FIELD_SIZE_DIVISOR) {
             writeLiteral(out, LITERAL_NOT_INDEXED, 4, field);
         } else {
             int index = table.find(field);
--- a/protocol/src/main/java/sorrelhoist/protocol/hpack/Huffman.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/hpack/Huffman.java
@@ -35,30 +35,30 @@
     private static final int[] CODES = codes();
 
     /** The next node for each node and next four bits; -1 if the bits complete EOS. */
-    private static final short[] NEXT = new short[SYMBOLS * NIBBLE];
+    private static final short[] NEXT_NODE = new short[SYMBOLS * NIBBLE];
 
     /**
      * The symbol completed by each node and next four bits, or -1. At most one symbol can end
      * there, because codes have at least five bits.
      */
-    private static final short[] SYMBOL = new short[SYMBOLS * NIBBLE];
+    private static final short[] COMPLETED_SYMBOL = new short[SYMBOLS * NIBBLE];
 
     /**
      * Whether each node may end a string: the bits since the last symbol are fewer than eight and
      * all ones, which is valid padding.
      */
-    private static final boolean[] MAY_END = new boolean[SYMBOLS];
+    private static final boolean[] IS_VALID_END = new boolean[SYMBOLS];
 
     static {
         int[][] tree = tree();
         for (int node = 0; node < tree.length; node++) {
             for (int bits = 0; bits < NIBBLE; bits++) {
-                step(tree, node, bits);
+                buildTransition(tree, node, bits);
             }
         }
         int node = 0;
         for (int ones = 0; ones < 8 && node >= 0; ones++) {
-            MAY_END[node] = true;
+            IS_VALID_END[node] = true;
             node = tree[node][1];
         }
     }
@@ -103,23 +103,23 @@
         return tree;
     }
 
-    private static void step(int[][] tree, int from, int bits) {
+    private static void buildTransition(int[][] tree, int from, int bits) {
         int at = from * NIBBLE + bits;
         int node = from;
-        SYMBOL[at] = -1;
+        COMPLETED_SYMBOL[at] = -1;
         for (int bit = 3; bit >= 0; bit--) {
             int next = tree[node][bits >> bit & 1];
             if (next == -2 - EOS) {
-                NEXT[at] = -1;
+                NEXT_NODE[at] = -1;
                 return;
             }
             if (next < -1) {
-                SYMBOL[at] = (short) (-2 - next);
+                COMPLETED_SYMBOL[at] = (short) (-2 - next);
                 next = 0;
             }
             node = next;
         }
-        NEXT[at] = (short) node;
+        NEXT_NODE[at] = (short) node;
     }
 
     /** {@return the length of the encoded text in bytes} */
@@ -162,16 +162,16 @@
             int octet = in.readUnsignedByte();
             for (int shift = 4; shift >= 0; shift -= 4) {
                 int at = node * NIBBLE + (octet >> shift & 0xF);
-                node = NEXT[at];
+                node = NEXT_NODE[at];
                 if (node < 0) {
                     throw new HpackException("EOS in a Huffman-coded string");
                 }
-                if (SYMBOL[at] >= 0) {
-                    text[size++] = (byte) SYMBOL[at];
+                if (COMPLETED_SYMBOL[at] >= 0) {
+                    text[size++] = (byte) COMPLETED_SYMBOL[at];
                 }
             }
         }
-        if (!MAY_END[node]) {
+        if (!IS_VALID_END[node]) {
             throw new HpackException("a Huffman-coded string ends in an incomplete code");
         }
         return new String(text, 0, size, StandardCharsets.ISO_8859_1);
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpHeadDecoder.java
@@ -60,13 +60,13 @@
             } else if (!line.isEmpty()) {
                 decodeField(line);
             } else {
-                return takeHead();
+                return completeHead();
             }
         }
         return null;
     }
 
-    private HttpHead takeHead() {
+    private HttpHead completeHead() {
         HttpHead head = new HttpHead(method, target, status, headers);
         headers = new LinkedHashMap<>();
         lines.resetLimit();
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessageDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/HttpMessageDecoder.java
@@ -52,7 +52,7 @@
             part.readBytes(bytes);
             content.writeBytes(bytes);
         }
-        return bodyDecoder.isComplete() ? takeMessage() : null;
+        return bodyDecoder.isComplete() ? completeMessage() : null;
     }
 
     /**
@@ -60,7 +60,7 @@
      * none}
      */
     public HttpMessage completeAtClose() {
-        return head != null && bodyDecoder.endsWithConnection() ? takeMessage() : null;
+        return head != null && bodyDecoder.endsWithConnection() ? completeMessage() : null;
     }
 
     private void checkContentLimit(long additionalBytes) throws HttpDecodeException {
@@ -71,7 +71,7 @@
         }
     }
 
-    private HttpMessage takeMessage() {
+    private HttpMessage completeMessage() {
         HttpMessage message =
                 new HttpMessage(
                         head.method(),
--- a/protocol/src/main/java/sorrelhoist/protocol/http1/LineDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http1/LineDecoder.java
@@ -61,7 +61,7 @@
                         HttpDecodeException.HEADER_FIELDS_TOO_LARGE, limitMessage);
             }
             if (c == '\n') {
-                return takeLine();
+                return completeLine();
             }
             line.append(c);
             check.check(line);
@@ -69,7 +69,7 @@
         return null;
     }
 
-    private String takeLine() throws HttpDecodeException {
+    private String completeLine() throws HttpDecodeException {
         int end = line.length() - 1;
         if (end < 0 || line.charAt(end) != '\r') {
             throw new HttpDecodeException("a line has to end with CR LF");
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/ConnectionChannel.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/ConnectionChannel.java
@@ -139,7 +139,7 @@
     }
 
     /** Called when the channel has been closed. */
-    void becameInactive() {
+    void markClosed() {
         closing = true;
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameDecoder.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameDecoder.java
@@ -92,6 +92,6 @@
 
     /** {@return whether the preface has been read and no frame or header block is incomplete} */
     boolean isComplete() {
-        return !remainder.isReadable() && reader.openHeaderBlock() == 0 && !prefaceExpected;
+        return !remainder.isReadable() && reader.openHeaderBlockStreamId() == 0 && !prefaceExpected;
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameRateLimiter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameRateLimiter.java
@@ -22,7 +22,7 @@
     static final int UNKNOWN_COST = 5;
 
     /** Cost of a RST_STREAM or WINDOW_UPDATE for a closed stream, which takes no work to handle. */
-    static final int LATE_FRAME_COST = 1;
+    static final int CLOSED_STREAM_CONTROL_FRAME_COST = 1;
 
     /** Points returned for each DATA frame sent to the peer. */
     static final int DATA_SENT_CREDIT = 1;
@@ -54,7 +54,7 @@
     /** {@return a rate limiter with a full bucket for the connection's limits} */
     static FrameRateLimiter of(Http2Limits limits) {
         return new FrameRateLimiter(
-                limits.floodPointsPerSecond(), limits.floodPointsBurst(), System::nanoTime);
+                limits.frameCostPerSecond(), limits.frameCostBurst(), System::nanoTime);
     }
 
     /**
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameReader.java
@@ -10,15 +10,15 @@
  */
 final class FrameReader {
     private final int maxFrameSize;
-    private int openHeaderBlock;
+    private int openHeaderBlockStreamId;
 
     FrameReader(int maxFrameSize) {
         this.maxFrameSize = maxFrameSize;
     }
 
     /** {@return the ID of the stream whose header block is incomplete, or 0} */
-    int openHeaderBlock() {
-        return openHeaderBlock;
+    int openHeaderBlockStreamId() {
+        return openHeaderBlockStreamId;
     }
 
     /** Reads one frame if it is complete. {@return whether a frame was read} */
@@ -41,7 +41,7 @@
         int streamId = in.getInt(start + 5) & Integer.MAX_VALUE;
         in.skipBytes(Frames.HEADER_SIZE);
         ByteBuf payload = in.readSlice(length);
-        if (openHeaderBlock != 0 && (type != Frames.CONTINUATION || streamId != openHeaderBlock)) {
+        if (openHeaderBlockStreamId != 0 && (type != Frames.CONTINUATION || streamId != openHeaderBlockStreamId)) {
             throw connection(
                     ErrorCode.PROTOCOL_ERROR, "a header block was left open by another frame");
         }
@@ -98,17 +98,17 @@
             skipPriority(fragment, streamId);
         }
         boolean endHeaders = (flags & Frames.END_HEADERS) != 0;
-        openHeaderBlock = endHeaders ? 0 : streamId;
+        openHeaderBlockStreamId = endHeaders ? 0 : streamId;
         listener.onHeaders(streamId, fragment, (flags & Frames.END_STREAM) != 0, endHeaders);
     }
 
     private void continuation(int flags, int streamId, ByteBuf in, FrameListener listener)
             throws Http2Exception {
-        if (openHeaderBlock == 0) {
+        if (openHeaderBlockStreamId == 0) {
             throw connection(ErrorCode.PROTOCOL_ERROR, "CONTINUATION without an open header block");
         }
         boolean endHeaders = (flags & Frames.END_HEADERS) != 0;
-        openHeaderBlock = endHeaders ? 0 : streamId;
+        openHeaderBlockStreamId = endHeaders ? 0 : streamId;
         listener.onContinuation(streamId, in, endHeaders);
     }
 
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/GracefulShutdown.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/GracefulShutdown.java
@@ -18,7 +18,7 @@
     private final StreamTable streams;
     private final StreamLifecycle lifecycle;
     private final Runnable onPeerShutdown;
-    private boolean startedHere;
+    private boolean startedLocally;
     private boolean lastStreamAnnounced;
     private boolean startedByPeer;
 
@@ -52,7 +52,7 @@
      * streams}
      */
     boolean isStarted() {
-        return startedHere || startedByPeer;
+        return startedLocally || startedByPeer;
     }
 
     /** {@return whether new streams from the peer are refused} */
@@ -62,10 +62,10 @@
 
     /** Starts the shutdown on this side. */
     void start() {
-        if (startedHere) {
+        if (startedLocally) {
             return;
         }
-        startedHere = true;
+        startedLocally = true;
         if (server) {
             writer.goAway(Frames.MAX_STREAM_ID, ErrorCode.NO_ERROR, DEBUG_DATA);
             writer.ping(false, PING_CONTENT);
@@ -75,7 +75,7 @@
 
     /** Called when the peer acknowledges a PING. */
     void onPingAck(long content) {
-        if (content == PING_CONTENT && startedHere && !lastStreamAnnounced) {
+        if (content == PING_CONTENT && startedLocally && !lastStreamAnnounced) {
             lastStreamAnnounced = true;
             writer.goAway(streams.lastPeerStreamId(), ErrorCode.NO_ERROR, DEBUG_DATA);
             closeIfComplete();
@@ -98,7 +98,7 @@
     /** Closes the connection if the shutdown has started and no stream is open. */
     void closeIfComplete() {
         boolean announced = !server || lastStreamAnnounced;
-        boolean due = startedHere && announced || startedByPeer;
+        boolean due = startedLocally && announced || startedByPeer;
         if (due && streams.size() == 0 && !channel.isClosing()) {
             channel.closeAfterFlush("drained");
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/HeadersHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/HeadersHandler.java
@@ -15,7 +15,7 @@
     private final StreamTable streams;
     private final StreamLookup lookup;
     private final StreamLifecycle lifecycle;
-    private final RemoteStreamOpener opener;
+    private final PeerStreamOpener opener;
 
     /**
      * Creates the handler.
@@ -33,7 +33,7 @@
             StreamTable streams,
             StreamLookup lookup,
             StreamLifecycle lifecycle,
-            RemoteStreamOpener opener) {
+            PeerStreamOpener opener) {
         this.server = server;
         this.blocks = blocks;
         this.streams = streams;
@@ -63,7 +63,7 @@
 
     private void onHeaderList(int streamId, Headers headers, boolean endStream)
             throws Http2Exception {
-        if (streams.isOpenedBy(streamId)) {
+        if (streams.opensPeerStream(streamId)) {
             opener.open(streamId, headers, endStream);
             return;
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Connection.java
@@ -119,8 +119,8 @@
 
     private FrameDispatcher newDispatcher(StreamAcceptor acceptor, FrameRateLimiter rateLimiter) {
         StreamLookup lookup = new StreamLookup(streams, rateLimiter);
-        RemoteStreamOpener opener =
-                new RemoteStreamOpener(
+        PeerStreamOpener opener =
+                new PeerStreamOpener(
                         limits.maxStreams(),
                         acceptor,
                         this::newStream,
@@ -377,7 +377,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        channel.becameInactive();
+        channel.markClosed();
         decoder.release();
         headerBlocks.release();
         closeStreams(ErrorCode.CONNECT_ERROR);
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Limits.java
@@ -12,9 +12,9 @@
  *     1
  * @param connectionWindow bytes that the peer may send on all streams before it needs credit,
  *     65,535 to 2^31 - 1
- * @param floodPointsPerSecond sustained cost of frames without content, in points per second; see
+ * @param frameCostPerSecond sustained cost of frames without content, in points per second; see
  *     {@link FrameRateLimiter}
- * @param floodPointsBurst capacity of the rate limiter's bucket, in points
+ * @param frameCostBurst capacity of the rate limiter's bucket, in points
  * @param stallTimeoutMicros time for which a preface, a header block or a frame may stay
  *     incomplete, and for which the peer may leave a finished answer unread, in microseconds
  * @param maxOutboundBytes maximum number of bytes in the outbound buffer of a peer that does not
@@ -25,8 +25,8 @@
         int maxHeaderOctets,
         int streamWindow,
         int connectionWindow,
-        int floodPointsPerSecond,
-        int floodPointsBurst,
+        int frameCostPerSecond,
+        int frameCostBurst,
         long stallTimeoutMicros,
         int maxOutboundBytes) {
     /** Limits for connections that clients open. */
@@ -47,8 +47,8 @@
                 maxHeaderOctets,
                 streamWindow,
                 connectionWindow,
-                floodPointsPerSecond,
-                floodPointsBurst,
+                frameCostPerSecond,
+                frameCostBurst,
                 stallTimeoutMicros,
                 maxOutboundBytes);
     }
@@ -60,14 +60,14 @@
                 maxHeaderOctets,
                 bytes,
                 connectionWindow,
-                floodPointsPerSecond,
-                floodPointsBurst,
+                frameCostPerSecond,
+                frameCostBurst,
                 stallTimeoutMicros,
                 maxOutboundBytes);
     }
 
     /** {@return a copy with other rate limits for frames without content} */
-    public Http2Limits withFloodPoints(int perSecond, int burst) {
+    public Http2Limits withFrameCostLimits(int perSecond, int burst) {
         return new Http2Limits(
                 maxStreams,
                 maxHeaderOctets,
@@ -86,8 +86,8 @@
                 maxHeaderOctets,
                 streamWindow,
                 connectionWindow,
-                floodPointsPerSecond,
-                floodPointsBurst,
+                frameCostPerSecond,
+                frameCostBurst,
                 micros,
                 maxOutboundBytes);
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/Http2Stream.java
@@ -215,7 +215,7 @@
         return lastProgressNanos;
     }
 
-    void progressed(long nanos) {
+    void recordProgress(long nanos) {
         lastProgressNanos = nanos;
     }
 
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/OutboundFlowController.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/OutboundFlowController.java
@@ -12,14 +12,14 @@
  * starves another.
  */
 final class OutboundFlowController {
-    private static final int MAX_TURN_BYTES = 4 << 10;
+    private static final int MAX_BYTES_PER_TURN = 4 << 10;
 
     private final ConnectionChannel channel;
     private final FrameWriter writer;
     private final RemoteSettings remote;
     private final StreamLifecycle lifecycle;
     private final FrameRateLimiter rateLimiter;
-    private final ArrayDeque<Http2Stream> turns = new ArrayDeque<>();
+    private final ArrayDeque<Http2Stream> scheduledStreams = new ArrayDeque<>();
     private final long stallTimeoutNanos;
     private final EventLoopTimer stallTimer;
     private long connectionWindow = Frames.DEFAULT_WINDOW_SIZE;
@@ -55,8 +55,8 @@
     void schedule(Http2Stream stream) {
         if (!stream.isScheduled()) {
             stream.scheduled(true);
-            stream.progressed(System.nanoTime());
-            turns.add(stream);
+            stream.recordProgress(System.nanoTime());
+            scheduledStreams.add(stream);
             armStallTimer();
         }
         writePending();
@@ -77,20 +77,20 @@
      */
     void writePending() {
         int blockedInARow = 0;
-        while (!turns.isEmpty() && blockedInARow < turns.size() && channel.isWritable()) {
-            Http2Stream stream = turns.poll();
+        while (!scheduledStreams.isEmpty() && blockedInARow < scheduledStreams.size() && channel.isWritable()) {
+            Http2Stream stream = scheduledStreams.poll();
             if (stream.isClosed() || !stream.hasPendingData()) {
                 stream.scheduled(false);
                 continue;
             }
             int maxBytes = maxBytesOf(stream);
             if (maxBytes <= 0 && stream.pendingBytes() > 0) {
-                turns.add(stream);
+                scheduledStreams.add(stream);
                 blockedInARow++;
                 continue;
             }
             blockedInARow = 0;
-            stream.progressed(System.nanoTime());
+            stream.recordProgress(System.nanoTime());
             writeData(stream, Math.max(0, maxBytes));
             afterTurn(stream);
         }
@@ -98,12 +98,12 @@
 
     private int maxBytesOf(Http2Stream stream) {
         long window = Math.min(connectionWindow, stream.sendWindow());
-        return (int) Math.min(window, Math.min(MAX_TURN_BYTES, remote.maxFrameSize()));
+        return (int) Math.min(window, Math.min(MAX_BYTES_PER_TURN, remote.maxFrameSize()));
     }
 
     private void afterTurn(Http2Stream stream) {
         if (!stream.isClosed() && stream.hasPendingData()) {
-            turns.add(stream);
+            scheduledStreams.add(stream);
         } else {
             stream.scheduled(false);
         }
@@ -132,7 +132,7 @@
 
     /** Discards all scheduled streams when the connection is closed. */
     void clear() {
-        turns.clear();
+        scheduledStreams.clear();
     }
 
     private void armStallTimer() {
@@ -147,18 +147,18 @@
      * chooses. Streams whose user is still writing are left to that user.
      */
     private void resetStalled() {
-        long before = System.nanoTime() - stallTimeoutNanos;
-        for (Http2Stream stream : new ArrayList<>(turns)) {
+        long stalledBeforeNanos = System.nanoTime() - stallTimeoutNanos;
+        for (Http2Stream stream : new ArrayList<>(scheduledStreams)) {
             if (!stream.isClosed()
                     && stream.isEndRequested()
-                    && stream.lastProgressNanos() <= before) {
+                    && stream.lastProgressNanos() <= stalledBeforeNanos) {
                 Http2StreamListener listener = stream.listener();
                 lifecycle.reset(stream, ErrorCode.CANCEL);
                 listener.onReset(
                         ErrorCode.CANCEL, false, "the peer did not take the end of its answer");
             }
         }
-        if (!turns.isEmpty()) {
+        if (!scheduledStreams.isEmpty()) {
             armStallTimer();
         }
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/RemoteStreamOpener.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/PeerStreamOpener.java
@@ -4,7 +4,7 @@
 import sorrelhoist.protocol.hpack.Headers;
 
 /** Opens or refuses the streams that a client requests. */
-final class RemoteStreamOpener {
+final class PeerStreamOpener {
     private final int maxStreams;
     private final Http2Connection.StreamAcceptor acceptor;
     private final IntFunction<Http2Stream> streamFactory;
@@ -24,7 +24,7 @@
      * @param shutdown determines whether new streams are refused
      * @param rateLimiter limits refused streams
      */
-    RemoteStreamOpener(
+    PeerStreamOpener(
             int maxStreams,
             Http2Connection.StreamAcceptor acceptor,
             IntFunction<Http2Stream> streamFactory,
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLifecycle.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLifecycle.java
@@ -57,10 +57,10 @@
     /** Closes a stream and sends RST_STREAM; its listener is not notified. */
     void reset(Http2Stream stream, ErrorCode code) {
         close(stream);
-        rejectFrames(stream.id(), code);
+        sendReset(stream.id(), code);
     }
 
-    private void rejectFrames(int streamId, ErrorCode code) {
+    private void sendReset(int streamId, ErrorCode code) {
         streams.rememberReset(streamId);
         writer.rstStream(streamId, code);
     }
@@ -77,7 +77,7 @@
     void onStreamError(Http2Exception error) {
         Http2Stream stream = streams.get(error.stream());
         if (stream == null) {
-            rejectFrames(error.stream(), error.code());
+            sendReset(error.stream(), error.code());
             return;
         }
         Http2StreamListener listener = stream.listener();
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLookup.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamLookup.java
@@ -27,7 +27,7 @@
         requireNotIdle(streamId, frame);
         String violation = frame + " on a stream that has ended";
         rateLimiter.charge(FrameRateLimiter.CLOSED_STREAM_COST, violation);
-        if (!streams.wasResetHere(streamId)) {
+        if (!streams.wasResetLocally(streamId)) {
             throw Http2Exception.stream(ErrorCode.STREAM_CLOSED, streamId, violation);
         }
         return null;
@@ -44,7 +44,7 @@
         requireNotIdle(streamId, frame);
         Http2Stream stream = streams.get(streamId);
         if (stream == null) {
-            rateLimiter.charge(FrameRateLimiter.LATE_FRAME_COST, frame);
+            rateLimiter.charge(FrameRateLimiter.CLOSED_STREAM_CONTROL_FRAME_COST, frame);
         }
         return stream;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/StreamTable.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/StreamTable.java
@@ -15,7 +15,7 @@
     private static final int MAX_REMEMBERED_RESETS = 1024;
     private final boolean server;
     private final IntObjectHashMap<Http2Stream> open = new IntObjectHashMap<>();
-    private final Set<Integer> resetHere = new LinkedHashSet<>();
+    private final Set<Integer> locallyReset = new LinkedHashSet<>();
     private int lastPeerStreamId;
     private int nextLocalStreamId = 1;
 
@@ -58,7 +58,7 @@
     }
 
     /** {@return whether HEADERS with this stream ID open a new stream; false on the client side} */
-    boolean isOpenedBy(int id) {
+    boolean opensPeerStream(int id) {
         return server && id > lastPeerStreamId && (id & 1) == 1;
     }
 
@@ -79,13 +79,13 @@
 
     /** Records that this side reset a stream; the oldest record is dropped beyond the maximum. */
     void rememberReset(int id) {
-        resetHere.add(id);
-        if (resetHere.size() > MAX_REMEMBERED_RESETS) {
-            resetHere.remove(resetHere.iterator().next());
+        locallyReset.add(id);
+        if (locallyReset.size() > MAX_REMEMBERED_RESETS) {
+            locallyReset.remove(locallyReset.iterator().next());
         }
     }
 
-    boolean wasResetHere(int id) {
-        return resetHere.contains(id);
+    boolean wasResetLocally(int id) {
+        return locallyReset.contains(id);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/net/AcceptErrorHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/AcceptErrorHandler.java
@@ -16,7 +16,7 @@
 final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
     private static final AttributeKey<Long> WAITING_SINCE_NANOS =
             AttributeKey.valueOf(AcceptErrorHandler.class, "waitingSince");
-    private static final long PAUSE_MILLIS = 20;
+    private static final long ACCEPT_PAUSE_MILLIS = 20;
     private static final long NOT_FAILING = Long.MIN_VALUE;
 
     /**
@@ -55,7 +55,7 @@
         if (config.isAutoRead()) {
             config.setAutoRead(false);
             context.executor()
-                    .schedule(() -> config.setAutoRead(true), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+                    .schedule(() -> config.setAutoRead(true), ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -63,7 +63,7 @@
      * {@return the longest time for which a connection may have waited because accepts failed, in
      * nanoseconds; 0 if none failed}
      */
-    static long waitedNanos(Channel accepted) {
+    static long acceptDelayNanos(Channel accepted) {
         Long waitingSince = accepted.attr(WAITING_SINCE_NANOS).get();
         return waitingSince == null ? 0 : System.nanoTime() - waitingSince;
     }
--- a/protocol/src/main/java/sorrelhoist/protocol/net/LoopbackTransport.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/LoopbackTransport.java
@@ -114,7 +114,7 @@
      * nanoseconds; 0 if none failed}
      */
     public static long acceptDelayNanos(Channel accepted) {
-        return AcceptErrorHandler.waitedNanos(accepted);
+        return AcceptErrorHandler.acceptDelayNanos(accepted);
     }
 
     /** {@return the local port of a listener} */
--- a/protocol/src/main/java/sorrelhoist/protocol/net/ReadDelayEstimator.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/ReadDelayEstimator.java
@@ -13,7 +13,7 @@
      * A poll that takes at least this long has blocked: if a socket is already ready, the poll
      * returns immediately.
      */
-    private static final long WAITED_NANOS = 500_000;
+    private static final long BLOCKED_POLL_NANOS = 500_000;
 
     private long pollStartedNanos = System.nanoTime();
     private long pollFinishedNanos = pollStartedNanos;
@@ -35,7 +35,7 @@
      * nanoseconds}
      */
     public long maxDelayNanos() {
-        boolean waited = pollFinishedNanos - pollStartedNanos >= WAITED_NANOS;
-        return System.nanoTime() - (waited ? pollFinishedNanos : previousPollFinishedNanos);
+        boolean blocked = pollFinishedNanos - pollStartedNanos >= BLOCKED_POLL_NANOS;
+        return System.nanoTime() - (blocked ? pollFinishedNanos : previousPollFinishedNanos);
     }
 }
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/MessageSchema.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/MessageSchema.java
@@ -51,17 +51,17 @@
     }
 
     private static Field field(RecordComponent component) {
-        ProtoField mark = component.getAnnotation(ProtoField.class);
-        if (mark == null) {
+        ProtoField annotation = component.getAnnotation(ProtoField.class);
+        if (annotation == null) {
             throw new IllegalArgumentException(component + " has no @ProtoField annotation");
         }
-        return new Field(mark.value(), type(component, mark), component.getAccessor());
+        return new Field(annotation.value(), type(component, annotation), component.getAccessor());
     }
 
-    private static FieldType type(RecordComponent component, ProtoField mark) {
+    private static FieldType type(RecordComponent component, ProtoField annotation) {
         Class<?> type = component.getType();
         if (type == int.class) {
-            return mark.zigZag() ? FieldType.Scalar.SINT32 : FieldType.Scalar.COUNT;
+            return annotation.zigZag() ? FieldType.Scalar.SINT32 : FieldType.Scalar.NON_NEGATIVE_INT;
         } else if (type == long.class) {
             return FieldType.Scalar.UINT64;
         } else if (type == boolean.class) {
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/ProtoWriter.java
@@ -111,12 +111,12 @@
 
     private void writeRawVarint(long value) {
         ensureCapacity(MAX_VARINT_BYTES);
-        long rest = value;
-        while ((rest & ~0x7FL) != 0) {
-            data[size++] = (byte) (rest | 0x80);
-            rest >>>= 7;
+        long remaining = value;
+        while ((remaining & ~0x7FL) != 0) {
+            data[size++] = (byte) (remaining | 0x80);
+            remaining >>>= 7;
         }
-        data[size++] = (byte) rest;
+        data[size++] = (byte) remaining;
     }
 
     private void ensureCapacity(int bytes) {
--- a/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/fuzz/DecoderFuzz.java
@@ -15,7 +15,7 @@
 import sorrelhoist.protocol.http1.HttpDecodeException;
 import sorrelhoist.protocol.http1.HttpMessage;
 import sorrelhoist.protocol.http1.HttpMessageDecoder;
-import sorrelhoist.protocol.http2.Fuzzed;
+import sorrelhoist.protocol.http2.FuzzedConversation;
 import sorrelhoist.protocol.inference.InferRequest;
 import sorrelhoist.protocol.inference.InferResponse;
 import sorrelhoist.protocol.plan.PlanEvent;
@@ -32,15 +32,15 @@
     private DecoderFuzz() {}
 
     /** Runs one input. {@return its size in bytes} */
-    static int input(long seed) {
+    static int runInput(long seed) {
         // CPU time of this thread, so that other load on the machine does not count.
         long start = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
         int size;
         try {
             size =
                     seed % 3 == 0
-                            ? new Fuzzed(seed).feed()
-                            : small(new SplittableRandom(seed), (int) (seed % 7));
+                            ? new FuzzedConversation(seed).feed()
+                            : decodeRandomBytes(new SplittableRandom(seed), (int) (seed % 7));
         } catch (RuntimeException | AssertionError e) {
             throw new AssertionError("seed " + seed, e);
         }
@@ -50,7 +50,7 @@
         return size;
     }
 
-    private static int small(SplittableRandom random, int which) {
+    private static int decodeRandomBytes(SplittableRandom random, int which) {
         byte[] bytes = new byte[random.nextInt(400)];
         random.nextBytes(bytes);
         if (random.nextBoolean()) {
@@ -109,7 +109,7 @@
      */
     public static void main(String[] args) throws InterruptedException {
         for (long seed = 0; seed < 1000; seed++) {
-            input(seed);
+            runInput(seed);
         }
         long end = System.nanoTime() + Long.parseLong(args[0]) * 1_000_000_000L;
         int threads = Integer.parseInt(args[1]);
@@ -143,7 +143,7 @@
     private static void run(long endNanos, AtomicLong seeds, AtomicLong bytes) {
         while (System.nanoTime() < endNanos) {
             for (int n = 0; n < 1000; n++) {
-                bytes.addAndGet(input(seeds.getAndIncrement()));
+                bytes.addAndGet(runInput(seeds.getAndIncrement()));
             }
         }
     }
--- a/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcChannelTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcChannelTest.java
@@ -29,7 +29,7 @@
     private static final String PATH = "/s/m";
     private final EventLoopGroup loops = LoopbackTransport.newEventLoops(1, "channel-test");
     private final Set<Http2Connection> accepted = ConcurrentHashMap.newKeySet();
-    private final List<ServerCall> held = new ArrayList<>();
+    private final List<ServerCall> openCalls = new ArrayList<>();
     private Channel listener;
     private Http2Limits limits = Http2Limits.SERVER;
 
@@ -40,7 +40,7 @@
                                 PATH,
                                 (call, message) -> {
                                     if (message.length > 0) {
-                                        held.add(call);
+                                        openCalls.add(call);
                                     } else {
                                         call.send(message);
                                         call.close(Status.OK, null);
@@ -79,8 +79,8 @@
     }
 
     @Test
-    void aBusyClientIsNoFlood() throws Exception {
-        limits = limits.withFloodPoints(1, 60);
+    void busyClientIsNotTreatedAsAFlood() throws Exception {
+        limits = limits.withFrameCostLimits(1, 60);
         GrpcChannel channel = channel(100, 1, 0);
         for (int i = 0; i < 400; i++) {
             assertEquals(
@@ -125,22 +125,22 @@
         }
     }
 
-    private int heldCalls() {
-        return CompletableFuture.supplyAsync(held::size, loops.next()).join();
+    private int openCallCount() {
+        return CompletableFuture.supplyAsync(openCalls::size, loops.next()).join();
     }
 
     @Test
-    void connectionsOpenAsStreamsRunOutAndNoFurtherThanTheCap() throws Exception {
+    void connectionsAreOpenedWhenStreamsRunOutUpToTheMaximum() throws Exception {
         GrpcChannel channel = channel(2, 3, 0);
         List<CompletableFuture<ClientCall.Termination>> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             all.add(start(channel, 1));
         }
-        await(() -> heldCalls() == 6);
+        await(() -> openCallCount() == 6);
         assertEquals(3, accepted.size());
-        loops.next().execute(() -> List.copyOf(held).forEach(c -> c.close(Status.OK, null)));
-        await(() -> heldCalls() == 8);
-        loops.next().execute(() -> List.copyOf(held).forEach(c -> c.close(Status.OK, null)));
+        loops.next().execute(() -> List.copyOf(openCalls).forEach(c -> c.close(Status.OK, null)));
+        await(() -> openCallCount() == 8);
+        loops.next().execute(() -> List.copyOf(openCalls).forEach(c -> c.close(Status.OK, null)));
         for (var end : all) {
             assertEquals(ClientCall.Termination.STATUS, end.get(5, TimeUnit.SECONDS));
         }
@@ -155,10 +155,10 @@
     }
 
     @Test
-    void aPeerThatDrainsLosesNothingAndGetsNothingNew() throws Exception {
+    void drainingPeerFinishesOpenCallsAndGetsNoNewOnes() throws Exception {
         GrpcChannel channel = channel(10, 2, 0);
         var running = start(channel, 1);
-        await(() -> heldCalls() == 1);
+        await(() -> openCallCount() == 1);
         Http2Connection first = accepted.iterator().next();
         loops.next().execute(first::shutdownGracefully);
         await(
@@ -166,23 +166,23 @@
                         CompletableFuture.supplyAsync(channel::openConnections, loops.next()).join()
                                 == 0);
         assertEquals(ClientCall.Termination.STATUS, start(channel, 0).get(5, TimeUnit.SECONDS));
-        loops.next().execute(() -> held.get(0).close(Status.OK, null));
+        loops.next().execute(() -> openCalls.get(0).close(Status.OK, null));
         assertEquals(ClientCall.Termination.STATUS, running.get(5, TimeUnit.SECONDS));
         await(() -> !accepted.contains(first));
     }
 
     @Test
-    void whatBreaksAfterItWasSentMayHaveRun() throws Exception {
+    void callOnBrokenConnectionIsReportedAsBroken() throws Exception {
         GrpcChannel channel = channel(10, 2, 0);
         var running = start(channel, 1);
-        await(() -> heldCalls() == 1);
+        await(() -> openCallCount() == 1);
         loops.next()
                 .execute(() -> accepted.iterator().next().close(ErrorCode.INTERNAL_ERROR, "test"));
         assertEquals(ClientCall.Termination.BROKEN, running.get(5, TimeUnit.SECONDS));
     }
 
     @Test
-    void aSocketThatSpeaksNoHttp2IsNoConnection() throws Exception {
+    void socketWithoutHttp2IsNotCountedAsConnection() throws Exception {
         listener = LoopbackTransport.listen(loops, 0, ChannelInboundHandlerAdapter::new);
         GrpcChannel channel =
                 new GrpcChannel(
--- a/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcPartsTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/grpc/GrpcPartsTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void messagesOfStatusesSurviveTheWire() {
+    void statusMessagesAreDecodedAsEncoded() {
         String text = "100 % — größer\nals \"gut\"";
         String coded = new Status(StatusCode.INTERNAL, text).encodedMessage();
         assertEquals(text, Status.decodeMessage(coded));
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void messagesAreCutOutWhereverTheirBytesAreSplit() {
+    void messagesAreExtractedFromPiecesOfAnySize() {
         ByteBuf wire = Unpooled.buffer();
         byte[][] messages = {{}, {1}, new byte[300], {}};
         for (byte[] m : messages) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void tooLongAndCompressedMessagesAreRefused() {
+    void oversizedAndCompressedMessagesAreRejected() {
         MessageDeframer deframer = new MessageDeframer(1000);
         assertNotNull(deframer.read(Unpooled.buffer().writeByte(0).writeInt(1001), (m, s) -> {}));
         assertEquals(
--- a/protocol/src/test/java/sorrelhoist/protocol/hpack/HpackTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/hpack/HpackTest.java
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void aSmallerTableOfThePeersIsAnnouncedAndKept() throws HpackException {
+    void smallerPeerTableLimitIsAnnouncedAndObserved() throws HpackException {
         HpackEncoder e = new HpackEncoder();
         HpackDecoder d = new HpackDecoder(100, 1 << 16);
         e.peerTableLimit(100);
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void malformedBlocksAreRefused() {
+    void malformedBlocksAreRejected() {
         String[] bad = {
             "80",
             "ff80808080",
@@ -189,18 +189,18 @@
                     () -> new HpackDecoder(4096, 1 << 16).decode(hex(block)),
                     block);
         }
-        HpackException bomb =
+        HpackException oversized =
                 assertThrows(
                         HpackException.class,
                         () -> {
                             HpackDecoder d = new HpackDecoder(4096, 1000);
                             d.decode(hex("40016101" + "62" + "be".repeat(40)));
                         });
-        assertTrue(bomb.tooLarge());
+        assertTrue(oversized.tooLarge());
     }
 
     @Property(tries = 300, seed = "42")
-    void whatIsEncodedIsDecoded(
+    void encodedHeadersAreDecodedUnchanged(
             @ForAll @Size(max = 20) List<@CharRange(from = 0, to = 255) String> values)
             throws HpackException {
         HpackEncoder e = new HpackEncoder();
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyDecoderTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpBodyDecoderTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void partsAreGivenAsTheyArriveHoweverTheBytesAreCut() throws Exception {
+    void partsAreDecodedIncrementallyForAnySplit() throws Exception {
         String wire = "4;x=y\r\nabcd\r\n3\r\nefg\r\n0\r\nt: u\r\n\r\nHTTP";
         for (int cut = 0; cut <= wire.length(); cut++) {
             HttpBodyDecoder body = chunked();
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aLengthIsReadToItsEndAndNoFurther() throws Exception {
+    void contentWithLengthIsReadOnlyToItsEnd() throws Exception {
         HttpBodyDecoder body = body(202, Map.of("content-length", "3"));
         ByteBuf in = bytes("abcHTTP/1.1");
         assertEquals("abc", read(body, in));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void malformedFramingIsAnErrorAndNothingOfItIsKept() throws Exception {
+    void malformedFramingIsRejected() throws Exception {
         for (String bad :
                 new String[] {"xyz\r\n", "-1\r\n", "\r\n", "c0000000\r\n", "2\r\nabc\r\n", "4\n"}) {
             HttpBodyDecoder body = chunked();
@@ -87,7 +87,7 @@
      * it, and a decoder that waits for the line feed would block its caller until the timeout.
      */
     @Test
-    void noiseIsAnErrorBeforeAnyLineFeed() throws Exception {
+    void invalidInputIsRejectedBeforeAnyLineFeed() throws Exception {
         for (String noise : new String[] {"\u0007", "ICY", "HTTP/2", "http/1.1", " HTTP/1.1"}) {
             HttpHeadDecoder heads = new HttpHeadDecoder(false, 1000);
             assertThrows(HttpDecodeException.class, () -> heads.next(bytes(noise)), noise);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aHeadThatDoesNotEndIsBounded() {
+    void unterminatedHeadIsRejectedAtTheLimit() {
         HttpHeadDecoder heads = new HttpHeadDecoder(false, 1000);
         assertThrows(
                 HttpDecodeException.class,
--- a/protocol/src/test/java/sorrelhoist/protocol/http1/HttpMessageDecoderTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http1/HttpMessageDecoderTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void requestsAreTheSameWhereverTheyAreCut() throws HttpDecodeException {
+    void requestsAreDecodedFromPiecesOfAnySize() throws HttpDecodeException {
         for (int piece = 1; piece <= TWO.length(); piece++) {
             HttpMessageDecoder parser = new HttpMessageDecoder(true, 1000);
             List<String> got = new ArrayList<>();
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void ambiguousAndHostileMessagesAreErrors() {
+    void ambiguousAndMalformedMessagesAreRejected() {
         String head = "GET / HTTP/1.1\r\n";
         String[] bad = {
             "GET /\r\n\r\n",
@@ -101,7 +101,7 @@
     }
 
     @Property(tries = 300, seed = "42")
-    void anyBytesAreDecodedOrAnError(@ForAll byte[] noise) {
+    void arbitraryBytesAreDecodedOrRejected(@ForAll byte[] noise) {
         HttpMessageDecoder p = new HttpMessageDecoder(true, 1000);
         try {
             ByteBuf in = Unpooled.wrappedBuffer(noise);
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/FrameBench.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/FrameBench.java
@@ -91,9 +91,9 @@
 
     /** Opens the stream that carries the tokens. */
     public FrameBench() {
-        pair.pump();
-        pair.opened.get(0).writeHeaders(new Headers().add(":status", "200"), false);
-        pair.pump();
+        pair.exchangeAll();
+        pair.serverStreams.get(0).writeHeaders(new Headers().add(":status", "200"), false);
+        pair.exchangeAll();
         for (int i = 0; i < TOKENS; i++) {
             frames.writeMedium(64).writeByte(Frames.DATA).writeByte(0).writeInt(1).writeZero(64);
         }
@@ -115,13 +115,13 @@
      */
     @Benchmark
     public int carryTokens() {
-        Http2Stream server = pair.opened.get(0);
+        Http2Stream server = pair.serverStreams.get(0);
         for (int i = 0; i < TOKENS; i++) {
             server.writeData(pair.server.allocate(64).writeZero(64), false);
         }
-        pair.pump();
+        pair.exchangeAll();
         pair.events.clear();
-        pair.order.clear();
+        pair.receivedPieces.clear();
         return client.id();
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/FrameDecoderTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/FrameDecoderTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void whatIsNoPrefaceIsRejectedAtItsFirstWrongByte() {
+    void invalidPrefaceIsRejectedAtItsFirstWrongByte() {
         Http2Exception e =
                 assertThrows(
                         Http2Exception.class,
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/FrameRateLimiterTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/FrameRateLimiterTest.java
@@ -11,7 +11,7 @@
     private final FrameRateLimiter limiter = new FrameRateLimiter(1000, 10, () -> nanos);
 
     @Test
-    void anEmptyBucketCostsTheConnection() throws Http2Exception {
+    void emptyBucketIsAConnectionError() throws Http2Exception {
         limiter.charge(10, "PING");
         Http2Exception e = assertThrows(Http2Exception.class, () -> limiter.charge(1, "PING"));
         assertEquals(ErrorCode.ENHANCE_YOUR_CALM, e.code());
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void eachDataFrameSentPaysForOneFrameInReturn() throws Http2Exception {
+    void eachDataFrameSentReturnsOnePoint() throws Http2Exception {
         limiter.charge(10, "PING");
         limiter.dataSent();
         assertDoesNotThrow(() -> limiter.charge(1, "WINDOW_UPDATE"));
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Fuzzed.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/FuzzedConversation.java
@@ -23,12 +23,12 @@
  * Feeds a server connection and its gRPC server with a conversation that is randomly damaged,
  * depending on a seed.
  */
-public final class Fuzzed {
+public final class FuzzedConversation {
     private static final int MAX_BUFFERED_BYTES = 64 << 10;
     private final SplittableRandom random;
 
     /** Creates the generator of one input from its seed. */
-    public Fuzzed(long seed) {
+    public FuzzedConversation(long seed) {
         random = new SplittableRandom(seed);
     }
 
@@ -115,8 +115,8 @@
         }
         ByteBuf all = Unpooled.buffer();
         frames.forEach(f -> all.writeBytes(f, f.readerIndex(), f.readableBytes()));
-        int hits = random.nextInt(6);
-        for (int i = 0; i < hits; i++) {
+        int damagedBytes = random.nextInt(6);
+        for (int i = 0; i < damagedBytes; i++) {
             int index = random.nextInt(all.readableBytes());
             boolean replace = random.nextBoolean();
             int value = replace ? random.nextInt(256) : all.getByte(index) ^ 1 << random.nextInt(8);
@@ -165,7 +165,7 @@
                             + " streams are still open after the channel was closed");
         }
         channel.releaseInbound();
-        Pair.drain(channel, sent);
+        Pair.addSentBytes(channel, sent);
         if (connection.internalError() != null) {
             throw new AssertionError("internal error", connection.internalError());
         }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/GracefulShutdownTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/GracefulShutdownTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aServerNamesItsLastStreamOnceItsFirstGoAwayWasRead() {
+    void serverAnnouncesLastStreamAfterFirstGoAwayIsAcknowledged() {
         StreamTable streams = new StreamTable(true);
         streams.peerOpened(5);
         GracefulShutdown shutdown = shutdown(true, streams);
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/HeaderBlockReaderTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/HeaderBlockReaderTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void fragmentsAreOneBlock() throws Http2Exception {
+    void fragmentsAreJoinedToOneBlock() throws Http2Exception {
         Headers headers = new Headers().add(":method", "GET").add("field", "some value");
         ByteBuf block = encoded(headers);
         reader.open(block.readSlice(3), true);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aBlockBeyondTheLimitCostsTheConnection() {
+    void oversizedBlockIsAConnectionError() {
         reader.open(Unpooled.buffer().writeZero(MAX_BYTES), false);
         Http2Exception e =
                 assertThrows(
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/HeaderValidatorTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/HeaderValidatorTest.java
@@ -12,7 +12,7 @@
     }
 
     @Test
-    void aRequestNeedsItsThreePseudoHeadersOnceAndFirst() {
+    void requestNeedsEachPseudoHeaderOnceBeforeRegularFields() {
         String missing = "needs one each of :method, :scheme and :path";
         assertNull(HeaderValidator.validateRequest(request().add("te", "trailers")));
         assertEquals(missing, HeaderValidator.validateRequest(new Headers()));
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/HostilePeerTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/HostilePeerTest.java
@@ -23,7 +23,7 @@
         return Unpooled.wrappedBuffer(new byte[n]);
     }
 
-    private static void costsTheConnection(ErrorCode code, Consumer<RawClient> action) {
+    private static void assertConnectionError(ErrorCode code, Consumer<RawClient> action) {
         RawClient raw = new RawClient(Http2Limits.SERVER);
         action.accept(raw);
         assertEquals("GOAWAY " + code, raw.last(Frames.GOAWAY));
@@ -31,42 +31,42 @@
     }
 
     @Test
-    void framesOfAWrongSizeOrStreamCostTheConnectionWithTheCodeOfTheRfc() {
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, 0, 0, 1));
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, 0, 1, 1));
-        costsTheConnection(
+    void framesWithWrongSizeOrStreamAreConnectionErrors() {
+        assertConnectionError(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, 0, 0, 1));
+        assertConnectionError(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, 0, 1, 1));
+        assertConnectionError(
                 ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.DATA, Frames.PADDED, 1, 9, 1));
-        costsTheConnection(
+        assertConnectionError(
                 ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.RST_STREAM, 0, 1, 0, 0, 0, 0));
-        costsTheConnection(
+        assertConnectionError(
                 ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.RST_STREAM, 0, 1, 0, 0, 0));
-        costsTheConnection(ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.PING, 0, 0, 1));
-        costsTheConnection(
+        assertConnectionError(ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.PING, 0, 0, 1));
+        assertConnectionError(
                 ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.PING, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
-        costsTheConnection(ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 1));
-        costsTheConnection(
+        assertConnectionError(ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 1));
+        assertConnectionError(
                 ErrorCode.FRAME_SIZE_ERROR, r -> r.frame(Frames.SETTINGS, Frames.ACK, 0, 1));
     }
 
     @Test
-    void malformedFramesCostTheConnectionWithTheCodeOfTheRfc() {
-        costsTheConnection(
+    void malformedFramesAreConnectionErrors() {
+        assertConnectionError(
                 ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 0, 2, 0, 0, 0, 7));
-        costsTheConnection(
+        assertConnectionError(
                 ErrorCode.FLOW_CONTROL_ERROR,
                 r -> r.frame(Frames.SETTINGS, 0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff));
-        costsTheConnection(
+        assertConnectionError(
                 ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.SETTINGS, 0, 0, 0, 5, 0, 0, 0, 1));
-        costsTheConnection(
+        assertConnectionError(
                 ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.WINDOW_UPDATE, 0, 0, 0, 0, 0, 0));
-        costsTheConnection(
+        assertConnectionError(
                 ErrorCode.FLOW_CONTROL_ERROR,
                 r -> r.frame(Frames.WINDOW_UPDATE, 0, 0, 0x7f, 0xff, 0xff, 0xff));
-        costsTheConnection(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.CONTINUATION, 4, 1, 0));
-        costsTheConnection(
+        assertConnectionError(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.CONTINUATION, 4, 1, 0));
+        assertConnectionError(
                 ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.PUSH_PROMISE, 4, 1, 0, 0, 0, 2));
-        costsTheConnection(ErrorCode.COMPRESSION_ERROR, r -> r.frame(Frames.HEADERS, 5, 1, 0x80));
-        costsTheConnection(
+        assertConnectionError(ErrorCode.COMPRESSION_ERROR, r -> r.frame(Frames.HEADERS, 5, 1, 0x80));
+        assertConnectionError(
                 ErrorCode.FRAME_SIZE_ERROR,
                 r ->
                         r.send(
@@ -75,7 +75,7 @@
                                         .writeByte(0)
                                         .writeByte(0)
                                         .writeInt(1)));
-        costsTheConnection(
+        assertConnectionError(
                 ErrorCode.PROTOCOL_ERROR,
                 r -> {
                     r.frame(Frames.HEADERS, 0, 1, 0x82);
@@ -83,26 +83,26 @@
                 });
     }
 
-    private static void isAFlood(Consumer<RawClient> action) {
-        costsTheConnection(ErrorCode.ENHANCE_YOUR_CALM, action);
+    private static void assertRejectedAsFlood(Consumer<RawClient> action) {
+        assertConnectionError(ErrorCode.ENHANCE_YOUR_CALM, action);
     }
 
     @Test
-    void floodsOfControlFramesCostTheConnection() {
-        isAFlood(
+    void floodsOfControlFramesCloseTheConnection() {
+        assertRejectedAsFlood(
                 r -> {
                     for (int i = 1; i < 4000; i += 2) {
                         r.headers(i, Pair.REQUEST, true);
                         r.frame(Frames.RST_STREAM, 0, i, 0, 0, 0, 8);
                     }
                 });
-        isAFlood(
+        assertRejectedAsFlood(
                 r -> {
                     for (int i = 0; i < 4000; i++) {
                         r.frame(Frames.PING, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
                     }
                 });
-        isAFlood(
+        assertRejectedAsFlood(
                 r -> {
                     for (int i = 0; i < 2000; i++) {
                         r.frame(Frames.SETTINGS, 0, 0);
@@ -111,22 +111,22 @@
     }
 
     @Test
-    void floodsOfEmptyAndTinyFramesCostTheConnection() {
-        isAFlood(
+    void floodsOfEmptyAndTinyFramesCloseTheConnection() {
+        assertRejectedAsFlood(
                 r -> {
                     r.frame(Frames.HEADERS, 0, 1, 0x82);
                     for (int i = 0; i < 2000; i++) {
                         r.frame(Frames.CONTINUATION, 0, 1);
                     }
                 });
-        isAFlood(
+        assertRejectedAsFlood(
                 r -> {
                     r.headers(1, Pair.REQUEST, false);
                     for (int i = 0; i < 2000; i++) {
                         r.frame(Frames.DATA, 0, 1);
                     }
                 });
-        isAFlood(
+        assertRejectedAsFlood(
                 r -> {
                     r.headers(1, Pair.REQUEST, false);
                     for (int i = 0; i < 20_000; i++) {
@@ -136,28 +136,28 @@
     }
 
     @Test
-    void aHeaderListThatDecodesToTooMuchCostsTheConnection() {
-        Headers bomb =
+    void oversizedHeaderListClosesTheConnection() {
+        Headers oversized =
                 new Headers().add(":method", "POST").add(":scheme", "http").add(":path", "/");
         for (int i = 0; i < 500; i++) {
-            bomb.add("a", "b".repeat(60));
+            oversized.add("a", "b".repeat(60));
         }
-        isAFlood(r -> r.headers(1, bomb, true));
+        assertRejectedAsFlood(r -> r.headers(1, oversized, true));
     }
 
     @Test
-    void creditThatComesAfterTheEndCostsABusyClientNothing() {
-        Pair pair = new Pair(Http2Limits.SERVER.withFloodPoints(1, 50), Http2Limits.CLIENT, 0);
+    void windowUpdatesAfterStreamEndAreNotAFlood() {
+        Pair pair = new Pair(Http2Limits.SERVER.withFrameCostLimits(1, 50), Http2Limits.CLIENT, 0);
         pair.autoCredit = false;
         for (int i = 0; i < 300; i++) {
             pair.open(true);
-            pair.pump();
-            Http2Stream stream = pair.opened.get(i);
+            pair.exchangeAll();
+            Http2Stream stream = pair.serverStreams.get(i);
             stream.writeHeaders(new Headers().add(":status", "200"), false);
             for (int k = 0; k < 8; k++) {
                 stream.writeData(Unpooled.wrappedBuffer(new byte[20]), k == 7);
             }
-            pair.pump();
+            pair.exchangeAll();
             // Some clients reset the stream instead of returning credit for the last frame.
             for (int k = 0; k < 7; k++) {
                 pair.serverChannel.writeInbound(
@@ -169,7 +169,7 @@
         }
         for (int k = 0; k < 100 && pair.serverChannel.isOpen(); k++) {
             pair.serverChannel.writeInbound(
-                    Frames.windowUpdate(pair.serverChannel.alloc(), pair.opened.get(0).id(), 20));
+                    Frames.windowUpdate(pair.serverChannel.alloc(), pair.serverStreams.get(0).id(), 20));
         }
         assertFalse(
                 pair.serverChannel.isOpen(),
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void aStreamsOwnFaultCostsTheStreamAlone() {
+    void streamErrorResetsOnlyItsStream() {
         RawClient raw = new RawClient(Http2Limits.SERVER);
         raw.headers(1, new Headers().add(":method", "POST").add(":path", "/"), true);
         assertEquals("RST_STREAM PROTOCOL_ERROR", raw.last(Frames.RST_STREAM));
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void aClientThatSpeaksNoHttp2IsToldSo() {
+    void clientWithoutHttp2PrefaceIsDisconnected() {
         EmbeddedChannel channel =
                 new EmbeddedChannel(
                         Http2Connection.server(
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void aHeaderBlockThatNeverEndsCostsTheConnectionInTime() throws InterruptedException {
+    void incompleteHeaderBlockTimesOut() throws InterruptedException {
         RawClient raw = new RawClient(Http2Limits.SERVER.withStallTimeout(20_000));
         raw.frame(Frames.HEADERS, 0, 1, 0x82);
         long bound = System.nanoTime() + 5_000_000_000L;
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void anAnswerThatItsClientNeverTakesIsGivenUpInTimeAndOthersAreNot() {
+    void unreadCompleteAnswerTimesOutAndOpenOneDoesNot() {
         Pair pair =
                 new Pair(
                         Http2Limits.SERVER.withStallTimeout(20_000),
@@ -239,19 +239,19 @@
         pair.autoCredit = false;
         pair.open(true);
         pair.open(true);
-        pair.pump();
-        pair.opened.forEach(stream -> stream.writeHeaders(OK, false));
-        pair.opened.get(0).writeData(bytes(500), true);
-        pair.opened.get(1).writeData(bytes(500), false);
-        pair.pump();
+        pair.exchangeAll();
+        pair.serverStreams.forEach(stream -> stream.writeHeaders(OK, false));
+        pair.serverStreams.get(0).writeData(bytes(500), true);
+        pair.serverStreams.get(1).writeData(bytes(500), false);
+        pair.exchangeAll();
         long bound = System.nanoTime() + 5_000_000_000L;
         while (!pair.events.contains("client reset CANCEL false") && System.nanoTime() < bound) {
             pair.serverChannel.runScheduledPendingTasks();
-            pair.pump();
+            pair.exchangeAll();
         }
         assertTrue(pair.events.contains("client reset CANCEL false"), pair.events.toString());
-        assertTrue(pair.opened.get(0).isClosed());
-        assertFalse(pair.opened.get(1).isClosed());
-        assertEquals(400, pair.opened.get(1).pendingBytes());
+        assertTrue(pair.serverStreams.get(0).isClosed());
+        assertFalse(pair.serverStreams.get(1).isClosed());
+        assertEquals(400, pair.serverStreams.get(1).pendingBytes());
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Http2ConnectionTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Http2ConnectionTest.java
@@ -31,12 +31,12 @@
         Pair pair = new Pair();
         Http2Stream stream = pair.open(false);
         stream.writeData(bytes(10), true);
-        pair.pump();
-        Http2Stream served = pair.opened.get(0);
+        pair.exchangeAll();
+        Http2Stream served = pair.serverStreams.get(0);
         served.writeHeaders(OK, false);
         served.writeData(bytes(20), false);
         served.writeHeaders(new Headers().add("grpc-status", "0"), true);
-        pair.pump();
+        pair.exchangeAll();
         assertEquals(
                 List.of(
                         "server opened 1 " + Pair.REQUEST + " false",
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void bytesCutAnywhereMeanTheSame() {
+    void eventsDoNotDependOnReadSizes() {
         List<String> whole = conversation(0);
         for (int piece = 1; piece <= 60; piece++) {
             assertEquals(whole, conversation(piece), "pieces of " + piece);
@@ -63,14 +63,14 @@
         pair.open(true);
         stream.writeData(bytes(300), false);
         stream.writeData(bytes(5), true);
-        pair.pump();
-        for (Http2Stream served : List.copyOf(pair.opened)) {
+        pair.exchangeAll();
+        for (Http2Stream served : List.copyOf(pair.serverStreams)) {
             served.writeHeaders(
                     new Headers().add(":status", "200").add("some-field", "v".repeat(200)), false);
             served.writeData(bytes(2000), false);
             served.writeHeaders(new Headers().add("t", "1"), true);
         }
-        pair.pump();
+        pair.exchangeAll();
         return pair.events.stream()
                 .map(e -> e.replaceAll(" data \\d+", " data"))
                 .distinct()
@@ -78,33 +78,33 @@
     }
 
     @Test
-    void aReaderThatGivesNoCreditHoldsItsOwnStreamAndNoOther() {
+    void readerWithoutCreditBlocksOnlyItsOwnStream() {
         Pair pair = new Pair(Http2Limits.SERVER, Http2Limits.CLIENT.withStreamWindow(1000), 0);
         pair.autoCredit = false;
         Http2Stream slow = pair.open(true);
         Http2Stream other = pair.open(true);
-        pair.pump();
-        Http2Stream served = pair.opened.get(0);
+        pair.exchangeAll();
+        Http2Stream served = pair.serverStreams.get(0);
         served.writeHeaders(OK, false);
         served.writeData(bytes(5000), true);
-        pair.pump();
+        pair.exchangeAll();
         assertEquals(1000, sum(pair.events, "client data"));
         assertEquals(4000, served.pendingBytes());
-        pair.opened.get(1).writeHeaders(OK, false);
-        pair.opened.get(1).writeData(bytes(900), true);
-        pair.pump();
+        pair.serverStreams.get(1).writeHeaders(OK, false);
+        pair.serverStreams.get(1).writeData(bytes(900), true);
+        pair.exchangeAll();
         assertEquals(1900, sum(pair.events, "client data"));
         slow.consumeBytes(1000);
-        pair.pump();
+        pair.exchangeAll();
         assertEquals(2900, sum(pair.events, "client data"));
         other.consumeBytes(900);
-        pair.pump();
+        pair.exchangeAll();
         assertTrue(other.isClosed(), "a stream must complete while another one is blocked");
         assertFalse(slow.isClosed());
     }
 
     @Test
-    void streamsThatWaitTakeTurnsByBytes() {
+    void waitingStreamsAreScheduledRoundRobinByBytes() {
         Pair pair =
                 new Pair(
                         Http2Limits.SERVER.withStreamWindow(1 << 20),
@@ -120,9 +120,9 @@
                         0);
         pair.open(true);
         pair.open(true);
-        pair.pump();
-        Http2Stream bulk = pair.opened.get(0);
-        Http2Stream small = pair.opened.get(1);
+        pair.exchangeAll();
+        Http2Stream bulk = pair.serverStreams.get(0);
+        Http2Stream small = pair.serverStreams.get(1);
         bulk.writeHeaders(OK, false);
         small.writeHeaders(OK, false);
         bulk.writeData(bytes(1_000_000), false);
@@ -130,12 +130,12 @@
             small.writeData(bytes(100), false);
         }
         assertTrue(bulk.pendingBytes() > 0);
-        pair.pump();
+        pair.exchangeAll();
         assertEquals(0, small.pendingBytes());
         assertEquals(0, bulk.pendingBytes());
         int bulkBytes = 0;
         int smallBytes = 0;
-        for (int[] piece : pair.order) {
+        for (int[] piece : pair.receivedPieces) {
             bulkBytes += piece[0] == bulk.id() && smallBytes < 20_000 ? piece[1] : 0;
             smallBytes += piece[0] == small.id() ? piece[1] : 0;
         }
@@ -148,17 +148,17 @@
     }
 
     @Test
-    void goAwayTellsWhatWasNeverProcessed() {
+    void goAwayReportsUnprocessedStreams() {
         Pair pair = new Pair();
         pair.open(true);
-        pair.pump();
+        pair.exchangeAll();
         pair.open(true);
         pair.clientChannel.runPendingTasks();
         while (pair.clientChannel.readOutbound() instanceof ByteBuf lost) {
             lost.release();
         }
         pair.server.close(ErrorCode.NO_ERROR, "ends");
-        pair.pump();
+        pair.exchangeAll();
         assertTrue(
                 pair.events.contains("client reset REFUSED_STREAM true"), pair.events.toString());
         // Two streams were open. The server received only the first one, which may have run.
@@ -171,23 +171,23 @@
     }
 
     @Test
-    void aDrainingServerFinishesWhatIsOpenAndRefusesTheRest() {
+    void drainingServerFinishesOpenStreamsAndRefusesNewOnes() {
         Pair pair = new Pair();
         pair.open(true);
-        pair.pump();
+        pair.exchangeAll();
         pair.server.shutdownGracefully();
-        pair.pump();
+        pair.exchangeAll();
         assertNull(pair.open(true));
         assertTrue(pair.serverChannel.isOpen());
-        pair.opened.get(0).writeHeaders(OK, false);
-        pair.opened.get(0).writeData(bytes(5), true);
-        pair.pump();
+        pair.serverStreams.get(0).writeHeaders(OK, false);
+        pair.serverStreams.get(0).writeData(bytes(5), true);
+        pair.exchangeAll();
         assertTrue(pair.events.contains("client data 5 true"));
         assertFalse(pair.serverChannel.isOpen());
     }
 
     @Test
-    void streamsBeyondTheLimitAreRefusedAsNotProcessed() {
+    void streamsBeyondTheLimitAreRefusedAsUnprocessed() {
         Pair pair = new Pair(Http2Limits.SERVER.withMaxStreams(1), Http2Limits.CLIENT, 0);
         pair.open(true);
         assertNull(pair.open(true));
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/InboundFlowControllerTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/InboundFlowControllerTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void creditOfTheConnectionGoesBackAtHalfTheWindow() throws Http2Exception {
+    void connectionCreditIsReturnedAtHalfTheWindow() throws Http2Exception {
         flow.onConnectionData(49_999);
         assertEquals(List.of(), fixture.sent());
         flow.onConnectionData(1);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void creditOfAStreamGoesBackAsItsUserTakesBytes() throws Http2Exception {
+    void streamCreditIsReturnedAsItsUserConsumesBytes() throws Http2Exception {
         flow.onStreamData(stream, 900, 100);
         flow.returnCredit(stream);
         assertEquals(List.of(), fixture.sent());
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void moreThanAWindowIsAnErrorOfItsOwnScope() throws Http2Exception {
+    void exceededWindowIsAStreamOrConnectionError() throws Http2Exception {
         flow.onStreamData(stream, STREAM_WINDOW, 0);
         Http2Exception ofStream =
                 assertThrows(Http2Exception.class, () -> flow.onStreamData(stream, 1, 0));
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/OutboundFlowControllerTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/OutboundFlowControllerTest.java
@@ -36,7 +36,7 @@
 
     private Http2Stream stream(int id, long sendWindow) {
         Http2Stream stream = new Http2Stream(connection, id, sendWindow, 0);
-        stream.listener(new Pair().new Log("server", stream));
+        stream.listener(new Pair().new StreamEventLog("server", stream));
         streams.put(stream);
         return stream;
     }
@@ -69,13 +69,13 @@
     }
 
     @Test
-    void anEndThatCarriesNoBytesNeedsNoWindow() {
+    void emptyDataWithEndStreamNeedsNoWindow() {
         send(stream(1, 0), 0, true);
         assertEquals(List.of("DATA 1 0 true", "RST_STREAM 1 NO_ERROR"), fixture.sent());
     }
 
     @Test
-    void aConnectionWindowThatOverflowsCostsTheConnection() {
+    void connectionWindowOverflowIsAConnectionError() {
         Http2Exception e =
                 assertThrows(
                         Http2Exception.class,
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
@@ -21,10 +21,10 @@
                     .add(":path", "/a")
                     .add(":authority", "x");
     final List<String> events = new ArrayList<>();
-    final List<Http2Stream> opened = new ArrayList<>();
+    final List<Http2Stream> serverStreams = new ArrayList<>();
 
     /** Stream ID and size of each piece of data that the client received. */
-    final List<int[]> order = new ArrayList<>();
+    final List<int[]> receivedPieces = new ArrayList<>();
 
     /** Checksum of all bytes that both sides have sent. */
     final CRC32 wireBytes = new CRC32();
@@ -34,23 +34,23 @@
     final Http2Connection client;
     final EmbeddedChannel serverChannel;
     final EmbeddedChannel clientChannel;
-    private final int piece;
+    private final int maxPieceBytes;
 
-    Pair(Http2Limits serverLimits, Http2Limits clientLimits, int piece) {
-        this.piece = piece;
+    Pair(Http2Limits serverLimits, Http2Limits clientLimits, int maxPieceBytes) {
+        this.maxPieceBytes = maxPieceBytes;
         server =
                 Http2Connection.server(
                         serverLimits,
                         (stream, headers, end) -> {
-                            opened.add(stream);
+                            serverStreams.add(stream);
                             events.add("server opened " + stream.id() + " " + headers + " " + end);
-                            return new Log("server", stream);
+                            return new StreamEventLog("server", stream);
                         },
                         new Http2Connection.Listener() {});
         client = Http2Connection.client(clientLimits, new Http2Connection.Listener() {});
         serverChannel = new EmbeddedChannel(server);
         clientChannel = new EmbeddedChannel(client);
-        pump();
+        exchangeAll();
     }
 
     Pair() {
@@ -58,37 +58,37 @@
     }
 
     Http2Stream open(boolean end) {
-        Log log = new Log("client", null);
+        StreamEventLog log = new StreamEventLog("client", null);
         Http2Stream s = client.openStream(REQUEST, end, log);
         log.stream = s;
         return s;
     }
 
-    void pump() {
+    void exchangeAll() {
         boolean moved = true;
         while (moved) {
-            boolean toServer = move(clientChannel, serverChannel);
-            boolean toClient = move(serverChannel, clientChannel);
+            boolean toServer = transfer(clientChannel, serverChannel);
+            boolean toClient = transfer(serverChannel, clientChannel);
             moved = toServer || toClient;
         }
     }
 
     /** Adds all bytes that a channel has sent to a checksum. */
-    static void drain(EmbeddedChannel channel, Checksum sent) {
+    static void addSentBytes(EmbeddedChannel channel, Checksum sent) {
         for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
             sent.update(ByteBufUtil.getBytes(out));
             out.release();
         }
     }
 
-    private boolean move(EmbeddedChannel from, EmbeddedChannel to) {
+    private boolean transfer(EmbeddedChannel from, EmbeddedChannel to) {
         from.runPendingTasks();
         boolean moved = false;
         for (ByteBuf out = from.readOutbound(); out != null; out = from.readOutbound()) {
             moved = true;
             wireBytes.update(ByteBufUtil.getBytes(out));
             while (out.isReadable() && to.isOpen()) {
-                int size = piece == 0 ? out.readableBytes() : Math.min(piece, out.readableBytes());
+                int size = maxPieceBytes == 0 ? out.readableBytes() : Math.min(maxPieceBytes, out.readableBytes());
                 to.writeInbound(Unpooled.copiedBuffer(out.readSlice(size)));
             }
             out.release();
@@ -97,11 +97,11 @@
         return moved;
     }
 
-    final class Log implements Http2StreamListener {
+    final class StreamEventLog implements Http2StreamListener {
         private final String side;
         private Http2Stream stream;
 
-        Log(String side, Http2Stream stream) {
+        StreamEventLog(String side, Http2Stream stream) {
             this.side = side;
             this.stream = stream;
         }
@@ -117,7 +117,7 @@
                 stream.consumeBytes(data.readableBytes());
             }
             if (side.equals("client")) {
-                order.add(new int[] {stream.id(), data.readableBytes()});
+                receivedPieces.add(new int[] {stream.id(), data.readableBytes()});
             }
             events.add(side + " data " + data.readableBytes() + " " + end);
         }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/RawClient.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/RawClient.java
@@ -22,7 +22,7 @@
         Http2Connection connection =
                 Http2Connection.server(
                         limits,
-                        (stream, headers, endStream) -> pair.new Log("server", stream),
+                        (stream, headers, endStream) -> pair.new StreamEventLog("server", stream),
                         new Http2Connection.Listener() {});
         channel = new EmbeddedChannel(connection);
         send(Unpooled.copiedBuffer(Frames.PREFACE, StandardCharsets.US_ASCII));
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/RemoteSettingsTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/RemoteSettingsTest.java
@@ -20,14 +20,14 @@
     }
 
     @Test
-    void onlyTheFirstFrameIsTheFirst() {
+    void onlyTheFirstSettingsFrameIsReportedAsFirst() {
         assertFalse(server.isReceived());
         assertTrue(server.markReceived());
         assertFalse(server.markReceived());
     }
 
     @Test
-    void aNewInitialWindowSizeTellsByHowMuchOpenStreamsChange() throws Http2Exception {
+    void newInitialWindowSizeReturnsChangeForOpenStreams() throws Http2Exception {
         assertEquals(-35_535, server.apply(Frames.INITIAL_WINDOW_SIZE, 30_000));
         assertEquals(20_000, server.apply(Frames.INITIAL_WINDOW_SIZE, 50_000));
         assertEquals(50_000, server.initialWindowSize());
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void valuesThatTheRfcForbidsCostTheConnection() throws Http2Exception {
+    void invalidSettingsAreConnectionErrors() throws Http2Exception {
         assertRejected(ErrorCode.FLOW_CONTROL_ERROR, server, Frames.INITIAL_WINDOW_SIZE, 1L << 31);
         assertRejected(ErrorCode.PROTOCOL_ERROR, server, Frames.MAX_FRAME_SIZE, 100);
         assertRejected(ErrorCode.PROTOCOL_ERROR, server, Frames.ENABLE_PUSH, 2);
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/SendQueueTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/SendQueueTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void payloadsAreCutAndGatheredAtTheSizeAskedFor() {
+    void payloadsAreSplitAndMergedToTheRequestedSize() {
         queue.add(bytes(1, 2, 3));
         queue.add(bytes(4));
         queue.add(bytes(5, 6));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void anEmptyBufferThatEndsAStreamIsAPayloadOfItsOwn() {
+    void emptyBufferIsASeparatePayload() {
         queue.add(Unpooled.EMPTY_BUFFER);
         assertFalse(queue.isEmpty());
         assertEquals(0, poll(10).readableBytes());
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void theFallToTheLowWaterMarkIsToldOnce() {
+    void drainingToTheLowWaterMarkIsReportedOnce() {
         queue.add(Unpooled.wrappedBuffer(new byte[SendQueue.LOW_WATER_MARK + 1]));
         assertFalse(queue.fellBelowLowWaterMark());
         poll(1).release();
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/StreamAccountingTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/StreamAccountingTest.java
@@ -27,7 +27,7 @@
         private final Pair pair;
         private final Map<Integer, Integer> sent = new HashMap<>();
         private final Map<Integer, Integer> credited = new HashMap<>();
-        private final Map<Integer, Http2Stream> clients = new HashMap<>();
+        private final Map<Integer, Http2Stream> clientStreams = new HashMap<>();
 
         Conversation(long seed) {
             random = new SplittableRandom(seed);
@@ -40,29 +40,29 @@
         }
 
         void step() {
-            int opened = pair.opened.size();
+            int opened = pair.serverStreams.size();
             switch (random.nextInt(6)) {
                 case 0 -> open();
                 case 1, 2 -> {
                     if (opened > 0) {
-                        send(pair.opened.get(random.nextInt(opened)), random.nextInt(2500));
+                        send(pair.serverStreams.get(random.nextInt(opened)), random.nextInt(2500));
                     }
                 }
                 case 3, 4 -> credit();
                 default -> {
                     if (opened > 0 && random.nextInt(3) == 0) {
-                        pair.opened.get(random.nextInt(opened)).reset(ErrorCode.CANCEL);
+                        pair.serverStreams.get(random.nextInt(opened)).reset(ErrorCode.CANCEL);
                     }
                 }
             }
-            pair.pump();
+            pair.exchangeAll();
         }
 
         private void open() {
             Http2Stream stream = pair.open(true);
-            assertTrue(stream != null || clients.size() >= MAX_STREAMS);
+            assertTrue(stream != null || clientStreams.size() >= MAX_STREAMS);
             if (stream != null) {
-                clients.put(stream.id(), stream);
+                clientStreams.put(stream.id(), stream);
             }
         }
 
@@ -77,23 +77,23 @@
         }
 
         private void credit() {
-            if (!clients.isEmpty()) {
-                Integer[] ids = clients.keySet().toArray(new Integer[0]);
+            if (!clientStreams.isEmpty()) {
+                Integer[] ids = clientStreams.keySet().toArray(new Integer[0]);
                 creditAll(ids[random.nextInt(ids.length)]);
             }
         }
 
         private void creditAll(int id) {
             int uncredited = received().getOrDefault(id, 0) - credited.getOrDefault(id, 0);
-            if (uncredited > 0 && !clients.get(id).isClosed()) {
-                clients.get(id).consumeBytes(uncredited);
+            if (uncredited > 0 && !clientStreams.get(id).isClosed()) {
+                clientStreams.get(id).consumeBytes(uncredited);
                 credited.merge(id, uncredited, Integer::sum);
             }
         }
 
         private Map<Integer, Integer> received() {
             Map<Integer, Integer> received = new HashMap<>();
-            pair.order.forEach(piece -> received.merge(piece[0], piece[1], Integer::sum));
+            pair.receivedPieces.forEach(piece -> received.merge(piece[0], piece[1], Integer::sum));
             return received;
         }
 
@@ -110,16 +110,16 @@
                             });
         }
 
-        void takeAll() {
+        void creditAllStreams() {
             for (int round = 0; round < 200; round++) {
-                clients.keySet().forEach(this::creditAll);
-                pair.pump();
+                clientStreams.keySet().forEach(this::creditAll);
+                pair.exchangeAll();
             }
         }
 
         void assertAllArrived() {
             Map<Integer, Integer> received = received();
-            for (Http2Stream stream : pair.opened) {
+            for (Http2Stream stream : pair.serverStreams) {
                 if (!stream.isClosed()) {
                     int id = stream.id();
                     assertEquals(0, stream.pendingBytes(), "bytes are still queued");
@@ -129,21 +129,21 @@
         }
 
         void assertNothingStaysOpenAfterResets() {
-            pair.opened.forEach(stream -> stream.reset(ErrorCode.CANCEL));
-            pair.pump();
+            pair.serverStreams.forEach(stream -> stream.reset(ErrorCode.CANCEL));
+            pair.exchangeAll();
             assertEquals(0, pair.client.openStreamCount());
             assertEquals(0, pair.server.openStreamCount());
         }
     }
 
     @Property(tries = 300, seed = "42")
-    void bytesAndStreamsAddUp(@ForAll long seed) {
+    void byteAndStreamCountsStayConsistent(@ForAll long seed) {
         Conversation conversation = new Conversation(seed);
         for (int step = 0; step < 120; step++) {
             conversation.step();
             conversation.assertWithinWindows();
         }
-        conversation.takeAll();
+        conversation.creditAllStreams();
         conversation.assertAllArrived();
         conversation.assertNothingStaysOpenAfterResets();
     }
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/StreamLookupTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/StreamLookupTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aFrameForAStreamThatWasNeverOpenedCostsTheConnection() {
+    void frameForIdleStreamIsAConnectionError() {
         Http2Exception e = assertThrows(Http2Exception.class, () -> lookup.find(1, "DATA"));
         assertEquals(ErrorCode.PROTOCOL_ERROR, e.code());
         assertEquals(0, e.stream());
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void framesOnTheirWayToAStreamThatWasResetHereAreIgnored() throws Http2Exception {
+    void framesForLocallyResetStreamAreIgnored() throws Http2Exception {
         streams.peerOpened(3);
         streams.rememberReset(1);
         assertNull(lookup.find(1, "DATA"));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void lateFramesAreCheapButNotFree() throws Http2Exception {
+    void framesForClosedStreamsAreChargedALowCost() throws Http2Exception {
         streams.peerOpened(1);
         for (int i = 0; i < 4; i++) {
             assertNull(lookup.findOrEnded(1, "WINDOW_UPDATE"));
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/WireCompatibilityTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/WireCompatibilityTest.java
@@ -18,16 +18,16 @@
     private static final int RANDOM_CONVERSATIONS = 100;
 
     @Test
-    void answersToDamagedConversationsKeepTheirBytes() {
+    void answersToDamagedConversationsHaveUnchangedBytes() {
         CRC32 sent = new CRC32();
         for (long seed = 0; seed < FUZZED_CONVERSATIONS; seed++) {
-            new Fuzzed(seed).feed(sent);
+            new FuzzedConversation(seed).feed(sent);
         }
         assertEquals("b36e0125", Long.toHexString(sent.getValue()));
     }
 
     @Test
-    void conversationsOfTwoConnectionsKeepTheirBytesAndEvents() {
+    void conversationsOfTwoConnectionsHaveUnchangedBytesAndEvents() {
         CRC32 sent = new CRC32();
         for (long seed = 0; seed < RANDOM_CONVERSATIONS; seed++) {
             Pair pair = converse(seed);
@@ -48,9 +48,9 @@
         pair.autoCredit = random.nextBoolean();
         for (int step = 0; step < 100; step++) {
             Http2Stream stream =
-                    pair.opened.isEmpty()
+                    pair.serverStreams.isEmpty()
                             ? null
-                            : pair.opened.get(random.nextInt(pair.opened.size()));
+                            : pair.serverStreams.get(random.nextInt(pair.serverStreams.size()));
             int action = random.nextInt(40);
             if (action < 10) {
                 Http2Stream opened = pair.open(random.nextBoolean());
@@ -65,10 +65,10 @@
                 act(stream, action, random);
             }
             if (random.nextInt(3) > 0) {
-                pair.pump();
+                pair.exchangeAll();
             }
         }
-        pair.pump();
+        pair.exchangeAll();
         return pair;
     }
 
--- a/protocol/src/test/java/sorrelhoist/protocol/net/BlockingIoHandlerTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/net/BlockingIoHandlerTest.java
@@ -20,7 +20,7 @@
     private static final int TIMERS = 200;
     private static final long DELAY_MICROS =
             1_300; // 0.3 ms above a whole millisecond, which rounding to the nearest rounds down
-    private static final long MOST_POLLS =
+    private static final long MAX_POLLS_PER_TIMER =
             4; // per timer: one blocking poll, and the polls for its task and the next timer
 
     @Test
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void anEventLoopDoesNotPollWhileItsNextTimerIsNearlyDue() throws Exception {
+    void eventLoopDoesNotBusyPollBeforeItsNextTimer() throws Exception {
         AtomicLong polls = new AtomicLong();
         IoHandlerFactory counting =
                 NioIoHandler.newFactory(
@@ -52,20 +52,20 @@
                         BlockingIoHandler.wrap(counting));
         try {
             EventLoop loop = group.next();
-            CountDownLatch rung = new CountDownLatch(TIMERS);
-            loop.execute(() -> ring(loop, rung));
-            assertTrue(rung.await(1, TimeUnit.MINUTES));
+            CountDownLatch remainingTimers = new CountDownLatch(TIMERS);
+            loop.execute(() -> runTimers(loop, remainingTimers));
+            assertTrue(remainingTimers.await(1, TimeUnit.MINUTES));
             assertTrue(
-                    polls.get() <= MOST_POLLS * TIMERS, polls + " polls for " + TIMERS + " timers");
+                    polls.get() <= MAX_POLLS_PER_TIMER * TIMERS, polls + " polls for " + TIMERS + " timers");
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         }
     }
 
-    private static void ring(EventLoop loop, CountDownLatch rung) {
-        rung.countDown();
-        if (rung.getCount() > 0) {
-            loop.schedule(() -> ring(loop, rung), DELAY_MICROS, TimeUnit.MICROSECONDS);
+    private static void runTimers(EventLoop loop, CountDownLatch remainingTimers) {
+        remainingTimers.countDown();
+        if (remainingTimers.getCount() > 0) {
+            loop.schedule(() -> runTimers(loop, remainingTimers), DELAY_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageSchemaTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageSchemaTest.java
@@ -30,30 +30,30 @@
     private static final MessageSchema<All> SCHEMA = MessageSchema.of(All.class);
 
     @Test
-    void aMessageComesBackAsItWent() throws ProtoException {
+    void messageIsDecodedAsEncoded() throws ProtoException {
         All all = new All(3, -4, Long.MAX_VALUE, true, 0.5, "é", List.of(new Part("a")));
         assertEquals(all, SCHEMA.parse(SCHEMA.toByteArray(all)));
     }
 
     @Test
-    void fieldsAreWrittenByNumberAndDefaultsAreLeftOut() {
+    void fieldsAreWrittenByNumberAndDefaultsAreOmitted() {
         All all = new All(3, 0, 0, false, 0, "", List.of(new Part("")));
         assertArrayEquals(new byte[] {1 << 3, 3, 8 << 3 | 2, 0}, SCHEMA.toByteArray(all));
     }
 
     @Test
-    void unknownFieldsArePassedOverAndTheLastOccurrenceCounts() throws ProtoException {
+    void unknownFieldsAreSkippedAndTheLastOccurrenceCounts() throws ProtoException {
         byte[] bytes = {1 << 3, 3, 4 << 3, 9, 1 << 3, 5};
         assertEquals(new All(5, 0, 0, false, 0, "", List.of()), SCHEMA.parse(bytes));
     }
 
     @Test
-    void aFieldOfAnotherWireTypeIsRefused() {
+    void fieldWithWrongWireTypeIsRejected() {
         assertThrows(ProtoException.class, () -> SCHEMA.parse(new byte[] {7 << 3, 1}));
     }
 
     @Test
-    void recordsThatAreNoMessagesHaveNoSchema() {
+    void recordsWithInvalidComponentsAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> MessageSchema.of(Unmarked.class));
         assertThrows(IllegalArgumentException.class, () -> MessageSchema.of(Unsupported.class));
     }
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/ProtoTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/ProtoTest.java
@@ -44,12 +44,12 @@
                     List.of());
 
     @Test
-    void aRequestComesBackWithDefaultsOfItsOneofs() throws ProtoException {
+    void requestIsDecodedWithDefaultsOfItsOneofs() throws ProtoException {
         assertEquals(REQUEST, InferRequest.parse(REQUEST.toByteArray()));
     }
 
     @Test
-    void rawContentsAreCutByTheirLengths() throws ProtoException {
+    void rawContentsAreSplitByTheirLengths() throws ProtoException {
         Tensor t = new Tensor("text_input", "BYTES", List.of(2L), List.of());
         List<byte[]> two = t.elements(new byte[] {1, 0, 0, 0, 65, 2, 0, 0, 0, 66, 67});
         assertEquals("BC", new String(two.get(1), java.nio.charset.StandardCharsets.US_ASCII));
@@ -59,7 +59,7 @@
     }
 
     @Property(tries = 200, seed = "42")
-    void engineAndPlanMessagesComeBack(
+    void engineAndPlanMessagesAreDecodedAsEncoded(
             @ForAll String text, @ForAll int a, @ForAll long b, @ForAll double d)
             throws ProtoException {
         int n = a & Integer.MAX_VALUE;
@@ -80,7 +80,7 @@
     }
 
     @Property(tries = 500, seed = "42")
-    void anyBytesAreAMessageOrRefused(@ForAll byte[] bytes) {
+    void arbitraryBytesAreDecodedOrRejected(@ForAll byte[] bytes) {
         try {
             InferRequest.parse(bytes);
             PlanEvent.parse(bytes);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void cutAndHostileMessagesAreRefused() {
+    void truncatedAndMalformedMessagesAreRejected() {
         byte[] whole = REQUEST.toByteArray();
         int refused = 0;
         for (int cut = 1; cut < whole.length; cut++) {
--- a/standin/src/main/java/sorrelhoist/standin/engine/EngineStandIn.java
+++ b/standin/src/main/java/sorrelhoist/standin/engine/EngineStandIn.java
@@ -157,7 +157,7 @@
     private Channel listen() throws IOException {
         GrpcServer server = newServer();
         Http2Limits limits =
-                Http2Limits.SERVER.withFloodPoints(FLOOD_POINTS_PER_SECOND, FLOOD_POINTS_BURST);
+                Http2Limits.SERVER.withFrameCostLimits(FLOOD_POINTS_PER_SECOND, FLOOD_POINTS_BURST);
         return LoopbackTransport.listen(
                 loops,
                 settings.port(),
