--- a/adapter/src/test/java/sorrelhoist/adapter/JsonObjectReaderTest.java
+++ b/adapter/src/test/java/sorrelhoist/adapter/JsonObjectReaderTest.java
@@ -23,7 +23,7 @@
                     + "}\n";
 
     @Test
-    void objectsAreTheSameHoweverTheyAreLaidOutAndCut() throws InvalidMessageException {
+    void objectsDoNotDependOnWhiteSpaceOrChunks() throws InvalidMessageException {
         byte[] all = TWO.getBytes(StandardCharsets.UTF_8);
         for (int size = 1; size <= all.length; size++) {
             JsonObjectReader reader = new JsonObjectReader(1000);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void whatIsNoObjectOrTooLargeIsRefused() throws InvalidMessageException {
+    void nonObjectsAndTooLargeObjectsAreRejected() throws InvalidMessageException {
         for (String bad :
                 new String[] {
                     "[1]", "{\"a\":}", "noise\n", "\"text\"", "7 ", "{\"a\":" + "[".repeat(80)
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aLongWatchOfSmallObjectsIsNeverTooLarge() throws InvalidMessageException {
+    void sizeLimitAppliesToEachObjectOfALongStream() throws InvalidMessageException {
         JsonObjectReader reader = new JsonObjectReader(100);
         for (int i = 0; i < 1000; i++) {
             reader.feed("\n{\"rev\":1}\n{\"r".getBytes(StandardCharsets.UTF_8));
--- a/adapter/src/test/java/sorrelhoist/adapter/SimulatorAdapterTest.java
+++ b/adapter/src/test/java/sorrelhoist/adapter/SimulatorAdapterTest.java
@@ -39,7 +39,7 @@
     }
 
     /** Records each call as one line. */
-    private static final class NotingListener implements SimulatorAdapter.DecisionListener {
+    private static final class RecordingListener implements SimulatorAdapter.DecisionListener {
         final List<String> notes = new ArrayList<>();
 
         @Override
@@ -55,8 +55,8 @@
     }
 
     @Test
-    void aListenerIsToldOfEveryEventWithWhatWasDecided() {
-        NotingListener listener = new NotingListener();
+    void aListenerReceivesEveryEventWithItsActions() {
+        RecordingListener listener = new RecordingListener();
         SimulatorAdapter adapter = new SimulatorAdapter(listener);
         assertEquals(0, run(adapter, batch(1, 5, START, LIST, MEMBERS, REQUEST)));
         List<String> notes = listener.notes;
--- a/app/src/test/java/sorrelhoist/app/DeployTest.java
+++ b/app/src/test/java/sorrelhoist/app/DeployTest.java
@@ -64,7 +64,7 @@
      * limits the processor time of the start.
      */
     @Test
-    void aListOfManyWorkersInOneLineCostsTheShellNextToNothing() throws Exception {
+    void aListOfManyWorkersInOneLineTakesLittleProcessorTime() throws Exception {
         StringBuilder config = new StringBuilder("{\"known\":{\"rev\":1,\"targets\":[");
         for (int i = 0; i < 400; i++) {
             config.append(i == 0 ? "" : ",")
--- a/app/src/test/java/sorrelhoist/app/GrpcJavaTest.java
+++ b/app/src/test/java/sorrelhoist/app/GrpcJavaTest.java
@@ -238,7 +238,7 @@
         seen.some.get(10, TimeUnit.SECONDS);
         seen.call.cancel("enough", null);
         assertEquals(Status.Code.CANCELLED, seen.status.get(5, TimeUnit.SECONDS).getCode());
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
@@ -253,13 +253,13 @@
         assertEquals(
                 "the answer did not end within the client's time",
                 seen.status.get().getDescription());
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
     void aRefusalCarriesAHint() throws Exception {
         for (String w : new String[] {"w1", "w2"}) {
-            fleet.tell(w, "errors 1 3000");
+            fleet.sendFaultCommand(w, "errors 1 3000");
         }
         Seen seen =
                 stream(
@@ -267,7 +267,7 @@
                         CallOptions.DEFAULT.withDeadlineAfter(3, TimeUnit.SECONDS));
         Status status = seen.status.get(5, TimeUnit.SECONDS);
         for (String w : new String[] {"w1", "w2"}) {
-            fleet.tell(w, "errors 0 1");
+            fleet.sendFaultCommand(w, "errors 0 1");
         }
         assertEquals(Status.Code.RESOURCE_EXHAUSTED, status.getCode());
         String hint =
@@ -279,7 +279,7 @@
     }
 
     @Test
-    void badInputIsToldWhatToMend() {
+    void invalidInputIsRejectedWithASpecificMessage() {
         assertEquals(Status.Code.NOT_FOUND, failure(request(5).setModelName("other").build()));
         assertEquals(Status.Code.INVALID_ARGUMENT, failure(request(5).clearInputs().build()));
         assertEquals(Status.Code.INVALID_ARGUMENT, failure(request(0).build()));
--- a/app/src/test/java/sorrelhoist/app/HardCasesTest.java
+++ b/app/src/test/java/sorrelhoist/app/HardCasesTest.java
@@ -68,7 +68,7 @@
         oneAnswerEach(first);
         oneAnswerEach(second);
         oneAnswerEach(burst(0, 20, "c"));
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
@@ -77,13 +77,13 @@
         fleet.engines.get("w1").kill();
         fleet.engine("w1", "write", "rack1", 0);
         LocalFleet.await("the new process to serve", () -> InferenceProbe.served(fleet, 0));
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
-    void twoEdgesStopSendingWhicheverHearsOfADrainFirst() throws Exception {
+    void bothEdgesStopSendingToADrainingEngine() throws Exception {
         fleet = new LocalFleet(1, 2, 2);
-        fleet.tell("w1", "drain");
+        fleet.sendFaultCommand("w1", "drain");
         LocalFleet.await(
                 "both edges to know of the drain",
                 () ->
@@ -94,8 +94,8 @@
                                                         == EngineServingState.NOT_SERVING));
         oneAnswerEach(burst(0, 20, "x"));
         oneAnswerEach(burst(1, 20, "y"));
-        fleet.nothingLeft(0);
-        fleet.nothingLeft(1);
+        fleet.awaitIdle(0);
+        fleet.awaitIdle(1);
     }
 
     @Test
@@ -112,14 +112,14 @@
             refused += r.rejected() ? 1 : 0;
         }
         assertTrue(refused > 0);
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
-    void aStormOfFailuresIsNotMadeWorseByRepeats() throws Exception {
+    void retriesDuringMassFailuresAreLimitedByABudget() throws Exception {
         fleet = new LocalFleet(2, 1, 1, true, traces, null);
-        fleet.tell("r1", "errors 1 60000");
-        fleet.tell("r2", "errors 1 60000");
+        fleet.sendFaultCommand("r1", "errors 1 60000");
+        fleet.sendFaultCommand("r2", "errors 1 60000");
         long before = reads();
         int asked = 200;
         for (var f : burst(0, asked, "s")) {
@@ -130,7 +130,7 @@
         // permit; without a budget each request would be retried five times.
         assertTrue(
                 sends <= asked + 25 + 0.3 * asked + 1, sends + " sends for " + asked + " requests");
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     private long reads() throws java.io.IOException {
--- a/app/src/test/java/sorrelhoist/app/LocalFleet.java
+++ b/app/src/test/java/sorrelhoist/app/LocalFleet.java
@@ -32,9 +32,9 @@
  */
 final class LocalFleet implements AutoCloseable {
     static final String MODEL = "sorrel";
-    private static final long LOOK =
+    private static final long POLL_INTERVAL_NANOS =
             1_000_000; // nanoseconds between polls: busy waiting would starve the awaited code
-    private static final long BOUND = 60_000;
+    private static final long MAX_WAIT_MILLIS = 60_000;
     final EventLoopGroup loops = LoopbackTransport.newEventLoops(2, "fleet");
     private final Path traces;
     final RegistryStandIn registry;
@@ -189,7 +189,7 @@
     }
 
     /** Sends a fault command to an engine and waits until the engine has confirmed it. */
-    void tell(String engine, String command) {
+    void sendFaultCommand(String engine, String command) {
         GrpcChannel channel =
                 new GrpcChannel(
                         loops.next(),
@@ -225,17 +225,17 @@
     }
 
     static void await(String what, BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BOUND);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_WAIT_MILLIS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("timed out waiting for " + what);
             }
-            LockSupport.parkNanos(LOOK);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
     /** Waits until an edge is idle: without requests, attempts, states or calls. */
-    void nothingLeft(int edge) {
+    void awaitIdle(int edge) {
         await(
                 "edge " + edge + " to be idle",
                 () -> edges.get(edge).usage().join().equals(Edge.Usage.IDLE));
--- a/app/src/test/java/sorrelhoist/app/PathTest.java
+++ b/app/src/test/java/sorrelhoist/app/PathTest.java
@@ -38,7 +38,7 @@
         for (int i = 0; i < pieces.size(); i++) {
             assertTrue(pieces.get(i).matches("[a-z]+" + i + " "), pieces.get(i));
         }
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
@@ -63,14 +63,14 @@
         for (int i = 0; i < words.length; i++) {
             assertTrue(words[i].endsWith("" + i), words[i] + " at " + i);
         }
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
     void allEnginesFailingMeansOneAnswerInTime() throws Exception {
         fleet = new LocalFleet(1, 2, 1);
-        fleet.tell("w1", "errors 1 20000");
-        fleet.tell("w2", "errors 1 20000");
+        fleet.sendFaultCommand("w1", "errors 1 20000");
+        fleet.sendFaultCommand("w2", "errors 1 20000");
         InferenceClient.Result r =
                 fleet.client(0)
                         .send(InferenceProbe.ask("x", 20, 2_000_000), (i, t) -> {})
@@ -78,13 +78,13 @@
         assertTrue(r.rejected(), r.toString());
         assertTrue(r.retryAfterMillis() > 0);
         assertTrue(r.durationMicros() < 2_000_000);
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
     void aHangingWriterMeansOneAnswerInTime() throws Exception {
         fleet = new LocalFleet(1, 1, 1);
-        fleet.tell("w1", "hang 20000");
+        fleet.sendFaultCommand("w1", "hang 20000");
         InferenceClient.Result r =
                 fleet.client(0)
                         .send(InferenceProbe.ask("x", 20, 1_500_000), (i, t) -> {})
@@ -95,7 +95,7 @@
                         || r.status().code() == StatusCode.UNAVAILABLE,
                 r.toString());
         assertTrue(r.durationMicros() < 1_500_000, r.toString());
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
@@ -108,7 +108,7 @@
             fleet.loops.next().schedule(() -> asked.cancel(false), pause, TimeUnit.MILLISECONDS);
         }
         LocalFleet.await("requests to be gone", () -> fleet.edges.get(0).openRequests() == 0);
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
         assertTrue(
                 client.send(InferenceProbe.ask("after", 5, 3_000_000), (n, t) -> {})
                         .get(5, TimeUnit.SECONDS)
@@ -126,6 +126,6 @@
                             .get(5, TimeUnit.SECONDS)
                             .served());
         }
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 }
--- a/app/src/test/java/sorrelhoist/app/StormTest.java
+++ b/app/src/test/java/sorrelhoist/app/StormTest.java
@@ -64,7 +64,7 @@
                 String engine = (random.nextBoolean() ? "r" : "w") + (1 + random.nextInt(2));
                 String command = commands[random.nextInt(commands.length)];
                 timer.schedule(
-                        () -> fleet.tell(engine, command), 200 + 850 * i, TimeUnit.MILLISECONDS);
+                        () -> fleet.sendFaultCommand(engine, command), 200 + 850 * i, TimeUnit.MILLISECONDS);
             }
             timer.schedule(
                     () -> {
@@ -76,7 +76,7 @@
             timer.schedule(
                     () -> fleet.engine("w3", "write", "rack1", 0), 2500, TimeUnit.MILLISECONDS);
             OpenLoopLoad.run(plan, n -> client, clients, fleet.loops);
-            fleet.nothingLeft(0);
+            fleet.awaitIdle(0);
             timer.shutdown();
             assertTrue(timer.awaitTermination(5, TimeUnit.SECONDS));
         }
--- a/app/src/test/java/sorrelhoist/app/StreamsTest.java
+++ b/app/src/test/java/sorrelhoist/app/StreamsTest.java
@@ -106,7 +106,7 @@
         Status status = idle.closed.get(10, TimeUnit.SECONDS);
         assertFalse(status.isOk());
         assertTrue(idle.messages.get() < 40, "messages received: " + idle.messages.get());
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
@@ -118,7 +118,7 @@
         channel.loop().schedule(idle::take, 800, TimeUnit.MILLISECONDS);
         assertTrue(idle.closed.get(15, TimeUnit.SECONDS).isOk());
         assertTrue(idle.messages.get() > 500);
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
     }
 
     @Test
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void anEdgeThatIsKilledRemembersWhereTextsAreKept(
+    void anEdgeRestoresItsStateAfterAKill(
             @org.junit.jupiter.api.io.TempDir java.nio.file.Path folder) throws Exception {
         fleet = new LocalFleet(2, 1, 0);
         fleet.past = folder.toString();
@@ -227,7 +227,7 @@
     }
 
     @Test
-    void aNewEdgeLearnsFromARunningOneAndNotFromAStranger() throws Exception {
+    void aNewEdgeTakesStateOnlyFromEdgesWithItsKey() throws Exception {
         fleet = new LocalFleet(2, 1, 0);
         fleet.keys =
                 List.of(new sorrelhoist.edge.EdgeSettings.KeySettings("k1", "a secret of sixteen"));
@@ -268,14 +268,14 @@
     }
 
     @Test
-    void whatAnEdgeDecidedIsRecordedAndPlaysAgain(
+    void decisionsAreRecordedAndReplayed(
             @org.junit.jupiter.api.io.TempDir java.nio.file.Path folder) throws Exception {
         fleet = new LocalFleet(2, 2, 0);
         fleet.record = folder.toString();
         fleet.edges.add(new sorrelhoist.edge.Edge(fleet.edgeSettings("edge-1", true)).start());
         LocalFleet.await("the edge", () -> InferenceProbe.served(fleet, 0));
-        fleet.tell("w1", "errors 1 60000");
-        fleet.tell("w2", "errors 1 60000");
+        fleet.sendFaultCommand("w1", "errors 1 60000");
+        fleet.sendFaultCommand("w2", "errors 1 60000");
         InferenceClient.Result refused =
                 fleet.client(0)
                         .send(InferenceProbe.ask("mine", 20, 2_000_000), (i, t) -> {})
@@ -286,7 +286,7 @@
                         .message()
                         .matches("refused, and a repeat is harmless: .*; come back in [0-9]+ ms"),
                 refused.status().message());
-        fleet.nothingLeft(0);
+        fleet.awaitIdle(0);
         fleet.edges.get(0).stop();
         List<byte[]> files = new java.util.ArrayList<>();
         LocalFleet.await(
--- a/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
+++ b/app/src/test/java/sorrelhoist/app/config/ConfigTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void everyTemplateMakesGoodSettings() throws Exception {
+    void everyTemplateYieldsValidSettings() throws Exception {
         assertEquals(Config.Kind.EDGE, Config.check(file(EDGE)));
         assertEquals(
                 Config.Kind.PLANNER,
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void whatATemplateAsksForIsSaid() throws IOException {
+    void errorsOfTemplatesAndFilesAreReported() throws IOException {
         assertTrue(
                 errors("(import 'edge.libsonnet') + { zone: 'a', planner: '127.0.0.1:9' }")
                         .get(0)
