--- a/app/src/test/java/sorrelhoist/app/StormTest.java
+++ b/app/src/test/java/sorrelhoist/app/StormTest.java
@@ -64,7 +64,9 @@
                 String engine = (random.nextBoolean() ? "r" : "w") + (1 + random.nextInt(2));
                 String command = commands[random.nextInt(commands.length)];
                 timer.schedule(
-                        () -> fleet.sendFaultCommand(engine, command), 200 + 850 * i, TimeUnit.MILLISECONDS);
+                        () -> fleet.sendFaultCommand(engine, command),
+                        200 + 850 * i,
+                        TimeUnit.MILLISECONDS);
             }
             timer.schedule(
                     () -> {
--- a/core/src/main/java/sorrelhoist/core/delivery/DeliveryMonitor.java
+++ b/core/src/main/java/sorrelhoist/core/delivery/DeliveryMonitor.java
@@ -95,7 +95,11 @@
         long livenessCheckAt = Math.max(now, heldSince + policy.livenessCheckAfterMicros());
         long confirmBy =
                 Math.max(now + policy.minAttemptMicros(), heldSince + policy.confirmAfterMicros());
-        timers.schedule(livenessCheckAt, time -> checkLivenessFor(attempt, delivery, confirmBy, time - livenessCheckAt, time));
+        timers.schedule(
+                livenessCheckAt,
+                time ->
+                        checkLivenessFor(
+                                attempt, delivery, confirmBy, time - livenessCheckAt, time));
     }
 
     /** Records that an engine answered the attempt, which ends the watch. */
@@ -113,7 +117,8 @@
         }
     }
 
-    private void checkLivenessFor(A attempt, AttemptDelivery delivery, long confirmBy, long late, long now) {
+    private void checkLivenessFor(
+            A attempt, AttemptDelivery delivery, long confirmBy, long late, long now) {
         if (isWatched(attempt, delivery)) {
             checkLiveness(delivery.engine(), engines.get(delivery.engine()), now);
             long checkAt = Math.max(confirmBy, now + policy.livenessResponseMicros());
@@ -166,7 +171,9 @@
         EngineWatch<A> watch = watch(engine);
         watch.awaitResponse(now);
         if (abandoned.isDelivered()) {
-            timers.schedule(now + policy.livenessCheckAfterMicros(), time -> checkLivenessIfAwaited(engine, time));
+            timers.schedule(
+                    now + policy.livenessCheckAfterMicros(),
+                    time -> checkLivenessIfAwaited(engine, time));
         } else {
             checkLiveness(engine, watch, now);
         }
--- a/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
+++ b/core/src/main/java/sorrelhoist/core/members/EndpointTracker.java
@@ -116,7 +116,8 @@
         return withUptime(now, before.uptimeMicros()).equals(before);
     }
 
-    private ListedEngine toListedEngine(long now, RegistryView.Instance instance, TrackedEndpoint before) {
+    private ListedEngine toListedEngine(
+            long now, RegistryView.Instance instance, TrackedEndpoint before) {
         try {
             EngineMetadata metadata = EngineMetadata.parse(instance.metadata());
             ServerState state = state(instance.status(), before);
--- a/core/src/main/java/sorrelhoist/core/members/WatchReconnectPolicy.java
+++ b/core/src/main/java/sorrelhoist/core/members/WatchReconnectPolicy.java
@@ -37,14 +37,18 @@
      * timeout, two hung attempts and the time for the list of the last attempt.
      */
     static final long MAX_BACKOFF_MICROS =
-            (UPDATE_BUDGET_MICROS - SILENCE_TIMEOUT_MICROS - 2 * ATTEMPT_TIMEOUT_MICROS - ATTEMPT_TIMEOUT_MICROS / 2)
+            (UPDATE_BUDGET_MICROS
+                            - SILENCE_TIMEOUT_MICROS
+                            - 2 * ATTEMPT_TIMEOUT_MICROS
+                            - ATTEMPT_TIMEOUT_MICROS / 2)
                     / 3;
 
     /**
      * The time after which a starting router without a list continues with the saved one, in
      * microseconds; by then two attempts have hung.
      */
-    public static final long FIRST_LIST_TIMEOUT_MICROS = 2 * ATTEMPT_TIMEOUT_MICROS + MAX_BACKOFF_MICROS;
+    public static final long FIRST_LIST_TIMEOUT_MICROS =
+            2 * ATTEMPT_TIMEOUT_MICROS + MAX_BACKOFF_MICROS;
 
     private static final long MIN_BACKOFF_MICROS = 50_000;
     private static final long NOT_SCHEDULED = Long.MAX_VALUE;
@@ -183,7 +187,8 @@
      * receiving parts of its list may use the whole budget.
      */
     private long abandonAt() {
-        return Math.min(lastProgressAt + ATTEMPT_TIMEOUT_MICROS, attemptStartedAt + UPDATE_BUDGET_MICROS);
+        return Math.min(
+                lastProgressAt + ATTEMPT_TIMEOUT_MICROS, attemptStartedAt + UPDATE_BUDGET_MICROS);
     }
 
     /**
@@ -194,6 +199,8 @@
         if (pendingAttempt != NO_ATTEMPT) {
             return abandonAt();
         }
-        return nextAttemptAt < NOT_SCHEDULED ? nextAttemptAt : lastReceivedAt + SILENCE_TIMEOUT_MICROS;
+        return nextAttemptAt < NOT_SCHEDULED
+                ? nextAttemptAt
+                : lastReceivedAt + SILENCE_TIMEOUT_MICROS;
     }
 }
--- a/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
+++ b/core/src/main/java/sorrelhoist/core/record/RecordingMinimizer.java
@@ -81,7 +81,8 @@
     }
 
     /** Removes ever smaller parts as long as the remaining groups meet the condition. */
-    private List<List<Recording.NumberedEntry>> removeParts(List<List<Recording.NumberedEntry>> from) {
+    private List<List<Recording.NumberedEntry>> removeParts(
+            List<List<Recording.NumberedEntry>> from) {
         List<List<Recording.NumberedEntry>> best = from;
         int parts = 2;
         while (best.size() >= 2 && replayCount < maxReplays) {
--- a/core/src/main/java/sorrelhoist/core/request/AttemptHolds.java
+++ b/core/src/main/java/sorrelhoist/core/request/AttemptHolds.java
@@ -41,7 +41,8 @@
     }
 
     /** A prefill may have completed at the same moment at which it was lost or cancelled. */
-    private static Hold remainingPrefillHold(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
+    private static Hold remainingPrefillHold(
+            Attempt attempt, Outcome outcome, boolean awaitsEngine) {
         if (outcome == Outcome.READ || outcome == Outcome.FULL) {
             return null;
         }
@@ -58,7 +59,8 @@
      * A decode that was not answered may remain in its engine's queue after it has ended at the
      * router.
      */
-    private static Hold remainingDecodeHold(Attempt attempt, AttemptEnding ending, boolean awaitsEngine) {
+    private static Hold remainingDecodeHold(
+            Attempt attempt, AttemptEnding ending, boolean awaitsEngine) {
         if (ending == AttemptEnding.ANSWERED || attempt.streaming) {
             return null;
         }
--- a/core/src/main/java/sorrelhoist/core/request/RequestReservations.java
+++ b/core/src/main/java/sorrelhoist/core/request/RequestReservations.java
@@ -166,9 +166,7 @@
         RequestState request = attempt.request;
         boolean usesReservation =
                 request.prefillState != null || attempt.engine.equals(request.decodeSlotEngine);
-        return usesReservation
-                ? AttemptPurpose.DECODE_RESERVED
-                : AttemptPurpose.PREFILL_AND_DECODE;
+        return usesReservation ? AttemptPurpose.DECODE_RESERVED : AttemptPurpose.PREFILL_AND_DECODE;
     }
 
     /** Called when the running attempt waits for a connection. */
@@ -215,7 +213,8 @@
     void attemptEnded(Attempt attempt, Outcome outcome, boolean awaitsEngine) {
         AttemptEnding ending = AttemptHolds.endingOf(attempt, outcome);
         Hold remainingHold = AttemptHolds.remainingHold(attempt, outcome, awaitsEngine);
-        if (remainingHold != null && (remainingHold.isPrefillState() || mayWaitForReservation(attempt))) {
+        if (remainingHold != null
+                && (remainingHold.isPrefillState() || mayWaitForReservation(attempt))) {
             ReservationKey key = keyOf(attempt);
             table.addHold(key, remainingHold, clock.now());
             if (!oneKeyPerRequest) {
@@ -281,7 +280,8 @@
     // Decode slots
 
     /** Records a decode slot that was reserved or may have been reserved. */
-    void recordDecodeSlot(RequestState request, String engine, String slot, Hold.Certainty certainty) {
+    void recordDecodeSlot(
+            RequestState request, String engine, String slot, Hold.Certainty certainty) {
         ReservationKey key =
                 oneKeyPerRequest
                         ? ReservationKey.ofRequest(request.name)
--- a/core/src/main/java/sorrelhoist/core/reservation/HoldProof.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/HoldProof.java
@@ -42,7 +42,9 @@
      * empty}
      */
     static Optional<OpenHold> afterStream(OpenHold open, long now) {
-        return open.hold().isPrefillState() && open.mayOutlive(now) ? Optional.of(open) : Optional.empty();
+        return open.hold().isPrefillState() && open.mayOutlive(now)
+                ? Optional.of(open)
+                : Optional.empty();
     }
 
     /**
--- a/core/src/main/java/sorrelhoist/core/reservation/PendingReleases.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/PendingReleases.java
@@ -86,7 +86,9 @@
         // The first calls use the plain retry interval, as one of them has to arrive within the
         // limit. Later calls are too late for that, so their interval doubles.
         nextCallFrom =
-                now + (policy.retryMicros() << Math.max(0, callsSinceAnswer - CALLS_BEFORE_BACKOFF));
+                now
+                        + (policy.retryMicros()
+                                << Math.max(0, callsSinceAnswer - CALLS_BEFORE_BACKOFF));
         expiresAt = expiresAt == Long.MAX_VALUE ? now + policy.expiryMicros() : expiresAt;
     }
 
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationAttempt.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationAttempt.java
@@ -23,7 +23,10 @@
     private long writtenAt;
 
     ReservationAttempt(
-            AttemptPurpose purpose, String engine, boolean interruptedRelease, ReleasePolicy policy) {
+            AttemptPurpose purpose,
+            String engine,
+            boolean interruptedRelease,
+            ReleasePolicy policy) {
         this.purpose = purpose;
         this.engine = engine;
         this.interruptedRelease = interruptedRelease;
@@ -76,7 +79,8 @@
             case CONNECTING -> ordinary;
             case WRITTEN ->
                     Math.max(ordinary, Math.min(writtenAt + policy.confirmationMicros(), latest));
-            case DELIVERED -> isDecodeInFlight() ? idleSince + policy.renewMicros() : Long.MAX_VALUE;
+            case DELIVERED ->
+                    isDecodeInFlight() ? idleSince + policy.renewMicros() : Long.MAX_VALUE;
         };
     }
 }
--- a/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
+++ b/core/src/main/java/sorrelhoist/core/reservation/ReservationTable.java
@@ -267,7 +267,8 @@
             expire(reservation, now);
             return;
         }
-        String engine = targets.select(reservation.holdToRelease(), reservation.releases().calledEngines());
+        String engine =
+                targets.select(reservation.holdToRelease(), reservation.releases().calledEngines());
         if (engine != null) {
             call(reservation, engine, now);
         } else if (policy.reach() == ReleaseReach.HOLDER) {
@@ -293,7 +294,8 @@
         callsByCause.merge(reservation.releaseCause(), 1L, Long::sum);
         reservation.releaseSent(call, engine, now);
         releaseClient.release(
-                new ReleaseCall(call, reservation.key.requestName(), engine, reservation.holdToRelease()));
+                new ReleaseCall(
+                        call, reservation.key.requestName(), engine, reservation.holdToRelease()));
     }
 
     private void abandonCalls(Reservation reservation, long now) {
@@ -329,7 +331,9 @@
     private void reportExpired(Reservation reservation) {
         expiredCount++;
         releaseClient.expired(
-                reservation.key, reservation.lastCalledEngine(), reservation.releases().callsSinceAnswer());
+                reservation.key,
+                reservation.lastCalledEngine(),
+                reservation.releases().callsSinceAnswer());
     }
 
     private void forgetIfEmpty(Reservation reservation, long now) {
--- a/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
+++ b/core/src/main/java/sorrelhoist/core/scheduling/BackgroundScheduler.java
@@ -152,7 +152,8 @@
      * @param nextWorkAt when the job has more work, in microseconds; Long.MAX_VALUE for none
      * @param deadline by when that work should have run; Long.MAX_VALUE for none
      */
-    public void sliceFinished(long now, long cpuMicros, long bytes, long nextWorkAt, long deadline) {
+    public void sliceFinished(
+            long now, long cpuMicros, long bytes, long nextWorkAt, long deadline) {
         ScheduledJob finished = running;
         running = null;
         finished.sliceFinished(now, cpuMicros, bytes);
--- a/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
+++ b/core/src/test/java/sorrelhoist/core/members/WatchReconnectPolicyTest.java
@@ -91,7 +91,8 @@
             long first = replacementTime(seed, away);
             away[39] = AttemptOutcome.CONNECTS;
             assertTrue(
-                    first - replacementTime(seed, away) <= WatchReconnectPolicy.MAX_BACKOFF_MICROS + STEP,
+                    first - replacementTime(seed, away)
+                            <= WatchReconnectPolicy.MAX_BACKOFF_MICROS + STEP,
                     "the reconnect delay must stay short");
         }
     }
@@ -158,8 +159,10 @@
         long half = policy.attemptToOpen(1000);
         policy.bytesReceived(2000, half);
         assertTrue(policy.isCurrent(old) && policy.isCurrent(half));
-        assertEquals(0, policy.attemptToAbandon(2000 + WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS - 1));
-        assertEquals(half, policy.attemptToAbandon(2000 + WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS));
+        assertEquals(
+                0, policy.attemptToAbandon(2000 + WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS - 1));
+        assertEquals(
+                half, policy.attemptToAbandon(2000 + WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS));
         assertTrue(policy.isCurrent(old));
     }
 
@@ -169,7 +172,9 @@
         policy.restart(0);
         long slow = policy.attemptToOpen(0);
         long now = 0;
-        for (; policy.attemptToAbandon(now) == 0; now += WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS / 2) {
+        for (;
+                policy.attemptToAbandon(now) == 0;
+                now += WatchReconnectPolicy.ATTEMPT_TIMEOUT_MICROS / 2) {
             policy.bytesReceived(now, slow);
             assertTrue(now < 2 * WatchReconnectPolicy.UPDATE_BUDGET_MICROS);
         }
--- a/core/src/test/java/sorrelhoist/core/request/FaultSchedule.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultSchedule.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import sorrelhoist.core.request.FaultyNetwork.Connection;
 import sorrelhoist.core.request.ActualRequestState.SentAttempt;
+import sorrelhoist.core.request.FaultyNetwork.Connection;
 
 /** Draws the faults of one simulation run of a {@link FaultyFleet} and injects them. */
 final class FaultSchedule {
@@ -92,7 +92,9 @@
             boolean isInTransit = random.nextDouble() < IN_TRANSIT_SHARE;
             network.after(
                     random.nextInt((int) LAST_FAULT_MICROS),
-                    isInTransit ? () -> inTransitFaults.addLast(fault) : () -> injectAnywhere(fault));
+                    isInTransit
+                            ? () -> inTransitFaults.addLast(fault)
+                            : () -> injectAnywhere(fault));
         }
     }
 
@@ -130,7 +132,12 @@
         switch (fault) {
             case LINK_SILENT -> {
                 network.silenceLink(worker, network.now() + duration, resetAtEnd);
-                fleet.noteFault("the link of " + worker + " stops passing data" + durationSuffix + resetSuffix);
+                fleet.noteFault(
+                        "the link of "
+                                + worker
+                                + " stops passing data"
+                                + durationSuffix
+                                + resetSuffix);
             }
             case WORKER_HANGS -> {
                 fleet.worker(worker).hang(duration);
--- a/core/src/test/java/sorrelhoist/core/request/FaultyFleet.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyFleet.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import sorrelhoist.core.request.ActualRequestState.SentAttempt;
 import sorrelhoist.core.request.FaultSchedule.Fault;
 import sorrelhoist.core.request.FaultyNetwork.Connection;
-import sorrelhoist.core.request.ActualRequestState.SentAttempt;
 import sorrelhoist.routing.RoutingEvents.ListUpdateKind;
 import sorrelhoist.routing.RoutingEvents.Server;
 
@@ -150,7 +150,9 @@
     List<LateState> run() {
         drawRequests();
         schedule.drawFaults();
-        for (long checkAt = CHECK_INTERVAL_MICROS; checkAt <= SIMULATION_END; checkAt += CHECK_INTERVAL_MICROS) {
+        for (long checkAt = CHECK_INTERVAL_MICROS;
+                checkAt <= SIMULATION_END;
+                checkAt += CHECK_INTERVAL_MICROS) {
             advanceTo(checkAt);
             requests.values().forEach(this::checkHeldTime);
         }
--- a/core/src/test/java/sorrelhoist/core/request/FaultyNetworkModelTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyNetworkModelTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import sorrelhoist.core.request.FaultyNetwork.Connection;
 import sorrelhoist.core.request.ActualRequestState.SentAttempt;
 import sorrelhoist.core.request.ActualRequestState.WorkerEnd;
+import sorrelhoist.core.request.FaultyNetwork.Connection;
 
 /**
  * Tests the components of the faulty network simulation: the model must not be more lenient than
--- a/core/src/test/java/sorrelhoist/core/request/FaultyTransport.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyTransport.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.function.Consumer;
-import sorrelhoist.core.request.FaultyNetwork.Connection;
 import sorrelhoist.core.request.ActualRequestState.SentAttempt;
+import sorrelhoist.core.request.FaultyNetwork.Connection;
 import sorrelhoist.routing.RoutingEvents.Outcome;
 import sorrelhoist.routing.RoutingEvents.ServerLoad;
 
@@ -126,7 +126,9 @@
 
     private void addIdleConnection(Connection connection) {
         connection.assignCall(() -> {}, () -> {});
-        idleConnections.computeIfAbsent(connection.worker, name -> new ArrayDeque<>()).addLast(connection);
+        idleConnections
+                .computeIfAbsent(connection.worker, name -> new ArrayDeque<>())
+                .addLast(connection);
     }
 
     /**
--- a/core/src/test/java/sorrelhoist/core/request/FaultyWorker.java
+++ b/core/src/test/java/sorrelhoist/core/request/FaultyWorker.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 import java.util.Random;
 import java.util.function.Consumer;
-import sorrelhoist.core.request.FaultyNetwork.Connection;
 import sorrelhoist.core.request.ActualRequestState.SentAttempt;
 import sorrelhoist.core.request.ActualRequestState.WorkerEnd;
+import sorrelhoist.core.request.FaultyNetwork.Connection;
 import sorrelhoist.routing.RoutingEvents.Outcome;
 
 /**
@@ -184,7 +184,8 @@
 
     /** Called when the worker notices that the connection of an attempt has ended. */
     void connectionEnded(SentAttempt attempt) {
-        boolean continues = attempt.prefill ? prefillsContinue : attempt.waitsForState && !cancelsQueued;
+        boolean continues =
+                attempt.prefill ? prefillsContinue : attempt.waitsForState && !cancelsQueued;
         if (attempt.arrived && !continues && attempt.workerEnd == WorkerEnd.NONE) {
             attempt.endedAtWorker(WorkerEnd.UNWANTED, network.now());
         }
--- a/core/src/test/java/sorrelhoist/core/request/HoldOfUnreachableEngineTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HoldOfUnreachableEngineTest.java
@@ -86,7 +86,8 @@
      * undelivered.
      */
     @Test
-    void aPrefillCancelledAfterItsLinkFailedIsReleasedWithinEveryLimitWhileItsEngineIsUnreachable() {
+    void
+            aPrefillCancelledAfterItsLinkFailedIsReleasedWithinEveryLimitWhileItsEngineIsUnreachable() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
         Command.StartPrefill prefill = all(Command.StartPrefill.class).get(0);
         reportWritten(prefill);
--- a/core/src/test/java/sorrelhoist/core/request/HoldTimeLimitTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HoldTimeLimitTest.java
@@ -22,7 +22,8 @@
     private static final long SHORT_BUDGET = 650 * STEP;
 
     /** A router of a deployment whose decode engines may prefill prompts. */
-    private final Router prefillingRouter = new Router(Fleet.platformSettings(true, BUDGET), commands::add);
+    private final Router prefillingRouter =
+            new Router(Fleet.platformSettings(true, BUDGET), commands::add);
 
     private <T extends Command> T last(Class<T> type) {
         List<T> every = all(type);
--- a/core/src/test/java/sorrelhoist/core/request/PrefillStatesUnderFaultsTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/PrefillStatesUnderFaultsTest.java
@@ -24,7 +24,8 @@
 
     private static void assertNone(Cause cause, FaultyFleetRuns runs) {
         List<Long> failedSeeds = runs.failedSeedsBy(cause);
-        assertEquals(List.of(), failedSeeds, failedSeeds.size() + " seeds failed because of " + cause);
+        assertEquals(
+                List.of(), failedSeeds, failedSeeds.size() + " seeds failed because of " + cause);
     }
 
     @Test
@@ -50,7 +51,8 @@
     /** Workers continue a prefill although they notice that its connection was closed. */
     @Test
     void noStateIsLateThatAPrefillProducedAfterItsConnectionWasClosed() {
-        FaultyFleetRuns goingOn = FaultyFleetRuns.run(EnumSet.of(Fault.PREFILLS_CONTINUE), FaultyFleetRuns.SEEDS);
+        FaultyFleetRuns goingOn =
+                FaultyFleetRuns.run(EnumSet.of(Fault.PREFILLS_CONTINUE), FaultyFleetRuns.SEEDS);
         assertNone(Cause.PREFILL_ENDED_LATE, goingOn);
     }
 }
--- a/core/src/test/java/sorrelhoist/core/request/RandomHistoryTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RandomHistoryTest.java
@@ -52,7 +52,8 @@
 
     @Test
     void violationsByFaultyCommandsAreDetected() {
-        assertDetected("rule 1: no final result", o -> o instanceof Command.FinishRequest ? null : o);
+        assertDetected(
+                "rule 1: no final result", o -> o instanceof Command.FinishRequest ? null : o);
         assertDetected("rule 5: ", o -> o instanceof Command.ReleaseReservation ? null : o);
         assertDetected(
                 "token lost or duplicated",
--- a/core/src/test/java/sorrelhoist/core/request/RecordedHistoryReplayTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/RecordedHistoryReplayTest.java
@@ -109,7 +109,9 @@
                                     h.incarnation(),
                                     h.settings(),
                                     h.seed() + 1),
-                            recording.entries().stream().map(Recording.NumberedEntry::entry).toList());
+                            recording.entries().stream()
+                                    .map(Recording.NumberedEntry::entry)
+                                    .toList());
             Replay.Difference d = Replay.run(other).firstDifference();
             if (d != null) {
                 found++;
@@ -128,7 +130,9 @@
             for (Recording.NumberedEntry l : recording.entries()) {
                 if (l.entry() instanceof RecordEntry.RequestSubmitted a && a.fromToken() == 0) {
                     List<String> timeline = new RequestTimeline(recording).describe(a.name());
-                    assertTrue(timeline.get(0).contains("submitted as " + a.name()), timeline.toString());
+                    assertTrue(
+                            timeline.get(0).contains("submitted as " + a.name()),
+                            timeline.toString());
                     boolean ended =
                             recording.entries().stream()
                                     .anyMatch(
@@ -167,7 +171,9 @@
             if (recording.entries().size() > 60 && hasUnsafeRepeatFailure(recording)) {
                 RecordingMinimizer minimizer =
                         new RecordingMinimizer(
-                                recording.header(), RecordedHistoryReplayTest::hasUnsafeRepeatFailure, 3000);
+                                recording.header(),
+                                RecordedHistoryReplayTest::hasUnsafeRepeatFailure,
+                                3000);
                 Recording minimized = minimizer.minimize(recording);
                 assertTrue(hasUnsafeRepeatFailure(minimized));
                 assertTrue(
@@ -192,7 +198,8 @@
                         l ->
                                 l.entry() instanceof RecordEntry.Decision t
                                         && t.actions().stream()
-                                                .anyMatch(RecordedHistoryReplayTest::isUnsafeRepeat));
+                                                .anyMatch(
+                                                        RecordedHistoryReplayTest::isUnsafeRepeat));
     }
 
     private static boolean isUnsafeRepeat(Action action) {
--- a/core/src/test/java/sorrelhoist/core/request/ReservationEvent.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationEvent.java
@@ -2,8 +2,9 @@
 
 /**
  * Events that affect the reservations of a request. The {@code NEXT_} events apply to the next
- * attempt, the {@code RELEASE_} events to the next release, and {@link #PREFILL_ENDS_WHEN_CANCELLED}
- * and {@link #PREFILL_ENDS_LONG_AFTER_CANCELLATION} to the next prefill that is cancelled.
+ * attempt, the {@code RELEASE_} events to the next release, and {@link
+ * #PREFILL_ENDS_WHEN_CANCELLED} and {@link #PREFILL_ENDS_LONG_AFTER_CANCELLATION} to the next
+ * prefill that is cancelled.
  */
 enum ReservationEvent {
     PREFILL_ENDS,
--- a/core/src/test/java/sorrelhoist/core/request/ReservationEventSequencesTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationEventSequencesTest.java
@@ -20,7 +20,8 @@
         runs = 0;
         for (ReservationSimulation.Tail tail : ReservationSimulation.Tail.values()) {
             for (boolean decodersMayPrefill : new boolean[] {false, true}) {
-                forEachSequence(List.of(), 3, events -> run(events, tail, decodersMayPrefill, faults));
+                forEachSequence(
+                        List.of(), 3, events -> run(events, tail, decodersMayPrefill, faults));
             }
         }
         System.out.println(runs + " sequences of two and three events were run");
@@ -32,7 +33,8 @@
         void run(List<ReservationEvent> events);
     }
 
-    private static void forEachSequence(List<ReservationEvent> prefix, int maxLength, SequenceAction action) {
+    private static void forEachSequence(
+            List<ReservationEvent> prefix, int maxLength, SequenceAction action) {
         if (prefix.size() >= 2) {
             action.run(prefix);
         }
--- a/core/src/test/java/sorrelhoist/core/request/ReservationSimulation.java
+++ b/core/src/test/java/sorrelhoist/core/request/ReservationSimulation.java
@@ -131,7 +131,9 @@
             now = Math.max(now, Math.min(scheduledEvents.nextDueMicros(), router.nextTimerAt()));
             check();
             router.advance(now);
-            for (Runnable due = scheduledEvents.pollDue(now); due != null; due = scheduledEvents.pollDue(now)) {
+            for (Runnable due = scheduledEvents.pollDue(now);
+                    due != null;
+                    due = scheduledEvents.pollDue(now)) {
                 due.run();
             }
         }
@@ -156,7 +158,8 @@
     private void apply(ReservationEvent event) {
         RunningAttempt attempt = runningAttempts.values().stream().findFirst().orElse(null);
         boolean prefilling = attempt != null && attempt.prefill && attempt.atWorker;
-        boolean decoding = attempt != null && !attempt.prefill && attempt.atWorker && !attempt.streaming;
+        boolean decoding =
+                attempt != null && !attempt.prefill && attempt.atWorker && !attempt.streaming;
         switch (event) {
             case PREFILL_ENDS -> {
                 if (prefilling) {
@@ -347,7 +350,8 @@
      */
     private void checkReachability(String engine) {
         if (gone.contains(engine)) {
-            scheduledEvents.schedule(now + SOON, () -> router.reachabilityChecked(now, engine, true));
+            scheduledEvents.schedule(
+                    now + SOON, () -> router.reachabilityChecked(now, engine, true));
             return;
         }
         long askedAt = now;
@@ -384,7 +388,9 @@
                     }
                     // A release does not drop a state that a decode is waiting for, but is answered
                     // nevertheless.
-                    held &= runningAttempts.values().stream().anyMatch(RunningAttempt::waitsForState);
+                    held &=
+                            runningAttempts.values().stream()
+                                    .anyMatch(RunningAttempt::waitsForState);
                     scheduledEvents.schedule(
                             now + RELEASE_ARRIVES,
                             () -> router.releaseCompleted(now, o.releaseId(), true));
--- a/core/src/test/java/sorrelhoist/core/request/UnprovenReleaseTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/UnprovenReleaseTest.java
@@ -45,7 +45,9 @@
         }
         assertEquals(decode.attempt(), all(Command.CancelAttempt.class).get(0).attempt());
         advanceTo(now + Fleet.RELEASE);
-        assertTrue(releases() > releasesDuringDecode, "no release was sent after the end of the decode");
+        assertTrue(
+                releases() > releasesDuringDecode,
+                "no release was sent after the end of the decode");
     }
 
     /** There is no ordering between a release and the close of another connection. */
--- a/core/src/test/java/sorrelhoist/core/reservation/LateArrivalReleaseTest.java
+++ b/core/src/test/java/sorrelhoist/core/reservation/LateArrivalReleaseTest.java
@@ -23,7 +23,9 @@
     private void assertReleasedWithinEachLimitWhileSilent() {
         advanceAnsweringTo(SILENCE);
         assertEquals(1, table.size());
-        assertTrue(longestTimeWithoutRelease(0, SILENCE) <= LIMIT, "no release for " + longestTimeWithoutRelease(0, SILENCE));
+        assertTrue(
+                longestTimeWithoutRelease(0, SILENCE) <= LIMIT,
+                "no release for " + longestTimeWithoutRelease(0, SILENCE));
         assertTrue(calls.size() <= SILENCE / POLICY.renewMicros() + 2, calls.size() + " releases");
         assertEquals(0, table.releasableCount(), "shutdown must not wait for the engine");
     }
--- a/decide/src/main/java/sorrelhoist/routing/AdmissionController.java
+++ b/decide/src/main/java/sorrelhoist/routing/AdmissionController.java
@@ -109,7 +109,8 @@
                         .mapToDouble(
                                 endpoint ->
                                         dense
-                                                ? completions.completionByIntervals(endpoint, request)
+                                                ? completions.completionByIntervals(
+                                                        endpoint, request)
                                                 : completions.completion(endpoint, request))
                         .min()
                         .orElse(0);
--- a/decide/src/main/java/sorrelhoist/routing/DecodeSelector.java
+++ b/decide/src/main/java/sorrelhoist/routing/DecodeSelector.java
@@ -38,7 +38,8 @@
         double linkDelay = delays.ofLinkFrom(cell);
         double lowest = Double.MAX_VALUE;
         for (Endpoint endpoint : candidates) {
-            endpoint.estimatedDelay = delays.ofEndpoint(endpoint) + (endpoint.cell == cell ? 0 : linkDelay);
+            endpoint.estimatedDelay =
+                    delays.ofEndpoint(endpoint) + (endpoint.cell == cell ? 0 : linkDelay);
             lowest = Math.min(lowest, endpoint.estimatedDelay);
         }
         double bound = lowest + MAX_EXCESS_DELAY_MICROS;
--- a/decide/src/main/java/sorrelhoist/routing/EndpointTable.java
+++ b/decide/src/main/java/sorrelhoist/routing/EndpointTable.java
@@ -107,7 +107,8 @@
             if (endpoint.isServing() && !decodeSpilloverByCell.containsKey(endpoint.cell)) {
                 double prefills = shareOfZone(Role.READ, endpoint);
                 double decodes = shareOfZone(Role.WRITE, endpoint);
-                decodeSpilloverByCell.put(endpoint.cell, prefills > 0 ? 1 - decodes / prefills : -1);
+                decodeSpilloverByCell.put(
+                        endpoint.cell, prefills > 0 ? 1 - decodes / prefills : -1);
             }
         }
     }
--- a/decide/src/main/java/sorrelhoist/routing/GossipSender.java
+++ b/decide/src/main/java/sorrelhoist/routing/GossipSender.java
@@ -32,7 +32,8 @@
     /** Adds the share of one arriving request to the budget. */
     void recordArrival() {
         RoutingSettings settings = context.settings();
-        double share = MAX_SCORE_COST / Math.max(MAX_SCORE_COST, settings.capabilities().gossipCost());
+        double share =
+                MAX_SCORE_COST / Math.max(MAX_SCORE_COST, settings.capabilities().gossipCost());
         budgetBytes =
                 Math.min(
                         MAX_MESSAGE_BYTES * (double) settings.routers(),
--- a/decide/src/main/java/sorrelhoist/routing/OutcomeRecorder.java
+++ b/decide/src/main/java/sorrelhoist/routing/OutcomeRecorder.java
@@ -126,7 +126,8 @@
         } else {
             recordFailure(endpoint);
         }
-        if (event.outcome() == Outcome.TIMED_OUT && endpoint.inFlight.isNewerThanAnswered(attempt)) {
+        if (event.outcome() == Outcome.TIMED_OUT
+                && endpoint.inFlight.isNewerThanAnswered(attempt)) {
             learnTimeout(request, attempt, event.tookMicros());
         }
         if (attempt.prefill) {
--- a/decide/src/main/java/sorrelhoist/routing/PrefillSelector.java
+++ b/decide/src/main/java/sorrelhoist/routing/PrefillSelector.java
@@ -67,7 +67,8 @@
         }
         if (prefix == null && session == null) {
             String key = request.prefix() != null ? request.prefix() : request.tieBreakKey();
-            return avoidCongestion(Endpoints.byHash(key, candidates), Kind.UNSEEN, request, candidates);
+            return avoidCongestion(
+                    Endpoints.byHash(key, candidates), Kind.UNSEEN, request, candidates);
         }
         Endpoint chosen = cheapest(candidates, request, session, prefix);
         return avoidCongestion(chosen, Kind.CHEAPEST, request, candidates);
--- a/decide/src/main/java/sorrelhoist/routing/SlowStart.java
+++ b/decide/src/main/java/sorrelhoist/routing/SlowStart.java
@@ -66,8 +66,12 @@
         // Two standard deviations of the count are subtracted. They are divided by the root of the
         // number of routers, as the deviations of the single routers average out.
         double statisticalError = 2 * Math.sqrt(answered / settings.routers());
-        double lowerBound = (answered - statisticalError) / Math.max(1, windows) / Math.max(1, endpoints.size());
-        maxAnswersPerWindow[role.ordinal()] = Math.max(maxAnswersPerWindow[role.ordinal()], lowerBound);
+        double lowerBound =
+                (answered - statisticalError)
+                        / Math.max(1, windows)
+                        / Math.max(1, endpoints.size());
+        maxAnswersPerWindow[role.ordinal()] =
+                Math.max(maxAnswersPerWindow[role.ordinal()], lowerBound);
     }
 
     /**
@@ -103,12 +107,16 @@
             return true;
         }
         double maxAnswers = maxAnswersPerWindow[role.ordinal()];
-        double permittedSends = SAFETY_SHARE * limits.overloadMultiple() * limits.coldCapacityShare() * maxAnswers;
+        double permittedSends =
+                SAFETY_SHARE * limits.overloadMultiple() * limits.coldCapacityShare() * maxAnswers;
         if (permittedSends >= 1) {
             return endpoint.history.sentAfter(now - limits.overloadMicros()) + 1 <= permittedSends;
         }
         double mean = Math.max(maxAnswers, limits.overloadMicros() / meanGapMicros / peers);
-        double share = Math.max(permittedSends / MAX_LOAD_IMBALANCE / mean, 1 / TURN_WINDOWS_PER_ROUTER / settings.routers());
+        double share =
+                Math.max(
+                        permittedSends / MAX_LOAD_IMBALANCE / mean,
+                        1 / TURN_WINDOWS_PER_ROUTER / settings.routers());
         long window = now / limits.overloadMicros();
         double draw = draw(endpoint.id + window, settings.self());
         return draw < share
--- a/decide/src/main/java/sorrelhoist/routing/StageDispatcher.java
+++ b/decide/src/main/java/sorrelhoist/routing/StageDispatcher.java
@@ -52,7 +52,8 @@
         } else if (attemptsLeft < 1) {
             Kind kind = request.rejected ? Kind.TOLD_FULL : Kind.ATTEMPTS;
             int attemptsMade = request.attempts;
-            conclusion.giveUp(request, Reason.compared(kind, attemptsMade, attemptsMade + attemptsLeft));
+            conclusion.giveUp(
+                    request, Reason.compared(kind, attemptsMade, attemptsMade + attemptsLeft));
         } else if (request.prefilledAt != null) {
             sendToDecode(request);
         } else {
@@ -74,7 +75,10 @@
         List<Endpoint> decode = filter.candidates(Role.WRITE, request);
         List<Endpoint> mixed = filter.candidates(Role.BOTH, request);
         Selection selected = prefill.isEmpty() ? null : prefillSelector.select(request, prefill);
-        Reason rejection = request.attempts == 0 ? admissionRejection(request, prefill, selected, decode) : null;
+        Reason rejection =
+                request.attempts == 0
+                        ? admissionRejection(request, prefill, selected, decode)
+                        : null;
         if (rejection != null) {
             conclusion.giveUp(request, rejection);
         } else if (decodeSelector.goesToMixed(prefill, decode, mixed)) {
@@ -104,7 +108,8 @@
 
     private void sendToDecode(TrackedRequest request) {
         List<Endpoint> decodeOnly = filter.candidates(Role.WRITE, request);
-        List<Endpoint> decode = decodeOnly.isEmpty() ? filter.candidates(Role.BOTH, request) : decodeOnly;
+        List<Endpoint> decode =
+                decodeOnly.isEmpty() ? filter.candidates(Role.BOTH, request) : decodeOnly;
         Selection probe = filter.recoveryProbe(Role.WRITE, request);
         Selection selected =
                 probe != null ? probe : decodeSelector.select(request.prefilledAt, decode);
--- a/decide/src/test/java/sorrelhoist/routing/CandidateFilterTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/CandidateFilterTest.java
@@ -50,7 +50,8 @@
     void reportsWhyNoEndpointOfARoleIsAvailable() {
         assertEquals(Reason.Kind.NO_SERVER, parts.filter.unavailability(Role.BOTH, request));
         assertEquals(Reason.Kind.COLD, parts.filter.unavailability(Role.READ, request));
-        Server draining = Fixtures.withState(Fixtures.prefillServer("r1", 0), ServerState.DRAINING, 0);
+        Server draining =
+                Fixtures.withState(Fixtures.prefillServer("r1", 0), ServerState.DRAINING, 0);
         parts.endpoints.update(new Members(ListUpdateKind.COMPLETE, List.of(draining)));
         assertEquals(Reason.Kind.DRAINING, parts.filter.unavailability(Role.READ, request));
     }
--- a/decide/src/test/java/sorrelhoist/routing/EndpointTableTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/EndpointTableTest.java
@@ -23,7 +23,8 @@
     void aRestartedProcessIsAnotherEndpointAndHasNothingCached() {
         Endpoint before = parts.endpoint("r1");
         parts.prefixes.addHolder("pre", 100, before);
-        Server listed = Fixtures.withState(Fixtures.prefillServer("r1", 0), ServerState.SERVING, SECOND);
+        Server listed =
+                Fixtures.withState(Fixtures.prefillServer("r1", 0), ServerState.SERVING, SECOND);
         endpoints.update(new Members(ListUpdateKind.UPDATE, List.of(listed)));
         Endpoint after = parts.endpoint("r1");
         assertFalse(before == after);
--- a/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetGossipTest.java
@@ -94,7 +94,8 @@
         int withoutGossip = failures(false, Set.of("w13"));
         int withGossip = failures(true, Set.of("w13"));
         assertTrue(
-                withGossip < 0.5 * withoutGossip, withGossip + " failures with gossip, " + withoutGossip + " without gossip");
+                withGossip < 0.5 * withoutGossip,
+                withGossip + " failures with gossip, " + withoutGossip + " without gossip");
     }
 
     /**
@@ -134,7 +135,9 @@
     void gossipAboutManyServersLeavesTheHealthyOnesInUse() {
         int withoutGossip = failures(false, Set.of("w10", "w12", "w14", "w16", "w18"));
         int withGossip = failures(true, Set.of("w10", "w12", "w14", "w16", "w18"));
-        assertTrue(withGossip <= withoutGossip, withGossip + " failures with gossip, " + withoutGossip + " without gossip");
+        assertTrue(
+                withGossip <= withoutGossip,
+                withGossip + " failures with gossip, " + withoutGossip + " without gossip");
     }
 
     @Test
--- a/decide/src/test/java/sorrelhoist/routing/FleetSimulation.java
+++ b/decide/src/test/java/sorrelhoist/routing/FleetSimulation.java
@@ -2,11 +2,11 @@
 
 import static sorrelhoist.routing.Fixtures.SECOND;
 import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.decodeServer;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
 import static sorrelhoist.routing.Fixtures.prefillServer;
 import static sorrelhoist.routing.Fixtures.settings;
-import static sorrelhoist.routing.Fixtures.decodeServer;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/KnowledgeTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
-import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.prefillServer;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.send;
@@ -119,7 +119,10 @@
         assertEquals(60, again.keys().size());
         assertEquals(k.keys().get(59).holders(), again.keys().get(59).holders());
         assertNotEquals(
-                new RoutingPolicy(defaultSettings(), 3).exportKnowledge(0, 10).prefillTimes().get(0),
+                new RoutingPolicy(defaultSettings(), 3)
+                        .exportKnowledge(0, 10)
+                        .prefillTimes()
+                        .get(0),
                 again.prefillTimes().get(0));
         assertEquals(10, trainedPolicy().exportKnowledge(4 * SECOND, 10).keys().size());
     }
--- a/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/PlacementTest.java
@@ -6,14 +6,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static sorrelhoist.routing.Fixtures.SECOND;
 import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.decodeServer;
+import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
-import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.send;
 import static sorrelhoist.routing.Fixtures.settings;
 import static sorrelhoist.routing.Fixtures.withState;
-import static sorrelhoist.routing.Fixtures.decodeServer;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -107,7 +107,8 @@
                         .orElseThrow();
         policy.onEvent(
                 now,
-                new Members(ListUpdateKind.UPDATE, List.of(withState(home, ServerState.SERVING, now))));
+                new Members(
+                        ListUpdateKind.UPDATE, List.of(withState(home, ServerState.SERVING, now))));
         now += 13 * SECOND;
         policy.onEvent(now, new TimerFired(99));
         Set<String> readers = new HashSet<>();
--- a/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
+++ b/decide/src/test/java/sorrelhoist/routing/RandomHistory.java
@@ -98,7 +98,9 @@
     }
 
     void run() {
-        for (long end = now + DURATION_MICROS; now < end || !requests.isEmpty(); now += STEP_MICROS) {
+        for (long end = now + DURATION_MICROS;
+                now < end || !requests.isEmpty();
+                now += STEP_MICROS) {
             fireTimers();
             endAttempts();
             if (now < end) {
@@ -347,7 +349,9 @@
                     r.answered || r.streaming || now <= r.deadline + SLACK_MICROS,
                     "no answer by the deadline");
             assertTrue(
-                    !r.stateReserved || !r.inFlight.isEmpty() || now - r.idleSince <= RESERVATION_LIMIT_MICROS,
+                    !r.stateReserved
+                            || !r.inFlight.isEmpty()
+                            || now - r.idleSince <= RESERVATION_LIMIT_MICROS,
                     "a state is reserved for longer than the limit");
             if (r.answered && r.inFlight.isEmpty() && !r.stateReserved) {
                 requests.remove(r.arrived.id());
--- a/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/RoutingPolicyTest.java
@@ -7,10 +7,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static sorrelhoist.routing.Fixtures.SECOND;
 import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
 import static sorrelhoist.routing.Fixtures.gossipSettings;
-import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.settings;
 import static sorrelhoist.routing.Fixtures.withState;
@@ -175,7 +175,8 @@
             policy.onEvent(
                     now,
                     new Members(
-                            ListUpdateKind.UPDATE, List.of(withState(old, ServerState.GONE, 0), fresh)));
+                            ListUpdateKind.UPDATE,
+                            List.of(withState(old, ServerState.GONE, 0), fresh)));
             serve(i, "s" + i, null, 1000, 0, 0);
         }
         int known = policy.exportKnowledge(now, 100).servers().size();
--- a/decide/src/test/java/sorrelhoist/routing/SettingsBuilder.java
+++ b/decide/src/test/java/sorrelhoist/routing/SettingsBuilder.java
@@ -50,7 +50,11 @@
                         0.003,
                         0.003),
                 new ServerLimits(
-                        0.26, 12 * Fixtures.SECOND, 3, 3 * Fixtures.SECOND, Fixtures.RESERVATION_LIMIT_MICROS));
+                        0.26,
+                        12 * Fixtures.SECOND,
+                        3,
+                        3 * Fixtures.SECOND,
+                        Fixtures.RESERVATION_LIMIT_MICROS));
     }
 
     private RequestClass requestClass(long latencyObjectiveMicros, double priorityWeight) {
--- a/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/SingleRouterTest.java
@@ -1,9 +1,9 @@
 package sorrelhoist.routing;
 
 import static sorrelhoist.routing.Fixtures.SECOND;
+import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
-import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.send;
 import static sorrelhoist.routing.Fixtures.settings;
--- a/decide/src/test/java/sorrelhoist/routing/SlowStartTest.java
+++ b/decide/src/test/java/sorrelhoist/routing/SlowStartTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static sorrelhoist.routing.Fixtures.SECOND;
 import static sorrelhoist.routing.Fixtures.all;
+import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.ended;
 import static sorrelhoist.routing.Fixtures.fleet;
-import static sorrelhoist.routing.Fixtures.defaultSettings;
 import static sorrelhoist.routing.Fixtures.request;
 import static sorrelhoist.routing.Fixtures.withState;
 
@@ -35,7 +35,11 @@
     private void updateList(ListUpdateKind form, long r1Since) {
         List<Server> servers =
                 fleet().stream()
-                        .map(s -> s.id().equals("r1") ? withState(s, ServerState.SERVING, r1Since) : s)
+                        .map(
+                                s ->
+                                        s.id().equals("r1")
+                                                ? withState(s, ServerState.SERVING, r1Since)
+                                                : s)
                         .toList();
         policy.onEvent(
                 now,
@@ -43,7 +47,8 @@
     }
 
     /**
-     * {@return the number of requests that are sent to r1, out of {@link #REQUESTS} within one window}
+     * {@return the number of requests that are sent to r1, out of {@link #REQUESTS} within one
+     * window}
      */
     private int sentInAWindow() {
         int sent = 0;
@@ -90,9 +95,12 @@
     void noServerWarmsUpForLongerThanTheLimitsSay(long stepSeconds) {
         updateList(ListUpdateKind.COMPLETE, now + stepSeconds * SECOND);
         assertTrue(
-                sentInAWindow() <= MAX_SENDS_WHILE_COLD, "a server with a start time in the future is cold");
+                sentInAWindow() <= MAX_SENDS_WHILE_COLD,
+                "a server with a start time in the future is cold");
         now += WARM_UP_MICROS;
-        assertTrue(sentInAWindow() > MAX_SENDS_WHILE_COLD, "the server is warm after the warm-up time");
+        assertTrue(
+                sentInAWindow() > MAX_SENDS_WHILE_COLD,
+                "the server is warm after the warm-up time");
     }
 
     @Test
--- a/planner/src/main/java/sorrelhoist/planner/Planner.java
+++ b/planner/src/main/java/sorrelhoist/planner/Planner.java
@@ -220,7 +220,8 @@
         int senderIndex = slots.slotOf(sender.edge()).index();
         PlanEvent message = PlanEvent.of(new PeerMessage(senderIndex, request.body()));
         if (request.recipient() >= 0) {
-            EdgeSession recipient = edges.sessionOf(String.valueOf(slots.routerAt(request.recipient())));
+            EdgeSession recipient =
+                    edges.sessionOf(String.valueOf(slots.routerAt(request.recipient())));
             if (recipient != null) {
                 recipient.send(message);
             }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/FrameReader.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/FrameReader.java
@@ -41,7 +41,8 @@
         int streamId = in.getInt(start + 5) & Integer.MAX_VALUE;
         in.skipBytes(Frames.HEADER_SIZE);
         ByteBuf payload = in.readSlice(length);
-        if (openHeaderBlockStreamId != 0 && (type != Frames.CONTINUATION || streamId != openHeaderBlockStreamId)) {
+        if (openHeaderBlockStreamId != 0
+                && (type != Frames.CONTINUATION || streamId != openHeaderBlockStreamId)) {
             throw connection(
                     ErrorCode.PROTOCOL_ERROR, "a header block was left open by another frame");
         }
--- a/protocol/src/main/java/sorrelhoist/protocol/http2/OutboundFlowController.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/http2/OutboundFlowController.java
@@ -77,7 +77,9 @@
      */
     void writePending() {
         int blockedInARow = 0;
-        while (!scheduledStreams.isEmpty() && blockedInARow < scheduledStreams.size() && channel.isWritable()) {
+        while (!scheduledStreams.isEmpty()
+                && blockedInARow < scheduledStreams.size()
+                && channel.isWritable()) {
             Http2Stream stream = scheduledStreams.poll();
             if (stream.isClosed() || !stream.hasPendingData()) {
                 stream.scheduled(false);
--- a/protocol/src/main/java/sorrelhoist/protocol/net/AcceptErrorHandler.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/net/AcceptErrorHandler.java
@@ -55,7 +55,10 @@
         if (config.isAutoRead()) {
             config.setAutoRead(false);
             context.executor()
-                    .schedule(() -> config.setAutoRead(true), ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+                    .schedule(
+                            () -> config.setAutoRead(true),
+                            ACCEPT_PAUSE_MILLIS,
+                            TimeUnit.MILLISECONDS);
         }
     }
 
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/HostilePeerTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/HostilePeerTest.java
@@ -65,7 +65,8 @@
         assertConnectionError(ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.CONTINUATION, 4, 1, 0));
         assertConnectionError(
                 ErrorCode.PROTOCOL_ERROR, r -> r.frame(Frames.PUSH_PROMISE, 4, 1, 0, 0, 0, 2));
-        assertConnectionError(ErrorCode.COMPRESSION_ERROR, r -> r.frame(Frames.HEADERS, 5, 1, 0x80));
+        assertConnectionError(
+                ErrorCode.COMPRESSION_ERROR, r -> r.frame(Frames.HEADERS, 5, 1, 0x80));
         assertConnectionError(
                 ErrorCode.FRAME_SIZE_ERROR,
                 r ->
@@ -169,7 +170,8 @@
         }
         for (int k = 0; k < 100 && pair.serverChannel.isOpen(); k++) {
             pair.serverChannel.writeInbound(
-                    Frames.windowUpdate(pair.serverChannel.alloc(), pair.serverStreams.get(0).id(), 20));
+                    Frames.windowUpdate(
+                            pair.serverChannel.alloc(), pair.serverStreams.get(0).id(), 20));
         }
         assertFalse(
                 pair.serverChannel.isOpen(),
--- a/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/http2/Pair.java
@@ -88,7 +88,10 @@
             moved = true;
             wireBytes.update(ByteBufUtil.getBytes(out));
             while (out.isReadable() && to.isOpen()) {
-                int size = maxPieceBytes == 0 ? out.readableBytes() : Math.min(maxPieceBytes, out.readableBytes());
+                int size =
+                        maxPieceBytes == 0
+                                ? out.readableBytes()
+                                : Math.min(maxPieceBytes, out.readableBytes());
                 to.writeInbound(Unpooled.copiedBuffer(out.readSlice(size)));
             }
             out.release();
--- a/protocol/src/test/java/sorrelhoist/protocol/net/BlockingIoHandlerTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/net/BlockingIoHandlerTest.java
@@ -56,7 +56,8 @@
             loop.execute(() -> runTimers(loop, remainingTimers));
             assertTrue(remainingTimers.await(1, TimeUnit.MINUTES));
             assertTrue(
-                    polls.get() <= MAX_POLLS_PER_TIMER * TIMERS, polls + " polls for " + TIMERS + " timers");
+                    polls.get() <= MAX_POLLS_PER_TIMER * TIMERS,
+                    polls + " polls for " + TIMERS + " timers");
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         }
@@ -65,7 +66,8 @@
     private static void runTimers(EventLoop loop, CountDownLatch remainingTimers) {
         remainingTimers.countDown();
         if (remainingTimers.getCount() > 0) {
-            loop.schedule(() -> runTimers(loop, remainingTimers), DELAY_MICROS, TimeUnit.MICROSECONDS);
+            loop.schedule(
+                    () -> runTimers(loop, remainingTimers), DELAY_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 }
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageBytesTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageBytesTest.java
@@ -124,7 +124,15 @@
 
         private RosterEntry rosterEntry() {
             return new RosterEntry(
-                    randomString(), randomString(), randomString(), randomString(), randomCount() % 3, randomDouble(), randomLong(), randomLong(), randomString());
+                    randomString(),
+                    randomString(),
+                    randomString(),
+                    randomString(),
+                    randomCount() % 3,
+                    randomDouble(),
+                    randomLong(),
+                    randomLong(),
+                    randomString());
         }
 
         private Hello hello() {
@@ -135,17 +143,35 @@
             Map<byte[], Parser> all = new LinkedHashMap<>();
             all.put(
                     new DecodeRequest(
-                                    randomString(), randomString(), randomString(), randomCount(), randomString(), randomString(), randomString(),
-                                    randomCount(), randomCount(), randomCount(), randomString(), randomCount())
+                                    randomString(),
+                                    randomString(),
+                                    randomString(),
+                                    randomCount(),
+                                    randomString(),
+                                    randomString(),
+                                    randomString(),
+                                    randomCount(),
+                                    randomCount(),
+                                    randomCount(),
+                                    randomString(),
+                                    randomCount())
                             .toByteArray(),
                     DecodeRequest::parse);
             all.put(
                     new PrefillRequest(
-                                    randomString(), randomString(), randomString(), randomCount(), randomString(), randomCount(), randomCount(),
+                                    randomString(),
+                                    randomString(),
+                                    randomString(),
+                                    randomCount(),
+                                    randomString(),
+                                    randomCount(),
+                                    randomCount(),
                                     randomCount())
                             .toByteArray(),
                     PrefillRequest::parse);
-            all.put(new PrefillReply(randomString(), randomCount()).toByteArray(), PrefillReply::parse);
+            all.put(
+                    new PrefillReply(randomString(), randomCount()).toByteArray(),
+                    PrefillReply::parse);
             all.put(
                     new DecodeEvent(new Token(randomCount(), randomString()), null).toByteArray(),
                     DecodeEvent::parse);
@@ -163,24 +189,46 @@
             all.put(
                     new ReserveRequest(randomString(), randomCount(), randomCount()).toByteArray(),
                     ReserveRequest::parse);
-            all.put(new ReserveReply(randomBoolean(), randomString()).toByteArray(), ReserveReply::parse);
             all.put(
-                    new ReleaseRequest(randomString(), randomString(), randomString(), randomCount()).toByteArray(),
+                    new ReserveReply(randomBoolean(), randomString()).toByteArray(),
+                    ReserveReply::parse);
+            all.put(
+                    new ReleaseRequest(
+                                    randomString(), randomString(), randomString(), randomCount())
+                            .toByteArray(),
                     ReleaseRequest::parse);
             all.put(new ReleaseReply(randomBoolean()).toByteArray(), ReleaseReply::parse);
         }
 
         private void addStateTransferMessages(Map<byte[], Parser> all) {
-            all.put(new FetchRequest(randomString(), randomString()).toByteArray(), FetchRequest::parse);
-            all.put(new FetchReply(randomCount(), randomLong(), randomString()).toByteArray(), FetchReply::parse);
             all.put(
-                    new LoadReport(randomDouble(), randomDouble(), randomDouble(), randomDouble()).toByteArray(),
+                    new FetchRequest(randomString(), randomString()).toByteArray(),
+                    FetchRequest::parse);
+            all.put(
+                    new FetchReply(randomCount(), randomLong(), randomString()).toByteArray(),
+                    FetchReply::parse);
+            all.put(
+                    new LoadReport(randomDouble(), randomDouble(), randomDouble(), randomDouble())
+                            .toByteArray(),
                     LoadReport::parse);
             all.put(
-                    new SnapshotRequest(randomString(), randomString(), randomLong(), randomBytes(), randomString(), randomBytes()).toByteArray(),
+                    new SnapshotRequest(
+                                    randomString(),
+                                    randomString(),
+                                    randomLong(),
+                                    randomBytes(),
+                                    randomString(),
+                                    randomBytes())
+                            .toByteArray(),
                     SnapshotRequest::parse);
             all.put(
-                    new SnapshotChunk(randomCount(), randomBytes(), randomBoolean(), randomString(), randomBytes()).toByteArray(),
+                    new SnapshotChunk(
+                                    randomCount(),
+                                    randomBytes(),
+                                    randomBoolean(),
+                                    randomString(),
+                                    randomBytes())
+                            .toByteArray(),
                     SnapshotChunk::parse);
         }
 
@@ -188,11 +236,24 @@
             Map<byte[], Parser> all = new LinkedHashMap<>();
             all.put(rosterEntry().toByteArray(), RosterEntry::parse);
             all.put(hello().toByteArray(), Hello::parse);
-            all.put(new Peer(randomString(), randomString(), randomString()).toByteArray(), Peer::parse);
-            all.put(new PeerMessage(randomCount(), randomString()).toByteArray(), PeerMessage::parse);
-            all.put(new ReplicaSlot(randomCount(), randomCount(), randomLong()).toByteArray(), ReplicaSlot::parse);
             all.put(
-                    new ProbeResult(randomString(), randomBoolean(), randomLong(), randomDouble(), randomDouble(), randomDouble(), randomDouble())
+                    new Peer(randomString(), randomString(), randomString()).toByteArray(),
+                    Peer::parse);
+            all.put(
+                    new PeerMessage(randomCount(), randomString()).toByteArray(),
+                    PeerMessage::parse);
+            all.put(
+                    new ReplicaSlot(randomCount(), randomCount(), randomLong()).toByteArray(),
+                    ReplicaSlot::parse);
+            all.put(
+                    new ProbeResult(
+                                    randomString(),
+                                    randomBoolean(),
+                                    randomLong(),
+                                    randomDouble(),
+                                    randomDouble(),
+                                    randomDouble(),
+                                    randomDouble())
                             .toByteArray(),
                     ProbeResult::parse);
             List<RosterEntry> entries = new ArrayList<>();
@@ -203,13 +264,24 @@
             }
             List<PlanEvent> events =
                     List.of(
-                            PlanEvent.of(new Roster(randomCount() % 3, entries, randomLong(), randomLong())),
+                            PlanEvent.of(
+                                    new Roster(
+                                            randomCount() % 3,
+                                            entries,
+                                            randomLong(),
+                                            randomLong())),
                             PlanEvent.of(new PeerList(peers)),
                             PlanEvent.of(new PeerMessage(randomCount(), randomString())),
-                            PlanEvent.of(new ReplicaSlot(randomCount(), randomCount(), randomLong())),
+                            PlanEvent.of(
+                                    new ReplicaSlot(randomCount(), randomCount(), randomLong())),
                             PlanEvent.of(
                                     new ProbeResult(
-                                            randomString(), randomBoolean(), randomLong(), randomDouble(), randomDouble(), randomDouble(),
+                                            randomString(),
+                                            randomBoolean(),
+                                            randomLong(),
+                                            randomDouble(),
+                                            randomDouble(),
+                                            randomDouble(),
                                             randomDouble())));
             events.forEach(e -> all.put(e.toByteArray(), PlanEvent::parse));
             List<EdgeMessage> messages =
@@ -234,12 +306,15 @@
                                     List.of(randomBytes(), randomBytes()))
                             .toByteArray(),
                     InferRequest::parse);
-            InferResponse response = new InferResponse(randomString(), randomString(), parameters(), tensors());
+            InferResponse response =
+                    new InferResponse(randomString(), randomString(), parameters(), tensors());
             all.put(response.toByteArray(), InferResponse::parse);
             all.put(response.toStreamResponseBytes(), InferResponse::parseStreamResponse);
             all.put(ModelMessages.booleanResponse(randomBoolean()), ModelMessages::parseName);
             all.put(ModelMessages.healthCheckResponse(randomCount()), ModelMessages::parseName);
-            all.put(ModelMessages.serverMetadata(randomString(), randomString()), ModelMessages::parseName);
+            all.put(
+                    ModelMessages.serverMetadata(randomString(), randomString()),
+                    ModelMessages::parseName);
             all.put(ModelMessages.modelMetadata(randomString()), ModelMessages::parseName);
             return all;
         }
