--- a/core/src/test/java/sorrelhoist/core/request/HoldOfUnreachableEngineTest.java
+++ b/core/src/test/java/sorrelhoist/core/request/HoldOfUnreachableEngineTest.java
@@ -86,8 +86,7 @@
      * undelivered.
      */
     @Test
-    void
-            aPrefillCancelledAfterItsLinkFailedIsReleasedWithinEveryLimitWhileItsEngineIsUnreachable() {
+    void aCancelledPrefillIsReleasedWithinEveryLimitWhileItsEngineIsUnreachable() {
         client = router.requestArrived(now, Fleet.call(Fleet.SAFE, 10, BUDGET));
         Command.StartPrefill prefill = all(Command.StartPrefill.class).get(0);
         reportWritten(prefill);
--- a/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageBytesTest.java
+++ b/protocol/src/test/java/sorrelhoist/protocol/protobuf/MessageBytesTest.java
@@ -62,7 +62,7 @@
             random = new SplittableRandom(seed);
         }
 
-        private String randomString() {
+        private String text() {
             return switch (random.nextInt(4)) {
                 case 0 -> "";
                 case 1 -> "é€" + random.nextInt();
@@ -70,23 +70,23 @@
             };
         }
 
-        private int randomCount() {
+        private int count() {
             return random.nextInt(4) == 0 ? 0 : random.nextInt() >>> 1 + random.nextInt(30);
         }
 
-        private long randomLong() {
+        private long wide() {
             return random.nextInt(4) == 0 ? 0 : random.nextLong() >> random.nextInt(63);
         }
 
-        private double randomDouble() {
+        private double real() {
             return random.nextInt(4) == 0 ? 0 : random.nextDouble() * 1000 - 500;
         }
 
-        private boolean randomBoolean() {
+        private boolean flag() {
             return random.nextBoolean();
         }
 
-        private byte[] randomBytes() {
+        private byte[] raw() {
             byte[] bytes = new byte[random.nextInt(3) * 40];
             random.nextBytes(bytes);
             return bytes;
@@ -97,13 +97,13 @@
             for (int i = random.nextInt(5); i > 0; i--) {
                 Object value =
                         switch (random.nextInt(5)) {
-                            case 0 -> randomBoolean();
-                            case 1 -> randomLong();
-                            case 2 -> randomString();
-                            case 3 -> randomDouble();
+                            case 0 -> flag();
+                            case 1 -> wide();
+                            case 2 -> text();
+                            case 3 -> real();
                             default -> null;
                         };
-                all.put(randomString() + i, new Parameter(value));
+                all.put(text() + i, new Parameter(value));
             }
             return all;
         }
@@ -114,72 +114,46 @@
                 List<Long> shape = new ArrayList<>();
                 List<byte[]> contents = new ArrayList<>();
                 for (int n = random.nextInt(3); n > 0; n--) {
-                    shape.add(randomLong());
-                    contents.add(randomBytes());
+                    shape.add(wide());
+                    contents.add(raw());
                 }
-                all.add(new Tensor(randomString(), randomString(), shape, contents));
+                all.add(new Tensor(text(), text(), shape, contents));
             }
             return all;
         }
 
         private RosterEntry rosterEntry() {
             return new RosterEntry(
-                    randomString(),
-                    randomString(),
-                    randomString(),
-                    randomString(),
-                    randomCount() % 3,
-                    randomDouble(),
-                    randomLong(),
-                    randomLong(),
-                    randomString());
+                    text(), text(), text(), text(), count() % 3, real(), wide(), wide(), text());
         }
 
         private Hello hello() {
-            return new Hello(randomString(), randomString(), randomLong(), randomString());
+            return new Hello(text(), text(), wide(), text());
         }
 
         private Map<byte[], Parser> engineMessages() {
             Map<byte[], Parser> all = new LinkedHashMap<>();
             all.put(
                     new DecodeRequest(
-                                    randomString(),
-                                    randomString(),
-                                    randomString(),
-                                    randomCount(),
-                                    randomString(),
-                                    randomString(),
-                                    randomString(),
-                                    randomCount(),
-                                    randomCount(),
-                                    randomCount(),
-                                    randomString(),
-                                    randomCount())
+                                    text(), text(), text(), count(), text(), text(), text(),
+                                    count(), count(), count(), text(), count())
                             .toByteArray(),
                     DecodeRequest::parse);
             all.put(
                     new PrefillRequest(
-                                    randomString(),
-                                    randomString(),
-                                    randomString(),
-                                    randomCount(),
-                                    randomString(),
-                                    randomCount(),
-                                    randomCount(),
-                                    randomCount())
+                                    text(), text(), text(), count(), text(), count(), count(),
+                                    count())
                             .toByteArray(),
                     PrefillRequest::parse);
+            all.put(new PrefillReply(text(), count()).toByteArray(), PrefillReply::parse);
             all.put(
-                    new PrefillReply(randomString(), randomCount()).toByteArray(),
-                    PrefillReply::parse);
-            all.put(
-                    new DecodeEvent(new Token(randomCount(), randomString()), null).toByteArray(),
+                    new DecodeEvent(new Token(count(), text()), null).toByteArray(),
                     DecodeEvent::parse);
             all.put(
-                    new DecodeEvent(null, new Finish(randomCount(), randomCount())).toByteArray(),
+                    new DecodeEvent(null, new Finish(count(), count())).toByteArray(),
                     DecodeEvent::parse);
-            all.put(new Token(randomCount(), randomString()).toByteArray(), Token::parse);
-            all.put(new Finish(randomCount(), randomCount()).toByteArray(), Finish::parse);
+            all.put(new Token(count(), text()).toByteArray(), Token::parse);
+            all.put(new Finish(count(), count()).toByteArray(), Finish::parse);
             addReservationMessages(all);
             addStateTransferMessages(all);
             return all;
@@ -187,48 +161,26 @@
 
         private void addReservationMessages(Map<byte[], Parser> all) {
             all.put(
-                    new ReserveRequest(randomString(), randomCount(), randomCount()).toByteArray(),
+                    new ReserveRequest(text(), count(), count()).toByteArray(),
                     ReserveRequest::parse);
+            all.put(new ReserveReply(flag(), text()).toByteArray(), ReserveReply::parse);
             all.put(
-                    new ReserveReply(randomBoolean(), randomString()).toByteArray(),
-                    ReserveReply::parse);
-            all.put(
-                    new ReleaseRequest(
-                                    randomString(), randomString(), randomString(), randomCount())
-                            .toByteArray(),
+                    new ReleaseRequest(text(), text(), text(), count()).toByteArray(),
                     ReleaseRequest::parse);
-            all.put(new ReleaseReply(randomBoolean()).toByteArray(), ReleaseReply::parse);
+            all.put(new ReleaseReply(flag()).toByteArray(), ReleaseReply::parse);
         }
 
         private void addStateTransferMessages(Map<byte[], Parser> all) {
+            all.put(new FetchRequest(text(), text()).toByteArray(), FetchRequest::parse);
+            all.put(new FetchReply(count(), wide(), text()).toByteArray(), FetchReply::parse);
             all.put(
-                    new FetchRequest(randomString(), randomString()).toByteArray(),
-                    FetchRequest::parse);
-            all.put(
-                    new FetchReply(randomCount(), randomLong(), randomString()).toByteArray(),
-                    FetchReply::parse);
-            all.put(
-                    new LoadReport(randomDouble(), randomDouble(), randomDouble(), randomDouble())
-                            .toByteArray(),
+                    new LoadReport(real(), real(), real(), real()).toByteArray(),
                     LoadReport::parse);
             all.put(
-                    new SnapshotRequest(
-                                    randomString(),
-                                    randomString(),
-                                    randomLong(),
-                                    randomBytes(),
-                                    randomString(),
-                                    randomBytes())
-                            .toByteArray(),
+                    new SnapshotRequest(text(), text(), wide(), raw(), text(), raw()).toByteArray(),
                     SnapshotRequest::parse);
             all.put(
-                    new SnapshotChunk(
-                                    randomCount(),
-                                    randomBytes(),
-                                    randomBoolean(),
-                                    randomString(),
-                                    randomBytes())
-                            .toByteArray(),
+                    new SnapshotChunk(count(), raw(), flag(), text(), raw()).toByteArray(),
                     SnapshotChunk::parse);
         }
 
@@ -236,59 +188,35 @@
             Map<byte[], Parser> all = new LinkedHashMap<>();
             all.put(rosterEntry().toByteArray(), RosterEntry::parse);
             all.put(hello().toByteArray(), Hello::parse);
+            all.put(new Peer(text(), text(), text()).toByteArray(), Peer::parse);
+            all.put(new PeerMessage(count(), text()).toByteArray(), PeerMessage::parse);
+            all.put(new ReplicaSlot(count(), count(), wide()).toByteArray(), ReplicaSlot::parse);
             all.put(
-                    new Peer(randomString(), randomString(), randomString()).toByteArray(),
-                    Peer::parse);
-            all.put(
-                    new PeerMessage(randomCount(), randomString()).toByteArray(),
-                    PeerMessage::parse);
-            all.put(
-                    new ReplicaSlot(randomCount(), randomCount(), randomLong()).toByteArray(),
-                    ReplicaSlot::parse);
-            all.put(
-                    new ProbeResult(
-                                    randomString(),
-                                    randomBoolean(),
-                                    randomLong(),
-                                    randomDouble(),
-                                    randomDouble(),
-                                    randomDouble(),
-                                    randomDouble())
+                    new ProbeResult(text(), flag(), wide(), real(), real(), real(), real())
                             .toByteArray(),
                     ProbeResult::parse);
             List<RosterEntry> entries = new ArrayList<>();
             List<Peer> peers = new ArrayList<>();
             for (int i = random.nextInt(4); i > 0; i--) {
                 entries.add(rosterEntry());
-                peers.add(new Peer(randomString(), randomString(), randomString()));
+                peers.add(new Peer(text(), text(), text()));
             }
             List<PlanEvent> events =
                     List.of(
-                            PlanEvent.of(
-                                    new Roster(
-                                            randomCount() % 3,
-                                            entries,
-                                            randomLong(),
-                                            randomLong())),
+                            PlanEvent.of(new Roster(count() % 3, entries, wide(), wide())),
                             PlanEvent.of(new PeerList(peers)),
-                            PlanEvent.of(new PeerMessage(randomCount(), randomString())),
-                            PlanEvent.of(
-                                    new ReplicaSlot(randomCount(), randomCount(), randomLong())),
+                            PlanEvent.of(new PeerMessage(count(), text())),
+                            PlanEvent.of(new ReplicaSlot(count(), count(), wide())),
                             PlanEvent.of(
                                     new ProbeResult(
-                                            randomString(),
-                                            randomBoolean(),
-                                            randomLong(),
-                                            randomDouble(),
-                                            randomDouble(),
-                                            randomDouble(),
-                                            randomDouble())));
+                                            text(), flag(), wide(), real(), real(), real(),
+                                            real())));
             events.forEach(e -> all.put(e.toByteArray(), PlanEvent::parse));
             List<EdgeMessage> messages =
                     List.of(
                             new EdgeMessage.Handshake(hello()),
-                            new EdgeMessage.ProbeRequest(randomString()),
-                            new EdgeMessage.RelayRequest(random.nextInt(), randomString()),
+                            new EdgeMessage.ProbeRequest(text()),
+                            new EdgeMessage.RelayRequest(random.nextInt(), text()),
                             new EdgeMessage.RosterRequest());
             messages.forEach(m -> all.put(m.toByteArray(), EdgeMessage::parse));
             return all;
@@ -298,24 +226,21 @@
             Map<byte[], Parser> all = new LinkedHashMap<>();
             all.put(
                     new InferRequest(
-                                    randomString(),
-                                    randomString(),
-                                    randomString(),
+                                    text(),
+                                    text(),
+                                    text(),
                                     parameters(),
                                     tensors(),
-                                    List.of(randomBytes(), randomBytes()))
+                                    List.of(raw(), raw()))
                             .toByteArray(),
                     InferRequest::parse);
-            InferResponse response =
-                    new InferResponse(randomString(), randomString(), parameters(), tensors());
+            InferResponse response = new InferResponse(text(), text(), parameters(), tensors());
             all.put(response.toByteArray(), InferResponse::parse);
             all.put(response.toStreamResponseBytes(), InferResponse::parseStreamResponse);
-            all.put(ModelMessages.booleanResponse(randomBoolean()), ModelMessages::parseName);
-            all.put(ModelMessages.healthCheckResponse(randomCount()), ModelMessages::parseName);
-            all.put(
-                    ModelMessages.serverMetadata(randomString(), randomString()),
-                    ModelMessages::parseName);
-            all.put(ModelMessages.modelMetadata(randomString()), ModelMessages::parseName);
+            all.put(ModelMessages.booleanResponse(flag()), ModelMessages::parseName);
+            all.put(ModelMessages.healthCheckResponse(count()), ModelMessages::parseName);
+            all.put(ModelMessages.serverMetadata(text(), text()), ModelMessages::parseName);
+            all.put(ModelMessages.modelMetadata(text()), ModelMessages::parseName);
             return all;
         }
     }
