--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/FieldType.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/FieldType.java
@@ -24,7 +24,7 @@
     /** Types of fields with a single value: the last occurrence counts. */
     enum Scalar implements FieldType {
         /** A non-negative int32, uint32 or enum. */
-        NON_NEGATIVE_INT(0) {
+        COUNT(0) {
             @Override
             Object read(ProtoReader in) throws ProtoException {
                 return in.readNonNegativeInt();
--- a/protocol/src/main/java/sorrelhoist/protocol/protobuf/MessageSchema.java
+++ b/protocol/src/main/java/sorrelhoist/protocol/protobuf/MessageSchema.java
@@ -61,9 +61,7 @@
     private static FieldType type(RecordComponent component, ProtoField annotation) {
         Class<?> type = component.getType();
         if (type == int.class) {
-            return annotation.zigZag()
-                    ? FieldType.Scalar.SINT32
-                    : FieldType.Scalar.NON_NEGATIVE_INT;
+            return annotation.zigZag() ? FieldType.Scalar.SINT32 : FieldType.Scalar.COUNT;
         } else if (type == long.class) {
             return FieldType.Scalar.UINT64;
         } else if (type == boolean.class) {
